--- a/libchestnuthitch/decide/balance.c
+++ b/libchestnuthitch/decide/balance.c
@@ -1,4 +1,4 @@
-/* Routing by a node's own view. */
+/* Chooses upstreams by a node's own view of their load. */
 
 #include "decide/balance.h"
 #include "decide/fill.h"
@@ -7,176 +7,191 @@
 #include <string.h>
 
 enum {
-    /* Until answers tell: microseconds to read one token of a prompt, and to
-     * write one that an answer may have, of which it has a quarter. */
-    USUAL_READ = 52,
-    USUAL_WRITE = 3 * 1000,
-    /* Shorter prompts say more of the way than of reading. */
-    LEAST_MEASURED = 256, /* tokens */
-    /* Of so many measurements one is of an engine with little else to do. */
-    LEAST_SAMPLES = 8,
-    /* Each request that runs beside makes a step of the batch longer, and a
-     * request is some hundred steps: microseconds that one more costs the
-     * newcomer and its neighbours until their first tokens. */
-    NEIGHBOUR = 1500,
-    /* What a step of the batch, the way to the engine and back take at least.
+    /* Until measured: time to prefill one prompt token, and to decode one
+     * token of the most that an answer may have. Answers have a quarter of
+     * that on average. */
+    DEFAULT_PREFILL_US_PER_TOKEN = 52,
+    DEFAULT_DECODE_US_PER_TOKEN = 3 * 1000,
+    /* The first token of a shorter prompt depends more on the network than on
+     * the prefill, so that it isn't used to measure prefill speed. */
+    MIN_MEASURED_TOKENS = 256,
+    /* Of this many samples, one is likely to come from an engine with little
+     * other load. */
+    MIN_SAMPLES = 8,
+    /* Cost of each request that runs beside a new one, to the new one and its
+     * neighbours, until their first tokens. Each makes every step of the batch
+     * longer, and a request takes some hundred steps. */
+    BATCH_NEIGHBOUR_US = 1500,
+    /* Minimum for one step of the batch and the network both ways. */
+    MIN_FIRST_TOKEN_US = 25 * 1000,
+    /* A plain service's answer until one was measured. */
+    DEFAULT_ANSWER_US = 30 * 1000,
+    /* Cost of another data centre or region: beside the network delay, traffic
+     * between data centres is billed, and between regions at four times the
+     * price. */
+    OTHER_DATA_CENTRE_COST_US = 15 * 1000,
+    OTHER_REGION_COST_US = 120 * 1000,
+    /* Cost of an upstream whose memory can't hold the request: it makes
+     * another request wait for its turn, or preempts one in the middle of its
+     * stream. */
+    MEMORY_FULL_COST_US = 2 * G_USEC_PER_SEC,
+    /* Each request beyond the slots waits for a running one to end. */
+    SLOT_WAIT_US = 100 * 1000,
+    /* Cost of an upstream at which all recent requests failed. A failure costs
+     * a caller its target, so that such an upstream is chosen only if the
+     * others are worse by this much. */
+    FAILURE_COST_US = 4 * G_USEC_PER_SEC,
+    /* Failures are forgotten over this time, so that an upstream that has
+     * recovered gets requests again, at first only one. */
+    FAILURE_FORGET_US = 4 * G_USEC_PER_SEC,
+    /* An adapter loads in 6 to 19 ms; the rest is the delay of the load order.
      */
-    LEAST_FIRST = 25 * 1000,
-    /* A usual plain service's answer, until one was measured. */
-    USUAL_ANSWER = 30 * 1000,
-    /* What another data centre or region costs beside its delay: bytes between
-     * data centres are paid, between regions four times as much. */
-    OTHER_CENTRE = 15 * 1000,
-    OTHER_REGION = 120 * 1000,
-    /* An upstream whose memory would not hold the request makes another wait
-     * for its turn, or preempts one in its stream. */
-    MEMORY_FULL = 2 * G_USEC_PER_SEC,
-    /* Each request beyond the slots waits for one of them to end. */
-    SLOT_WAIT = 100 * 1000,
-    /* A failure costs a caller its target: an upstream that failed all of its
-     * last requests is only taken when the others are this much worse. */
-    FAILURE = 4 * G_USEC_PER_SEC,
-    /* Failures are forgotten in this time, so that an upstream which is well
-     * again is asked again, one request at first. */
-    FORGET = 4 * G_USEC_PER_SEC,
-    /* An adapter that has to be loaded: 6 to 19 ms, and the order's way. */
-    ADAPTER_LOAD = 60 * 1000,
-    /* An engine that changes its models takes no other order for a second or
-     * more. */
-    BUSY = 1500 * 1000,
-    /* Numbers of others older than this say nothing any more. */
-    OTHERS_STALE = 3 * G_USEC_PER_SEC,
-    /* What others run was gathered this long before it came. */
-    OTHERS_LAG = 200 * 1000,
-    /* When something is missing that is being looked after. */
-    SOON = G_USEC_PER_SEC,
-    /* Over this time what is asked of a model is counted: demand moves every
-     * few seconds. */
-    ASKED = 1000 * 1000,
-    /* What may be read in one go, and the while after it: three steps of the
-     * batch, an event's tokens. */
-    MOST_BURST = 230 * 1000,
-    REST = 40 * 1000,
-    MOST_KEPT = 1024, /* prompt parts remembered of one upstream */
+    ADAPTER_LOAD_US = 60 * 1000,
+    /* An engine that is loading or unloading models accepts no other order for
+     * a second or more. */
+    BUSY_ENGINE_COST_US = 1500 * 1000,
+    /* Load of other nodes reported longer ago than this is ignored. */
+    OTHERS_STALE_US = 3 * G_USEC_PER_SEC,
+    /* Age of other nodes' load by the time when it arrives here. */
+    OTHERS_LAG_US = 200 * 1000,
+    /* Retry-after of a refusal for lack of an upstream: missing models are
+     * being loaded meanwhile. */
+    NO_UPSTREAM_RETRY_AFTER_US = G_USEC_PER_SEC,
+    /* Averaging time of the demand for a model: demand moves every few
+     * seconds. */
+    DEMAND_WINDOW_US = 1000 * 1000,
+    /* Limit of uninterrupted prefill at an engine, and the pause that must
+     * follow before a new burst: three steps of the batch, which produce the
+     * tokens of one event. */
+    MAX_PREFILL_BURST_US = 230 * 1000,
+    PREFILL_PAUSE_US = 40 * 1000,
+    MAX_CACHED_PARTS = 1024, /* per upstream */
 };
 
-/* Of a prompt, what an engine usually has to read: the rest others share. */
-static const double usual_unknown = 0.75;
-/* Part of the last outcome in the share of failures. */
-static const double failure_weight = 0.3;
-/* Part of the last measurement in a mean. */
-static const double mean_weight = 0.1;
-/* How far measurements may move what is expected of an upstream or a model: a
- * single odd one must not make either look free or lost. */
-static const double LEAST_SLOW = 0.5;
-static const double MOST_SLOW = 8;
-/* Speeds follow the quickest answers: those that came while little else ran.
- */
-static const double quicker_weight = 0.2;
-static const double slower_weight = 0.0005;
-/* Of what others run on an engine, what is of the model that is asked for: an
- * engine holds two or three. */
-static const double same_model = 0.5;
-/* Of the memory for contexts, what is filled before it counts as full: lengths
- * of answers are guesses. */
-static const double memory_fill = 0.9;
-/* Two upstreams whose costs differ by less than this share are alike; each
- * node takes another of them. */
-static const double alike = 0.1;
-
-/* A part of a prompt that was read at an upstream lately. */
-struct kept {
-    uint64_t chain; /* hash of the model and of all parts up to this one */
+/* Share of a prompt that an engine usually has to prefill; the rest is shared
+ * with other requests and cached. */
+static const double default_uncached_share = 0.75;
+/* Weight of the latest outcome in the failure rate. */
+static const double failure_sample_weight = 0.3;
+/* Weight of the latest sample in a moving average. */
+static const double mean_sample_weight = 0.1;
+/* Bounds of an upstream's measured slowdown, so that a single outlier can't
+ * make it look free or unusable. */
+static const double MIN_SLOWDOWN = 0.5;
+static const double MAX_SLOWDOWN = 8;
+/* Weights of the latest sample in a measured time. The time follows the
+ * fastest answers, which come while the engine has little other load. */
+static const double faster_sample_weight = 0.2;
+static const double slower_sample_weight = 0.0005;
+/* Share of the other nodes' requests at an engine that are for the requested
+ * model: an engine holds two or three models. */
+static const double same_model_share = 0.5;
+/* Share of the context memory that counts as full; less than 1, as answer
+ * lengths are estimates. */
+static const double memory_full_share = 0.9;
+/* Costs that differ by less than this share count as equal, and each request
+ * orders such upstreams differently. */
+static const double tie_spread = 0.1;
+
+/* A part of a prompt that the upstream has probably cached. */
+struct cached_part {
+    uint64_t prefix_hash; /* hash of the model, the adapter and all parts up to
+                             this one */
     uint32_t tokens;
-    int64_t used;
+    int64_t used_at;
 };
 
-struct seat {
+struct upstream_state {
     struct ch_seat_facts facts;
     bool listed;
-    bool busy;        /* takes no orders now */
+    bool busy;        /* accepts no orders now */
     GArray *models;   /* GQuark */
     GArray *adapters; /* GQuark: "model/adapter" */
-    /* Of this node's requests. */
+    /* Requests of this node. */
     uint32_t running;
-    int64_t unread;   /* microseconds to read prompts that have not begun */
-    uint64_t context; /* tokens of all that runs */
-    int64_t burst;    /* to read what was sent since the engine last had a
-                         while without reading */
-    int64_t read_at;  /* when the last of it was read */
-    /* Of others: what was told of all, without the own part of then. */
-    uint32_t told_running;
-    int64_t told_unread;
-    uint32_t others;
-    int64_t others_unread;
-    int64_t others_at;
+    int64_t prefill_backlog;      /* of prompts that have no answer yet */
+    uint64_t used_context_tokens; /* tokens of all running requests */
+    /* Prefill time of what was sent since the engine last had a pause without
+     * prefill. */
+    int64_t prefill_burst;
+    int64_t prefill_ended_at; /* when the last prefill ended */
+    /* Requests of other nodes: the reported total minus this node's own load
+     * when it was last reported. */
+    uint32_t reported_running;
+    int64_t reported_prefill_backlog;
+    uint32_t others_running;
+    int64_t others_prefill_backlog;
+    int64_t others_reported_at;
     /* Measured. */
-    double failures; /* share of the last requests, at `judged` */
-    int64_t judged;
-    double answer; /* mean time of an answer; 0: none yet */
-    double slow;   /* times longer than expected until the first token */
-    GArray *kept;  /* struct kept */
-    uint64_t kept_tokens;
+    double failure_rate; /* share of recent requests that failed, as of
+                            failure_rate_at */
+    int64_t failure_rate_at;
+    double answer_time;   /* mean time of an answer; 0: none yet */
+    double slowdown;      /* actual / expected time until the first token */
+    GArray *cached_parts; /* struct cached_part */
+    uint64_t cached_tokens;
 };
 
-/* A time that is measured again and again. */
-struct speed {
+/* A time that is measured again and again, in microseconds. */
+struct measured_time {
     double value;
     unsigned count;
 };
 
-/* What is known of a model. */
-struct model {
-    struct speed read;  /* microseconds for a token of a prompt */
-    struct speed event; /* ... between two events of an answer */
-    double events;      /* of an answer, for each token that it may have */
-    double asked;       /* engine time that requests asked for, decaying */
-    int64_t asked_at;
+/* Measurements of a model. */
+struct model_stats {
+    struct measured_time prefill_per_token; /* of a prompt */
+    struct measured_time time_per_event; /* between two events of an answer */
+    /* Events of an answer for each token that it may have. */
+    double events_per_token;
+    double demand; /* seconds of engine time per second, decaying */
+    int64_t demand_at;
 };
 
 struct ch_balance {
     GQuark region;
     GQuark data_centre;
-    GHashTable *seats;   /* name to struct seat */
-    GHashTable *models;  /* model to struct model */
-    GHashTable *batches; /* service to the slots of its engines */
+    GHashTable *upstreams; /* upstream to struct upstream_state */
+    GHashTable *models;    /* model to struct model_stats */
+    /* Service to the slots of each of its engines. */
+    GHashTable *slots_by_service;
     struct ch_without without;
 };
 
-/* ---- seats ---- */
+/* ---- upstreams ---- */
 
-/* Frees an upstream's seat. */
 static void
-free_seat(void *data)
+free_state(void *data)
 {
-    struct seat *seat = data;
-    g_array_free(seat->models, TRUE);
-    g_array_free(seat->adapters, TRUE);
-    g_array_free(seat->kept, TRUE);
-    g_free(seat);
+    struct upstream_state *state = data;
+    g_array_free(state->models, TRUE);
+    g_array_free(state->adapters, TRUE);
+    g_array_free(state->cached_parts, TRUE);
+    g_free(state);
 }
 
-/* Nothing listed yet; for a node in this region and data centre. */
+/* Creates a balance without upstreams for a node in this region and data
+ * centre. */
 struct ch_balance *
 ch_balance_new(GQuark region, GQuark data_centre)
 {
     struct ch_balance *balance = g_new0(struct ch_balance, 1);
     balance->region = region;
     balance->data_centre = data_centre;
-    balance->seats = g_hash_table_new_full(NULL, NULL, NULL, free_seat);
+    balance->upstreams = g_hash_table_new_full(NULL, NULL, NULL, free_state);
     balance->models = g_hash_table_new_full(NULL, NULL, NULL, g_free);
-    balance->batches = g_hash_table_new(NULL, NULL);
+    balance->slots_by_service = g_hash_table_new(NULL, NULL);
     return balance;
 }
 
-/* Frees it with all that it holds. */
+/* Frees the balance; NULL is allowed. */
 void
 ch_balance_free(struct ch_balance *balance)
 {
     if (balance != NULL) {
-        g_hash_table_destroy(balance->seats);
+        g_hash_table_destroy(balance->upstreams);
         g_hash_table_destroy(balance->models);
-        g_hash_table_destroy(balance->batches);
+        g_hash_table_destroy(balance->slots_by_service);
         g_free(balance);
     }
 }
@@ -189,16 +204,15 @@
     balance->without = *without;
 }
 
-/* The seat of an upstream, or NULL. */
-static struct seat *
-find(const struct ch_balance *balance, GQuark upstream)
+/* Returns NULL for an unknown upstream. */
+static struct upstream_state *
+find_state(const struct ch_balance *balance, GQuark upstream)
 {
-    return g_hash_table_lookup(balance->seats, GUINT_TO_POINTER(upstream));
+    return g_hash_table_lookup(balance->upstreams, GUINT_TO_POINTER(upstream));
 }
 
-/* Whether a list of names has this one. */
 static bool
-has(const GArray *names, GQuark name)
+contains_name(const GArray *names, GQuark name)
 {
     for (guint i = 0; i < names->len; i++) {
         if (g_array_index(names, GQuark, i) == name) {
@@ -208,19 +222,17 @@
     return false;
 }
 
-/* Puts names in place of others. */
 static void
-replace(GArray *names, const GQuark *by, size_t count)
+replace_names(GArray *names, const GQuark *values, size_t count)
 {
     g_array_set_size(names, 0);
     if (count > 0) {
-        g_array_append_vals(names, by, (guint)count);
+        g_array_append_vals(names, values, (guint)count);
     }
 }
 
-/* Takes a name out of a list. */
 static void
-drop(GArray *names, GQuark name)
+remove_name(GArray *names, GQuark name)
 {
     for (guint i = names->len; i > 0; i--) {
         if (g_array_index(names, GQuark, i - 1) == name) {
@@ -229,74 +241,77 @@
     }
 }
 
-/* An upstream that was not known, or has started anew. */
-static struct seat *
-add_seat(struct ch_balance *balance, GQuark name)
+/* Adds an upstream, without models and load; replaces one of the same name. */
+static struct upstream_state *
+add_state(struct ch_balance *balance, GQuark name)
 {
-    struct seat *seat = g_new0(struct seat, 1);
-    seat->models = g_array_new(FALSE, FALSE, sizeof(GQuark));
-    seat->adapters = g_array_new(FALSE, FALSE, sizeof(GQuark));
-    seat->kept = g_array_new(FALSE, FALSE, sizeof(struct kept));
-    seat->slow = 1;
-    g_hash_table_replace(balance->seats, GUINT_TO_POINTER(name), seat);
-    return seat;
+    struct upstream_state *state = g_new0(struct upstream_state, 1);
+    state->models = g_array_new(FALSE, FALSE, sizeof(GQuark));
+    state->adapters = g_array_new(FALSE, FALSE, sizeof(GQuark));
+    state->cached_parts =
+        g_array_new(FALSE, FALSE, sizeof(struct cached_part));
+    state->slowdown = 1;
+    g_hash_table_replace(balance->upstreams, GUINT_TO_POINTER(name), state);
+    return state;
 }
 
-/* Begins a new list. */
+/* Starts a new list of upstreams; see balance.h. */
 void
 ch_balance_begin_update(struct ch_balance *balance)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
-    g_hash_table_iter_init(&iterator, balance->seats);
+    g_hash_table_iter_init(&iterator, balance->upstreams);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        struct seat *seat = value;
-        seat->listed = false;
+        struct upstream_state *state = value;
+        state->listed = false;
     }
 }
 
-/* Forgets what an upstream that starts anew no longer holds. */
+/* Clears what an upstream loses when it restarts: adapters, cached prompt
+ * parts, and failures and slowdown, which were measured before. */
 static void
-restart(struct seat *seat)
+reset_after_restart(struct upstream_state *state)
 {
-    g_array_set_size(seat->adapters, 0);
-    g_array_set_size(seat->kept, 0);
-    seat->kept_tokens = 0;
-    seat->failures = 0;
-    seat->slow = 1;
+    g_array_set_size(state->adapters, 0);
+    g_array_set_size(state->cached_parts, 0);
+    state->cached_tokens = 0;
+    state->failure_rate = 0;
+    state->slowdown = 1;
 }
 
-/* One upstream of the new list. */
+/* Adds or updates one upstream of the new list. */
 void
 ch_balance_listed(struct ch_balance *balance,
                   const struct ch_seat_facts *facts)
 {
-    struct seat *seat = find(balance, facts->name);
-    if (seat == NULL) {
-        seat = add_seat(balance, facts->name);
+    struct upstream_state *state = find_state(balance, facts->name);
+    if (state == NULL) {
+        state = add_state(balance, facts->name);
     }
-    else if (seat->facts.boot != facts->boot) {
-        restart(seat);
+    else if (state->facts.boot != facts->boot) {
+        reset_after_restart(state);
     }
-    seat->facts = *facts;
-    seat->facts.resident = NULL;
-    seat->listed = true;
-    replace(seat->models, facts->resident, facts->resident_count);
-    g_hash_table_insert(balance->batches, GUINT_TO_POINTER(facts->service),
+    state->facts = *facts;
+    state->facts.resident = NULL;
+    state->listed = true;
+    replace_names(state->models, facts->resident, facts->resident_count);
+    g_hash_table_insert(balance->slots_by_service,
+                        GUINT_TO_POINTER(facts->service),
                         GUINT_TO_POINTER(facts->slots));
 }
 
-/* Ends the list: who was not in it is gone.  What still runs there ends by
- * itself. */
+/* Removes the upstreams that the new list lacks. Their running requests end as
+ * usual. */
 void
 ch_balance_end_update(struct ch_balance *balance)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
-    g_hash_table_iter_init(&iterator, balance->seats);
+    g_hash_table_iter_init(&iterator, balance->upstreams);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        const struct seat *seat = value;
-        if (!seat->listed) {
+        const struct upstream_state *state = value;
+        if (!state->listed) {
             g_hash_table_iter_remove(&iterator);
         }
     }
@@ -307,9 +322,9 @@
 ch_balance_models(struct ch_balance *balance, GQuark upstream,
                   const GQuark *models, size_t count)
 {
-    struct seat *seat = find(balance, upstream);
-    if (seat != NULL) {
-        replace(seat->models, models, count);
+    struct upstream_state *state = find_state(balance, upstream);
+    if (state != NULL) {
+        replace_names(state->models, models, count);
     }
 }
 
@@ -318,9 +333,9 @@
 ch_balance_adapters(struct ch_balance *balance, GQuark upstream,
                     const GQuark *adapters, size_t count)
 {
-    struct seat *seat = find(balance, upstream);
-    if (seat != NULL) {
-        replace(seat->adapters, adapters, count);
+    struct upstream_state *state = find_state(balance, upstream);
+    if (state != NULL) {
+        replace_names(state->adapters, adapters, count);
     }
 }
 
@@ -329,13 +344,13 @@
 ch_balance_adapter(struct ch_balance *balance, GQuark upstream, GQuark adapter,
                    bool resident)
 {
-    struct seat *seat = find(balance, upstream);
-    if (seat == NULL) {
+    struct upstream_state *state = find_state(balance, upstream);
+    if (state == NULL) {
         return;
     }
-    drop(seat->adapters, adapter);
+    remove_name(state->adapters, adapter);
     if (resident) {
-        g_array_append_val(seat->adapters, adapter);
+        g_array_append_val(state->adapters, adapter);
     }
 }
 
@@ -343,9 +358,9 @@
 void
 ch_balance_busy(struct ch_balance *balance, GQuark upstream, bool busy)
 {
-    struct seat *seat = find(balance, upstream);
-    if (seat != NULL) {
-        seat->busy = busy;
+    struct upstream_state *state = find_state(balance, upstream);
+    if (state != NULL) {
+        state->busy = busy;
     }
 }
 
@@ -354,45 +369,47 @@
 ch_balance_model_gone(struct ch_balance *balance, GQuark upstream,
                       GQuark model)
 {
-    struct seat *seat = find(balance, upstream);
-    if (seat != NULL) {
-        drop(seat->models, model);
+    struct upstream_state *state = find_state(balance, upstream);
+    if (state != NULL) {
+        remove_name(state->models, model);
     }
 }
 
 /* See balance.h. */
 void
 ch_balance_all(struct ch_balance *balance, GQuark upstream, uint32_t running,
-               int64_t unread, int64_t now)
+               int64_t prefill_backlog, int64_t now)
 {
-    struct seat *seat = find(balance, upstream);
-    if (seat == NULL) {
+    struct upstream_state *state = find_state(balance, upstream);
+    if (state == NULL) {
         return;
     }
-    seat->others =
-        running > seat->told_running ? running - seat->told_running : 0;
-    seat->others_unread = MAX(unread - seat->told_unread, 0);
-    seat->others_at = now;
+    state->others_running = running > state->reported_running
+                                ? running - state->reported_running
+                                : 0;
+    state->others_prefill_backlog =
+        MAX(prefill_backlog - state->reported_prefill_backlog, 0);
+    state->others_reported_at = now;
 }
 
 /* See balance.h. */
 void
 ch_balance_tell(struct ch_balance *balance,
-                void (*each)(void *data, GQuark upstream, GQuark data_centre,
-                             uint32_t running, int64_t unread),
+                void (*report)(void *data, GQuark upstream, GQuark data_centre,
+                               uint32_t running, int64_t prefill_backlog),
                 void *data)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
-    g_hash_table_iter_init(&iterator, balance->seats);
+    g_hash_table_iter_init(&iterator, balance->upstreams);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        struct seat *seat = value;
-        bool news = seat->running > 0 || seat->told_running > 0;
-        seat->told_running = seat->running;
-        seat->told_unread = seat->unread;
-        if (news && seat->facts.engine) {
-            each(data, seat->facts.name, seat->facts.data_centre,
-                 seat->running, seat->unread);
+        struct upstream_state *state = value;
+        bool has_news = state->running > 0 || state->reported_running > 0;
+        state->reported_running = state->running;
+        state->reported_prefill_backlog = state->prefill_backlog;
+        if (has_news && state->facts.engine) {
+            report(data, state->facts.name, state->facts.data_centre,
+                   state->running, state->prefill_backlog);
         }
     }
 }
@@ -401,220 +418,238 @@
 uint32_t
 ch_balance_running(const struct ch_balance *balance, GQuark upstream)
 {
-    const struct seat *seat = find(balance, upstream);
-    return seat == NULL ? 0 : seat->running;
+    const struct upstream_state *state = find_state(balance, upstream);
+    return state == NULL ? 0 : state->running;
 }
 
-/* Upstreams that are listed. */
+/* Upstreams of the current list. */
 size_t
 ch_balance_count(const struct ch_balance *balance)
 {
-    return g_hash_table_size(balance->seats);
+    return g_hash_table_size(balance->upstreams);
 }
 
-/* ---- parts of prompts that were read before ---- */
+/* ---- cached parts of prompts ---- */
 
-/* The chain of a part: parts count as kept only with all that come before
- * them, for the same model and adapter. */
+/* Hash of a prompt up to and with this part. A part is cached only together
+ * with all parts before it, and for the same model and adapter. */
 static uint64_t
-next_chain(uint64_t chain, const struct ch_part *part)
+extend_prefix_hash(uint64_t prefix_hash, const struct ch_part *part)
 {
-    return ch_hash_pair(chain, part->id);
+    return ch_hash_pair(prefix_hash, part->id);
 }
 
-/* Where a request's chain begins. */
 static uint64_t
-first_chain(const struct ch_work *work)
+start_prefix_hash(const struct ch_work *work)
 {
     return ch_hash_pair(work->model, work->adapter);
 }
 
-/* A part that is remembered, or NULL. */
-static struct kept *
-find_kept(const struct seat *seat, uint64_t chain)
+/* Returns NULL if the part is not cached. */
+static struct cached_part *
+find_cached_part(const struct upstream_state *state, uint64_t prefix_hash)
 {
-    for (guint i = 0; i < seat->kept->len; i++) {
-        struct kept *kept = &g_array_index(seat->kept, struct kept, i);
-        if (kept->chain == chain) {
-            return kept;
+    for (guint i = 0; i < state->cached_parts->len; i++) {
+        struct cached_part *part =
+            &g_array_index(state->cached_parts, struct cached_part, i);
+        if (part->prefix_hash == prefix_hash) {
+            return part;
         }
     }
     return NULL;
 }
 
-/* Tokens of the prompt that the upstream would have to read. */
+/* Prompt tokens that the upstream has to prefill. */
 static uint32_t
-tokens_to_read(const struct seat *seat, const struct ch_work *work)
+count_uncached_tokens(const struct upstream_state *state,
+                      const struct ch_work *work)
 {
-    uint64_t chain = first_chain(work);
-    uint32_t known = 0;
+    uint64_t prefix_hash = start_prefix_hash(work);
+    uint32_t cached = 0;
     for (size_t i = 0; i < work->part_count; i++) {
-        chain = next_chain(chain, &work->parts[i]);
-        if (find_kept(seat, chain) == NULL) {
+        prefix_hash = extend_prefix_hash(prefix_hash, &work->parts[i]);
+        if (find_cached_part(state, prefix_hash) == NULL) {
             break;
         }
-        known += work->parts[i].tokens;
+        cached += work->parts[i].tokens;
     }
-    return work->prompt_tokens > known ? work->prompt_tokens - known : 0;
+    return work->prompt_tokens > cached ? work->prompt_tokens - cached : 0;
 }
 
-/* Forgets the part that was used longest ago. */
+/* Removes the least recently used part. */
 static void
-forget_oldest(struct seat *seat)
+evict_oldest_part(struct upstream_state *state)
 {
     guint oldest = 0;
-    for (guint i = 1; i < seat->kept->len; i++) {
-        if (g_array_index(seat->kept, struct kept, i).used <
-            g_array_index(seat->kept, struct kept, oldest).used) {
+    for (guint i = 1; i < state->cached_parts->len; i++) {
+        if (g_array_index(state->cached_parts, struct cached_part, i).used_at <
+            g_array_index(state->cached_parts, struct cached_part, oldest)
+                .used_at) {
             oldest = i;
         }
     }
-    seat->kept_tokens -= g_array_index(seat->kept, struct kept, oldest).tokens;
-    g_array_remove_index_fast(seat->kept, oldest);
+    state->cached_tokens -=
+        g_array_index(state->cached_parts, struct cached_part, oldest).tokens;
+    g_array_remove_index_fast(state->cached_parts, oldest);
 }
 
-/* Remembers the parts that the upstream reads for this request. */
+/* Records the request's prompt parts as cached at the upstream, and evicts the
+ * least recently used ones beyond its context memory. */
 static void
-note_parts(struct seat *seat, const struct ch_work *work, int64_t now)
+record_cached_parts(struct upstream_state *state, const struct ch_work *work,
+                    int64_t now)
 {
-    uint64_t chain = first_chain(work);
+    uint64_t prefix_hash = start_prefix_hash(work);
     for (size_t i = 0; i < work->part_count; i++) {
-        chain = next_chain(chain, &work->parts[i]);
-        struct kept *kept = find_kept(seat, chain);
-        if (kept != NULL) {
-            kept->used = now;
+        prefix_hash = extend_prefix_hash(prefix_hash, &work->parts[i]);
+        struct cached_part *part = find_cached_part(state, prefix_hash);
+        if (part != NULL) {
+            part->used_at = now;
             continue;
         }
-        const struct kept fresh = {chain, work->parts[i].tokens, now};
-        g_array_append_val(seat->kept, fresh);
-        seat->kept_tokens += fresh.tokens;
+        const struct cached_part added = {prefix_hash, work->parts[i].tokens,
+                                          now};
+        g_array_append_val(state->cached_parts, added);
+        state->cached_tokens += added.tokens;
     }
-    uint64_t most = MAX(seat->facts.context_tokens, 1);
-    while (seat->kept->len > MOST_KEPT ||
-           (seat->kept_tokens > most && seat->kept->len > 1)) {
-        forget_oldest(seat);
+    uint64_t max_tokens = MAX(state->facts.context_tokens, 1);
+    while (
+        state->cached_parts->len > MAX_CACHED_PARTS ||
+        (state->cached_tokens > max_tokens && state->cached_parts->len > 1)) {
+        evict_oldest_part(state);
     }
 }
 
-/* ---- cost ---- */
+/* ---- cost, in microseconds ---- */
 
-/* The share of failures by now. */
+/* The failure rate decays to 0 within FAILURE_FORGET_US. */
 static double
-failures_now(const struct seat *seat, int64_t now)
+estimate_failure_rate(const struct upstream_state *state, int64_t now)
 {
-    double age = (double)(now - seat->judged) / FORGET;
-    return age >= 1 ? 0 : seat->failures * (1 - age);
+    double age = (double)(now - state->failure_rate_at) / FAILURE_FORGET_US;
+    return age >= 1 ? 0 : state->failure_rate * (1 - age);
 }
 
-/* Requests that run there, of all nodes. */
+/* Requests of all nodes at the upstream. */
 static uint32_t
-running_in_all(const struct seat *seat, int64_t now)
+count_running(const struct upstream_state *state, int64_t now)
 {
-    uint32_t others = now - seat->others_at > OTHERS_STALE ? 0 : seat->others;
-    return seat->running + others;
+    uint32_t others_running = now - state->others_reported_at > OTHERS_STALE_US
+                                  ? 0
+                                  : state->others_running;
+    return state->running + others_running;
 }
 
-/* Delay and price of the way there. */
+/* Cost of the network delay and traffic price. */
 static int64_t
-distance(const struct ch_balance *balance, const struct seat *seat)
+estimate_network_cost(const struct ch_balance *balance,
+                      const struct upstream_state *state)
 {
-    if (seat->facts.region != balance->region) {
-        return OTHER_REGION;
+    if (state->facts.region != balance->region) {
+        return OTHER_REGION_COST_US;
     }
-    return seat->facts.data_centre != balance->data_centre ? OTHER_CENTRE : 0;
+    return state->facts.data_centre != balance->data_centre
+               ? OTHER_DATA_CENTRE_COST_US
+               : 0;
 }
 
-/* What is beyond the slots. */
+/* Wait for a slot when all are taken. wait_per_request: for each request
+ * beyond the slots. */
 static int64_t
-slot_wait(const struct seat *seat, int64_t now, int64_t each)
+estimate_slot_wait(const struct upstream_state *state, int64_t now,
+                   int64_t wait_per_request)
 {
-    uint32_t running = running_in_all(seat, now) + 1;
-    uint32_t slots = MAX(seat->facts.slots, 1);
-    return running > slots ? (int64_t)(running - slots) * each : 0;
+    uint32_t running = count_running(state, now) + 1;
+    uint32_t slots = MAX(state->facts.slots, 1);
+    return running > slots ? (int64_t)(running - slots) * wait_per_request : 0;
 }
 
 /*
- * An adapter that is nowhere is loaded by all nodes in the same place, as long
- * as the places are alike: some milliseconds between one upstream and the
- * next, in an order that is another for each adapter.  Else each node would
- * load it somewhere else, and a few adapters fill all places.
+ * Cost that orders the upstreams by a hash of adapter and upstream, 0 to 63
+ * ms, so that all nodes load a missing adapter on the same upstream while
+ * upstreams are otherwise about equal. If each node loaded it on another
+ * upstream, a few adapters would fill all adapter slots.
  */
 static int64_t
-adapter_order(const struct seat *seat, GQuark adapter)
+order_adapter_places(const struct upstream_state *state, GQuark adapter)
 {
     uint64_t hash =
         ch_hash_pair(ch_hash_string(g_quark_to_string(adapter)),
-                     ch_hash_string(g_quark_to_string(seat->facts.name)));
+                     ch_hash_string(g_quark_to_string(state->facts.name)));
     return (int64_t)(hash % 64) * 1000;
 }
 
-/* Whether enough was measured. */
 static bool
-is_known(const struct speed *speed)
+has_enough_samples(const struct measured_time *measured)
 {
-    return speed->count >= LEAST_SAMPLES;
+    return measured->count >= MIN_SAMPLES;
 }
 
-/* Whether a speed is to be gone by. */
+/* Whether the measured time is used instead of the default. */
 static bool
-is_learnt(const struct ch_balance *balance, const struct speed *speed)
+is_measurement_used(const struct ch_balance *balance,
+                    const struct measured_time *measured)
 {
-    return !balance->without.learnt_speeds && is_known(speed);
+    return !balance->without.learnt_speeds && has_enough_samples(measured);
 }
 
-/* Microseconds for a token of a prompt for the model. */
+/* Microseconds of prefill per prompt token for the model. */
 static double
-read_of(const struct ch_balance *balance, GQuark name)
+get_prefill_per_token(const struct ch_balance *balance, GQuark name)
 {
-    const struct model *model =
+    const struct model_stats *model =
         g_hash_table_lookup(balance->models, GUINT_TO_POINTER(name));
-    return model == NULL || !is_learnt(balance, &model->read)
-               ? USUAL_READ
-               : model->read.value;
+    return model == NULL ||
+                   !is_measurement_used(balance, &model->prefill_per_token)
+               ? DEFAULT_PREFILL_US_PER_TOKEN
+               : model->prefill_per_token.value;
 }
 
-/* What is known of a model, begun when nothing is. */
-static struct model *
-need_model(struct ch_balance *balance, GQuark name)
+/* Returns the model's entry, a new one if there is none. */
+static struct model_stats *
+ensure_model_stats(struct ch_balance *balance, GQuark name)
 {
     gpointer key = GUINT_TO_POINTER(name);
-    struct model *model = g_hash_table_lookup(balance->models, key);
+    struct model_stats *model = g_hash_table_lookup(balance->models, key);
     if (model == NULL) {
-        model = g_new0(struct model, 1);
+        model = g_new0(struct model_stats, 1);
         g_hash_table_insert(balance->models, key, model);
     }
     return model;
 }
 
-/* See balance.h.  Some of the prompt is in memory wherever it goes. */
+/* See balance.h. On average a part of the prompt is cached at any upstream, so
+ * that only default_uncached_share is counted. */
 int64_t
 ch_balance_reading(const struct ch_balance *balance,
                    const struct ch_work *work)
 {
-    return (int64_t)(work->prompt_tokens * usual_unknown *
-                     read_of(balance, work->model));
+    return (int64_t)(work->prompt_tokens * default_uncached_share *
+                     get_prefill_per_token(balance, work->model));
 }
 
-/* Microseconds of an engine's time that the request's answer takes: a slot of
- * the batch for as long as it is written. */
+/* Engine time for the request's answer: it takes one slot of the batch for as
+ * long as it is decoded. */
 static int64_t
-writing(const struct ch_balance *balance, const struct ch_work *work)
+estimate_decode(const struct ch_balance *balance, const struct ch_work *work)
 {
-    const struct model *model =
+    const struct model_stats *model =
         g_hash_table_lookup(balance->models, GUINT_TO_POINTER(work->model));
-    guint slots = GPOINTER_TO_UINT(
-        g_hash_table_lookup(balance->batches, GUINT_TO_POINTER(work->pool)));
-    double each = model == NULL || !is_learnt(balance, &model->event)
-                      ? USUAL_WRITE
-                      : model->event.value * model->events;
-    return (int64_t)(work->output_tokens * each / MAX(slots, 1));
+    guint slots = GPOINTER_TO_UINT(g_hash_table_lookup(
+        balance->slots_by_service, GUINT_TO_POINTER(work->pool)));
+    double time_per_token =
+        model == NULL || !is_measurement_used(balance, &model->time_per_event)
+            ? DEFAULT_DECODE_US_PER_TOKEN
+            : model->time_per_event.value * model->events_per_token;
+    return (int64_t)(work->output_tokens * time_per_token / MAX(slots, 1));
 }
 
-/* What was asked for, by now: a mean over the last ASKED. */
+/* Demand decayed until now: an average over about DEMAND_WINDOW_US. */
 static double
-asked_now(const struct model *model, int64_t now)
+estimate_demand(const struct model_stats *model, int64_t now)
 {
-    return model->asked * exp(-(double)(now - model->asked_at) / ASKED);
+    return model->demand *
+           exp(-(double)(now - model->demand_at) / DEMAND_WINDOW_US);
 }
 
 /* See balance.h. */
@@ -622,16 +657,18 @@
 ch_balance_asked(struct ch_balance *balance, const struct ch_work *work,
                  int64_t now)
 {
-    struct model *model = need_model(balance, work->model);
-    int64_t time = ch_balance_reading(balance, work) + writing(balance, work);
-    model->asked = asked_now(model, now) + (double)time / ASKED;
-    model->asked_at = now;
+    struct model_stats *model = ensure_model_stats(balance, work->model);
+    int64_t time =
+        ch_balance_reading(balance, work) + estimate_decode(balance, work);
+    model->demand =
+        estimate_demand(model, now) + (double)time / DEMAND_WINDOW_US;
+    model->demand_at = now;
 }
 
 /* See balance.h. */
 void
 ch_balance_each_asked(struct ch_balance *balance, int64_t now,
-                      void (*each)(void *data, GQuark model, double work),
+                      void (*visit)(void *data, GQuark model, double demand),
                       void *data)
 {
     GHashTableIter iterator;
@@ -639,307 +676,336 @@
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, balance->models);
     while (g_hash_table_iter_next(&iterator, &key, &value)) {
-        each(data, GPOINTER_TO_UINT(key), asked_now(value, now));
+        visit(data, GPOINTER_TO_UINT(key), estimate_demand(value, now));
     }
 }
 
-/* What others' requests have left to be read by now: an engine reads on while
- * its numbers are on their way. */
+/* Prefill backlog of other nodes' requests: the engine goes on with the
+ * prefill after the backlog was reported, so that its age is subtracted. */
 static int64_t
-others_unread(const struct seat *seat, int64_t now)
+estimate_others_backlog(const struct upstream_state *state, int64_t now)
 {
-    if (now - seat->others_at > OTHERS_STALE) {
+    if (now - state->others_reported_at > OTHERS_STALE_US) {
         return 0;
     }
-    return MAX(seat->others_unread - (now - seat->others_at), 0);
+    return MAX(
+        state->others_prefill_backlog - (now - state->others_reported_at), 0);
 }
 
-/* What an engine reads without a while between, as this node knows it. */
+/* Prefill time without a pause in between, as far as this node knows: its own
+ * burst and the backlog of others. */
 static int64_t
-burst_of(const struct seat *seat, int64_t now)
+estimate_burst(const struct upstream_state *state, int64_t now)
 {
-    bool rests = seat->unread == 0 && now - seat->read_at >= REST;
-    return (rests ? 0 : seat->burst) + others_unread(seat, now);
+    bool paused = state->prefill_backlog == 0 &&
+                  now - state->prefill_ended_at >= PREFILL_PAUSE_US;
+    return (paused ? 0 : state->prefill_burst) +
+           estimate_others_backlog(state, now);
 }
 
-/* Microseconds until an engine's first token. */
+/* Expected time until an engine's first token. */
 static int64_t
-engine_cost(const struct seat *seat, const struct ch_work *work,
-            int64_t reading, int64_t now)
-{
-    int64_t unread = seat->unread + others_unread(seat, now);
-    int64_t cost = LEAST_FIRST + unread + reading +
-                   (int64_t)running_in_all(seat, now) * NEIGHBOUR;
-    cost = (int64_t)((double)cost * seat->slow);
-    cost += slot_wait(seat, now, SLOT_WAIT);
-    uint64_t need = seat->context + work->prompt_tokens + work->output_tokens;
-    if (seat->facts.context_tokens > 0 &&
-        (double)need > memory_fill * seat->facts.context_tokens) {
-        cost += MEMORY_FULL;
-    }
-    if (work->adapter != 0 && !has(seat->adapters, work->adapter)) {
-        cost += ADAPTER_LOAD + adapter_order(seat, work->adapter) +
-                (seat->busy ? BUSY : 0);
-        if (seat->facts.adapter_places > 0 &&
-            seat->adapters->len >= seat->facts.adapter_places) {
-            cost += ADAPTER_LOAD; /* another has to go first */
+estimate_first_token(const struct upstream_state *state,
+                     const struct ch_work *work, int64_t prefill_time,
+                     int64_t now)
+{
+    int64_t prefill_backlog =
+        state->prefill_backlog + estimate_others_backlog(state, now);
+    int64_t cost = MIN_FIRST_TOKEN_US + prefill_backlog + prefill_time +
+                   (int64_t)count_running(state, now) * BATCH_NEIGHBOUR_US;
+    cost = (int64_t)((double)cost * state->slowdown);
+    cost += estimate_slot_wait(state, now, SLOT_WAIT_US);
+    uint64_t needed_tokens =
+        state->used_context_tokens + work->prompt_tokens + work->output_tokens;
+    if (state->facts.context_tokens > 0 &&
+        (double)needed_tokens >
+            memory_full_share * state->facts.context_tokens) {
+        cost += MEMORY_FULL_COST_US;
+    }
+    if (work->adapter != 0 && !contains_name(state->adapters, work->adapter)) {
+        cost += ADAPTER_LOAD_US + order_adapter_places(state, work->adapter) +
+                (state->busy ? BUSY_ENGINE_COST_US : 0);
+        if (state->facts.adapter_places > 0 &&
+            state->adapters->len >= state->facts.adapter_places) {
+            cost += ADAPTER_LOAD_US; /* one has to be unloaded first */
         }
     }
     return cost;
 }
 
 /*
- * Load: several long prompts that come to one engine at about the same time.
- * An engine reads a prompt in one go and writes no tokens meanwhile, so that
- * all streams there pause for the sum of them: seen as pauses of 440 ms in a
- * dozen streams for three prompts, where 300 are still on time.  Harm
- * prevented: streams that are late by one pause.  What is read in one go is
- * kept under a limit below that, and a while left after it in which the next
- * events are written.  A single prompt is never held for its own length.
+ * Limits the prefill of several long prompts that reach one engine at about
+ * the same time. An engine prefills a prompt in one go and produces no tokens
+ * meanwhile, so that all its streams pause for the sum of the prompts: three
+ * prompts paused a dozen streams for 440 ms, where up to 300 ms is within the
+ * target. To prevent late tokens, the prefill without a pause stays below
+ * MAX_PREFILL_BURST_US, and PREFILL_PAUSE_US follow in which the engine
+ * produces the next events. A single prompt is never deferred for its own
+ * length.
  */
 static bool
-is_too_dense(const struct seat *seat, int64_t reading, int64_t now)
+is_burst_too_long(const struct upstream_state *state, int64_t prefill_time,
+                  int64_t now)
 {
-    int64_t burst = burst_of(seat, now);
-    return burst > 0 && burst + reading > MOST_BURST;
+    int64_t prefill_burst = estimate_burst(state, now);
+    return prefill_burst > 0 &&
+           prefill_burst + prefill_time > MAX_PREFILL_BURST_US;
 }
 
-/* Microseconds until a plain service's answer. */
+/* Expected time until a plain service's answer. */
 static int64_t
-service_cost(const struct seat *seat, int64_t now)
+estimate_service_answer(const struct upstream_state *state, int64_t now)
 {
-    double each = seat->answer > 0 ? seat->answer : USUAL_ANSWER;
-    uint32_t slots = MAX(seat->facts.slots, 1);
-    double busy = (double)running_in_all(seat, now) / slots;
-    return (int64_t)(each * (1 + busy)) +
-           slot_wait(seat, now, (int64_t)(each / slots));
+    double answer_time =
+        state->answer_time > 0 ? state->answer_time : DEFAULT_ANSWER_US;
+    uint32_t slots = MAX(state->facts.slots, 1);
+    double used_share = (double)count_running(state, now) / slots;
+    return (int64_t)(answer_time * (1 + used_share)) +
+           estimate_slot_wait(state, now, (int64_t)(answer_time / slots));
 }
 
-/* Whether the request may go there at all. */
+/* Whether the request may go to the upstream at all. */
 static bool
-is_candidate(const struct seat *seat, const struct ch_work *work,
-             const GArray *excluded, bool ready)
+is_candidate(const struct upstream_state *state, const struct ch_work *work,
+             const GArray *excluded, bool adapter_ready)
 {
-    if (ready && work->adapter != 0 && !has(seat->adapters, work->adapter)) {
+    if (adapter_ready && work->adapter != 0 &&
+        !contains_name(state->adapters, work->adapter)) {
         return false;
     }
-    if (seat->facts.leaving || seat->facts.service != work->pool) {
+    if (state->facts.leaving || state->facts.service != work->pool) {
         return false;
     }
-    if (work->only != 0 && seat->facts.name != work->only) {
+    if (work->only != 0 && state->facts.name != work->only) {
         return false;
     }
-    if (excluded != NULL && has(excluded, seat->facts.name)) {
+    if (excluded != NULL && contains_name(excluded, state->facts.name)) {
         return false;
     }
-    return work->service || has(seat->models, work->model);
+    return work->service || contains_name(state->models, work->model);
 }
 
-/* An upstream that may take a request. */
+/* An upstream that may take the request, with its estimates. */
 struct candidate {
-    const struct seat *seat;
+    const struct upstream_state *state;
     uint32_t tokens;
-    int64_t reading;
-    int64_t expected;
+    int64_t prefill_time;
+    int64_t expected_latency;
 };
 
-/* Looks at an upstream; its cost. */
+/* Fills in the candidate's estimates and returns its cost. Costs vary by up to
+ * tie_spread per request, so that requests choose differently between equal
+ * upstreams. */
 static double
-weigh(const struct ch_balance *balance, const struct ch_work *work,
-      struct candidate *candidate, int64_t now)
-{
-    const struct seat *seat = candidate->seat;
-    candidate->tokens = work->service ? 0 : tokens_to_read(seat, work);
-    candidate->reading =
-        (int64_t)(candidate->tokens * read_of(balance, work->model));
-    candidate->expected =
-        work->service ? service_cost(seat, now)
-                      : engine_cost(seat, work, candidate->reading, now);
-    double cost = (double)(candidate->expected + distance(balance, seat)) +
-                  failures_now(seat, now) * FAILURE;
-    uint64_t tie = ch_hash_pair(work->id, seat->facts.name);
-    return cost * (1 + alike * (double)(tie % 1024) / 1024);
+estimate_cost(const struct ch_balance *balance, const struct ch_work *work,
+              struct candidate *candidate, int64_t now)
+{
+    const struct upstream_state *state = candidate->state;
+    candidate->tokens = work->service ? 0 : count_uncached_tokens(state, work);
+    candidate->prefill_time =
+        (int64_t)(candidate->tokens *
+                  get_prefill_per_token(balance, work->model));
+    candidate->expected_latency =
+        work->service
+            ? estimate_service_answer(state, now)
+            : estimate_first_token(state, work, candidate->prefill_time, now);
+    double cost = (double)(candidate->expected_latency +
+                           estimate_network_cost(balance, state)) +
+                  estimate_failure_rate(state, now) * FAILURE_COST_US;
+    uint64_t tie = ch_hash_pair(work->id, state->facts.name);
+    return cost * (1 + tie_spread * (double)(tie % 1024) / 1024);
 }
 
 /*
- * Requests for the model that others send to these engines until the next word
- * on them: of what they run there, the part that ends and is replaced
- * meanwhile.
+ * Requests for the model that other nodes are likely to send to these engines
+ * before their next load report. Each running request that ends is taken to be
+ * replaced by a new one, so that this is the share of the running ones that
+ * end in that time.
  */
 static double
-others_arrivals(const struct ch_balance *balance, const struct ch_work *work,
-                const GArray *candidates, int64_t now)
+estimate_others_arrivals(const struct ch_balance *balance,
+                         const struct ch_work *work, const GArray *candidates,
+                         int64_t now)
 {
-    guint slots = GPOINTER_TO_UINT(
-        g_hash_table_lookup(balance->batches, GUINT_TO_POINTER(work->pool)));
-    double lasts = (double)(ch_balance_reading(balance, work) +
-                            writing(balance, work) * MAX(slots, 1));
+    guint slots = GPOINTER_TO_UINT(g_hash_table_lookup(
+        balance->slots_by_service, GUINT_TO_POINTER(work->pool)));
+    double duration = (double)(ch_balance_reading(balance, work) +
+                               estimate_decode(balance, work) * MAX(slots, 1));
     double arrivals = 0;
     for (guint i = 0; i < candidates->len; i++) {
-        const struct seat *seat =
-            g_array_index(candidates, struct candidate, i).seat;
-        int64_t age = now - seat->others_at;
-        if (age <= OTHERS_STALE) {
-            double part = (double)(age + OTHERS_LAG) / MAX(lasts, 1);
-            arrivals += seat->others * same_model * MIN(part, 1);
+        const struct upstream_state *state =
+            g_array_index(candidates, struct candidate, i).state;
+        int64_t age = now - state->others_reported_at;
+        if (age <= OTHERS_STALE_US) {
+            double replaced_share =
+                (double)(age + OTHERS_LAG_US) / MAX(duration, 1);
+            arrivals += state->others_running * same_model_share *
+                        MIN(replaced_share, 1);
         }
     }
     return arrivals;
 }
 
-/* The index of the candidate that takes the request. */
+/* Returns the index of the chosen candidate. `random` differs for each request
+ * and each of its attempts. */
 static size_t
-pick(const struct ch_balance *balance, const struct ch_work *work,
-     const GArray *candidates, const GArray *costs, int64_t now)
+choose_candidate(const struct ch_balance *balance, const struct ch_work *work,
+                 const GArray *candidates, const GArray *costs, int64_t now)
 {
     double arrivals =
-        work->service ? 0 : others_arrivals(balance, work, candidates, now);
-    double each = (double)(ch_balance_reading(balance, work) + NEIGHBOUR);
+        work->service
+            ? 0
+            : estimate_others_arrivals(balance, work, candidates, now);
+    double cost_per_request =
+        (double)(ch_balance_reading(balance, work) + BATCH_NEIGHBOUR_US);
     double random =
         (double)(ch_hash_pair(work->id, work->attempt + work->refusals) %
                  65536) /
         65536;
     return ch_fill_choose((const double *)(void *)costs->data, costs->len,
-                          each, arrivals, random);
+                          cost_per_request, arrivals, random);
 }
 
-/* The decision for a candidate. */
 static struct ch_choice
-choice_of(const struct ch_balance *balance, const struct ch_work *work,
-          const struct candidate *candidate, int64_t now)
+make_choice(const struct ch_balance *balance, const struct ch_work *work,
+            const struct candidate *candidate, int64_t now)
 {
-    const struct seat *seat = candidate->seat;
+    const struct upstream_state *state = candidate->state;
     return (struct ch_choice){
         .code = CH_OK,
-        .upstream = seat->facts.name,
-        .boot = seat->facts.boot,
-        .data_centre = seat->facts.data_centre,
-        .other_region = seat->facts.region != balance->region,
-        .adapter_missing =
-            work->adapter != 0 && !has(seat->adapters, work->adapter),
+        .upstream = state->facts.name,
+        .boot = state->facts.boot,
+        .data_centre = state->facts.data_centre,
+        .other_region = state->facts.region != balance->region,
+        .adapter_missing = work->adapter != 0 &&
+                           !contains_name(state->adapters, work->adapter),
         .tokens = candidate->tokens,
-        .reading = candidate->reading,
+        .reading = candidate->prefill_time,
         .too_dense = !work->service && !balance->without.pace_prompts &&
-                     is_too_dense(seat, candidate->reading, now),
-        .expected = candidate->expected,
+                     is_burst_too_long(state, candidate->prefill_time, now),
+        .expected = candidate->expected_latency,
     };
 }
 
 /*
- * Load: requests for models that stand on some upstreams, each with parts of
- * prompts in memory that others share, among upstreams of which some fail or
- * are slow.  Harm prevented: prompts read anew where they were read before,
- * queues at one upstream beside an idle one, callers who pay for an upstream's
- * failures.  All of it is weighed in one measure, the time until the first of
- * the answer, so that no rule goes before another; upstreams that are alike
- * are taken in another order by each request, and where many others send as
- * well, each request takes its part of what they fill together (fill.h), since
- * all nodes decide at once by views that are some hundred milliseconds old.
+ * See balance.h. Only some upstreams have the request's model, some have parts
+ * of its prompt cached, and some fail or are slow. The choice avoids the
+ * prefill of prompts that are cached elsewhere, queues at one upstream beside
+ * an idle one, and failed requests because of a failing upstream.
+ *
+ * All of these are expressed in one measure, the time until the first token or
+ * answer, so that no rule takes precedence over another. Each request orders
+ * equal upstreams differently. All nodes decide at the same time, by views
+ * that are some hundred milliseconds old; so where many other nodes send too,
+ * requests are spread over the engines that they fill together (fill.h).
  */
 struct ch_choice
 ch_balance_choose(struct ch_balance *balance, const struct ch_work *work,
-                  const GArray *excluded, bool ready, int64_t now)
+                  const GArray *excluded, bool adapter_ready, int64_t now)
 {
     struct ch_choice choice = {
         .code = CH_NO_UPSTREAM,
-        .retry_after = SOON,
+        .retry_after = NO_UPSTREAM_RETRY_AFTER_US,
         .message = "no upstream can take this now",
     };
     GArray *candidates = g_array_new(FALSE, FALSE, sizeof(struct candidate));
     GArray *costs = g_array_new(FALSE, FALSE, sizeof(double));
     GHashTableIter iterator;
     gpointer value = NULL;
-    g_hash_table_iter_init(&iterator, balance->seats);
+    g_hash_table_iter_init(&iterator, balance->upstreams);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        struct candidate candidate = {.seat = value};
-        if (is_candidate(value, work, excluded, ready)) {
-            double cost = weigh(balance, work, &candidate, now);
+        struct candidate candidate = {.state = value};
+        if (is_candidate(value, work, excluded, adapter_ready)) {
+            double cost = estimate_cost(balance, work, &candidate, now);
             g_array_append_val(candidates, candidate);
             g_array_append_val(costs, cost);
         }
     }
     if (candidates->len > 0) {
-        size_t at = pick(balance, work, candidates, costs, now);
-        choice =
-            choice_of(balance, work,
-                      &g_array_index(candidates, struct candidate, at), now);
+        size_t index = choose_candidate(balance, work, candidates, costs, now);
+        choice = make_choice(
+            balance, work, &g_array_index(candidates, struct candidate, index),
+            now);
     }
     g_array_free(candidates, TRUE);
     g_array_free(costs, TRUE);
     return choice;
 }
 
-/* ---- what becomes of a request ---- */
+/* ---- progress of a request ---- */
 
 /* See balance.h. */
 void
 ch_balance_sent(struct ch_balance *balance, const struct ch_work *work,
                 const struct ch_choice *choice, int64_t now)
 {
-    struct seat *seat = find(balance, choice->upstream);
-    if (seat == NULL) {
+    struct upstream_state *state = find_state(balance, choice->upstream);
+    if (state == NULL) {
         return;
     }
-    seat->running++;
-    if (burst_of(seat, now) == others_unread(seat, now)) {
-        seat->burst = 0;
+    state->running++;
+    if (estimate_burst(state, now) == estimate_others_backlog(state, now)) {
+        state->prefill_burst = 0;
     }
-    seat->burst += choice->reading;
-    seat->unread += choice->reading;
-    seat->context += work->prompt_tokens + work->output_tokens;
+    state->prefill_burst += choice->reading;
+    state->prefill_backlog += choice->reading;
+    state->used_context_tokens += work->prompt_tokens + work->output_tokens;
     if (!work->service) {
-        note_parts(seat, work, now);
+        record_cached_parts(state, work, now);
     }
 }
 
-/* A mean that follows the last measurements. */
+/* Exponential moving average; a mean of 0 has no sample yet. */
 static double
-follow(double mean, double last)
+update_mean(double mean, double last)
 {
-    return mean <= 0 ? last : mean + (last - mean) * mean_weight;
+    return mean <= 0 ? last : mean + (last - mean) * mean_sample_weight;
 }
 
 /*
- * Lets a speed follow what was seen, near the quickest.  Load: an engine with
- * more than it can do.  Harm prevented: its answers are slow because they wait
- * for one another; taken for what each of them costs, a model seems to need
- * more engines the longer it has too few, until it is given all.
+ * Updates a measured time so that it stays near the fastest samples. Answers
+ * of an overloaded engine are slow because they wait for one another. If that
+ * were taken for the model's own cost, a model would seem to need more engines
+ * the longer it has too few, until it is given all of them.
  */
 static void
-follow_quickest(struct speed *speed, double last)
+update_near_fastest(struct measured_time *measured, double last)
 {
-    if (!is_known(speed)) {
-        speed->value = speed->count == 0 ? last : MIN(speed->value, last);
-        speed->count++;
+    if (!has_enough_samples(measured)) {
+        measured->value =
+            measured->count == 0 ? last : MIN(measured->value, last);
+        measured->count++;
         return;
     }
-    double weight = last < speed->value ? quicker_weight : slower_weight;
-    speed->value += (last - speed->value) * weight;
+    double weight =
+        last < measured->value ? faster_sample_weight : slower_sample_weight;
+    measured->value += (last - measured->value) * weight;
 }
 
 /* See balance.h. */
 void
 ch_balance_first(struct ch_balance *balance, const struct ch_work *work,
-                 const struct ch_choice *choice, int64_t took, int64_t now)
+                 const struct ch_choice *choice, int64_t elapsed, int64_t now)
 {
-    struct seat *seat = find(balance, choice->upstream);
-    if (seat == NULL) {
+    struct upstream_state *state = find_state(balance, choice->upstream);
+    if (state == NULL) {
         return;
     }
-    seat->unread -= MIN(seat->unread, choice->reading);
-    seat->read_at = now;
-    seat->answer = follow(seat->answer, (double)took);
-    double ratio = (double)took / (double)MAX(choice->expected, 1);
-    seat->slow =
-        CLAMP(follow(seat->slow, seat->slow * ratio), LEAST_SLOW, MOST_SLOW);
-    if (choice->tokens >= LEAST_MEASURED) {
-        struct model *model = need_model(balance, work->model);
-        follow_quickest(&model->read, (double)took / choice->tokens);
+    state->prefill_backlog -= MIN(state->prefill_backlog, choice->reading);
+    state->prefill_ended_at = now;
+    state->answer_time = update_mean(state->answer_time, (double)elapsed);
+    double ratio = (double)elapsed / (double)MAX(choice->expected, 1);
+    state->slowdown =
+        CLAMP(update_mean(state->slowdown, state->slowdown * ratio),
+              MIN_SLOWDOWN, MAX_SLOWDOWN);
+    if (choice->tokens >= MIN_MEASURED_TOKENS) {
+        struct model_stats *model = ensure_model_stats(balance, work->model);
+        update_near_fastest(&model->prefill_per_token,
+                            (double)elapsed / choice->tokens);
     }
 }
 
-/* Learns from a whole answer how many events it has, and how long one takes.
- */
+/* Learns the number of events and the time per event from a whole answer. */
 static void
 learn_answer(struct ch_balance *balance, const struct ch_work *work,
              const struct ch_sample *sample)
@@ -947,15 +1013,15 @@
     if (work->service || sample->token <= 0 || work->output_tokens == 0) {
         return;
     }
-    struct model *model = need_model(balance, work->model);
-    follow_quickest(&model->event, (double)sample->token);
-    model->events =
-        follow(model->events, (double)sample->tokens / work->output_tokens);
+    struct model_stats *model = ensure_model_stats(balance, work->model);
+    update_near_fastest(&model->time_per_event, (double)sample->token);
+    model->events_per_token = update_mean(
+        model->events_per_token, (double)sample->tokens / work->output_tokens);
 }
 
-/* Whether a result says something of the upstream, and what. */
+/* Whether a result says anything about the upstream; sets *failed if so. */
 static bool
-judges(enum ch_code code, bool *failed)
+is_about_upstream(enum ch_code code, bool *failed)
 {
     switch (code) {
     case CH_OK:
@@ -977,33 +1043,35 @@
 /* See balance.h. */
 void
 ch_balance_ended(struct ch_balance *balance, const struct ch_work *work,
-                 const struct ch_choice *choice, bool begun,
+                 const struct ch_choice *choice, bool answer_started,
                  const struct ch_sample *sample, int64_t now)
 {
-    struct seat *seat = find(balance, choice->upstream);
+    struct upstream_state *state = find_state(balance, choice->upstream);
     enum ch_code code = sample->code;
     bool failed = false;
     if (code == CH_OK) {
         learn_answer(balance, work, sample);
     }
-    if (seat == NULL) {
+    if (state == NULL) {
         return;
     }
-    seat->running -= MIN(seat->running, 1);
-    seat->context -=
-        MIN(seat->context, work->prompt_tokens + work->output_tokens);
-    if (!begun) {
-        seat->read_at = now;
-        seat->unread -= MIN(seat->unread, choice->reading);
+    state->running -= MIN(state->running, 1);
+    state->used_context_tokens -= MIN(
+        state->used_context_tokens, work->prompt_tokens + work->output_tokens);
+    if (!answer_started) {
+        state->prefill_ended_at = now;
+        state->prefill_backlog -= MIN(state->prefill_backlog, choice->reading);
     }
-    if (!judges(code, &failed)) {
+    if (!is_about_upstream(code, &failed)) {
         return;
     }
-    double share = failures_now(seat, now);
-    seat->failures = share + ((failed ? 1 : 0) - share) * failure_weight;
-    /* A connection that can't be made says all at once. */
+    double rate = estimate_failure_rate(state, now);
+    state->failure_rate =
+        rate + ((failed ? 1 : 0) - rate) * failure_sample_weight;
+    /* A failed connection is clear evidence: the rate is at least half at
+     * once. */
     if (code == CH_UPSTREAM_CONNECT) {
-        seat->failures = MAX(seat->failures, 0.5);
+        state->failure_rate = MAX(state->failure_rate, 0.5);
     }
-    seat->judged = now;
+    state->failure_rate_at = now;
 }
--- a/libchestnuthitch/decide/balance.h
+++ b/libchestnuthitch/decide/balance.h
@@ -2,14 +2,15 @@
 #define CH_DECIDE_BALANCE_H
 
 /*
- * Which upstream a request goes to where each node routes by its own view:
- * what the upstreams tell of themselves, what other nodes tell, and what this
- * node has sent there.  No sockets, no clock, no threads.
+ * Chooses an upstream for a request where each node routes by its own view:
+ * the state that the upstreams report, the load that other nodes report, and
+ * what this node has sent itself. No sockets, no clock, no threads. Times are
+ * in microseconds.
  */
 
 #include "decide/policy.h"
 
-/* What is told of an upstream. */
+/* An upstream as the list of upstreams describes it. */
 struct ch_seat_facts {
     GQuark name;
     GQuark service;
@@ -18,26 +19,29 @@
     bool engine;
     bool leaving;
     uint64_t boot;
-    uint32_t slots;          /* requests at once */
+    uint32_t slots;          /* max. requests at once */
     uint32_t context_tokens; /* memory for prompts and answers; 0: unknown */
     uint32_t adapter_places;
-    const GQuark *resident; /* models */
+    const GQuark *resident;
     size_t resident_count;
 };
 
-/* What was decided for one request. */
+/* The upstream chosen for a request, or the refusal. */
 struct ch_choice {
-    enum ch_code code; /* OK: the rest is set; else it is refused */
+    enum ch_code code; /* CH_OK: an upstream was chosen; else the request is
+                          refused with this code */
     GQuark upstream;
-    uint64_t boot; /* of the upstream */
+    uint64_t boot; /* boot ID of the upstream */
     GQuark data_centre;
     bool other_region;
-    bool adapter_missing; /* it is to be loaded before the request goes out */
-    uint32_t tokens;      /* to be read there */
-    int64_t reading;      /* ... takes so long, microseconds */
-    int64_t expected;     /* until the first of the answer, microseconds */
-    bool too_dense; /* it would make the streams there pause for too long: it
-                       is better sent a little later */
+    bool adapter_missing; /* load the adapter before the request is sent */
+    uint32_t tokens;      /* prompt tokens that the upstream has not cached */
+    int64_t reading;      /* to prefill these tokens */
+    int64_t expected;     /* until the first token, or until a plain service's
+                             answer */
+    /* Sending now would make the streams at the engine pause for too long: the
+     * request is better sent a little later. */
+    bool too_dense;
     int64_t retry_after; /* of a refusal */
     const char *message;
 };
@@ -46,71 +50,86 @@
 
 struct ch_balance *ch_balance_new(GQuark region, GQuark data_centre);
 void ch_balance_free(struct ch_balance *balance);
-/* What it does without from now on; at first nothing. */
+/* Switches off parts of the policy from now on; at first nothing is disabled.
+ */
 void ch_balance_do_without(struct ch_balance *balance,
                            const struct ch_without *without);
 
-/* The upstreams, whole: who is not listed is forgotten. */
+/* Replaces the list of upstreams: call begin, then
+ * ch_balance_update_upstream() for each upstream, then end. An upstream that
+ * was not updated in between is forgotten. */
 void ch_balance_begin_update(struct ch_balance *balance);
 void ch_balance_listed(struct ch_balance *balance,
                        const struct ch_seat_facts *facts);
 void ch_balance_end_update(struct ch_balance *balance);
 
-/* Models and adapters of an upstream, in place of what was known. */
+/* Replace the known models or adapters of an upstream. */
 void ch_balance_models(struct ch_balance *balance, GQuark upstream,
                        const GQuark *models, size_t count);
 void ch_balance_adapters(struct ch_balance *balance, GQuark upstream,
                          const GQuark *adapters, size_t count);
-/* One adapter came or went. */
+/* Records that one adapter was loaded or unloaded. */
 void ch_balance_adapter(struct ch_balance *balance, GQuark upstream,
                         GQuark adapter, bool resident);
-/* Whether it takes orders, as for an adapter that is missing. */
+/* busy: the upstream accepts no orders now, such as one to load an adapter. */
 void ch_balance_busy(struct ch_balance *balance, GQuark upstream, bool busy);
-/* A model went, or was never there: until the next update. */
+/* Records that the upstream no longer has the model, or never had it; holds
+ * until the next update of its models. */
 void ch_balance_model_gone(struct ch_balance *balance, GQuark upstream,
                            GQuark model);
-/* What all nodes together run there, as of now, and how long it takes to read
-   what has not begun, microseconds; this node's own part, as it was told last,
-   is among it. */
+/*
+ * Sets the load of all nodes together on an upstream as of now.
+ * prefill_backlog: time to prefill the prompts whose prefill has not begun.
+ * Both totals include this node's own load as last reported by
+ * ch_balance_report_load().
+ */
 void ch_balance_all(struct ch_balance *balance, GQuark upstream,
-                    uint32_t running, int64_t unread, int64_t now);
-/* The own part, to be told: each(data, upstream, running, unread). */
+                    uint32_t running, int64_t prefill_backlog, int64_t now);
+/* Calls `report` with this node's own load for each engine that has some, or
+ * had some at the last call. */
 void ch_balance_tell(struct ch_balance *balance,
-                     void (*each)(void *data, GQuark upstream,
-                                  GQuark data_centre, uint32_t running,
-                                  int64_t unread),
+                     void (*report)(void *data, GQuark upstream,
+                                    GQuark data_centre, uint32_t running,
+                                    int64_t prefill_backlog),
                      void *data);
 
-/* excluded: GQuarks of upstreams that this request must not go to.  ready:
-   only where its adapter is already. */
+/* Chooses an upstream by the expected latency. excluded: GQuarks of upstreams
+ * that this request must not go to; NULL: none. adapter_ready: consider only
+ * upstreams that already have the request's adapter. */
 struct ch_choice ch_balance_choose(struct ch_balance *balance,
                                    const struct ch_work *work,
-                                   const GArray *excluded, bool ready,
+                                   const GArray *excluded, bool adapter_ready,
                                    int64_t now);
-/* The request goes out as chosen; each is followed by one ended. */
+/* Records that the request is sent as chosen. Each call is followed by one of
+ * ch_balance_record_end(). */
 void ch_balance_sent(struct ch_balance *balance, const struct ch_work *work,
                      const struct ch_choice *choice, int64_t now);
-/* The first of its answer came after `took`. */
+/* Records that the first byte of the answer came `elapsed` after the request
+ * was sent. */
 void ch_balance_first(struct ch_balance *balance, const struct ch_work *work,
-                      const struct ch_choice *choice, int64_t took,
+                      const struct ch_choice *choice, int64_t elapsed,
                       int64_t now);
-/* begun: ch_balance_first was called. */
+/* answer_started: ch_balance_record_first_byte() was called for the request.
+ */
 void ch_balance_ended(struct ch_balance *balance, const struct ch_work *work,
-                      const struct ch_choice *choice, bool begun,
+                      const struct ch_choice *choice, bool answer_started,
                       const struct ch_sample *sample, int64_t now);
 
-/* A request comes, whatever becomes of it: what it asks of engines counts for
-   its model. */
+/* Adds the engine time that a request needs to the demand for its model. Call
+ * this for every request, whether or not an upstream takes it. */
 void ch_balance_asked(struct ch_balance *balance, const struct ch_work *work,
                       int64_t now);
-/* Engine time that requests ask for, of each model, a second. */
+/* Calls `visit` with the demand for each model, in seconds of engine time per
+ * second. */
 void ch_balance_each_asked(struct ch_balance *balance, int64_t now,
-                           void (*each)(void *data, GQuark model, double work),
+                           void (*visit)(void *data, GQuark model,
+                                         double demand),
                            void *data);
-/* Microseconds that an engine takes to read the request's prompt. */
+/* Time that an engine is likely to take for the prefill of the request's
+ * prompt. */
 int64_t ch_balance_reading(const struct ch_balance *balance,
                            const struct ch_work *work);
-/* What this node runs on an upstream. */
+/* Requests that this node has running on the upstream. */
 uint32_t ch_balance_running(const struct ch_balance *balance, GQuark upstream);
 size_t ch_balance_count(const struct ch_balance *balance);
 
