--- a/libchestnuthitch/decide/fill.c
+++ b/libchestnuthitch/decide/fill.c
@@ -1,27 +1,26 @@
-/* Spreading what many nodes send at once by one view. */
+/* Spreads what many nodes send at the same time by the same view. */
 
 #include "decide/fill.h"
 
-/* Orders costs, the least first. */
+/* Compares two costs for qsort(). */
 static gint
-by_cost(gconstpointer a, gconstpointer b)
+compare_costs(gconstpointer a, gconstpointer b)
 {
     double first = *(const double *)a;
     double second = *(const double *)b;
     return (first > second) - (first < second);
 }
 
-/*
- * The cost up to which the cheapest places are filled by all arrivals, if each
- * of them goes to the place that is cheapest by then.
- */
+/* Returns the cost to which the cheapest places rise if each arrival goes to
+ * the place that is the cheapest by then (water filling). amount: sum of the
+ * costs that the arrivals add. */
 static double
-level_of(const double *costs, size_t count, double amount)
+find_cost_level(const double *costs, size_t count, double amount)
 {
     g_autofree double *sorted = g_memdup2(costs, count * sizeof(double));
     double level = 0;
     double sum = 0;
-    qsort(sorted, count, sizeof(double), by_cost);
+    qsort(sorted, count, sizeof(double), compare_costs);
     for (size_t i = 0; i < count; i++) {
         if (i > 0 && sorted[i] >= level) {
             break;
@@ -32,9 +31,8 @@
     return level;
 }
 
-/* The cheapest place. */
 static size_t
-cheapest(const double *costs, size_t count)
+find_cheapest(const double *costs, size_t count)
 {
     size_t best = 0;
     for (size_t i = 1; i < count; i++) {
@@ -44,27 +42,29 @@
 }
 
 /*
- * See fill.h.  Load: some hundred nodes that all see the same engine as the
- * least busy one until the next word on it.  Harm prevented: all of them send
- * there, its queue grows past its slots beside engines with places free, and
- * the next word turns them all to another one.  If the arrivals were placed
- * one after the other, each where it is cheapest by then, a place would get
- * what lifts it to one level with the others; so each of them takes it with
- * the probability of that part.  With one arrival that is the cheapest place.
+ * See fill.h. Some hundred nodes may all see the same engine as the least busy
+ * until its next load report. If all of them sent requests there, its queue
+ * would outgrow its slots while other engines have free slots, and the next
+ * report would turn all nodes to another engine.
+ *
+ * If the arrivals were placed one after the other, each at the cheapest place
+ * by then, each place would get as many as raise it to a common cost level. So
+ * a request chooses each place with the probability of that place's share of
+ * the arrivals. With a single arrival, that is the cheapest place.
  */
 size_t
-ch_fill_choose(const double *costs, size_t count, double each, double arrivals,
-               double random)
+ch_fill_choose(const double *costs, size_t count, double cost_per_request,
+               double arrivals, double random)
 {
-    double amount = MAX(arrivals, 1) * each;
-    double level = level_of(costs, count, amount);
-    double at = random * amount;
+    double amount = MAX(arrivals, 1) * cost_per_request;
+    double level = find_cost_level(costs, count, amount);
+    double remaining = random * amount;
     for (size_t i = 0; arrivals > 1 && i < count; i++) {
-        double part = MAX(level - costs[i], 0);
-        if (part > 0 && at < part) {
+        double share = MAX(level - costs[i], 0);
+        if (share > 0 && remaining < share) {
             return i;
         }
-        at -= part;
+        remaining -= share;
     }
-    return cheapest(costs, count);
+    return find_cheapest(costs, count);
 }
--- a/libchestnuthitch/decide/fill.h
+++ b/libchestnuthitch/decide/fill.h
@@ -1,21 +1,20 @@
 #ifndef CH_DECIDE_FILL_H
 #define CH_DECIDE_FILL_H
 
-/*
- * Which of several places takes a request, where many nodes choose at once by
- * one and the same view of them, which is some hundred milliseconds old.  No
- * sockets, no clock, no threads.
- */
+/* Spreads requests over places (such as engines) where many nodes choose at
+ * the same time by the same view of them, which is some hundred milliseconds
+ * old. No sockets, no clock, no threads. */
 
 #include "base/base.h"
 
 /*
- * The index of the place for one of `arrivals` requests that are expected
- * until the view is new.  costs: of each place for the next request; each:
- * what a request adds to the cost of its place, above 0; random: from 0 up to
- * 1, another one for each request.  count is above 0.
+ * Returns the index of the place for one of the `arrivals` requests that are
+ * expected until the view is refreshed. costs: cost of each place for the next
+ * request, in any unit. cost_per_request: what each request adds to the cost
+ * of its place, above 0. random: from 0 up to but not including 1, a new
+ * number for each request. count is above 0.
  */
-size_t ch_fill_choose(const double *costs, size_t count, double each,
-                      double arrivals, double random);
+size_t ch_fill_choose(const double *costs, size_t count,
+                      double cost_per_request, double arrivals, double random);
 
 #endif
--- a/libchestnuthitch/decide/gossip.c
+++ b/libchestnuthitch/decide/gossip.c
@@ -1,42 +1,46 @@
-/* How many nodes hear the states of a home's upstreams in one round. */
+/* How many nodes get the states of an owner's upstreams in one round. */
 
 #include "decide/gossip.h"
 
 enum {
-    /* Up to here a home tells every node in each round: the entry nodes of
-     * today see a change after half a second. */
-    DIRECT_NODES = 12,
-    ROUND_NODES = 6,
-    /* Of them, in other data centres while there are enough in both. */
-    FAR_NODES = 3,
+    /* Up to this many nodes, an owner sends to every node in each round, so
+     * that small deployments see a change after half a second. */
+    MAX_DIRECT_NODES = 12,
+    NODES_PER_ROUND = 6,
+    /* Of these, nodes in other data centres, if there are enough in both. */
+    REMOTE_NODES_PER_ROUND = 3,
 };
 
 /*
- * Load: 320 nodes that are each home of some 6 upstreams, whose states all
- * differ at each round.  Harm prevented: states that relays tell on come three
- * of four times to a node that has them already, so that the bytes a node may
- * spend carry each upstream once in a minute and a half.  So nobody relays:
- * each home tells its own states, to the nodes in turn.  Six messages of some
- * 630 bytes a round are 7.5 KB a second each way at any size; at 320 nodes in
- * seven data centres those of the own one, which most of the requests come
- * from, have their turn every 8 s, the rest every 46 s.
+ * Sized for 320 nodes that each own some 6 upstreams, whose states all differ
+ * in each round. Of the states that relays pass on, three of four would reach
+ * a node that has them already, so that the bytes a node may spend would carry
+ * each upstream only once in 90 seconds. So no node relays: each owner sends
+ * only its own states, to the other nodes in turn.
+ *
+ * Six messages of some 630 bytes per round are 7.5 KB/s in each direction at
+ * any number of nodes. With 320 nodes in seven data centres, nodes in the own
+ * data centre, from which most requests come, are reached every 8 s, the
+ * others every 46 s.
  */
 struct ch_gossip_share
-ch_gossip_share(unsigned near, unsigned far)
+ch_gossip_share(unsigned local_nodes, unsigned remote_nodes)
 {
-    struct ch_gossip_share share = {near, far};
-    if (near + far < DIRECT_NODES) {
-        return share;
+    struct ch_gossip_share fanout = {local_nodes, remote_nodes};
+    if (local_nodes + remote_nodes < MAX_DIRECT_NODES) {
+        return fanout;
     }
-    share.near = MIN(near, (unsigned)(ROUND_NODES - FAR_NODES));
-    share.far = MIN(far, ROUND_NODES - share.near);
-    share.near = MIN(near, ROUND_NODES - share.far);
-    return share;
+    fanout.near =
+        MIN(local_nodes, (unsigned)(NODES_PER_ROUND - REMOTE_NODES_PER_ROUND));
+    fanout.far = MIN(remote_nodes, NODES_PER_ROUND - fanout.near);
+    fanout.near = MIN(local_nodes, NODES_PER_ROUND - fanout.far);
+    return fanout;
 }
 
-/* Whether a round goes to every other node, so that only news need be told. */
+/* Whether a round reaches every other node, so that only changed states have
+ * to be sent. */
 bool
 ch_gossip_direct(unsigned live)
 {
-    return live <= DIRECT_NODES;
+    return live <= MAX_DIRECT_NODES;
 }
--- a/libchestnuthitch/decide/late.c
+++ b/libchestnuthitch/decide/late.c
@@ -1,64 +1,65 @@
-/* Requests that would be begun with too late. */
+/* Requests that would be started too late. */
 
 #include "decide/late.h"
 
 enum {
-    /* Callers give up a stream that brings nothing for four times its target:
-     * an engine that begins within three has a target left to read the prompt.
-     */
-    BEGIN_TARGETS = 3,
-    /* When those come back who were refused as engines are full. */
-    LEAST_BACK = 500 * 1000,
-    MOST_BACK = 3000 * 1000,
-    /* Until one was seen: a copy near by loads in two seconds. */
-    USUAL_LOAD = 2 * G_USEC_PER_SEC,
-    /* Loads differ, and some are overdue: none is taken to end within this
-     * part of the usual time. */
-    LEAST_PART = 4,
-    /* What was not told again for so long is not so any more: holders tell of
-     * every engine each eight seconds at least. */
-    TOLD_STALE = 10 * G_USEC_PER_SEC,
+    /* Callers give up a stream without a token after four times its target. An
+     * engine that starts within three times the target has one target left for
+     * the prefill. */
+    MAX_START_TARGETS = 3,
+    /* Bounds of the retry-after of a refusal because engines are full. */
+    MIN_RETRY_AFTER_US = 500 * 1000,
+    MAX_RETRY_AFTER_US = 3000 * 1000,
+    /* Until a load was measured: copying a model from a nearby host takes two
+     * seconds. */
+    DEFAULT_LOAD_US = 2 * G_USEC_PER_SEC,
+    /* Loads vary and some are overdue: each is expected to take at least this
+     * fraction of the mean from now on. */
+    MIN_REMAINING_DIVISOR = 4,
+    /* A load that was not reported again for this long is ignored: lease
+     * holders report every engine at least every eight seconds. */
+    REPORT_STALE_US = 10 * G_USEC_PER_SEC,
 };
 
-/* Part of the last load in the mean. */
-static const double load_weight = 0.2;
+/* Weight of the latest load in the moving average. */
+static const double load_sample_weight = 0.2;
 
 /* A model that an engine is loading. */
-struct loading {
+struct pending_load {
     GQuark upstream;
     GQuark model;
-    int64_t since;
-    int64_t told;
+    int64_t started_at;
+    int64_t reported_at;
 };
 
 struct ch_coming {
-    GArray *list; /* struct loading */
-    double usual; /* from when it is first told until the model is there */
+    GArray *loads;         /* struct pending_load */
+    double mean_load_time; /* from the first report of a load until the model
+                              is there */
 };
 
-/* Nothing is being loaded yet. */
+/* Starts without loads. */
 struct ch_coming *
 ch_coming_new(void)
 {
-    struct ch_coming *coming = g_new0(struct ch_coming, 1);
-    coming->list = g_array_new(FALSE, FALSE, sizeof(struct loading));
-    coming->usual = USUAL_LOAD;
-    return coming;
+    struct ch_coming *pending = g_new0(struct ch_coming, 1);
+    pending->loads = g_array_new(FALSE, FALSE, sizeof(struct pending_load));
+    pending->mean_load_time = DEFAULT_LOAD_US;
+    return pending;
 }
 
-/* Frees it with all that it holds. */
+/* Frees the loads; NULL is allowed. */
 void
-ch_coming_free(struct ch_coming *coming)
+ch_coming_free(struct ch_coming *pending)
 {
-    if (coming != NULL) {
-        g_array_free(coming->list, TRUE);
-        g_free(coming);
+    if (pending != NULL) {
+        g_array_free(pending->loads, TRUE);
+        g_free(pending);
     }
 }
 
-/* Whether a list of names has this one. */
 static bool
-has(const GQuark *names, size_t count, GQuark name)
+contains_name(const GQuark *names, size_t count, GQuark name)
 {
     for (size_t i = 0; i < count; i++) {
         if (names[i] == name) {
@@ -68,98 +69,108 @@
     return false;
 }
 
-/* Notes that an engine is still loading a model, or has begun to. */
+/* Records that an engine is loading a model. `started_at` stays as it is if
+ * the load is known. */
 static void
-note_loading(struct ch_coming *coming, GQuark upstream, GQuark model,
-             int64_t now)
+record_loading(struct ch_coming *pending, GQuark upstream, GQuark model,
+               int64_t now)
 {
-    for (guint i = 0; i < coming->list->len; i++) {
-        struct loading *known =
-            &g_array_index(coming->list, struct loading, i);
-        if (known->upstream == upstream && known->model == model) {
-            known->told = now;
+    for (guint i = 0; i < pending->loads->len; i++) {
+        struct pending_load *load =
+            &g_array_index(pending->loads, struct pending_load, i);
+        if (load->upstream == upstream && load->model == model) {
+            load->reported_at = now;
             return;
         }
     }
-    const struct loading fresh = {upstream, model, now, now};
-    g_array_append_val(coming->list, fresh);
+    const struct pending_load added = {upstream, model, now, now};
+    g_array_append_val(pending->loads, added);
 }
 
 /* See late.h. */
 void
-ch_coming_told(struct ch_coming *coming, GQuark upstream, const GQuark *models,
-               size_t model_count, const GQuark *loading, size_t loading_count,
-               int64_t now)
+ch_coming_told(struct ch_coming *pending, GQuark upstream,
+               const GQuark *models, size_t model_count, const GQuark *loading,
+               size_t loading_count, int64_t now)
 {
-    for (guint i = coming->list->len; i > 0; i--) {
-        const struct loading *known =
-            &g_array_index(coming->list, struct loading, i - 1);
-        if (known->upstream != upstream ||
-            has(loading, loading_count, known->model)) {
+    for (guint i = pending->loads->len; i > 0; i--) {
+        const struct pending_load *load =
+            &g_array_index(pending->loads, struct pending_load, i - 1);
+        if (load->upstream != upstream ||
+            contains_name(loading, loading_count, load->model)) {
             continue;
         }
-        if (has(models, model_count, known->model)) {
-            coming->usual +=
-                ((double)(now - known->since) - coming->usual) * load_weight;
+        if (contains_name(models, model_count, load->model)) {
+            pending->mean_load_time +=
+                ((double)(now - load->started_at) - pending->mean_load_time) *
+                load_sample_weight;
         }
-        g_array_remove_index_fast(coming->list, i - 1);
+        g_array_remove_index_fast(pending->loads, i - 1);
     }
     for (size_t i = 0; i < loading_count; i++) {
-        note_loading(coming, upstream, loading[i], now);
+        record_loading(pending, upstream, loading[i], now);
     }
 }
 
 /* See late.h. */
 int64_t
-ch_coming_at(const struct ch_coming *coming, GQuark model, int64_t now)
+ch_coming_at(const struct ch_coming *pending, GQuark model, int64_t now)
 {
-    int64_t first = 0;
-    for (guint i = 0; i < coming->list->len; i++) {
-        const struct loading *known =
-            &g_array_index(coming->list, struct loading, i);
-        if (known->model != model || now - known->told > TOLD_STALE) {
+    int64_t first_ready_at = 0;
+    for (guint i = 0; i < pending->loads->len; i++) {
+        const struct pending_load *load =
+            &g_array_index(pending->loads, struct pending_load, i);
+        if (load->model != model ||
+            now - load->reported_at > REPORT_STALE_US) {
             continue;
         }
-        int64_t usual = (int64_t)coming->usual;
-        int64_t at = MAX(known->since + usual, now + usual / LEAST_PART);
-        first = first == 0 ? at : MIN(first, at);
+        int64_t mean_load_time = (int64_t)pending->mean_load_time;
+        int64_t ready_at = MAX(load->started_at + mean_load_time,
+                               now + mean_load_time / MIN_REMAINING_DIVISOR);
+        first_ready_at =
+            first_ready_at == 0 ? ready_at : MIN(first_ready_at, ready_at);
     }
-    return first;
+    return first_ready_at;
 }
 
-/* Until when it is of use to begin with a request. */
+/* The latest time at which starting the request is still of use. */
 static int64_t
-last_begin(const struct ch_work *work)
+get_latest_start(const struct ch_work *work)
 {
     int64_t target = work->first_by - work->arrived;
-    return MIN(work->arrived + BEGIN_TARGETS * target, work->whole_by);
+    return MIN(work->arrived + MAX_START_TARGETS * target, work->whole_by);
 }
 
 /* See late.h. */
 bool
 ch_late_is(const struct ch_work *work, int64_t expected, int64_t now)
 {
-    return !work->service && !work->begun && now + expected > last_begin(work);
+    return !work->service && !work->begun &&
+           now + expected > get_latest_start(work);
 }
 
 /*
- * Load: more requests for a model than its engines can begin with before the
- * callers give up.  Harm prevented: all of them wait in one line, and the
- * engines work for callers who have gone while the next ones wait too long in
- * their turn.  What would come too late waits here if another engine is likely
- * to have the model within the target, else it is refused at once, with when
- * there will be room.  Limit: a load from the weight store takes longer than
- * most callers wait, and all that waited for it goes to the new engine at the
- * same moment; held beyond the target, most are refused late or given up
- * there.
+ * See late.h. A model may get more requests than its engines can start before
+ * the callers give up. If all of them waited in one queue, the engines would
+ * work for callers who have gone, while the next requests wait too long in
+ * turn. A request that would start too late waits here if another engine is
+ * likely to have the model within the target; else it is refused at once, with
+ * a retry-after of when capacity is expected.
+ *
+ * The wait ends at the target: a load from the weight store takes longer than
+ * most callers wait, and all requests that waited for it go to the new engine
+ * at the same moment. Held beyond the target, most would be refused late, or
+ * given up at the new engine.
  */
 struct ch_late
-ch_late_decide(const struct ch_work *work, int64_t expected, int64_t there,
+ch_late_decide(const struct ch_work *work, int64_t expected, int64_t ready_at,
                int64_t now)
 {
-    if (there != 0 && there < work->first_by && now < work->first_by) {
+    if (ready_at != 0 && ready_at < work->first_by && now < work->first_by) {
         return (struct ch_late){.waits = true, .until = work->first_by};
     }
-    int64_t room = there == 0 ? expected / 2 : MIN(expected / 2, there - now);
-    return (struct ch_late){.back = CLAMP(room, LEAST_BACK, MOST_BACK)};
+    int64_t retry_after =
+        ready_at == 0 ? expected / 2 : MIN(expected / 2, ready_at - now);
+    return (struct ch_late){
+        .back = CLAMP(retry_after, MIN_RETRY_AFTER_US, MAX_RETRY_AFTER_US)};
 }
--- a/libchestnuthitch/decide/late.h
+++ b/libchestnuthitch/decide/late.h
@@ -2,10 +2,10 @@
 #define CH_DECIDE_LATE_H
 
 /*
- * What becomes of a request with which every engine that has its model would
- * begin too late: whether it waits for an engine that is loading the model, or
- * is refused at once, and when its caller may come back.  No sockets, no
- * clock, no threads.
+ * Decides on a request that every engine with its model would start too late:
+ * whether it waits for an engine that is loading the model, or is refused at
+ * once, and when its caller may retry. No sockets, no clock, no threads. Times
+ * are in microseconds.
  */
 
 #include "decide/fleet.h"
@@ -13,30 +13,30 @@
 struct ch_coming;
 
 struct ch_coming *ch_coming_new(void);
-void ch_coming_free(struct ch_coming *coming);
+void ch_coming_free(struct ch_coming *pending);
 
-/* What an engine holds, and what it is loading or makes room for.  An engine
-   that is gone holds and loads nothing. */
-void ch_coming_told(struct ch_coming *coming, GQuark upstream,
+/* Updates what an engine has, and what it is loading or frees memory for. Call
+ * this without models for an engine that is gone. */
+void ch_coming_told(struct ch_coming *pending, GQuark upstream,
                     const GQuark *models, size_t model_count,
                     const GQuark *loading, size_t loading_count, int64_t now);
-/* When the first engine that is loading the model is likely to have it; 0:
-   nobody is loading it. */
-int64_t ch_coming_at(const struct ch_coming *coming, GQuark model,
+/* Returns when the first engine that is loading the model is likely to have
+ * it; 0: no engine is loading it. */
+int64_t ch_coming_at(const struct ch_coming *pending, GQuark model,
                      int64_t now);
 
-/* What is decided of a request that would be late. */
+/* The decision on a request that would start too late. */
 struct ch_late {
     bool waits;    /* else it is refused at once */
-    int64_t until; /* it waits so long at most */
-    int64_t back;  /* when its caller may come back, from now */
+    int64_t until; /* when the wait ends at the latest */
+    int64_t back;  /* of a refusal, relative to now */
 };
 
-/* Whether an engine that needs this long until the first of its answer would
-   begin with a request when its caller has given up. */
+/* Whether the caller is likely to have given up by the time when an engine
+ * that needs `expected` until the first token would start the request. */
 bool ch_late_is(const struct ch_work *work, int64_t expected, int64_t now);
-/* there: as ch_coming_at() says. */
+/* ready_at: as ch_pending_loads_estimate_ready() returns it. */
 struct ch_late ch_late_decide(const struct ch_work *work, int64_t expected,
-                              int64_t there, int64_t now);
+                              int64_t ready_at, int64_t now);
 
 #endif
--- a/libchestnuthitch/decide/window.c
+++ b/libchestnuthitch/decide/window.c
@@ -1,8 +1,8 @@
-/* Sliding windows: a number that may be begun in any span of time. */
+/* Sliding-window rate limits. */
 
 #include "decide/window.h"
 
-/* A window in which nothing was begun yet. */
+/* Starts with an empty window. */
 void
 ch_window_init(struct ch_window *window, int64_t span)
 {
@@ -10,7 +10,7 @@
     window->begun = g_array_new(FALSE, FALSE, sizeof(int64_t));
 }
 
-/* Frees what it holds. */
+/* Frees the list of starts. */
 void
 ch_window_clear(struct ch_window *window)
 {
@@ -18,56 +18,57 @@
     window->begun = NULL;
 }
 
-/* See window.h.  For who takes over from another whose use is not known: it
- * gets one after the other, as the former one's share runs out. */
+/* See window.h. Used by a node that takes over from another one whose starts
+ * are unknown: it may start operations one by one, as the other node's starts
+ * leave the span. */
 void
-ch_window_assume_used(struct ch_window *window, unsigned most, int64_t now)
+ch_window_assume_used(struct ch_window *window, unsigned limit, int64_t now)
 {
     g_array_set_size(window->begun, 0);
-    for (unsigned i = 0; i < most; i++) {
-        int64_t begun = now - window->span + window->span * (i + 1) / most;
-        g_array_append_val(window->begun, begun);
+    for (unsigned i = 0; i < limit; i++) {
+        int64_t started_at =
+            now - window->span + window->span * (i + 1) / limit;
+        g_array_append_val(window->begun, started_at);
     }
 }
 
-/* Forgets what was begun before the span. */
+/* Removes the starts that have left the span. */
 static void
-forget_old(struct ch_window *window, int64_t now)
+remove_expired(struct ch_window *window, int64_t now)
 {
-    guint old = 0;
-    while (old < window->begun->len &&
-           g_array_index(window->begun, int64_t, old) + window->span <= now) {
-        old++;
+    guint expired = 0;
+    while (expired < window->begun->len &&
+           g_array_index(window->begun, int64_t, expired) + window->span <=
+               now) {
+        expired++;
     }
-    g_array_remove_range(window->begun, 0, old);
+    g_array_remove_range(window->begun, 0, expired);
 }
 
 /* See window.h. */
 unsigned
-ch_window_left(struct ch_window *window, unsigned most, int64_t now)
+ch_window_left(struct ch_window *window, unsigned limit, int64_t now)
 {
-    forget_old(window, now);
-    return window->begun->len < most ? most - window->begun->len : 0;
+    remove_expired(window, now);
+    return window->begun->len < limit ? limit - window->begun->len : 0;
 }
 
-/*
- * See window.h.  Load: loads that were decided seconds ago and had to wait for
- * room, beside new ones.  Harm prevented: more of them begin in one span than
- * may, as each counted from its decision.
- */
+/* See window.h. A load may have been decided seconds ago and have had to wait
+ * for free memory, while new loads are decided. If each counted from its
+ * decision, more of them could start in one span than the limit allows. */
 bool
-ch_window_begin(struct ch_window *window, unsigned most, int64_t taken,
+ch_window_begin(struct ch_window *window, unsigned limit, int64_t reserved_at,
                 int64_t now)
 {
-    forget_old(window, now);
+    remove_expired(window, now);
     for (guint i = 0; i < window->begun->len; i++) {
-        if (g_array_index(window->begun, int64_t, i) == taken) {
+        if (g_array_index(window->begun, int64_t, i) == reserved_at) {
             g_array_remove_index(window->begun, i);
             g_array_append_val(window->begun, now);
             return true;
         }
     }
-    if (window->begun->len >= most) {
+    if (window->begun->len >= limit) {
         return false;
     }
     g_array_append_val(window->begun, now);
--- a/libchestnuthitch/decide/window.h
+++ b/libchestnuthitch/decide/window.h
@@ -1,32 +1,32 @@
 #ifndef CH_DECIDE_WINDOW_H
 #define CH_DECIDE_WINDOW_H
 
-/*
- * How much may be begun in any span of time: all of it at once where nothing
- * was begun lately.  No clock, no threads.
- */
+/* A sliding-window rate limit: how many operations may start in any span of
+ * time. All of them may start at once if none started lately. No clock, no
+ * threads. */
 
 #include <glib.h>
 #include <stdbool.h>
 
 struct ch_window {
     int64_t span;  /* microseconds */
-    GArray *begun; /* int64_t, the oldest first */
+    GArray *begun; /* int64_t times in ascending order */
 };
 
 void ch_window_init(struct ch_window *window, int64_t span);
 void ch_window_clear(struct ch_window *window);
-/* As though `most` had been begun evenly over the span before now. */
-void ch_window_assume_used(struct ch_window *window, unsigned most,
+/* Sets the window as though `limit` operations had started evenly over the
+ * span before now. */
+void ch_window_assume_used(struct ch_window *window, unsigned limit,
                            int64_t now);
-/* How many of `most` may be begun now. */
-unsigned ch_window_left(struct ch_window *window, unsigned most, int64_t now);
-/* What was taken at `taken` begins only now, of `most` in a span: it counts
-   from now on in place of then.  False: then is out of the span by now, and no
-   other may be begun. */
-bool ch_window_begin(struct ch_window *window, unsigned most, int64_t taken,
-                     int64_t now);
-/* One is begun. */
+/* Returns how many operations may start now, of `limit` per span. */
+unsigned ch_window_left(struct ch_window *window, unsigned limit, int64_t now);
+/* Starts an operation that was recorded at `reserved_at`: it counts from now
+ * on instead of from then. Returns false, without a start, if that record has
+ * left the span and `limit` operations have started since. */
+bool ch_window_begin(struct ch_window *window, unsigned limit,
+                     int64_t reserved_at, int64_t now);
+/* Records that an operation starts now. */
 void ch_window_take(struct ch_window *window, int64_t now);
 
 #endif
