--- a/libchestnuthitch/decide/route.c
+++ b/libchestnuthitch/decide/route.c
@@ -1,28 +1,31 @@
-/* At the entry node: which upstream's home is asked for a request. */
+/* At the entry node: chooses the upstream whose owner is asked for a request.
+ */
 
 #include "decide/home.h"
 
 #include <string.h>
 
 enum {
-    /* Until an upstream is asked, its first token is taken to need this. */
-    FIRST_TOKEN = 150 * 1000,
-    /* An adapter's load; see the brief (6 to 19 ms). */
-    ADAPTER_LOAD = 20 * 1000,
-    /* What is left of a load that has begun, for all that a view tells. */
-    LOAD_LEFT = 4 * G_USEC_PER_SEC,
-    /* Room that a replica may be fuller than the emptiest and still be taken
-     * for its adapter or prefix: requests.  A cached prefix saves tens of
-     * milliseconds; three requests in a batch cost each other ten. */
-    AFFINITY_SLACK = 3,
-    /* Bytes of an answer's event for one token, and of a prompt's. */
-    EVENT_BYTES = 200,
-    PROMPT_BYTES = 4,
-    /* When there is nothing to ask: about a host list's period. */
-    ASK_AGAIN = G_USEC_PER_SEC,
+    /* Assumed time until an upstream's first token; its view doesn't tell. */
+    FIRST_TOKEN_US = 150 * 1000,
+    /* An adapter's load takes 6 to 19 ms. */
+    ADAPTER_LOAD_US = 20 * 1000,
+    /* Assumed time left of a load that has begun; its view doesn't tell. */
+    LOAD_REMAINING_US = 4 * G_USEC_PER_SEC,
+    /* Requests that a replica may have more than the least full one and still
+     * be chosen for its adapter or cached prefix. A cached prefix saves tens
+     * of milliseconds; three requests in a batch cost each other ten. */
+    AFFINITY_SLACK_REQUESTS = 3,
+    /* Bytes of an answer's event for one token, and of a prompt's token. */
+    EVENT_BYTES_PER_TOKEN = 200,
+    PROMPT_BYTES_PER_TOKEN = 4,
+    /* Retry-after if there is no upstream to ask: about the period of the host
+     * list. */
+    NO_UPSTREAM_RETRY_AFTER_US = G_USEC_PER_SEC,
 };
 
-/* Whether the upstream serves the work as it is: resident, and fast enough. */
+/* Whether the upstream can serve the request as it is: it is the service, or
+ * has the model and is at most a quarter slower per token than the target. */
 bool
 ch_view_serves(const struct ch_upstream_view *view, const struct ch_work *work)
 {
@@ -38,7 +41,6 @@
     return work->between == 0 || view->token <= work->between * 5 / 4;
 }
 
-/* Whether this request was already refused there. */
 static bool
 is_excluded(const GArray *excluded, GQuark name)
 {
@@ -50,78 +52,80 @@
     return false;
 }
 
-/* Requests there, as far as this node knows: the home's exact count of a
- * moment ago, and what this node has sent since. */
+/* Requests at the upstream as far as this node knows: the owner's recent exact
+ * count, and what this node has sent since. */
 static uint32_t
-occupancy(const struct ch_policy *policy, const struct ch_upstream_view *view)
+count_requests(const struct ch_policy *policy,
+               const struct ch_upstream_view *view)
 {
     uint32_t sent = policy->routing->counts ? view->sent_since : 0;
     return view->running + view->queued + sent;
 }
 
-/* Microseconds that a request sent there now is expected to wait. */
+/* Expected wait of a request that is sent there now. */
 static int64_t
-expected_wait(const struct ch_policy *policy,
+estimate_wait(const struct ch_policy *policy,
               const struct ch_upstream_view *view)
 {
     uint32_t batch = MAX(view->batch, 1);
-    uint32_t here = occupancy(policy, view);
-    if (here < batch) {
+    uint32_t running = count_requests(policy, view);
+    if (running < batch) {
         return 0;
     }
-    int64_t each = view->wait / (view->queued + 1);
-    return view->wait + each * view->sent_since;
+    int64_t wait_per_request = view->wait / (view->queued + 1);
+    return view->wait + wait_per_request * view->sent_since;
 }
 
-/* A request's place in a preferred order of upstreams that every entry node
- * computes alike (rendezvous hash). */
+/* Rank of an upstream for a key by rendezvous hashing: every entry node
+ * computes the same order. */
 static uint64_t
-preference(uint64_t key, const struct ch_upstream_view *view)
+rank_upstream(uint64_t key, const struct ch_upstream_view *view)
 {
     return ch_hash_pair(key, ch_hash_string(g_quark_to_string(view->name)));
 }
 
-/* The bytes that the request's prompt and answer may take on the link. */
+/* Bytes that the request's prompt and answer may take on the link. */
 static int64_t
-link_cost(const struct ch_work *work)
+estimate_link_bytes(const struct ch_work *work)
 {
-    return (int64_t)work->prompt_tokens * PROMPT_BYTES +
-           (int64_t)work->output_tokens * EVENT_BYTES;
+    return (int64_t)work->prompt_tokens * PROMPT_BYTES_PER_TOKEN +
+           (int64_t)work->output_tokens * EVENT_BYTES_PER_TOKEN;
 }
 
-/* Whether the request is expected to make its target on that upstream. */
+/* Whether the request is expected to meet its target at the upstream. */
 static bool
-would_meet(const struct ch_policy *policy, const struct ch_fleet *fleet,
-           const struct ch_upstream_view *view, const struct ch_work *work,
-           int64_t now)
+would_meet_target(const struct ch_policy *policy, const struct ch_fleet *fleet,
+                  const struct ch_upstream_view *view,
+                  const struct ch_work *work, int64_t now)
 {
     if (work->first_by == 0) {
         return true;
     }
     int64_t delay =
         view->region == fleet->region ? 0 : 4 * fleet->region_delay;
-    int64_t first = work->service ? 0 : FIRST_TOKEN;
-    return now + delay + expected_wait(policy, view) + first <= work->first_by;
+    int64_t first = work->service ? 0 : FIRST_TOKEN_US;
+    return now + delay + estimate_wait(policy, view) + first <= work->first_by;
 }
 
-/* The fullness of an upstream: requests there as a share of its batch. */
+/* Requests at the upstream as a share of its batch. */
 static double
-fullness(const struct ch_policy *policy, const struct ch_upstream_view *view)
+get_fullness(const struct ch_policy *policy,
+             const struct ch_upstream_view *view)
 {
-    return (double)occupancy(policy, view) / MAX(view->batch, 1);
+    return (double)count_requests(policy, view) / MAX(view->batch, 1);
 }
 
-/* What makes one replica better than another. */
+/* What replicas are compared by. */
 struct replica {
     size_t index;
-    bool adapter;    /* already there */
-    uint64_t prefix; /* preference for the request's prefix */
+    bool adapter;    /* already loaded */
+    uint64_t prefix; /* rank for the request's prefix */
     double fullness;
     uint64_t tie;
 };
 
-/* Whether a replica is to be taken before another.  slack: the difference in
- * fullness that an adapter or a prefix is worth. */
+/* Whether replica a is preferred to b. slack: difference in fullness that an
+ * adapter or a prefix is worth. */
 static bool
 is_better(const struct replica *a, const struct replica *b, double slack)
 {
@@ -142,18 +146,18 @@
 }
 
 /*
- * The replica to ask among those that are expected to meet the target, in the
- * own region or in the others; -1 when there is none.
+ * Returns the replica to ask of those that are expected to meet the target, in
+ * this region (local) or in the others; -1: none.
  *
- * Load: requests that share an adapter or the start of their prompt.  Harm
- * prevented: an adapter loaded everywhere, and a prompt's start computed anew
- * on each upstream.  Limit: a few requests' worth of fullness, so that a hot
- * prefix spreads instead of queueing.
+ * Requests may share an adapter or the start of their prompt. Without
+ * affinity, the adapter would be loaded everywhere, and the start of the
+ * prompt prefilled again on each upstream. Affinity is worth a few requests'
+ * fullness at most, so that a popular prefix spreads instead of queueing.
  */
 static int
-best_replica(const struct ch_policy *policy, const struct ch_fleet *fleet,
-             const struct ch_work *work, const GArray *excluded, bool local,
-             int64_t now)
+choose_replica(const struct ch_policy *policy, const struct ch_fleet *fleet,
+               const struct ch_work *work, const GArray *excluded, bool local,
+               int64_t now)
 {
     struct replica best = {0};
     bool found = false;
@@ -161,7 +165,7 @@
         const struct ch_upstream_view *view = &fleet->upstreams[i];
         if ((view->region == fleet->region) != local ||
             is_excluded(excluded, view->name) || !ch_view_serves(view, work) ||
-            !would_meet(policy, fleet, view, work, now)) {
+            !would_meet_target(policy, fleet, view, work, now)) {
             continue;
         }
         bool affinity = policy->routing->affinity && !work->service;
@@ -170,13 +174,14 @@
             .adapter = affinity && work->adapter != 0 &&
                        ch_upstream_view_has(view, work->adapter),
             .prefix = affinity && work->prefix != 0
-                          ? preference(work->prefix, view)
+                          ? rank_upstream(work->prefix, view)
                           : 0,
-            .fullness = fullness(policy, view),
-            .tie = preference(work->id, view),
+            .fullness = get_fullness(policy, view),
+            .tie = rank_upstream(work->id, view),
         };
         double slack =
-            affinity ? (double)AFFINITY_SLACK / MAX(view->batch, 1) : 0;
+            affinity ? (double)AFFINITY_SLACK_REQUESTS / MAX(view->batch, 1)
+                     : 0;
         if (!found || is_better(&replica, &best, slack)) {
             best = replica;
             found = true;
@@ -185,14 +190,15 @@
     return found ? (int)best.index : -1;
 }
 
-/* A local upstream that is loading the work's model, when the target allows
- * to wait for it; -1 when there is none. */
+/* Returns the upstream with the shortest queue that is loading the request's
+ * model; -1: none. Unless `any` is set, only if it is in this region and the
+ * target leaves time for the load. */
 static int
-best_loading(const struct ch_fleet *fleet, const struct ch_work *work,
-             const GArray *excluded, bool any, int64_t now)
+choose_loading(const struct ch_fleet *fleet, const struct ch_work *work,
+               const GArray *excluded, bool any, int64_t now)
 {
-    if (work->service ||
-        (!any && work->first_by != 0 && now + LOAD_LEFT > work->first_by)) {
+    if (work->service || (!any && work->first_by != 0 &&
+                          now + LOAD_REMAINING_US > work->first_by)) {
         return -1;
     }
     int best = -1;
@@ -213,15 +219,17 @@
     return best;
 }
 
-/* Items of a list; 0 when an upstream has not been heard of yet. */
+/* Length of a list; 0 for the NULL list of an upstream that has not reported.
+ */
 static guint
-count_of(const GArray *list)
+get_length(const GArray *list)
 {
     return list == NULL ? 0 : list->len;
 }
 
-/* How many upstreams serve each item, by quark: one pass, as choosing a place
- * asks it for every model of every upstream.  The caller's to unref. */
+/* Counts the upstreams that have each item, by quark, in one pass, as the
+ * choice of a place needs the count for every model of every upstream. The
+ * caller unrefs the table. */
 static GHashTable *
 count_replicas(const struct ch_fleet *fleet)
 {
@@ -229,7 +237,7 @@
     for (size_t i = 0; i < fleet->count; i++) {
         const struct ch_upstream_view *view = &fleet->upstreams[i];
         for (guint j = 0;
-             !view->down && !view->leaving && j < count_of(view->resident);
+             !view->down && !view->leaving && j < get_length(view->resident);
              j++) {
             gpointer key = GUINT_TO_POINTER(
                 g_array_index(view->resident, struct ch_item, j).name);
@@ -240,25 +248,28 @@
     return counts;
 }
 
-/* What would have to go at an upstream for the work's model, in coarse steps,
- * so that nodes whose views differ a little still agree: requests a second of
- * the models there, of last replicas above all. */
+/*
+ * Cost of evicting enough at an upstream to load the request's model: requests
+ * per second for the models there, where models with other replicas count a
+ * quarter. The cost is in coarse steps, so that nodes whose views differ a
+ * little still agree; 0: there is enough free memory.
+ */
 static unsigned
-cost_step(GHashTable *replicas, const struct ch_upstream_view *view,
-          const struct ch_work *work)
+get_eviction_step(GHashTable *replicas, const struct ch_upstream_view *view,
+                  const struct ch_work *work)
 {
     if (view->free_mb >= work->model_mb + work->adapter_mb) {
         return 0;
     }
     uint32_t demand = 0;
-    for (guint i = 0; i < count_of(view->resident); i++) {
+    for (guint i = 0; i < get_length(view->resident); i++) {
         const struct ch_item *item =
             &g_array_index(view->resident, struct ch_item, i);
         if (strchr(g_quark_to_string(item->name), '/') == NULL) {
             gpointer key = GUINT_TO_POINTER(item->name);
-            bool fellow =
+            bool has_other_replica =
                 GPOINTER_TO_UINT(g_hash_table_lookup(replicas, key)) > 1;
-            demand += fellow ? item->rate / 4 : item->rate;
+            demand += has_other_replica ? item->rate / 4 : item->rate;
         }
     }
     unsigned step = 1;
@@ -269,11 +280,11 @@
     return step;
 }
 
-/* Whether the upstream's memory is changing already. */
+/* Whether a model is being loaded there already. */
 static bool
 is_loading_model(const struct ch_upstream_view *view)
 {
-    for (guint i = 0; i < count_of(view->loading); i++) {
+    for (guint i = 0; i < get_length(view->loading); i++) {
         GQuark name = g_array_index(view->loading, struct ch_item, i).name;
         if (strchr(g_quark_to_string(name), '/') == NULL) {
             return true;
@@ -283,25 +294,26 @@
 }
 
 /*
- * The upstream that is to bring the work's model in; -1 when there is none,
- * or when it has already said no to this request.
+ * Returns the upstream that is to load the request's model; -1: none, or it
+ * has already refused this request.
  *
- * Load: a model that nobody holds, or whose replicas are full, asked for by
- * many entry nodes at once.  Harm prevented: each of them having it loaded
- * somewhere else.  All compute the same order from the same hash: least to
- * lose first, in coarse steps, then by rendezvous, own region first.  The
- * second in that order is not asked: it would count the same demand again.
+ * Many entry nodes may ask at the same time for a model that no upstream has,
+ * or whose replicas are full. If each chose a place of its own, the model
+ * would be loaded in many places. All compute the same order: by coarse
+ * eviction cost, with a surcharge for other regions, then by rendezvous hash.
+ * The second place in that order isn't asked: it would count the same demand
+ * again.
  */
 static int
-best_place(const struct ch_fleet *fleet, const struct ch_work *work,
-           const GArray *excluded)
+choose_place(const struct ch_fleet *fleet, const struct ch_work *work,
+             const GArray *excluded)
 {
     if (work->service) {
         return -1;
     }
     int best = -1;
     unsigned best_step = 0;
-    uint64_t best_weight = 0;
+    uint64_t best_rank = 0;
     uint64_t key = ch_hash_string(g_quark_to_string(work->model));
     GHashTable *replicas = count_replicas(fleet);
     for (size_t i = 0; i < fleet->count; i++) {
@@ -312,14 +324,14 @@
             view->capacity_mb < work->model_mb + work->adapter_mb) {
             continue;
         }
-        unsigned step = cost_step(replicas, view, work) * 2;
+        unsigned step = get_eviction_step(replicas, view, work) * 2;
         step += view->region == fleet->region ? 0 : 3;
-        uint64_t weight = preference(key, view);
+        uint64_t rank = rank_upstream(key, view);
         if (best < 0 || step < best_step ||
-            (step == best_step && weight > best_weight)) {
+            (step == best_step && rank > best_rank)) {
             best = (int)i;
             best_step = step;
-            best_weight = weight;
+            best_rank = rank;
         }
     }
     g_hash_table_unref(replicas);
@@ -329,11 +341,12 @@
     return best;
 }
 
-/* The replica with the least wait, whether or not it meets the target, own
- * region before others; -1 when there is none. */
+/* Returns the replica with the shortest wait, whether or not it meets the
+ * target; other regions have a surcharge. -1: none. */
 static int
-least_wait(const struct ch_policy *policy, const struct ch_fleet *fleet,
-           const struct ch_work *work, const GArray *excluded)
+choose_shortest_wait(const struct ch_policy *policy,
+                     const struct ch_fleet *fleet, const struct ch_work *work,
+                     const GArray *excluded)
 {
     int best = -1;
     int64_t best_wait = 0;
@@ -342,7 +355,7 @@
         if (is_excluded(excluded, view->name) || !ch_view_serves(view, work)) {
             continue;
         }
-        int64_t wait = expected_wait(policy, view);
+        int64_t wait = estimate_wait(policy, view);
         if (view->region != fleet->region) {
             wait += 4 * fleet->region_delay + G_USEC_PER_SEC;
         }
@@ -354,13 +367,13 @@
     return best;
 }
 
-/* The answer that names an upstream, or says that there is none to ask. */
+/* Routes to the upstream, or refuses if there is none to ask. */
 static struct ch_route
-answer(int upstream)
+make_route(int upstream)
 {
     if (upstream < 0) {
         struct ch_route none = {.code = CH_NO_UPSTREAM,
-                                .retry_after = ASK_AGAIN};
+                                .retry_after = NO_UPSTREAM_RETRY_AFTER_US};
         g_strlcpy(none.message, "no upstream can take this now",
                   sizeof(none.message));
         return none;
@@ -369,69 +382,73 @@
 }
 
 /*
- * Ours.  A replica here that meets the target; one that is being loaded here;
- * one across the link, if bytes are left.
+ * The default policy: a replica in this region that meets the target, one that
+ * is loading here, or one across the link if its byte budget allows.
  *
- * The link's limit: it is slow, narrow and paid by volume; it is used only by
- * what would else miss its target, and out of a byte budget, so that a region
- * in trouble cannot fill it for everything else that crosses.
+ * The link between regions is slow, narrow and billed by volume. Only requests
+ * that would otherwise miss their target use it, within a byte budget, so that
+ * a region in trouble can't fill the link for all other traffic.
  *
- * Where nothing meets the target the fullest knowledge is the home's: the
- * shortest queue is asked first.  After its refusal the request goes to the
- * place where a further replica would come, which thereby learns how much
- * overflows.
+ * If no replica is expected to meet the target, the replica with the shortest
+ * wait is asked first, as its owner has the most exact view. If that refuses,
+ * the request goes to the place where the next replica would be loaded, and so
+ * tells that place's owner how much demand overflows.
  */
 struct ch_route
 ch_route_default(const struct ch_policy *policy, struct ch_fleet *fleet,
                  const struct ch_work *work, const GArray *excluded,
                  int64_t now)
 {
-    int at = best_replica(policy, fleet, work, excluded, true, now);
-    if (at < 0) {
-        at = best_loading(fleet, work, excluded, false, now);
+    int index = choose_replica(policy, fleet, work, excluded, true, now);
+    if (index < 0) {
+        index = choose_loading(fleet, work, excluded, false, now);
     }
-    if (at < 0 && policy->routing->spill &&
-        fleet->link_bytes >= link_cost(work)) {
-        at = best_replica(policy, fleet, work, excluded, false, now);
+    if (index < 0 && policy->routing->spill &&
+        fleet->link_bytes >= estimate_link_bytes(work)) {
+        index = choose_replica(policy, fleet, work, excluded, false, now);
     }
-    bool again = excluded != NULL && excluded->len > 0;
-    if (at < 0 && !again) {
-        at = least_wait(policy, fleet, work, excluded);
+    bool is_retry = excluded != NULL && excluded->len > 0;
+    if (index < 0 && !is_retry) {
+        index = choose_shortest_wait(policy, fleet, work, excluded);
     }
-    if (at < 0) {
-        at = best_loading(fleet, work, excluded, true, now);
+    if (index < 0) {
+        index = choose_loading(fleet, work, excluded, true, now);
     }
-    if (at < 0) {
-        at = best_place(fleet, work, excluded);
+    if (index < 0) {
+        index = choose_place(fleet, work, excluded);
     }
-    if (at < 0) {
-        at = least_wait(policy, fleet, work, excluded);
+    if (index < 0) {
+        index = choose_shortest_wait(policy, fleet, work, excluded);
     }
-    return answer(at);
+    return make_route(index);
 }
 
-/* For measuring what homes are worth: routers that know lagging reports and
- * their own requests alone.  What no replica is seen to serve in time is
- * refused here, and a model that is nowhere is placed as by default. */
+/*
+ * Baseline for measuring what owners are worth: routers that know only lagging
+ * reports and their own requests. Requests that no replica is expected to
+ * serve in time are refused here, and a model without replicas is placed as by
+ * the default policy.
+ */
 struct ch_route
 ch_route_independent(const struct ch_policy *policy, struct ch_fleet *fleet,
                      const struct ch_work *work, const GArray *excluded,
                      int64_t now)
 {
-    int at = best_replica(policy, fleet, work, excluded, true, now);
-    if (at < 0 && fleet->link_bytes >= link_cost(work)) {
-        at = best_replica(policy, fleet, work, excluded, false, now);
+    int index = choose_replica(policy, fleet, work, excluded, true, now);
+    if (index < 0 && fleet->link_bytes >= estimate_link_bytes(work)) {
+        index = choose_replica(policy, fleet, work, excluded, false, now);
     }
-    if (at < 0) {
-        at = best_loading(fleet, work, excluded, false, now);
+    if (index < 0) {
+        index = choose_loading(fleet, work, excluded, false, now);
     }
-    if (at < 0) {
-        at = best_place(fleet, work, excluded);
+    if (index < 0) {
+        index = choose_place(fleet, work, excluded);
     }
-    return answer(at);
+    return make_route(index);
 }
 
-/* Whether an upstream of the wanted region can hold or serve the work. */
+/* Whether an upstream in this region (local) or in the others can have or
+ * serve the request's model. */
 static bool
 is_candidate(const struct ch_fleet *fleet, const struct ch_upstream_view *view,
              const struct ch_work *work, const GArray *excluded, bool local)
@@ -443,12 +460,13 @@
     return work->service ? view->service == work->model : view->service == 0;
 }
 
-/* The least full candidate of a region that has the model (or is loading it),
- * or of those that have not; -1: none. */
+/* Returns the least full candidate in this region (local) or in the others;
+ * replica: of those that have or are loading the model, else of the rest. -1:
+ * none. */
 static int
-least_full(const struct ch_policy *policy, const struct ch_fleet *fleet,
-           const struct ch_work *work, const GArray *excluded, bool local,
-           bool replica)
+choose_least_full(const struct ch_policy *policy, const struct ch_fleet *fleet,
+                  const struct ch_work *work, const GArray *excluded,
+                  bool local, bool replica)
 {
     int best = -1;
     for (size_t i = 0; i < fleet->count; i++) {
@@ -456,21 +474,24 @@
         if (!is_candidate(fleet, view, work, excluded, local)) {
             continue;
         }
-        bool has = work->service || ch_upstream_view_has(view, work->model) ||
-                   ch_upstream_view_loads(view, work->model);
-        if (has == replica &&
-            (best < 0 || fullness(policy, view) <
-                             fullness(policy, &fleet->upstreams[best]))) {
+        bool has_model = work->service ||
+                         ch_upstream_view_has(view, work->model) ||
+                         ch_upstream_view_loads(view, work->model);
+        if (has_model == replica &&
+            (best < 0 || get_fullness(policy, view) <
+                             get_fullness(policy, &fleet->upstreams[best]))) {
             best = (int)i;
         }
     }
     return best;
 }
 
-/* Baseline: the least full replica by lagging reports, own region first, while
- * it has room in its batch.  A model that is nowhere is loaded on demand at
- * the least full upstream here; so is one whose replicas are all full, if that
- * upstream is less than half full. */
+/*
+ * Baseline: the least full replica by lagging reports, this region first,
+ * while its batch has room. A model without a replica is loaded on demand on
+ * the least full upstream here. So is a model whose replicas are all full, if
+ * that upstream is less than half full.
+ */
 struct ch_route
 ch_route_least_loaded(const struct ch_policy *policy, struct ch_fleet *fleet,
                       const struct ch_work *work, const GArray *excluded,
@@ -479,23 +500,28 @@
     (void)now;
     int replica = -1;
     for (int local = 1; local >= 0; local--) {
-        int at = least_full(policy, fleet, work, excluded, local == 1, true);
-        if (at >= 0 && fullness(policy, &fleet->upstreams[at]) < 1.0) {
-            return answer(at);
+        int index =
+            choose_least_full(policy, fleet, work, excluded, local == 1, true);
+        if (index >= 0 &&
+            get_fullness(policy, &fleet->upstreams[index]) < 1.0) {
+            return make_route(index);
         }
-        replica = replica < 0 ? at : replica;
+        replica = replica < 0 ? index : replica;
     }
     for (int local = 1; local >= 0 && !work->service; local--) {
-        int at = least_full(policy, fleet, work, excluded, local == 1, false);
-        if (at >= 0 &&
-            (replica < 0 || fullness(policy, &fleet->upstreams[at]) < 0.5)) {
-            return answer(at);
+        int index = choose_least_full(policy, fleet, work, excluded,
+                                      local == 1, false);
+        if (index >= 0 &&
+            (replica < 0 ||
+             get_fullness(policy, &fleet->upstreams[index]) < 0.5)) {
+            return make_route(index);
         }
     }
-    return answer(replica);
+    return make_route(replica);
 }
 
-/* Baseline: the replicas in turn, own region first, whatever their load. */
+/* Baseline: round robin over the replicas, this region first, whatever their
+ * load. */
 struct ch_route
 ch_route_static(const struct ch_policy *policy, struct ch_fleet *fleet,
                 const struct ch_work *work, const GArray *excluded,
@@ -506,7 +532,7 @@
     for (int local = 1; local >= 0; local--) {
         size_t count = 0;
         for (int pass = 0; pass < 2; pass++) {
-            size_t turn = count > 0 ? work->id % count : 0;
+            size_t remaining = count > 0 ? work->id % count : 0;
             for (size_t i = 0; i < fleet->count; i++) {
                 const struct ch_upstream_view *view = &fleet->upstreams[i];
                 if (!is_candidate(fleet, view, work, excluded, local == 1) ||
@@ -517,16 +543,16 @@
                 if (pass == 0) {
                     count++;
                 }
-                else if (turn-- == 0) {
-                    return answer((int)i);
+                else if (remaining-- == 0) {
+                    return make_route((int)i);
                 }
             }
         }
     }
-    return answer(-1);
+    return make_route(-1);
 }
 
-/* Asks the policy, and counts the request in the view that it chose. */
+/* Asks the policy, and counts the request in the chosen view's sent_since. */
 struct ch_route
 ch_route_choose(const struct ch_policy *policy, struct ch_fleet *fleet,
                 const struct ch_work *work, const GArray *excluded,
@@ -540,7 +566,7 @@
     return route;
 }
 
-/* Whether a route leads to an upstream that serves the work as it is. */
+/* Whether a route leads to an upstream that can serve the request as it is. */
 static bool
 route_serves(const struct ch_fleet *fleet, const struct ch_route *route,
              const struct ch_work *work)
@@ -550,13 +576,13 @@
 }
 
 /*
- * Load: connections to an upstream that have gone silent, or answers that came
- * crossed or cut, while the upstream itself is well.  An upstream at which
- * this request failed is avoided as long as another serves it; where none
- * does, it is asked again, as another try goes out on a new connection.  Harm
- * prevented: a model with one replica refused, or moved, for each connection
- * that is lost.  Limit: the retry budget and the count of attempts, which hold
- * for an upstream that is truly gone.
+ * See policy.h. A connection to an upstream may go silent, or an answer may be
+ * crossed or cut, while the upstream itself is well. An upstream at which this
+ * request failed is avoided while another one can serve it; if none can, it is
+ * asked again, as the retry uses a new connection. Otherwise each lost
+ * connection would make a model with one replica be refused, or moved. For an
+ * upstream that is really gone, the retry budget and the limit of attempts
+ * bound the retries.
  */
 struct ch_route
 ch_route_retry(const struct ch_policy *policy, struct ch_fleet *fleet,
