--- a/libchestnuthitch/decide/balance.c
+++ b/libchestnuthitch/decide/balance.c
@@ -8,7 +8,7 @@
 
 enum {
     /* Until measured: time to prefill one prompt token, and to decode one
-     * token of the most that an answer may have. Answers have a quarter of
+     * token of the most that a response may have. Responses have a quarter of
      * that on average. */
     DEFAULT_PREFILL_US_PER_TOKEN = 52,
     DEFAULT_DECODE_US_PER_TOKEN = 3 * 1000,
@@ -24,8 +24,8 @@
     BATCH_NEIGHBOUR_US = 1500,
     /* Minimum for one step of the batch and the network both ways. */
     MIN_FIRST_TOKEN_US = 25 * 1000,
-    /* A plain service's answer until one was measured. */
-    DEFAULT_ANSWER_US = 30 * 1000,
+    /* A plain service's response until one was measured. */
+    DEFAULT_RESPONSE_US = 30 * 1000,
     /* Cost of another data centre or region: beside the network delay, traffic
      * between data centres is billed, and between regions at four times the
      * price. */
@@ -80,13 +80,13 @@
 static const double MIN_SLOWDOWN = 0.5;
 static const double MAX_SLOWDOWN = 8;
 /* Weights of the latest sample in a measured time. The time follows the
- * fastest answers, which come while the engine has little other load. */
+ * fastest responses, which come while the engine has little other load. */
 static const double faster_sample_weight = 0.2;
 static const double slower_sample_weight = 0.0005;
 /* Share of the other nodes' requests at an engine that are for the requested
  * model: an engine holds two or three models. */
 static const double same_model_share = 0.5;
-/* Share of the context memory that counts as full; less than 1, as answer
+/* Share of the context memory that counts as full; less than 1, as response
  * lengths are estimates. */
 static const double memory_full_share = 0.9;
 /* Costs that differ by less than this share count as equal, and each request
@@ -109,7 +109,7 @@
     GArray *adapters; /* GQuark: "model/adapter" */
     /* Requests of this node. */
     uint32_t running;
-    int64_t prefill_backlog;      /* of prompts that have no answer yet */
+    int64_t prefill_backlog;      /* of prompts that have no response yet */
     uint64_t used_context_tokens; /* tokens of all running requests */
     /* Prefill time of what was sent since the engine last had a pause without
      * prefill. */
@@ -126,7 +126,7 @@
     double failure_rate; /* share of recent requests that failed, as of
                             failure_rate_at */
     int64_t failure_rate_at;
-    double answer_time;   /* mean time of an answer; 0: none yet */
+    double response_time; /* mean time of a response; 0: none yet */
     double slowdown;      /* actual / expected time until the first token */
     GArray *cached_parts; /* struct cached_part */
     uint64_t cached_tokens;
@@ -141,8 +141,8 @@
 /* Measurements of a model. */
 struct model_stats {
     struct measured_time prefill_per_token; /* of a prompt */
-    struct measured_time time_per_event; /* between two events of an answer */
-    /* Events of an answer for each token that it may have. */
+    struct measured_time time_per_event;    /* between two events */
+    /* Events of a response for each token that it may have. */
     double events_per_token;
     double demand; /* seconds of engine time per second, decaying */
     int64_t demand_at;
@@ -440,9 +440,9 @@
 }
 
 static uint64_t
-start_prefix_hash(const struct ch_work *work)
+start_prefix_hash(const struct ch_work *request)
 {
-    return ch_hash_pair(work->model, work->adapter);
+    return ch_hash_pair(request->model, request->adapter);
 }
 
 /* Returns NULL if the part is not cached. */
@@ -462,18 +462,19 @@
 /* Prompt tokens that the upstream has to prefill. */
 static uint32_t
 count_uncached_tokens(const struct upstream_state *state,
-                      const struct ch_work *work)
+                      const struct ch_work *request)
 {
-    uint64_t prefix_hash = start_prefix_hash(work);
+    uint64_t prefix_hash = start_prefix_hash(request);
     uint32_t cached = 0;
-    for (size_t i = 0; i < work->part_count; i++) {
-        prefix_hash = extend_prefix_hash(prefix_hash, &work->parts[i]);
+    for (size_t i = 0; i < request->part_count; i++) {
+        prefix_hash = extend_prefix_hash(prefix_hash, &request->parts[i]);
         if (find_cached_part(state, prefix_hash) == NULL) {
             break;
         }
-        cached += work->parts[i].tokens;
+        cached += request->parts[i].tokens;
     }
-    return work->prompt_tokens > cached ? work->prompt_tokens - cached : 0;
+    return request->prompt_tokens > cached ? request->prompt_tokens - cached
+                                           : 0;
 }
 
 /* Removes the least recently used part. */
@@ -496,19 +497,19 @@
 /* Records the request's prompt parts as cached at the upstream, and evicts the
  * least recently used ones beyond its context memory. */
 static void
-record_cached_parts(struct upstream_state *state, const struct ch_work *work,
-                    int64_t now)
+record_cached_parts(struct upstream_state *state,
+                    const struct ch_work *request, int64_t now)
 {
-    uint64_t prefix_hash = start_prefix_hash(work);
-    for (size_t i = 0; i < work->part_count; i++) {
-        prefix_hash = extend_prefix_hash(prefix_hash, &work->parts[i]);
+    uint64_t prefix_hash = start_prefix_hash(request);
+    for (size_t i = 0; i < request->part_count; i++) {
+        prefix_hash = extend_prefix_hash(prefix_hash, &request->parts[i]);
         struct cached_part *part = find_cached_part(state, prefix_hash);
         if (part != NULL) {
             part->used_at = now;
             continue;
         }
-        const struct cached_part added = {prefix_hash, work->parts[i].tokens,
-                                          now};
+        const struct cached_part added = {prefix_hash,
+                                          request->parts[i].tokens, now};
         g_array_append_val(state->cached_parts, added);
         state->cached_tokens += added.tokens;
     }
@@ -622,26 +623,27 @@
  * that only default_uncached_share is counted. */
 int64_t
 ch_balance_reading(const struct ch_balance *balance,
-                   const struct ch_work *work)
+                   const struct ch_work *request)
 {
-    return (int64_t)(work->prompt_tokens * default_uncached_share *
-                     get_prefill_per_token(balance, work->model));
+    return (int64_t)(request->prompt_tokens * default_uncached_share *
+                     get_prefill_per_token(balance, request->model));
 }
 
-/* Engine time for the request's answer: it takes one slot of the batch for as
- * long as it is decoded. */
+/* Engine time for the request's response: it takes one slot of the batch for
+ * as long as it is decoded. */
 static int64_t
-estimate_decode(const struct ch_balance *balance, const struct ch_work *work)
+estimate_decode(const struct ch_balance *balance,
+                const struct ch_work *request)
 {
     const struct model_stats *model =
-        g_hash_table_lookup(balance->models, GUINT_TO_POINTER(work->model));
+        g_hash_table_lookup(balance->models, GUINT_TO_POINTER(request->model));
     guint slots = GPOINTER_TO_UINT(g_hash_table_lookup(
-        balance->slots_by_service, GUINT_TO_POINTER(work->pool)));
+        balance->slots_by_service, GUINT_TO_POINTER(request->pool)));
     double time_per_token =
         model == NULL || !is_measurement_used(balance, &model->time_per_event)
             ? DEFAULT_DECODE_US_PER_TOKEN
             : model->time_per_event.value * model->events_per_token;
-    return (int64_t)(work->output_tokens * time_per_token / MAX(slots, 1));
+    return (int64_t)(request->output_tokens * time_per_token / MAX(slots, 1));
 }
 
 /* Demand decayed until now: an average over about DEMAND_WINDOW_US. */
@@ -654,12 +656,12 @@
 
 /* See balance.h. */
 void
-ch_balance_asked(struct ch_balance *balance, const struct ch_work *work,
+ch_balance_asked(struct ch_balance *balance, const struct ch_work *request,
                  int64_t now)
 {
-    struct model_stats *model = ensure_model_stats(balance, work->model);
-    int64_t time =
-        ch_balance_reading(balance, work) + estimate_decode(balance, work);
+    struct model_stats *model = ensure_model_stats(balance, request->model);
+    int64_t time = ch_balance_reading(balance, request) +
+                   estimate_decode(balance, request);
     model->demand =
         estimate_demand(model, now) + (double)time / DEMAND_WINDOW_US;
     model->demand_at = now;
@@ -706,7 +708,7 @@
 /* Expected time until an engine's first token. */
 static int64_t
 estimate_first_token(const struct upstream_state *state,
-                     const struct ch_work *work, int64_t prefill_time,
+                     const struct ch_work *request, int64_t prefill_time,
                      int64_t now)
 {
     int64_t prefill_backlog =
@@ -715,15 +717,17 @@
                    (int64_t)count_running(state, now) * BATCH_NEIGHBOUR_US;
     cost = (int64_t)((double)cost * state->slowdown);
     cost += estimate_slot_wait(state, now, SLOT_WAIT_US);
-    uint64_t needed_tokens =
-        state->used_context_tokens + work->prompt_tokens + work->output_tokens;
+    uint64_t needed_tokens = state->used_context_tokens +
+                             request->prompt_tokens + request->output_tokens;
     if (state->facts.context_tokens > 0 &&
         (double)needed_tokens >
             memory_full_share * state->facts.context_tokens) {
         cost += MEMORY_FULL_COST_US;
     }
-    if (work->adapter != 0 && !contains_name(state->adapters, work->adapter)) {
-        cost += ADAPTER_LOAD_US + order_adapter_places(state, work->adapter) +
+    if (request->adapter != 0 &&
+        !contains_name(state->adapters, request->adapter)) {
+        cost += ADAPTER_LOAD_US +
+                order_adapter_places(state, request->adapter) +
                 (state->busy ? BUSY_ENGINE_COST_US : 0);
         if (state->facts.adapter_places > 0 &&
             state->adapters->len >= state->facts.adapter_places) {
@@ -752,37 +756,37 @@
            prefill_burst + prefill_time > MAX_PREFILL_BURST_US;
 }
 
-/* Expected time until a plain service's answer. */
+/* Expected time until a plain service's response. */
 static int64_t
-estimate_service_answer(const struct upstream_state *state, int64_t now)
+estimate_service_response(const struct upstream_state *state, int64_t now)
 {
-    double answer_time =
-        state->answer_time > 0 ? state->answer_time : DEFAULT_ANSWER_US;
+    double response_time =
+        state->response_time > 0 ? state->response_time : DEFAULT_RESPONSE_US;
     uint32_t slots = MAX(state->facts.slots, 1);
     double used_share = (double)count_running(state, now) / slots;
-    return (int64_t)(answer_time * (1 + used_share)) +
-           estimate_slot_wait(state, now, (int64_t)(answer_time / slots));
+    return (int64_t)(response_time * (1 + used_share)) +
+           estimate_slot_wait(state, now, (int64_t)(response_time / slots));
 }
 
 /* Whether the request may go to the upstream at all. */
 static bool
-is_candidate(const struct upstream_state *state, const struct ch_work *work,
+is_candidate(const struct upstream_state *state, const struct ch_work *request,
              const GArray *excluded, bool adapter_ready)
 {
-    if (adapter_ready && work->adapter != 0 &&
-        !contains_name(state->adapters, work->adapter)) {
+    if (adapter_ready && request->adapter != 0 &&
+        !contains_name(state->adapters, request->adapter)) {
         return false;
     }
-    if (state->facts.leaving || state->facts.service != work->pool) {
+    if (state->facts.leaving || state->facts.service != request->pool) {
         return false;
     }
-    if (work->only != 0 && state->facts.name != work->only) {
+    if (request->only != 0 && state->facts.name != request->only) {
         return false;
     }
     if (excluded != NULL && contains_name(excluded, state->facts.name)) {
         return false;
     }
-    return work->service || contains_name(state->models, work->model);
+    return request->service || contains_name(state->models, request->model);
 }
 
 /* An upstream that may take the request, with its estimates. */
@@ -797,22 +801,23 @@
  * tie_spread per request, so that requests choose differently between equal
  * upstreams. */
 static double
-estimate_cost(const struct ch_balance *balance, const struct ch_work *work,
+estimate_cost(const struct ch_balance *balance, const struct ch_work *request,
               struct candidate *candidate, int64_t now)
 {
     const struct upstream_state *state = candidate->state;
-    candidate->tokens = work->service ? 0 : count_uncached_tokens(state, work);
+    candidate->tokens =
+        request->service ? 0 : count_uncached_tokens(state, request);
     candidate->prefill_time =
         (int64_t)(candidate->tokens *
-                  get_prefill_per_token(balance, work->model));
+                  get_prefill_per_token(balance, request->model));
     candidate->expected_latency =
-        work->service
-            ? estimate_service_answer(state, now)
-            : estimate_first_token(state, work, candidate->prefill_time, now);
+        request->service ? estimate_service_response(state, now)
+                         : estimate_first_token(state, request,
+                                                candidate->prefill_time, now);
     double cost = (double)(candidate->expected_latency +
                            estimate_network_cost(balance, state)) +
                   estimate_failure_rate(state, now) * FAILURE_COST_US;
-    uint64_t tie = ch_hash_pair(work->id, state->facts.name);
+    uint64_t tie = ch_hash_pair(request->id, state->facts.name);
     return cost * (1 + tie_spread * (double)(tie % 1024) / 1024);
 }
 
@@ -824,13 +829,14 @@
  */
 static double
 estimate_others_arrivals(const struct ch_balance *balance,
-                         const struct ch_work *work, const GArray *candidates,
-                         int64_t now)
+                         const struct ch_work *request,
+                         const GArray *candidates, int64_t now)
 {
     guint slots = GPOINTER_TO_UINT(g_hash_table_lookup(
-        balance->slots_by_service, GUINT_TO_POINTER(work->pool)));
-    double duration = (double)(ch_balance_reading(balance, work) +
-                               estimate_decode(balance, work) * MAX(slots, 1));
+        balance->slots_by_service, GUINT_TO_POINTER(request->pool)));
+    double duration =
+        (double)(ch_balance_reading(balance, request) +
+                 estimate_decode(balance, request) * MAX(slots, 1));
     double arrivals = 0;
     for (guint i = 0; i < candidates->len; i++) {
         const struct upstream_state *state =
@@ -849,25 +855,26 @@
 /* Returns the index of the chosen candidate. `random` differs for each request
  * and each of its attempts. */
 static size_t
-choose_candidate(const struct ch_balance *balance, const struct ch_work *work,
-                 const GArray *candidates, const GArray *costs, int64_t now)
+choose_candidate(const struct ch_balance *balance,
+                 const struct ch_work *request, const GArray *candidates,
+                 const GArray *costs, int64_t now)
 {
     double arrivals =
-        work->service
+        request->service
             ? 0
-            : estimate_others_arrivals(balance, work, candidates, now);
+            : estimate_others_arrivals(balance, request, candidates, now);
     double cost_per_request =
-        (double)(ch_balance_reading(balance, work) + BATCH_NEIGHBOUR_US);
-    double random =
-        (double)(ch_hash_pair(work->id, work->attempt + work->refusals) %
-                 65536) /
-        65536;
+        (double)(ch_balance_reading(balance, request) + BATCH_NEIGHBOUR_US);
+    double random = (double)(ch_hash_pair(request->id, request->attempt +
+                                                           request->refusals) %
+                             65536) /
+                    65536;
     return ch_fill_choose((const double *)(void *)costs->data, costs->len,
                           cost_per_request, arrivals, random);
 }
 
 static struct ch_choice
-make_choice(const struct ch_balance *balance, const struct ch_work *work,
+make_choice(const struct ch_balance *balance, const struct ch_work *request,
             const struct candidate *candidate, int64_t now)
 {
     const struct upstream_state *state = candidate->state;
@@ -877,11 +884,11 @@
         .boot = state->facts.boot,
         .data_centre = state->facts.data_centre,
         .other_region = state->facts.region != balance->region,
-        .adapter_missing = work->adapter != 0 &&
-                           !contains_name(state->adapters, work->adapter),
+        .adapter_missing = request->adapter != 0 &&
+                           !contains_name(state->adapters, request->adapter),
         .tokens = candidate->tokens,
         .reading = candidate->prefill_time,
-        .too_dense = !work->service && !balance->without.pace_prompts &&
+        .too_dense = !request->service && !balance->without.pace_prompts &&
                      is_burst_too_long(state, candidate->prefill_time, now),
         .expected = candidate->expected_latency,
     };
@@ -894,13 +901,13 @@
  * an idle one, and failed requests because of a failing upstream.
  *
  * All of these are expressed in one measure, the time until the first token or
- * answer, so that no rule takes precedence over another. Each request orders
+ * response, so that no rule takes precedence over another. Each request orders
  * equal upstreams differently. All nodes decide at the same time, by views
  * that are some hundred milliseconds old; so where many other nodes send too,
  * requests are spread over the engines that they fill together (fill.h).
  */
 struct ch_choice
-ch_balance_choose(struct ch_balance *balance, const struct ch_work *work,
+ch_balance_choose(struct ch_balance *balance, const struct ch_work *request,
                   const GArray *excluded, bool adapter_ready, int64_t now)
 {
     struct ch_choice choice = {
@@ -915,17 +922,18 @@
     g_hash_table_iter_init(&iterator, balance->upstreams);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct candidate candidate = {.state = value};
-        if (is_candidate(value, work, excluded, adapter_ready)) {
-            double cost = estimate_cost(balance, work, &candidate, now);
+        if (is_candidate(value, request, excluded, adapter_ready)) {
+            double cost = estimate_cost(balance, request, &candidate, now);
             g_array_append_val(candidates, candidate);
             g_array_append_val(costs, cost);
         }
     }
     if (candidates->len > 0) {
-        size_t index = choose_candidate(balance, work, candidates, costs, now);
+        size_t index =
+            choose_candidate(balance, request, candidates, costs, now);
         choice = make_choice(
-            balance, work, &g_array_index(candidates, struct candidate, index),
-            now);
+            balance, request,
+            &g_array_index(candidates, struct candidate, index), now);
     }
     g_array_free(candidates, TRUE);
     g_array_free(costs, TRUE);
@@ -936,7 +944,7 @@
 
 /* See balance.h. */
 void
-ch_balance_sent(struct ch_balance *balance, const struct ch_work *work,
+ch_balance_sent(struct ch_balance *balance, const struct ch_work *request,
                 const struct ch_choice *choice, int64_t now)
 {
     struct upstream_state *state = find_state(balance, choice->upstream);
@@ -949,9 +957,10 @@
     }
     state->prefill_burst += choice->reading;
     state->prefill_backlog += choice->reading;
-    state->used_context_tokens += work->prompt_tokens + work->output_tokens;
-    if (!work->service) {
-        record_cached_parts(state, work, now);
+    state->used_context_tokens +=
+        request->prompt_tokens + request->output_tokens;
+    if (!request->service) {
+        record_cached_parts(state, request, now);
     }
 }
 
@@ -963,7 +972,7 @@
 }
 
 /*
- * Updates a measured time so that it stays near the fastest samples. Answers
+ * Updates a measured time so that it stays near the fastest samples. Responses
  * of an overloaded engine are slow because they wait for one another. If that
  * were taken for the model's own cost, a model would seem to need more engines
  * the longer it has too few, until it is given all of them.
@@ -984,7 +993,7 @@
 
 /* See balance.h. */
 void
-ch_balance_first(struct ch_balance *balance, const struct ch_work *work,
+ch_balance_first(struct ch_balance *balance, const struct ch_work *request,
                  const struct ch_choice *choice, int64_t elapsed, int64_t now)
 {
     struct upstream_state *state = find_state(balance, choice->upstream);
@@ -993,30 +1002,33 @@
     }
     state->prefill_backlog -= MIN(state->prefill_backlog, choice->reading);
     state->prefill_ended_at = now;
-    state->answer_time = update_mean(state->answer_time, (double)elapsed);
+    state->response_time = update_mean(state->response_time, (double)elapsed);
     double ratio = (double)elapsed / (double)MAX(choice->expected, 1);
     state->slowdown =
         CLAMP(update_mean(state->slowdown, state->slowdown * ratio),
               MIN_SLOWDOWN, MAX_SLOWDOWN);
     if (choice->tokens >= MIN_MEASURED_TOKENS) {
-        struct model_stats *model = ensure_model_stats(balance, work->model);
+        struct model_stats *model =
+            ensure_model_stats(balance, request->model);
         update_near_fastest(&model->prefill_per_token,
                             (double)elapsed / choice->tokens);
     }
 }
 
-/* Learns the number of events and the time per event from a whole answer. */
+/* Learns the number of events and the time per event from a whole response. */
 static void
-learn_answer(struct ch_balance *balance, const struct ch_work *work,
-             const struct ch_sample *sample)
+learn_response(struct ch_balance *balance, const struct ch_work *request,
+               const struct ch_sample *sample)
 {
-    if (work->service || sample->token <= 0 || work->output_tokens == 0) {
+    if (request->service || sample->token <= 0 ||
+        request->output_tokens == 0) {
         return;
     }
-    struct model_stats *model = ensure_model_stats(balance, work->model);
+    struct model_stats *model = ensure_model_stats(balance, request->model);
     update_near_fastest(&model->time_per_event, (double)sample->token);
-    model->events_per_token = update_mean(
-        model->events_per_token, (double)sample->tokens / work->output_tokens);
+    model->events_per_token =
+        update_mean(model->events_per_token,
+                    (double)sample->tokens / request->output_tokens);
 }
 
 /* Whether a result says anything about the upstream; sets *failed if so. */
@@ -1042,23 +1054,24 @@
 
 /* See balance.h. */
 void
-ch_balance_ended(struct ch_balance *balance, const struct ch_work *work,
-                 const struct ch_choice *choice, bool answer_started,
+ch_balance_ended(struct ch_balance *balance, const struct ch_work *request,
+                 const struct ch_choice *choice, bool response_started,
                  const struct ch_sample *sample, int64_t now)
 {
     struct upstream_state *state = find_state(balance, choice->upstream);
     enum ch_code code = sample->code;
     bool failed = false;
     if (code == CH_OK) {
-        learn_answer(balance, work, sample);
+        learn_response(balance, request, sample);
     }
     if (state == NULL) {
         return;
     }
     state->running -= MIN(state->running, 1);
-    state->used_context_tokens -= MIN(
-        state->used_context_tokens, work->prompt_tokens + work->output_tokens);
-    if (!answer_started) {
+    state->used_context_tokens -=
+        MIN(state->used_context_tokens,
+            request->prompt_tokens + request->output_tokens);
+    if (!response_started) {
         state->prefill_ended_at = now;
         state->prefill_backlog -= MIN(state->prefill_backlog, choice->reading);
     }
--- a/libchestnuthitch/decide/balance.h
+++ b/libchestnuthitch/decide/balance.h
@@ -20,7 +20,7 @@
     bool leaving;
     uint64_t boot;
     uint32_t slots;          /* max. requests at once */
-    uint32_t context_tokens; /* memory for prompts and answers; 0: unknown */
+    uint32_t context_tokens; /* memory for prompts and responses; 0: unknown */
     uint32_t adapter_places;
     const GQuark *resident;
     size_t resident_count;
@@ -38,7 +38,7 @@
     uint32_t tokens;      /* prompt tokens that the upstream has not cached */
     int64_t reading;      /* to prefill these tokens */
     int64_t expected;     /* until the first token, or until a plain service's
-                             answer */
+                             response */
     /* Sending now would make the streams at the engine pause for too long: the
      * request is better sent a little later. */
     bool too_dense;
@@ -97,28 +97,30 @@
  * that this request must not go to; NULL: none. adapter_ready: consider only
  * upstreams that already have the request's adapter. */
 struct ch_choice ch_balance_choose(struct ch_balance *balance,
-                                   const struct ch_work *work,
+                                   const struct ch_work *request,
                                    const GArray *excluded, bool adapter_ready,
                                    int64_t now);
 /* Records that the request is sent as chosen. Each call is followed by one of
  * ch_balance_record_end(). */
-void ch_balance_sent(struct ch_balance *balance, const struct ch_work *work,
+void ch_balance_sent(struct ch_balance *balance, const struct ch_work *request,
                      const struct ch_choice *choice, int64_t now);
-/* Records that the first byte of the answer came `elapsed` after the request
+/* Records that the first byte of the response came `elapsed` after the request
  * was sent. */
-void ch_balance_first(struct ch_balance *balance, const struct ch_work *work,
+void ch_balance_first(struct ch_balance *balance,
+                      const struct ch_work *request,
                       const struct ch_choice *choice, int64_t elapsed,
                       int64_t now);
-/* answer_started: ch_balance_record_first_byte() was called for the request.
+/* response_started: ch_balance_record_first_byte() was called for the request.
  */
-void ch_balance_ended(struct ch_balance *balance, const struct ch_work *work,
-                      const struct ch_choice *choice, bool answer_started,
+void ch_balance_ended(struct ch_balance *balance,
+                      const struct ch_work *request,
+                      const struct ch_choice *choice, bool response_started,
                       const struct ch_sample *sample, int64_t now);
 
 /* Adds the engine time that a request needs to the demand for its model. Call
  * this for every request, whether or not an upstream takes it. */
-void ch_balance_asked(struct ch_balance *balance, const struct ch_work *work,
-                      int64_t now);
+void ch_balance_asked(struct ch_balance *balance,
+                      const struct ch_work *request, int64_t now);
 /* Calls `visit` with the demand for each model, in seconds of engine time per
  * second. */
 void ch_balance_each_asked(struct ch_balance *balance, int64_t now,
@@ -128,7 +130,7 @@
 /* Time that an engine is likely to take for the prefill of the request's
  * prompt. */
 int64_t ch_balance_reading(const struct ch_balance *balance,
-                           const struct ch_work *work);
+                           const struct ch_work *request);
 /* Requests that this node has running on the upstream. */
 uint32_t ch_balance_running(const struct ch_balance *balance, GQuark upstream);
 size_t ch_balance_count(const struct ch_balance *balance);
--- a/libchestnuthitch/decide/gossip.c
+++ b/libchestnuthitch/decide/gossip.c
@@ -1,9 +1,9 @@
-/* How many nodes get the states of an owner's upstreams in one round. */
+/* How many nodes get the states of a home node's upstreams in one round. */
 
 #include "decide/gossip.h"
 
 enum {
-    /* Up to this many nodes, an owner sends to every node in each round, so
+    /* Up to this many nodes, a home node sends to every node in each round, so
      * that small deployments see a change after half a second. */
     MAX_DIRECT_NODES = 12,
     NODES_PER_ROUND = 6,
@@ -12,11 +12,11 @@
 };
 
 /*
- * Sized for 320 nodes that each own some 6 upstreams, whose states all differ
- * in each round. Of the states that relays pass on, three of four would reach
- * a node that has them already, so that the bytes a node may spend would carry
- * each upstream only once in 90 seconds. So no node relays: each owner sends
- * only its own states, to the other nodes in turn.
+ * Sized for 320 nodes that are each the home node of some 6 upstreams, whose
+ * states all differ in each round. Of the states that relays pass on, three of
+ * four would reach a node that has them already, so that the bytes a node may
+ * spend would carry each upstream only once in 90 seconds. So no node relays:
+ * each home node sends only its own states, to the other nodes in turn.
  *
  * Six messages of some 630 bytes per round are 7.5 KB/s in each direction at
  * any number of nodes. With 320 nodes in seven data centres, nodes in the own
--- a/libchestnuthitch/decide/gossip.h
+++ b/libchestnuthitch/decide/gossip.h
@@ -10,7 +10,7 @@
     /* An unchanged state is sent again this often, for nodes that missed it.
      */
     CH_GOSSIP_REFRESH = 5 * 1000 * 1000,
-    /* Limit of states per message; an owner of more upstreams sends their
+    /* Limit of states per message; a home node of more upstreams sends their
      * states in turn. */
     CH_GOSSIP_STATES = 32,
 };
--- a/libchestnuthitch/decide/late.c
+++ b/libchestnuthitch/decide/late.c
@@ -10,8 +10,8 @@
     /* Bounds of the retry-after of a refusal because engines are full. */
     MIN_RETRY_AFTER_US = 500 * 1000,
     MAX_RETRY_AFTER_US = 3000 * 1000,
-    /* Until a load was measured: copying a model from a nearby host takes two
-     * seconds. */
+    /* Until a load was measured: a local copy of a model loads in two seconds.
+     */
     DEFAULT_LOAD_US = 2 * G_USEC_PER_SEC,
     /* Loads vary and some are overdue: each is expected to take at least this
      * fraction of the mean from now on. */
@@ -135,18 +135,19 @@
 
 /* The latest time at which starting the request is still of use. */
 static int64_t
-get_latest_start(const struct ch_work *work)
+get_latest_start(const struct ch_work *request)
 {
-    int64_t target = work->first_by - work->arrived;
-    return MIN(work->arrived + MAX_START_TARGETS * target, work->whole_by);
+    int64_t target = request->first_by - request->arrived;
+    return MIN(request->arrived + MAX_START_TARGETS * target,
+               request->whole_by);
 }
 
 /* See late.h. */
 bool
-ch_late_is(const struct ch_work *work, int64_t expected, int64_t now)
+ch_late_is(const struct ch_work *request, int64_t expected, int64_t now)
 {
-    return !work->service && !work->begun &&
-           now + expected > get_latest_start(work);
+    return !request->service && !request->begun &&
+           now + expected > get_latest_start(request);
 }
 
 /*
@@ -163,11 +164,12 @@
  * given up at the new engine.
  */
 struct ch_late
-ch_late_decide(const struct ch_work *work, int64_t expected, int64_t ready_at,
-               int64_t now)
+ch_late_decide(const struct ch_work *request, int64_t expected,
+               int64_t ready_at, int64_t now)
 {
-    if (ready_at != 0 && ready_at < work->first_by && now < work->first_by) {
-        return (struct ch_late){.waits = true, .until = work->first_by};
+    if (ready_at != 0 && ready_at < request->first_by &&
+        now < request->first_by) {
+        return (struct ch_late){.waits = true, .until = request->first_by};
     }
     int64_t retry_after =
         ready_at == 0 ? expected / 2 : MIN(expected / 2, ready_at - now);
--- a/libchestnuthitch/decide/late.h
+++ b/libchestnuthitch/decide/late.h
@@ -34,9 +34,9 @@
 
 /* Whether the caller is likely to have given up by the time when an engine
  * that needs `expected` until the first token would start the request. */
-bool ch_late_is(const struct ch_work *work, int64_t expected, int64_t now);
+bool ch_late_is(const struct ch_work *request, int64_t expected, int64_t now);
 /* ready_at: as ch_pending_loads_estimate_ready() returns it. */
-struct ch_late ch_late_decide(const struct ch_work *work, int64_t expected,
+struct ch_late ch_late_decide(const struct ch_work *request, int64_t expected,
                               int64_t ready_at, int64_t now);
 
 #endif
--- a/libchestnuthitch/decide/route.c
+++ b/libchestnuthitch/decide/route.c
@@ -1,5 +1,5 @@
-/* At the entry node: chooses the upstream whose owner is asked for a request.
- */
+/* At the entry node: chooses the upstream whose home node is asked for a
+ * request. */
 
 #include "decide/home.h"
 
@@ -16,7 +16,7 @@
      * be chosen for its adapter or cached prefix. A cached prefix saves tens
      * of milliseconds; three requests in a batch cost each other ten. */
     AFFINITY_SLACK_REQUESTS = 3,
-    /* Bytes of an answer's event for one token, and of a prompt's token. */
+    /* Bytes of a response's event for one token, and of a prompt's token. */
     EVENT_BYTES_PER_TOKEN = 200,
     PROMPT_BYTES_PER_TOKEN = 4,
     /* Retry-after if there is no upstream to ask: about the period of the host
@@ -27,18 +27,19 @@
 /* Whether the upstream can serve the request as it is: it is the service, or
  * has the model and is at most a quarter slower per token than the target. */
 bool
-ch_view_serves(const struct ch_upstream_view *view, const struct ch_work *work)
+ch_view_serves(const struct ch_upstream_view *view,
+               const struct ch_work *request)
 {
     if (view->down || view->leaving) {
         return false;
     }
-    if (work->service) {
-        return view->service == work->model;
+    if (request->service) {
+        return view->service == request->model;
     }
-    if (view->service != 0 || !ch_upstream_view_has(view, work->model)) {
+    if (view->service != 0 || !ch_upstream_view_has(view, request->model)) {
         return false;
     }
-    return work->between == 0 || view->token <= work->between * 5 / 4;
+    return request->between == 0 || view->token <= request->between * 5 / 4;
 }
 
 static bool
@@ -52,8 +53,8 @@
     return false;
 }
 
-/* Requests at the upstream as far as this node knows: the owner's recent exact
- * count, and what this node has sent since. */
+/* Requests at the upstream as far as this node knows: the home node's recent
+ * exact count, and what this node has sent since. */
 static uint32_t
 count_requests(const struct ch_policy *policy,
                const struct ch_upstream_view *view)
@@ -84,27 +85,28 @@
     return ch_hash_pair(key, ch_hash_string(g_quark_to_string(view->name)));
 }
 
-/* Bytes that the request's prompt and answer may take on the link. */
+/* Bytes that the request's prompt and response may take on the link. */
 static int64_t
-estimate_link_bytes(const struct ch_work *work)
+estimate_link_bytes(const struct ch_work *request)
 {
-    return (int64_t)work->prompt_tokens * PROMPT_BYTES_PER_TOKEN +
-           (int64_t)work->output_tokens * EVENT_BYTES_PER_TOKEN;
+    return (int64_t)request->prompt_tokens * PROMPT_BYTES_PER_TOKEN +
+           (int64_t)request->output_tokens * EVENT_BYTES_PER_TOKEN;
 }
 
 /* Whether the request is expected to meet its target at the upstream. */
 static bool
 would_meet_target(const struct ch_policy *policy, const struct ch_fleet *fleet,
                   const struct ch_upstream_view *view,
-                  const struct ch_work *work, int64_t now)
+                  const struct ch_work *request, int64_t now)
 {
-    if (work->first_by == 0) {
+    if (request->first_by == 0) {
         return true;
     }
     int64_t delay =
         view->region == fleet->region ? 0 : 4 * fleet->region_delay;
-    int64_t first = work->service ? 0 : FIRST_TOKEN_US;
-    return now + delay + estimate_wait(policy, view) + first <= work->first_by;
+    int64_t first = request->service ? 0 : FIRST_TOKEN_US;
+    return now + delay + estimate_wait(policy, view) + first <=
+           request->first_by;
 }
 
 /* Requests at the upstream as a share of its batch. */
@@ -156,28 +158,29 @@
  */
 static int
 choose_replica(const struct ch_policy *policy, const struct ch_fleet *fleet,
-               const struct ch_work *work, const GArray *excluded, bool local,
-               int64_t now)
+               const struct ch_work *request, const GArray *excluded,
+               bool local, int64_t now)
 {
     struct replica best = {0};
     bool found = false;
     for (size_t i = 0; i < fleet->count; i++) {
         const struct ch_upstream_view *view = &fleet->upstreams[i];
         if ((view->region == fleet->region) != local ||
-            is_excluded(excluded, view->name) || !ch_view_serves(view, work) ||
-            !would_meet_target(policy, fleet, view, work, now)) {
+            is_excluded(excluded, view->name) ||
+            !ch_view_serves(view, request) ||
+            !would_meet_target(policy, fleet, view, request, now)) {
             continue;
         }
-        bool affinity = policy->routing->affinity && !work->service;
+        bool affinity = policy->routing->affinity && !request->service;
         struct replica replica = {
             .index = i,
-            .adapter = affinity && work->adapter != 0 &&
-                       ch_upstream_view_has(view, work->adapter),
-            .prefix = affinity && work->prefix != 0
-                          ? rank_upstream(work->prefix, view)
+            .adapter = affinity && request->adapter != 0 &&
+                       ch_upstream_view_has(view, request->adapter),
+            .prefix = affinity && request->prefix != 0
+                          ? rank_upstream(request->prefix, view)
                           : 0,
             .fullness = get_fullness(policy, view),
-            .tie = rank_upstream(work->id, view),
+            .tie = rank_upstream(request->id, view),
         };
         double slack =
             affinity ? (double)AFFINITY_SLACK_REQUESTS / MAX(view->batch, 1)
@@ -194,11 +197,11 @@
  * model; -1: none. Unless `any` is set, only if it is in this region and the
  * target leaves time for the load. */
 static int
-choose_loading(const struct ch_fleet *fleet, const struct ch_work *work,
+choose_loading(const struct ch_fleet *fleet, const struct ch_work *request,
                const GArray *excluded, bool any, int64_t now)
 {
-    if (work->service || (!any && work->first_by != 0 &&
-                          now + LOAD_REMAINING_US > work->first_by)) {
+    if (request->service || (!any && request->first_by != 0 &&
+                             now + LOAD_REMAINING_US > request->first_by)) {
         return -1;
     }
     int best = -1;
@@ -206,7 +209,7 @@
         const struct ch_upstream_view *view = &fleet->upstreams[i];
         if (view->down || view->leaving || view->service != 0 ||
             is_excluded(excluded, view->name) ||
-            !ch_upstream_view_loads(view, work->model)) {
+            !ch_upstream_view_loads(view, request->model)) {
             continue;
         }
         if (view->region != fleet->region && !any) {
@@ -256,9 +259,9 @@
  */
 static unsigned
 get_eviction_step(GHashTable *replicas, const struct ch_upstream_view *view,
-                  const struct ch_work *work)
+                  const struct ch_work *request)
 {
-    if (view->free_mb >= work->model_mb + work->adapter_mb) {
+    if (view->free_mb >= request->model_mb + request->adapter_mb) {
         return 0;
     }
     uint32_t demand = 0;
@@ -305,26 +308,26 @@
  * again.
  */
 static int
-choose_place(const struct ch_fleet *fleet, const struct ch_work *work,
+choose_place(const struct ch_fleet *fleet, const struct ch_work *request,
              const GArray *excluded)
 {
-    if (work->service) {
+    if (request->service) {
         return -1;
     }
     int best = -1;
     unsigned best_step = 0;
     uint64_t best_rank = 0;
-    uint64_t key = ch_hash_string(g_quark_to_string(work->model));
+    uint64_t key = ch_hash_string(g_quark_to_string(request->model));
     GHashTable *replicas = count_replicas(fleet);
     for (size_t i = 0; i < fleet->count; i++) {
         const struct ch_upstream_view *view = &fleet->upstreams[i];
         if (view->down || view->leaving || view->service != 0 ||
-            ch_upstream_view_has(view, work->model) ||
+            ch_upstream_view_has(view, request->model) ||
             is_loading_model(view) ||
-            view->capacity_mb < work->model_mb + work->adapter_mb) {
+            view->capacity_mb < request->model_mb + request->adapter_mb) {
             continue;
         }
-        unsigned step = get_eviction_step(replicas, view, work) * 2;
+        unsigned step = get_eviction_step(replicas, view, request) * 2;
         step += view->region == fleet->region ? 0 : 3;
         uint64_t rank = rank_upstream(key, view);
         if (best < 0 || step < best_step ||
@@ -345,14 +348,15 @@
  * target; other regions have a surcharge. -1: none. */
 static int
 choose_shortest_wait(const struct ch_policy *policy,
-                     const struct ch_fleet *fleet, const struct ch_work *work,
-                     const GArray *excluded)
+                     const struct ch_fleet *fleet,
+                     const struct ch_work *request, const GArray *excluded)
 {
     int best = -1;
     int64_t best_wait = 0;
     for (size_t i = 0; i < fleet->count; i++) {
         const struct ch_upstream_view *view = &fleet->upstreams[i];
-        if (is_excluded(excluded, view->name) || !ch_view_serves(view, work)) {
+        if (is_excluded(excluded, view->name) ||
+            !ch_view_serves(view, request)) {
             continue;
         }
         int64_t wait = estimate_wait(policy, view);
@@ -390,59 +394,59 @@
  * a region in trouble can't fill the link for all other traffic.
  *
  * If no replica is expected to meet the target, the replica with the shortest
- * wait is asked first, as its owner has the most exact view. If that refuses,
- * the request goes to the place where the next replica would be loaded, and so
- * tells that place's owner how much demand overflows.
+ * wait is asked first, as its home node has the most exact view. If that
+ * refuses, the request goes to the place where the next replica would be
+ * loaded, and so tells that place's home node how much demand overflows.
  */
 struct ch_route
 ch_route_default(const struct ch_policy *policy, struct ch_fleet *fleet,
-                 const struct ch_work *work, const GArray *excluded,
+                 const struct ch_work *request, const GArray *excluded,
                  int64_t now)
 {
-    int index = choose_replica(policy, fleet, work, excluded, true, now);
+    int index = choose_replica(policy, fleet, request, excluded, true, now);
     if (index < 0) {
-        index = choose_loading(fleet, work, excluded, false, now);
+        index = choose_loading(fleet, request, excluded, false, now);
     }
     if (index < 0 && policy->routing->spill &&
-        fleet->link_bytes >= estimate_link_bytes(work)) {
-        index = choose_replica(policy, fleet, work, excluded, false, now);
+        fleet->link_bytes >= estimate_link_bytes(request)) {
+        index = choose_replica(policy, fleet, request, excluded, false, now);
     }
     bool is_retry = excluded != NULL && excluded->len > 0;
     if (index < 0 && !is_retry) {
-        index = choose_shortest_wait(policy, fleet, work, excluded);
+        index = choose_shortest_wait(policy, fleet, request, excluded);
     }
     if (index < 0) {
-        index = choose_loading(fleet, work, excluded, true, now);
+        index = choose_loading(fleet, request, excluded, true, now);
     }
     if (index < 0) {
-        index = choose_place(fleet, work, excluded);
+        index = choose_place(fleet, request, excluded);
     }
     if (index < 0) {
-        index = choose_shortest_wait(policy, fleet, work, excluded);
+        index = choose_shortest_wait(policy, fleet, request, excluded);
     }
     return make_route(index);
 }
 
 /*
- * Baseline for measuring what owners are worth: routers that know only lagging
- * reports and their own requests. Requests that no replica is expected to
- * serve in time are refused here, and a model without replicas is placed as by
- * the default policy.
+ * Baseline for measuring what home nodes are worth: routers that know only
+ * lagging reports and their own requests. Requests that no replica is expected
+ * to serve in time are refused here, and a model without replicas is placed as
+ * by the default policy.
  */
 struct ch_route
 ch_route_independent(const struct ch_policy *policy, struct ch_fleet *fleet,
-                     const struct ch_work *work, const GArray *excluded,
+                     const struct ch_work *request, const GArray *excluded,
                      int64_t now)
 {
-    int index = choose_replica(policy, fleet, work, excluded, true, now);
-    if (index < 0 && fleet->link_bytes >= estimate_link_bytes(work)) {
-        index = choose_replica(policy, fleet, work, excluded, false, now);
+    int index = choose_replica(policy, fleet, request, excluded, true, now);
+    if (index < 0 && fleet->link_bytes >= estimate_link_bytes(request)) {
+        index = choose_replica(policy, fleet, request, excluded, false, now);
     }
     if (index < 0) {
-        index = choose_loading(fleet, work, excluded, false, now);
+        index = choose_loading(fleet, request, excluded, false, now);
     }
     if (index < 0) {
-        index = choose_place(fleet, work, excluded);
+        index = choose_place(fleet, request, excluded);
     }
     return make_route(index);
 }
@@ -451,13 +455,14 @@
  * serve the request's model. */
 static bool
 is_candidate(const struct ch_fleet *fleet, const struct ch_upstream_view *view,
-             const struct ch_work *work, const GArray *excluded, bool local)
+             const struct ch_work *request, const GArray *excluded, bool local)
 {
     if ((view->region == fleet->region) != local || view->down ||
         view->leaving || is_excluded(excluded, view->name)) {
         return false;
     }
-    return work->service ? view->service == work->model : view->service == 0;
+    return request->service ? view->service == request->model
+                            : view->service == 0;
 }
 
 /* Returns the least full candidate in this region (local) or in the others;
@@ -465,18 +470,18 @@
  * none. */
 static int
 choose_least_full(const struct ch_policy *policy, const struct ch_fleet *fleet,
-                  const struct ch_work *work, const GArray *excluded,
+                  const struct ch_work *request, const GArray *excluded,
                   bool local, bool replica)
 {
     int best = -1;
     for (size_t i = 0; i < fleet->count; i++) {
         const struct ch_upstream_view *view = &fleet->upstreams[i];
-        if (!is_candidate(fleet, view, work, excluded, local)) {
+        if (!is_candidate(fleet, view, request, excluded, local)) {
             continue;
         }
-        bool has_model = work->service ||
-                         ch_upstream_view_has(view, work->model) ||
-                         ch_upstream_view_loads(view, work->model);
+        bool has_model = request->service ||
+                         ch_upstream_view_has(view, request->model) ||
+                         ch_upstream_view_loads(view, request->model);
         if (has_model == replica &&
             (best < 0 || get_fullness(policy, view) <
                              get_fullness(policy, &fleet->upstreams[best]))) {
@@ -494,22 +499,22 @@
  */
 struct ch_route
 ch_route_least_loaded(const struct ch_policy *policy, struct ch_fleet *fleet,
-                      const struct ch_work *work, const GArray *excluded,
+                      const struct ch_work *request, const GArray *excluded,
                       int64_t now)
 {
     (void)now;
     int replica = -1;
     for (int local = 1; local >= 0; local--) {
-        int index =
-            choose_least_full(policy, fleet, work, excluded, local == 1, true);
+        int index = choose_least_full(policy, fleet, request, excluded,
+                                      local == 1, true);
         if (index >= 0 &&
             get_fullness(policy, &fleet->upstreams[index]) < 1.0) {
             return make_route(index);
         }
         replica = replica < 0 ? index : replica;
     }
-    for (int local = 1; local >= 0 && !work->service; local--) {
-        int index = choose_least_full(policy, fleet, work, excluded,
+    for (int local = 1; local >= 0 && !request->service; local--) {
+        int index = choose_least_full(policy, fleet, request, excluded,
                                       local == 1, false);
         if (index >= 0 &&
             (replica < 0 ||
@@ -524,7 +529,7 @@
  * load. */
 struct ch_route
 ch_route_static(const struct ch_policy *policy, struct ch_fleet *fleet,
-                const struct ch_work *work, const GArray *excluded,
+                const struct ch_work *request, const GArray *excluded,
                 int64_t now)
 {
     (void)policy;
@@ -532,12 +537,13 @@
     for (int local = 1; local >= 0; local--) {
         size_t count = 0;
         for (int pass = 0; pass < 2; pass++) {
-            size_t remaining = count > 0 ? work->id % count : 0;
+            size_t remaining = count > 0 ? request->id % count : 0;
             for (size_t i = 0; i < fleet->count; i++) {
                 const struct ch_upstream_view *view = &fleet->upstreams[i];
-                if (!is_candidate(fleet, view, work, excluded, local == 1) ||
-                    (!work->service &&
-                     !ch_upstream_view_has(view, work->model))) {
+                if (!is_candidate(fleet, view, request, excluded,
+                                  local == 1) ||
+                    (!request->service &&
+                     !ch_upstream_view_has(view, request->model))) {
                     continue;
                 }
                 if (pass == 0) {
@@ -555,11 +561,11 @@
 /* Asks the policy, and counts the request in the chosen view's sent_since. */
 struct ch_route
 ch_route_choose(const struct ch_policy *policy, struct ch_fleet *fleet,
-                const struct ch_work *work, const GArray *excluded,
+                const struct ch_work *request, const GArray *excluded,
                 int64_t now)
 {
     struct ch_route route =
-        policy->routing->choose(policy, fleet, work, excluded, now);
+        policy->routing->choose(policy, fleet, request, excluded, now);
     if (route.code == CH_OK) {
         fleet->upstreams[route.upstream].sent_since++;
     }
@@ -569,38 +575,39 @@
 /* Whether a route leads to an upstream that can serve the request as it is. */
 static bool
 route_serves(const struct ch_fleet *fleet, const struct ch_route *route,
-             const struct ch_work *work)
+             const struct ch_work *request)
 {
     return route->code == CH_OK &&
-           ch_view_serves(&fleet->upstreams[route->upstream], work);
+           ch_view_serves(&fleet->upstreams[route->upstream], request);
 }
 
 /*
- * See policy.h. A connection to an upstream may go silent, or an answer may be
- * crossed or cut, while the upstream itself is well. An upstream at which this
- * request failed is avoided while another one can serve it; if none can, it is
- * asked again, as the retry uses a new connection. Otherwise each lost
- * connection would make a model with one replica be refused, or moved. For an
- * upstream that is really gone, the retry budget and the limit of attempts
- * bound the retries.
+ * See policy.h. A connection to an upstream may go silent, or a response may
+ * be crossed (belong to another request) or interrupted, while the upstream
+ * itself is well. An upstream at which this request failed is avoided while
+ * another one can serve it; if none can, it is asked again, as the retry uses
+ * a new connection. Otherwise each lost connection would make a model with one
+ * replica be refused, or moved. For an upstream that is really gone, the retry
+ * budget and the limit of attempts bound the retries.
  */
 struct ch_route
 ch_route_retry(const struct ch_policy *policy, struct ch_fleet *fleet,
-               const struct ch_work *work, const GArray *excluded,
+               const struct ch_work *request, const GArray *excluded,
                guint failed, int64_t now)
 {
     struct ch_route route =
-        ch_route_choose(policy, fleet, work, excluded, now);
-    if (failed == 0 || route_serves(fleet, &route, work)) {
+        ch_route_choose(policy, fleet, request, excluded, now);
+    if (failed == 0 || route_serves(fleet, &route, request)) {
         return route;
     }
     GArray *refused = g_array_new(FALSE, FALSE, sizeof(GQuark));
     for (guint i = failed; i < excluded->len; i++) {
         g_array_append_val(refused, g_array_index(excluded, GQuark, i));
     }
-    struct ch_route again = ch_route_choose(policy, fleet, work, refused, now);
+    struct ch_route again =
+        ch_route_choose(policy, fleet, request, refused, now);
     g_array_free(refused, TRUE);
-    if (!route_serves(fleet, &again, work)) {
+    if (!route_serves(fleet, &again, request)) {
         return route;
     }
     if (route.code == CH_OK) {
