--- a/tests/unit/test_fill.c
+++ b/tests/unit/test_fill.c
@@ -1,11 +1,11 @@
-/* Requests that many nodes place by one view. */
+/* Places chosen by many nodes with the same view. */
 
 #include "decide/fill.h"
 
 #include <string.h>
 
 enum {
-    MOST_PLACES = 64,
+    MAX_PLACES = 64,
     ROUNDS = 400,
 };
 
@@ -14,17 +14,18 @@
     size_t count;
     double costs[4];
     double arrivals;
-    double shares[4]; /* that each place is to get */
+    double shares[4]; /* expected share of each place */
 } choose_cases[] = {
     {"one arrival", 3, {5, 3, 9}, 1, {0, 1, 0}},
-    {"less than one", 3, {5, 3, 9}, 0.2, {0, 1, 0}},
+    {"less than one arrival", 3, {5, 3, 9}, 0.2, {0, 1, 0}},
     {"one place", 1, {5}, 30, {1}},
-    {"alike", 4, {2, 2, 2, 2}, 8, {0.25, 0.25, 0.25, 0.25}},
-    {"one is far", 3, {0, 0, 100}, 10, {0.5, 0.5, 0}},
-    {"filled to one level", 3, {0, 2, 4}, 6, {0.666667, 0.333333, 0}},
+    {"equal costs", 4, {2, 2, 2, 2}, 8, {0.25, 0.25, 0.25, 0.25}},
+    {"one is too expensive", 3, {0, 0, 100}, 10, {0.5, 0.5, 0}},
+    {"filled to a common level", 3, {0, 2, 4}, 6, {0.666667, 0.333333, 0}},
 };
 
-/* Each place gets its part, as the random numbers go through their range. */
+/* Each place gets its share when the random numbers cover their range evenly.
+ */
 static void
 test_choose(void)
 {
@@ -43,70 +44,74 @@
     }
 }
 
-/* A fleet that places requests on engines by a report that is told now and
- * then, in steps of time. */
-struct herd {
-    double running[MOST_PLACES];
-    double told[MOST_PLACES];
+/* Simulates, in time steps, nodes that send requests to engines by a load
+ * report that is refreshed now and then. */
+struct simulation {
+    double running[MAX_PLACES];
+    double reported[MAX_PLACES];
     size_t places;
     double slots;
-    double arrivals; /* in a step */
-    int steps_a_report;
-    double ends; /* of what runs, in a step */
+    double arrivals; /* per step */
+    int steps_per_report;
+    double end_share; /* share of the running requests that end in a step */
 };
 
-/* The share of requests that wait for a slot, when they go to the place that
- * is cheapest by the report, or are spread. */
+/* Returns the share of requests that wait for a slot. spread: requests are
+ * spread, else each goes to the cheapest place by the report. */
 static double
-play_herd(struct herd *herd, bool spread, guint32 seed)
+simulate(struct simulation *simulation, bool spread, guint32 seed)
 {
     GRand *random = g_rand_new_with_seed(seed);
     double waiting = 0;
-    double all = 0;
+    double total = 0;
     for (int step = 0; step < ROUNDS; step++) {
-        if (step % herd->steps_a_report == 0) {
-            memcpy(herd->told, herd->running, sizeof(herd->told));
+        if (step % simulation->steps_per_report == 0) {
+            memcpy(simulation->reported, simulation->running,
+                   sizeof(simulation->reported));
         }
-        for (int i = 0; i < (int)herd->arrivals; i++) {
+        for (int i = 0; i < (int)simulation->arrivals; i++) {
             double expected =
-                spread ? herd->arrivals * herd->steps_a_report : 1;
-            size_t place = ch_fill_choose(herd->told, herd->places, 1,
-                                          expected, g_rand_double(random));
-            waiting += herd->running[place] >= herd->slots ? 1 : 0;
-            all++;
-            herd->running[place]++;
+                spread ? simulation->arrivals * simulation->steps_per_report
+                       : 1;
+            size_t place =
+                ch_fill_choose(simulation->reported, simulation->places, 1,
+                               expected, g_rand_double(random));
+            waiting += simulation->running[place] >= simulation->slots ? 1 : 0;
+            total++;
+            simulation->running[place]++;
         }
-        for (size_t i = 0; i < herd->places; i++) {
-            herd->running[i] *= 1 - herd->ends;
+        for (size_t i = 0; i < simulation->places; i++) {
+            simulation->running[i] *= 1 - simulation->end_share;
         }
     }
     g_rand_free(random);
-    return waiting / all;
+    return waiting / total;
 }
 
 /*
- * Load: 20 engines of 12 slots, two thirds taken; 80 requests a second of many
- * nodes that all know the same report, told each 400 ms.  Harm prevented: all
- * of them go to the engine that was least busy, and most wait for a slot.
+ * 20 engines of 12 slots, two thirds used, get 80 requests per second from
+ * many nodes that all see the same report, refreshed every 400 ms. Without
+ * spreading, all requests go to the engine that was least busy, and most wait
+ * for a slot.
  */
 static void
-test_herd_on_one_report(void)
+test_shared_report(void)
 {
     for (guint32 seed = 1; seed <= 5; seed++) {
-        struct herd herd = {
+        struct simulation simulation = {
             .places = 20,
             .slots = 12,
             .arrivals = 8,
-            .steps_a_report = 4,
-            .ends = 0.05,
+            .steps_per_report = 4,
+            .end_share = 0.05,
         };
-        struct herd same = herd;
-        double together = play_herd(&herd, false, seed);
-        double spread = play_herd(&same, true, seed);
-        g_test_message("waiting for a slot: %.3f together, %.3f spread",
-                       together, spread);
-        g_assert_cmpfloat(together, >, 0.2);
-        g_assert_cmpfloat(spread, <, 0.05);
+        struct simulation copy = simulation;
+        double unspread_share = simulate(&simulation, false, seed);
+        double spread_share = simulate(&copy, true, seed);
+        g_test_message("share waiting for a slot: %.3f unspread, %.3f spread",
+                       unspread_share, spread_share);
+        g_assert_cmpfloat(unspread_share, >, 0.2);
+        g_assert_cmpfloat(spread_share, <, 0.05);
     }
 }
 
@@ -115,6 +120,6 @@
 {
     g_test_init(&argc, &argv, NULL);
     g_test_add_func("/fill/choose", test_choose);
-    g_test_add_func("/fill/herd-on-one-report", test_herd_on_one_report);
+    g_test_add_func("/fill/herd-on-one-report", test_shared_report);
     return g_test_run();
 }
--- a/tests/unit/test_late.c
+++ b/tests/unit/test_late.c
@@ -1,5 +1,4 @@
-/* What becomes of requests that would be begun with too late, in virtual time.
- */
+/* Requests that would be started too late, in virtual time. */
 
 #include "decide/late.h"
 
@@ -7,10 +6,10 @@
 #define SECOND ((int64_t)G_USEC_PER_SEC)
 #define NOW (100 * SECOND)
 
-/* A request that came now, with a target of 1.2 s and a deadline of 15 s: its
- * caller gives up after 4.8 s without a token. */
+/* A request that arrives now, with a target of 1.2 s and a deadline of 15 s:
+ * its caller gives up after 4.8 s without a token. */
 static struct ch_work
-work_now(void)
+build_request(void)
 {
     return (struct ch_work){
         .model = g_quark_from_string("m"),
@@ -21,36 +20,37 @@
     };
 }
 
-/* Tells that an engine is loading these models, and holds those. */
+/* Reports which model an engine has and which it is loading; NULL: none. */
 static void
-tell(struct ch_coming *coming, const char *upstream, const char *models,
-     const char *loading, int64_t now)
+report(struct ch_coming *pending, const char *upstream, const char *models,
+       const char *loading, int64_t now)
 {
-    GQuark held = g_quark_from_string(models);
-    GQuark loads = g_quark_from_string(loading);
-    ch_coming_told(coming, g_quark_from_string(upstream), &held, held != 0,
-                   &loads, loads != 0, now);
+    GQuark model = g_quark_from_string(models);
+    GQuark loading_model = g_quark_from_string(loading);
+    ch_coming_told(pending, g_quark_from_string(upstream), &model, model != 0,
+                   &loading_model, loading_model != 0, now);
 }
 
-/* Loads that took so long each, the last of them over by NOW. */
+/* Reports loads of this length, the last of which ends at NOW. */
 static void
-learn_loads(struct ch_coming *coming, int64_t took)
+report_past_loads(struct ch_coming *pending, int64_t load_time)
 {
     for (int64_t i = 20; i > 0; i--) {
-        tell(coming, "w9", NULL, "other", NOW - i * took);
-        tell(coming, "w9", "other", NULL, NOW - (i - 1) * took);
+        report(pending, "w9", NULL, "other", NOW - i * load_time);
+        report(pending, "w9", "other", NULL, NOW - (i - 1) * load_time);
     }
 }
 
 static const struct {
     const char *what;
-    int64_t load;    /* loads take so long */
-    int64_t begun;   /* the load began so long ago */
-    int64_t held_at; /* asked again this long after the request came */
+    int64_t load_time;     /* length of earlier loads */
+    int64_t begun;         /* how long ago the load began */
+    int64_t decided_after; /* the decision is repeated this long after the
+                              request arrived */
     bool waits;
-} loads[] = {
-    {"a copy near by", SECOND, 0, 0, true},
-    {"a copy near by, the target is past", SECOND, 0, 1300 * MILLI, false},
+} load_cases[] = {
+    {"local copy", SECOND, 0, 0, true},
+    {"local copy, past the target", SECOND, 0, 1300 * MILLI, false},
     {"from the weight store, just begun", 8800 * MILLI, 0, 0, false},
     {"from the weight store, there too late", 8800 * MILLI, 7 * SECOND, 0,
      false},
@@ -60,112 +60,114 @@
 };
 
 /*
- * Load: demand that moves to a model whose engines are full, while others load
- * it from the weight store.  Callers are refused after 2.7 to 3.3 s, at the
- * last moment at which they would still have taken an answer, and come back
- * with too little time left.  Each was held for a load that takes 8.8 s, while
- * its caller gives up after 4.8.
+ * Demand moves to a model whose engines are full, while others load it from
+ * the weight store. The failure: each request was held for a load of 8.8 s,
+ * while its caller gives up after 4.8 s. Callers were refused after 2.7 to 3.3
+ * s, the last moment at which they would still have taken a response, and
+ * retried with too little time left.
  */
 static void
 test_load_too_long(void)
 {
-    for (size_t i = 0; i < G_N_ELEMENTS(loads); i++) {
-        g_test_message("%s", loads[i].what);
-        struct ch_coming *coming = ch_coming_new();
-        struct ch_work work = work_now();
-        learn_loads(coming, loads[i].load);
-        tell(coming, "w1", NULL, "m", NOW - loads[i].begun);
-        int64_t now = NOW + loads[i].held_at;
-        tell(coming, "w1", NULL, "m", now);
-        int64_t there = ch_coming_at(coming, work.model, now);
-        g_assert_cmpint(there, >, now);
-        struct ch_late late = ch_late_decide(&work, 6 * SECOND, there, now);
-        g_assert_cmpint(late.waits, ==, loads[i].waits);
-        g_assert_true(late.waits ? late.until <= work.first_by
-                                 : late.back > 0);
-        ch_coming_free(coming);
+    for (size_t i = 0; i < G_N_ELEMENTS(load_cases); i++) {
+        g_test_message("%s", load_cases[i].what);
+        struct ch_coming *pending = ch_coming_new();
+        struct ch_work request = build_request();
+        report_past_loads(pending, load_cases[i].load_time);
+        report(pending, "w1", NULL, "m", NOW - load_cases[i].begun);
+        int64_t now = NOW + load_cases[i].decided_after;
+        report(pending, "w1", NULL, "m", now);
+        int64_t ready_at = ch_coming_at(pending, request.model, now);
+        g_assert_cmpint(ready_at, >, now);
+        struct ch_late decision =
+            ch_late_decide(&request, 6 * SECOND, ready_at, now);
+        g_assert_cmpint(decision.waits, ==, load_cases[i].waits);
+        g_assert_true(decision.waits ? decision.until <= request.first_by
+                                     : decision.back > 0);
+        ch_coming_free(pending);
     }
 }
 
 /*
- * Load: engines that crash while they load a model.  Callers wait for a model
- * that nobody is loading any more until they would give up.  The engine is
- * gone from the list, or its holder with it, so that nothing more is told of
- * it: what was told last stood for good.
+ * Engines crash while they load a model. The failure: the last report stood
+ * for good, so that callers waited for a model that no engine was loading any
+ * more until they gave up. No further report comes because the engine is no
+ * longer listed, or because its lease holder is gone too.
  */
 static void
 test_engine_gone(void)
 {
     GQuark model = g_quark_from_string("m");
-    struct ch_coming *coming = ch_coming_new();
-    tell(coming, "w1", NULL, "m", NOW);
-    g_assert_cmpint(ch_coming_at(coming, model, NOW), >, 0);
-    tell(coming, "w1", NULL, NULL, NOW + MILLI);
-    g_assert_cmpint(ch_coming_at(coming, model, NOW + MILLI), ==, 0);
-    tell(coming, "w2", NULL, "m", NOW);
-    g_assert_cmpint(ch_coming_at(coming, model, NOW + 8 * SECOND), >, 0);
-    g_assert_cmpint(ch_coming_at(coming, model, NOW + 11 * SECOND), ==, 0);
-    ch_coming_free(coming);
+    struct ch_coming *pending = ch_coming_new();
+    report(pending, "w1", NULL, "m", NOW);
+    g_assert_cmpint(ch_coming_at(pending, model, NOW), >, 0);
+    report(pending, "w1", NULL, NULL, NOW + MILLI);
+    g_assert_cmpint(ch_coming_at(pending, model, NOW + MILLI), ==, 0);
+    report(pending, "w2", NULL, "m", NOW);
+    g_assert_cmpint(ch_coming_at(pending, model, NOW + 8 * SECOND), >, 0);
+    g_assert_cmpint(ch_coming_at(pending, model, NOW + 11 * SECOND), ==, 0);
+    ch_coming_free(pending);
 }
 
-/* Of two engines the one that began first is waited for; a model that came or
- * was given up is loaded by nobody. */
+/* The load that began first decides when a model is ready. A model that was
+ * loaded, or whose load was abandoned, isn't pending any more. */
 static void
-test_coming(void)
+test_first_pending_load(void)
 {
     GQuark model = g_quark_from_string("m");
-    struct ch_coming *coming = ch_coming_new();
-    g_assert_cmpint(ch_coming_at(coming, model, NOW), ==, 0);
-    learn_loads(coming, 4 * SECOND);
-    tell(coming, "w1", NULL, "m", NOW);
-    tell(coming, "w2", NULL, "m", NOW - 2 * SECOND);
-    int64_t there = ch_coming_at(coming, model, NOW);
-    g_assert_cmpint(there, >, NOW + 1500 * MILLI);
-    g_assert_cmpint(there, <, NOW + 2500 * MILLI);
-    tell(coming, "w2", "m", NULL, NOW + 2 * SECOND);
-    g_assert_cmpint(ch_coming_at(coming, model, NOW), >, NOW + 3 * SECOND);
-    tell(coming, "w1", NULL, NULL, NOW + 2 * SECOND);
-    g_assert_cmpint(ch_coming_at(coming, model, NOW), ==, 0);
-    ch_coming_free(coming);
+    struct ch_coming *pending = ch_coming_new();
+    g_assert_cmpint(ch_coming_at(pending, model, NOW), ==, 0);
+    report_past_loads(pending, 4 * SECOND);
+    report(pending, "w1", NULL, "m", NOW);
+    report(pending, "w2", NULL, "m", NOW - 2 * SECOND);
+    int64_t ready_at = ch_coming_at(pending, model, NOW);
+    g_assert_cmpint(ready_at, >, NOW + 1500 * MILLI);
+    g_assert_cmpint(ready_at, <, NOW + 2500 * MILLI);
+    report(pending, "w2", "m", NULL, NOW + 2 * SECOND);
+    g_assert_cmpint(ch_coming_at(pending, model, NOW), >, NOW + 3 * SECOND);
+    report(pending, "w1", NULL, NULL, NOW + 2 * SECOND);
+    g_assert_cmpint(ch_coming_at(pending, model, NOW), ==, 0);
+    ch_coming_free(pending);
 }
 
 static const struct {
     const char *what;
-    int64_t after; /* asked so long after it came */
+    int64_t after; /* time since the request arrived */
     int64_t expected;
     uint32_t attempt;
     bool begun;
     bool service;
-    bool late;
-} tries[] = {
-    {"first try, in time", 0, 3500 * MILLI, 0, false, false, false},
-    {"first try, too late", 0, 3700 * MILLI, 0, false, false, true},
-    {"given back after 1.5 s, in time", 1500 * MILLI, SECOND, 1, false, false,
+    bool is_late;
+} retry_cases[] = {
+    {"first attempt, in time", 0, 3500 * MILLI, 0, false, false, false},
+    {"first attempt, too late", 0, 3700 * MILLI, 0, false, false, true},
+    {"refused after 1.5 s, in time", 1500 * MILLI, SECOND, 1, false, false,
      false},
-    {"given back after 1.5 s to a full engine", 1500 * MILLI, 3 * SECOND, 1,
+    {"refused after 1.5 s, next engine full", 1500 * MILLI, 3 * SECOND, 1,
      false, false, true},
-    {"the caller has the beginning", 1500 * MILLI, 3 * SECOND, 1, true, false,
-     false},
+    {"the caller has the beginning of the response", 1500 * MILLI, 3 * SECOND,
+     1, true, false, false},
     {"a plain service", 0, 3700 * MILLI, 0, false, true, false},
 };
 
 /*
- * Load: engines of a model that are full, of which one sheds what waited there
- * for 1.5 s.  The caller gets nothing until its deadline.  The request goes on
- * to the next engine, which is as full, and waits there in turn; that it would
- * be too late there was looked at for the first engine alone.
+ * The engines of a model are full, and one refuses requests that have waited
+ * there for 1.5 s. The failure: the request went to the next engine, which is
+ * as full, and waited there in turn, so that the caller got nothing until its
+ * deadline. Lateness was checked for the first engine only.
  */
 static void
-test_given_back(void)
+test_retry_is_late(void)
 {
-    for (size_t i = 0; i < G_N_ELEMENTS(tries); i++) {
-        g_test_message("%s", tries[i].what);
-        struct ch_work work = work_now();
-        work.attempt = tries[i].attempt;
-        work.begun = tries[i].begun;
-        work.service = tries[i].service;
-        bool late = ch_late_is(&work, tries[i].expected, NOW + tries[i].after);
-        g_assert_cmpint(late, ==, tries[i].late);
+    for (size_t i = 0; i < G_N_ELEMENTS(retry_cases); i++) {
+        g_test_message("%s", retry_cases[i].what);
+        struct ch_work request = build_request();
+        request.attempt = retry_cases[i].attempt;
+        request.begun = retry_cases[i].begun;
+        request.service = retry_cases[i].service;
+        bool is_late = ch_late_is(&request, retry_cases[i].expected,
+                                  NOW + retry_cases[i].after);
+        g_assert_cmpint(is_late, ==, retry_cases[i].is_late);
     }
 }
 
@@ -175,7 +177,7 @@
     g_test_init(&argc, &argv, NULL);
     g_test_add_func("/late/load-too-long", test_load_too_long);
     g_test_add_func("/late/engine-gone", test_engine_gone);
-    g_test_add_func("/late/coming", test_coming);
-    g_test_add_func("/late/given-back", test_given_back);
+    g_test_add_func("/late/coming", test_first_pending_load);
+    g_test_add_func("/late/given-back", test_retry_is_late);
     return g_test_run();
 }
--- a/tests/unit/test_route.c
+++ b/tests/unit/test_route.c
@@ -1,12 +1,12 @@
-/* Classes that are chosen by host and path: their declaration, and the
- * requests that they take. */
+/* Classes chosen by host and path: their declaration, and the requests that
+ * match them. */
 
 #include "decide/policy.h"
 #include "node/request.h"
 
 #include <string.h>
 
-static const char good[] =
+static const char valid_text[] =
     "[class advice]\nhost = a.example\npath = /x/\nshares = models:1\n"
     "first-token-ms = 1000\ngap-ms = 300\ntime-limit-ms = 15000\ntries = 2\n"
     "stream = true\nresumable = true\nidempotent = true\npriority = 1\n"
@@ -19,11 +19,11 @@
     "adapter-places = 8\nloads-per-s = 1.4\n"
     "[limits]\nheader-bytes = 16384\nbody-bytes = 4096\nidle-ms = 15000\n";
 
-/* What an operator writes wrongly is refused with the group and key. */
+/* Faulty declarations are refused with the group and key. */
 static const struct {
     const char *text;
     const char *expect;
-} bad[] = {
+} invalid_declarations[] = {
     {"[class c]\nhost = h\npath = /x\nshares = s:1\nanswer-ms = 1\n"
      "[service s]\n",
      "path"},
@@ -47,32 +47,34 @@
 };
 
 static void
-test_bad(void)
+test_invalid_declarations(void)
 {
-    for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
+    for (size_t i = 0; i < G_N_ELEMENTS(invalid_declarations); i++) {
         struct ch_error error = {0};
-        g_assert_null(ch_declaration_parse(bad[i].text, "f.ini", &error));
+        g_assert_null(ch_declaration_parse(invalid_declarations[i].text,
+                                           "f.ini", &error));
         g_test_message("%s", error.message);
-        g_assert_nonnull(strstr(error.message, bad[i].expect));
+        g_assert_nonnull(
+            strstr(error.message, invalid_declarations[i].expect));
     }
 }
 
 static struct ch_declaration *
-declaration(void)
+parse_valid(void)
 {
     struct ch_error error = {0};
     struct ch_declaration *parsed =
-        ch_declaration_parse(good, "f.ini", &error);
+        ch_declaration_parse(valid_text, "f.ini", &error);
     g_assert_cmpstr(error.message, ==, "");
     return parsed;
 }
 
-/* The canonical text says the same again, to the byte. */
+/* Parsing the canonical text gives the same text, byte by byte. */
 static void
-test_text(void)
+test_canonical_text(void)
 {
     struct ch_error error = {0};
-    struct ch_declaration *first = declaration();
+    struct ch_declaration *first = parse_valid();
     struct ch_declaration *second =
         ch_declaration_parse(first->text, "f.ini", &error);
     g_assert_cmpstr(error.message, ==, "");
@@ -84,12 +86,12 @@
     ch_declaration_free(second);
 }
 
-/* The longest prefix wins; hosts are compared without regard to case. */
+/* The longest path prefix wins; hosts are compared case-insensitively. */
 static const struct {
     const char *host;
     const char *path;
     const char *expect; /* NULL: no class */
-} routes[] = {
+} route_cases[] = {
     {"a.example", "/x/1", "advice"}, {"A.Example", "/x/", "advice"},
     {"a.example", "/x/y/1", "deep"}, {"a.example", "/x/y", "advice"},
     {"a.example", "/x", NULL},       {"a.example", "/", NULL},
@@ -99,12 +101,13 @@
 static void
 test_routes(void)
 {
-    struct ch_declaration *parsed = declaration();
-    for (size_t i = 0; i < G_N_ELEMENTS(routes); i++) {
-        int index = ch_declaration_route(
-            parsed, routes[i].host, routes[i].path, strlen(routes[i].path));
+    struct ch_declaration *parsed = parse_valid();
+    for (size_t i = 0; i < G_N_ELEMENTS(route_cases); i++) {
+        int index = ch_declaration_route(parsed, route_cases[i].host,
+                                         route_cases[i].path,
+                                         strlen(route_cases[i].path));
         g_assert_cmpstr(index < 0 ? NULL : parsed->classes[index].name, ==,
-                        routes[i].expect);
+                        route_cases[i].expect);
     }
     ch_declaration_free(parsed);
 }
@@ -116,45 +119,44 @@
     const char *model;
     const char *deadline;
     enum ch_code code;
-} requests[] = {
-    {"good", "/x/1?a=b", "i1", "m1", "500", CH_OK},
+} request_cases[] = {
+    {"valid", "/x/1?a=b", "i1", "m1", "500", CH_OK},
     {"with an adapter", "/x/1", "i1", "m1/a3", "500", CH_OK},
     {"without a deadline", "/x/1", "i1", "m1", NULL, CH_OK},
     {"a plain service", "/x/y/1", "i1", NULL, "500", CH_OK},
     {"no id", "/x/1", NULL, "m1", "500", CH_BAD_FIELD},
     {"no model", "/x/1", "i1", NULL, "500", CH_BAD_FIELD},
-    {"a model that is none", "/x/1", "i1", "m2", "500", CH_UNKNOWN_MODEL},
-    {"an adapter that is none", "/x/1", "i1", "m1/a4", "500",
+    {"an unknown model", "/x/1", "i1", "m2", "500", CH_UNKNOWN_MODEL},
+    {"an unknown adapter", "/x/1", "i1", "m1/a4", "500", CH_UNKNOWN_MODEL},
+    {"an adapter number that is not a number", "/x/1", "i1", "m1/a03x", "500",
      CH_UNKNOWN_MODEL},
-    {"a number that is none", "/x/1", "i1", "m1/a03x", "500",
-     CH_UNKNOWN_MODEL},
-    {"a deadline that is none", "/x/1", "i1", "m1", "soon", CH_BAD_FIELD},
-    {"a path that nobody takes", "/z/1", "i1", "m1", "500", CH_UNKNOWN_PATH},
+    {"an invalid deadline", "/x/1", "i1", "m1", "soon", CH_BAD_FIELD},
+    {"a path without a class", "/z/1", "i1", "m1", "500", CH_UNKNOWN_PATH},
     {"a whole URL", "http://a.example/x/1", "i1", "m1", "500", CH_BAD_FIELD},
 };
 
 static void
 test_requests(void)
 {
-    struct ch_declaration *parsed = declaration();
-    for (size_t i = 0; i < G_N_ELEMENTS(requests); i++) {
+    struct ch_declaration *parsed = parse_valid();
+    for (size_t i = 0; i < G_N_ELEMENTS(request_cases); i++) {
         struct ch_request_input *input = g_new0(struct ch_request_input, 1);
         struct ch_fault fault = {.error.code = CH_OK};
         input->method = "POST";
-        input->uri = requests[i].uri;
+        input->uri = request_cases[i].uri;
         input->host = "a.example:80";
-        input->request_id = requests[i].id;
-        input->model = requests[i].model;
-        input->deadline_ms = requests[i].deadline;
+        input->request_id = request_cases[i].id;
+        input->model = request_cases[i].model;
+        input->deadline_ms = request_cases[i].deadline;
         input->passed =
             g_array_new(FALSE, FALSE, sizeof(struct ch_http_header));
         struct ch_request *request =
             ch_request_parse_routed(parsed, input, 1000, &fault);
-        g_test_message("%s: %s", requests[i].what, fault.error.message);
-        g_assert_cmpint(fault.error.code, ==, requests[i].code);
-        g_assert_cmpint(request != NULL, ==, requests[i].code == CH_OK);
+        g_test_message("%s: %s", request_cases[i].what, fault.error.message);
+        g_assert_cmpint(fault.error.code, ==, request_cases[i].code);
+        g_assert_cmpint(request != NULL, ==, request_cases[i].code == CH_OK);
         if (request != NULL) {
-            g_assert_cmpstr(request->path, ==, requests[i].uri);
+            g_assert_cmpstr(request->path, ==, request_cases[i].uri);
             ch_request_free(request);
         }
         g_array_free(input->passed, TRUE);
@@ -163,7 +165,7 @@
     ch_declaration_free(parsed);
 }
 
-/* The caller's deadline and the class's limit: the earlier one holds. */
+/* The earlier of the caller's deadline and the class's limit holds. */
 static void
 test_deadline(void)
 {
@@ -171,7 +173,7 @@
         const char *deadline;
         int64_t expect;
     } rows[] = {{"500", 500000}, {"20000", 15000000}, {NULL, 15000000}};
-    struct ch_declaration *parsed = declaration();
+    struct ch_declaration *parsed = parse_valid();
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         struct ch_request_input *input = g_new0(struct ch_request_input, 1);
         struct ch_fault fault = {.error.code = CH_OK};
@@ -194,8 +196,8 @@
     ch_declaration_free(parsed);
 }
 
-/* What may be repeated, by what a class allows and what happened: a request
- * that may have run and may not run twice is never sent again. */
+/* Retries by what the class allows and how the attempt failed: a request that
+ * may have run and isn't idempotent is never sent again. */
 static const struct {
     const char *what;
     bool idempotent;
@@ -205,17 +207,18 @@
     bool may_have_run;
     enum ch_retry expect;
     double level;
-} retries[] = {
-    {"a safe one fails", true, 2, 0, CH_UPSTREAM_CUT, true, CH_RETRY_AGAIN, 5},
+} retry_cases[] = {
+    {"safe to repeat, fails", true, 2, 0, CH_UPSTREAM_CUT, true,
+     CH_RETRY_AGAIN, 5},
     {"its tries are used up", true, 2, 1, CH_UPSTREAM_CUT, true, CH_RETRY_NO,
      5},
-    {"the budget is used up", true, 3, 0, CH_UPSTREAM_CUT, true, CH_RETRY_NO,
-     0.5},
-    {"an unsafe one may have run", false, 3, 0, CH_UPSTREAM_CUT, true,
+    {"the retry budget is used up", true, 3, 0, CH_UPSTREAM_CUT, true,
+     CH_RETRY_NO, 0.5},
+    {"not idempotent, may have run", false, 3, 0, CH_UPSTREAM_CUT, true,
      CH_RETRY_NO, 5},
-    {"an unsafe one surely has not", false, 3, 0, CH_UPSTREAM_REFUSED, false,
+    {"not idempotent, has not run", false, 3, 0, CH_UPSTREAM_REFUSED, false,
      CH_RETRY_AGAIN, 5},
-    {"no connection: nothing was sent, nothing is spent", false, 1, 0,
+    {"no connection: nothing was sent, and no retry is drawn", false, 1, 0,
      CH_UPSTREAM_CONNECT, false, CH_RETRY_AGAIN, 0},
     {"the caller is gone", true, 3, 0, CH_CANCELLED, true, CH_RETRY_NO, 5},
 };
@@ -223,55 +226,55 @@
 static void
 test_retries(void)
 {
-    for (size_t i = 0; i < G_N_ELEMENTS(retries); i++) {
+    for (size_t i = 0; i < G_N_ELEMENTS(retry_cases); i++) {
         struct ch_retry_budget budget = {
-            .level = retries[i].level, .share = 0.1, .most = 20};
-        const struct ch_work work = {
-            .idempotent = retries[i].idempotent,
-            .tries = retries[i].tries,
-            .attempt = retries[i].attempt,
+            .level = retry_cases[i].level, .share = 0.1, .most = 20};
+        const struct ch_work request = {
+            .idempotent = retry_cases[i].idempotent,
+            .tries = retry_cases[i].tries,
+            .attempt = retry_cases[i].attempt,
         };
-        g_test_message("%s", retries[i].what);
+        g_test_message("%s", retry_cases[i].what);
         const struct ch_retry_failure failure = {
-            .code = retries[i].code,
-            .may_have_run = retries[i].may_have_run,
+            .code = retry_cases[i].code,
+            .may_have_run = retry_cases[i].may_have_run,
         };
         bool held = false;
-        /* A silent call is given up only for a try that it holds then. */
-        if (retries[i].code == CH_UPSTREAM_CUT) {
-            bool expect = retries[i].expect == CH_RETRY_AGAIN;
-            g_assert_cmpint(ch_retry_reserve(&budget, &held, &work, 0), ==,
+        /* A silent call is given up only after a retry has been reserved. */
+        if (retry_cases[i].code == CH_UPSTREAM_CUT) {
+            bool expect = retry_cases[i].expect == CH_RETRY_AGAIN;
+            g_assert_cmpint(ch_retry_reserve(&budget, &held, &request, 0), ==,
                             expect);
             g_assert_cmpint(held, ==, expect);
-            g_assert_cmpfloat(budget.level, ==, retries[i].level - held);
+            g_assert_cmpfloat(budget.level, ==, retry_cases[i].level - held);
         }
-        double left = budget.level;
-        bool costs = !held && retries[i].expect == CH_RETRY_AGAIN &&
-                     retries[i].code != CH_UPSTREAM_CONNECT;
-        g_assert_cmpint(ch_retry_decide(&budget, &held, &work, &failure, 0),
-                        ==, retries[i].expect);
-        /* A held try is not drawn a second time, and is given back once. */
-        g_assert_cmpfloat(budget.level, ==, left - costs);
-        left = budget.level + held;
+        double level_before = budget.level;
+        bool draws_retry = !held && retry_cases[i].expect == CH_RETRY_AGAIN &&
+                           retry_cases[i].code != CH_UPSTREAM_CONNECT;
+        g_assert_cmpint(ch_retry_decide(&budget, &held, &request, &failure, 0),
+                        ==, retry_cases[i].expect);
+        /* A reserved retry is drawn from the budget only once, and returned
+         * once. */
+        g_assert_cmpfloat(budget.level, ==, level_before - draws_retry);
+        level_before = budget.level + held;
         ch_retry_give_back(&budget, &held);
         ch_retry_give_back(&budget, &held);
-        g_assert_cmpfloat(budget.level, ==, left);
+        g_assert_cmpfloat(budget.level, ==, level_before);
     }
 }
 
-/* What is past its time is not given up for another try: none would be made.
- */
+/* A silent call past its deadline isn't given up: there would be no retry. */
 static void
-test_reserve_past(void)
+test_reserve_past_deadline(void)
 {
     struct ch_retry_budget budget = {.level = 2, .share = 0.1, .most = 20};
-    const struct ch_work work = {
+    const struct ch_work request = {
         .idempotent = true, .tries = 2, .whole_by = 100};
     bool held = false;
-    g_assert_false(ch_retry_reserve(&budget, &held, &work, 100));
+    g_assert_false(ch_retry_reserve(&budget, &held, &request, 100));
     g_assert_cmpfloat(budget.level, ==, 2);
-    g_assert_true(ch_retry_reserve(&budget, &held, &work, 99));
-    g_assert_true(ch_retry_reserve(&budget, &held, &work, 99));
+    g_assert_true(ch_retry_reserve(&budget, &held, &request, 99));
+    g_assert_true(ch_retry_reserve(&budget, &held, &request, 99));
     g_assert_cmpfloat(budget.level, ==, 1);
 }
 
@@ -279,12 +282,12 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/route/bad", test_bad);
-    g_test_add_func("/route/text", test_text);
+    g_test_add_func("/route/bad", test_invalid_declarations);
+    g_test_add_func("/route/text", test_canonical_text);
     g_test_add_func("/route/routes", test_routes);
     g_test_add_func("/route/requests", test_requests);
     g_test_add_func("/route/deadline", test_deadline);
     g_test_add_func("/route/retries", test_retries);
-    g_test_add_func("/route/reserve-past", test_reserve_past);
+    g_test_add_func("/route/reserve-past", test_reserve_past_deadline);
     return g_test_run();
 }
