--- a/libchestnuthitch/decide/balance.c
+++ b/libchestnuthitch/decide/balance.c
@@ -60,9 +60,9 @@
     /* Averaging time of the demand for a model: demand moves every few
      * seconds. */
     DEMAND_WINDOW_US = 1000 * 1000,
-    /* Limit of uninterrupted prefill at an engine, and the pause that must
-     * follow before a new burst: three steps of the batch, which produce the
-     * tokens of one event. */
+    /* Limit of prefill without a pause at an engine, and the pause that must
+     * follow: three steps of the batch, which produce the tokens of one event.
+     */
     MAX_PREFILL_BURST_US = 230 * 1000,
     PREFILL_PAUSE_US = 40 * 1000,
     MAX_CACHED_PARTS = 1024, /* per upstream */
@@ -115,8 +115,8 @@
      * prefill. */
     int64_t prefill_burst;
     int64_t prefill_ended_at; /* when the last prefill ended */
-    /* Requests of other nodes: the reported total minus this node's own load
-     * when it was last reported. */
+    /* This node's own load when it was last reported, and the load of other
+     * nodes: the total of all nodes minus that own load. */
     uint32_t reported_running;
     int64_t reported_prefill_backlog;
     uint32_t others_running;
