--- a/libchestnuthitch/decide/admit.c
+++ b/libchestnuthitch/decide/admit.c
@@ -1,157 +1,171 @@
-/* Admission: what is let into the queue, and what is refused at once. */
+/* Admission: decides which requests are queued and which are refused at once.
+ */
 
 #include "decide/home.h"
 
 enum {
-    /* An adapter's load, as the brief states it (6 to 19 ms), rounded up. */
-    ADAPTER_LOAD = 20 * 1000,
-    /* Displacements for one newcomer: bounds the work at each offer. */
-    MOST_DISPLACED = 4,
-    /* Where the settings state no limit. */
-    DEFAULT_QUEUE = 256,
-    /* Tenths of the predicted wait that must be left.  The prediction is a
-     * mean: without a margin some of those let in are refused only when their
-     * turn comes, seconds after they could have asked elsewhere. */
-    MARGIN = 11,
-    /* A measurement older than this no longer speaks for the upstream. */
-    STALE = 10 * G_USEC_PER_SEC,
+    /* Loading an adapter takes 6 to 19 ms; rounded up. */
+    ADAPTER_LOAD_US = 20 * 1000,
+    /* Maximum number of queued requests preempted for a new one; limits the
+     * work for each new request. */
+    MAX_PREEMPTIONS = 4,
+    /* Queue length limit if the settings give none. */
+    DEFAULT_MAX_QUEUE = 256,
+    /* Tenths of the predicted wait for which a request must have time left.
+     * The prediction is a mean; without a margin, some of the admitted
+     * requests would be refused only when their turn comes, seconds after they
+     * could have tried elsewhere. */
+    WAIT_MARGIN_TENTHS = 11,
+    /* Measurements older than this say nothing about the upstream's present
+     * speed. */
+    MEASUREMENT_MAX_AGE_US = 10 * G_USEC_PER_SEC,
 };
 
-/* Microseconds until the nth slot is given back (0: the first), from the
- * exact list of what runs and how long each was expected to take. */
+/* Returns the microseconds until the nth slot is released (0: the first), from
+ * the running requests and their predicted times. */
 static int64_t
-time_to_free(const struct ch_home *home, guint nth, int64_t now)
+time_to_free_slot(const struct ch_home *home, guint nth, int64_t now)
 {
     guint count = home->granted->len;
     if (count == 0) {
         return 0;
     }
-    GArray *left = g_array_sized_new(FALSE, FALSE, sizeof(int64_t), count);
+    GArray *remaining =
+        g_array_sized_new(FALSE, FALSE, sizeof(int64_t), count);
     for (guint i = 0; i < count; i++) {
         const struct ch_granted *granted =
             &g_array_index(home->granted, struct ch_granted, i);
-        int64_t rest = granted->at + granted->expected - now;
-        /* One that is overdue has still a tenth to go, for all we know. */
-        rest = MAX(rest, granted->expected / 10);
-        g_array_append_val(left, rest);
+        int64_t time_left = granted->at + granted->expected - now;
+        /* An overdue request is assumed to need another tenth of its predicted
+         * time. */
+        time_left = MAX(time_left, granted->expected / 10);
+        g_array_append_val(remaining, time_left);
     }
-    g_array_sort(left, ch_compare_int64);
+    g_array_sort(remaining, ch_compare_int64);
     int64_t rounds = nth / count;
-    int64_t wait = g_array_index(left, int64_t, nth % count) +
+    int64_t wait = g_array_index(remaining, int64_t, nth % count) +
                    (int64_t)(home->rates.hold * (double)rounds);
-    g_array_unref(left);
+    g_array_unref(remaining);
     return wait;
 }
 
-/* Microseconds until a request of this rank would be granted, were its model
- * here: all of lower rank go before it. */
+/* Returns the microseconds until a request of this rank would be granted if
+ * its model were loaded, given the requests of equal or lower rank ahead of
+ * it. */
 int64_t
 ch_home_wait(const struct ch_home *home, int64_t rank, int64_t now)
 {
-    guint ahead = 0;
+    guint ahead_count = 0;
     for (guint i = 0; i < home->queue.entries->len; i++) {
         if (ch_queue_at(&home->queue, i)->rank > rank) {
             break;
         }
-        ahead++;
+        ahead_count++;
     }
     uint32_t limit = ch_home_limit(home);
     guint running = home->granted->len;
-    /* Without a limit, what was granted beyond it waits at the upstream. */
-    if (running + ahead < limit) {
+    /* A policy without a concurrency limit may have granted more; the excess
+     * requests wait at the upstream. */
+    if (running + ahead_count < limit) {
         return 0;
     }
-    return time_to_free(home, running + ahead - limit, now);
+    return time_to_free_slot(home, running + ahead_count - limit, now);
 }
 
-/* Microseconds until the request's model and adapter are here; -1: they are
- * not going to be. */
+/* Returns the microseconds until the request's model and adapter are loaded,
+ * or -1 if they are not going to be.  Marks an absent model that may be loaded
+ * as wanted. */
 static int64_t
-time_to_load(struct ch_home *home, const struct ch_work *work,
-             const struct ch_fleet *fleet, int64_t now)
+time_to_load_items(struct ch_home *home, const struct ch_work *request,
+                   const struct ch_fleet *fleet, int64_t now)
 {
-    if (work->service) {
+    if (request->service) {
         return 0;
     }
-    struct ch_held *model = ch_home_item(home, work->model);
-    int64_t load = ch_place_load_time(model);
-    int64_t adapter = 0;
-    if (work->adapter != 0 && !ch_home_has(home, work->adapter)) {
-        adapter = ADAPTER_LOAD;
+    struct ch_held *model = ch_home_item(home, request->model);
+    int64_t load_time = ch_place_load_time(model);
+    int64_t adapter_time = 0;
+    if (request->adapter != 0 && !ch_home_has(home, request->adapter)) {
+        adapter_time = ADAPTER_LOAD_US;
     }
     if (model->state == CH_ITEM_RESIDENT && !model->leaving) {
-        return adapter;
+        return adapter_time;
     }
     if (model->state == CH_ITEM_LOADING) {
-        int64_t left = model->changed + load - now;
-        return MAX(left, load / 10) + adapter;
+        int64_t remaining = model->changed + load_time - now;
+        return MAX(remaining, load_time / 10) + adapter_time;
     }
-    if (!ch_place_may_load(home, work, fleet, now)) {
+    if (!ch_place_may_load(home, request, fleet, now)) {
         return -1;
     }
     model->wanted = true;
-    return load + adapter;
+    return load_time + adapter_time;
 }
 
-/* How much of a tenant is here, running and waiting. */
+/* Returns the number of the tenant's requests here, running and queued. */
 static guint
-tenant_share(const struct ch_home *home, uint64_t tenant)
+count_tenant_requests(const struct ch_home *home, uint64_t tenant)
 {
-    guint share = 0;
+    guint count = 0;
     for (guint i = 0; i < home->granted->len; i++) {
         const struct ch_granted *granted =
             &g_array_index(home->granted, struct ch_granted, i);
-        share += granted->tenant == tenant ? 1 : 0;
+        count += granted->tenant == tenant ? 1 : 0;
     }
     for (guint i = 0; i < home->queue.entries->len; i++) {
-        share += ch_queue_at(&home->queue, i)->work.tenant == tenant ? 1 : 0;
+        count += ch_queue_at(&home->queue, i)->work.tenant == tenant ? 1 : 0;
     }
-    return share;
+    return count;
 }
 
 /*
- * Load: full saturation by one caller while others ask for little.  Harm
- * prevented: whoever asks most gets most, and the others are refused with it.
- * The last waiting entry of the tenant that holds most here makes room, when
- * that tenant holds at least two more than the newcomer's.  Limit: the gap of
- * two keeps two equal tenants from displacing each other in turn.
+ * Removes a queued request in favour of one from a tenant that uses less.
+ *
+ * If one caller saturates the upstream, it would otherwise get most of the
+ * service while callers who ask for little are refused.  The request that
+ * gives way is the last in the queue of the tenant with the most requests
+ * here, provided that this tenant has at least two more than the new request's
+ * tenant.  The gap of two keeps two equal tenants from preempting each other
+ * in turn.
  */
 static bool
-displace(struct ch_home *home, const struct ch_work *work,
-         struct ch_actions *out)
+preempt(struct ch_home *home, const struct ch_work *request,
+        struct ch_actions *out)
 {
-    guint own = tenant_share(home, work->tenant);
-    guint most = own + 1;
+    guint own_count = count_tenant_requests(home, request->tenant);
+    guint max = own_count + 1;
     int victim = -1;
-    for (guint at = home->queue.entries->len; at-- > 0;) {
-        uint64_t tenant = ch_queue_at(&home->queue, at)->work.tenant;
-        guint share = tenant == work->tenant ? 0 : tenant_share(home, tenant);
-        if (share > most) {
-            most = share;
-            victim = (int)at;
+    for (guint index = home->queue.entries->len; index-- > 0;) {
+        uint64_t tenant = ch_queue_at(&home->queue, index)->work.tenant;
+        guint count = tenant == request->tenant
+                          ? 0
+                          : count_tenant_requests(home, tenant);
+        if (count > max) {
+            max = count;
+            victim = (int)index;
         }
     }
     if (victim < 0) {
         return false;
     }
     ch_home_refuse(home, (guint)victim, CH_SHARE_FULL, G_USEC_PER_SEC,
-                   "other callers have had less", out);
+                   "other callers have fewer requests on this upstream", out);
     return true;
 }
 
-/* Whether the upstream was lately measured to be slower, alone, than the
- * request's target between tokens. */
+/* Whether recent measurements show that the upstream, even when it runs a
+ * single request, is slower than the request's target between tokens. */
 static bool
-too_slow(const struct ch_home *home, const struct ch_work *work, int64_t now)
+is_too_slow(const struct ch_home *home, const struct ch_work *request,
+            int64_t now)
 {
-    if (work->between == 0 || home->rates.weight < 1 ||
-        now - home->rates.sampled > STALE) {
+    if (request->between == 0 || home->rates.weight < 1 ||
+        now - home->rates.sampled > MEASUREMENT_MAX_AGE_US) {
         return false;
     }
-    return ch_rates_token(&home->rates, 1.0) > (double)work->between;
+    return ch_rates_token(&home->rates, 1.0) > (double)request->between;
 }
 
-/* A refusal's fields, in one. */
 static struct ch_admission
 refuse(enum ch_code code, int64_t retry_after, const char *reason)
 {
@@ -159,89 +173,100 @@
         .code = code, .retry_after = retry_after, .reason = reason};
 }
 
-/*
- * What would be late: refused, unless this is another try of a request that
- * was let in before.  Load: an upstream that failed what it ran.  Harm
- * prevented: a caller who holds half an answer, or has waited for a whole one,
- * is told that it failed, though it can still be served.  Limit: retries are a
- * small share of the fresh requests (see retry.c), and go behind those that
- * can still be on time.
- */
+/* Refuses a request that would be late, unless it is a retry of an admitted
+ * request.  If an upstream fails the requests that it ran, callers who have
+ * half a response or have waited for a whole one would otherwise get an error
+ * although they can still be served.  Retries are a small share of the new
+ * requests (see retry.c), and are queued behind those that can still be on
+ * time. */
 static struct ch_admission
-late(const struct ch_work *work, int64_t retry_after, const char *reason)
+refuse_late_unless_retry(const struct ch_work *request, int64_t retry_after,
+                         const char *reason)
 {
-    if (work->attempt > 0) {
+    if (request->attempt > 0) {
         return (struct ch_admission){.code = CH_OK, .late_ok = true};
     }
     return refuse(CH_LATE, retry_after, reason);
 }
 
 /*
- * Load: more than can be served in time.  Harm prevented: queues that grow
- * until every answer is late (goodput falls as load grows), and callers who
- * are told late what was known at once.  A request is refused when even the
- * exact count of what runs, and the time that each was measured to need, put
- * its first token past its target.  Limit: the prediction is the mean and not
- * a tail, so that what might make it is let in.
+ * Admits requests that are predicted to meet their target.
+ *
+ * If more requests arrive than can be served in time, queues would otherwise
+ * grow until every response is late, so that goodput falls as load rises, and
+ * callers would be told late what was known at once.  A request is refused if
+ * its first token, predicted from the exact list of running requests and their
+ * measured service times, is past its target.  The prediction is a mean, not a
+ * high percentile, so that requests which may still meet their target are
+ * admitted.
  *
- * A request whose model is nowhere cannot make a short target whatever is
- * done; it is let in and served late, as refusing it would leave the model
- * out of reach.
+ * A request whose model is on no upstream can't meet a short target in any
+ * case.  It is admitted and served late, because refusing it would leave the
+ * model unreachable.
  */
 struct ch_admission
-ch_admit_predicting(struct ch_home *home, const struct ch_work *work,
+ch_admit_predicting(struct ch_home *home, const struct ch_work *request,
                     const struct ch_fleet *fleet, int64_t now,
                     struct ch_actions *out)
 {
-    if (too_slow(home, work, now)) {
-        return refuse(CH_NO_UPSTREAM, STALE, "the upstream is too slow");
+    if (is_too_slow(home, request, now)) {
+        return refuse(
+            CH_NO_UPSTREAM, MEASUREMENT_MAX_AGE_US,
+            "the upstream is too slow for the target time per token");
     }
-    int64_t load = time_to_load(home, work, fleet, now);
-    if (load < 0) {
-        return refuse(CH_LATE, G_USEC_PER_SEC, "the model is not here");
+    int64_t load_time = time_to_load_items(home, request, fleet, now);
+    if (load_time < 0) {
+        return refuse(CH_LATE, G_USEC_PER_SEC,
+                      "the model is not loaded on this upstream");
     }
-    if (work->first_by == 0) {
+    if (request->first_by == 0) {
         return (struct ch_admission){.code = CH_OK};
     }
-    int64_t first = (int64_t)home->rates.first;
-    if (now + load + first > work->first_by) {
-        if (load > ADAPTER_LOAD && !ch_place_is_served(home, work, fleet)) {
+    int64_t first_byte_time = (int64_t)home->rates.first;
+    if (now + load_time + first_byte_time > request->first_by) {
+        if (load_time > ADAPTER_LOAD_US &&
+            !ch_place_is_served(home, request, fleet)) {
             return (struct ch_admission){.code = CH_OK, .late_ok = true};
         }
-        return late(work, load, "the model would come too late");
+        return refuse_late_unless_retry(
+            request, load_time, "loading the model would take too long");
     }
-    int64_t rank = home->policy->ordering->rank(home, work, now);
-    for (int tries = 0; tries <= MOST_DISPLACED; tries++) {
-        int64_t wait = ch_home_wait(home, rank, now) * MARGIN / 10;
-        wait = MAX(load, wait);
-        int64_t late_by = now + wait + first - work->first_by;
+    int64_t rank = home->policy->ordering->rank(home, request, now);
+    for (int preempted = 0; preempted <= MAX_PREEMPTIONS; preempted++) {
+        int64_t wait = ch_home_wait(home, rank, now) * WAIT_MARGIN_TENTHS / 10;
+        wait = MAX(load_time, wait);
+        int64_t late_by = now + wait + first_byte_time - request->first_by;
         if (late_by <= 0) {
             return (struct ch_admission){.code = CH_OK};
         }
-        if (!home->policy->admitting->fair || !displace(home, work, out)) {
-            return late(work, late_by, "the queue is too long");
+        if (!home->policy->admitting->fair || !preempt(home, request, out)) {
+            return refuse_late_unless_retry(request, late_by,
+                                            "the queue is too long");
         }
     }
-    return late(work, G_USEC_PER_SEC, "the queue is too long");
+    return refuse_late_unless_retry(request, G_USEC_PER_SEC,
+                                    "the queue is too long");
 }
 
-/* Lets in whatever the queue has room for: the baselines' way. */
+/* Admits every request for which the queue has room; used by the baseline
+ * policies. */
 struct ch_admission
-ch_admit_all(struct ch_home *home, const struct ch_work *work,
+ch_admit_all(struct ch_home *home, const struct ch_work *request,
              const struct ch_fleet *fleet, int64_t now, struct ch_actions *out)
 {
     (void)out;
-    int64_t load = time_to_load(home, work, fleet, now);
-    if (load < 0) {
-        return refuse(CH_NO_UPSTREAM, G_USEC_PER_SEC, "the model is not here");
+    int64_t load_time = time_to_load_items(home, request, fleet, now);
+    if (load_time < 0) {
+        return refuse(CH_NO_UPSTREAM, G_USEC_PER_SEC,
+                      "the model is not loaded on this upstream");
     }
-    return (struct ch_admission){.code = CH_OK, .late_ok = load > 0};
+    return (struct ch_admission){.code = CH_OK, .late_ok = load_time > 0};
 }
 
-/* Decides on a request that has come; what has to make room for it goes out
- * with a refusal of its own. */
+/* Decides whether to admit a new request.  Queued requests that give way to it
+ * are refused through `out`. */
 struct ch_admission
-ch_admit(struct ch_home *home, const struct ch_work *work,
+ch_admit(struct ch_home *home, const struct ch_work *request,
          const struct ch_fleet *fleet, int64_t now, struct ch_actions *out)
 {
     if (home->leaving || home->down) {
@@ -249,12 +274,12 @@
                       home->leaving ? "the upstream is leaving"
                                     : "the upstream does not answer");
     }
-    uint32_t most =
-        home->facts.max_queue > 0 ? home->facts.max_queue : DEFAULT_QUEUE;
-    if (home->queue.entries->len >= most) {
-        if (!home->policy->admitting->fair || !displace(home, work, out)) {
+    uint32_t max =
+        home->facts.max_queue > 0 ? home->facts.max_queue : DEFAULT_MAX_QUEUE;
+    if (home->queue.entries->len >= max) {
+        if (!home->policy->admitting->fair || !preempt(home, request, out)) {
             return refuse(CH_QUEUE_FULL, G_USEC_PER_SEC, "the queue is full");
         }
     }
-    return home->policy->admitting->admit(home, work, fleet, now, out);
+    return home->policy->admitting->admit(home, request, fleet, now, out);
 }
--- a/libchestnuthitch/decide/home.c
+++ b/libchestnuthitch/decide/home.c
@@ -1,20 +1,23 @@
-/* The home of an upstream: one queue and the exact count of what runs there.
- * This file keeps the books; admit.c refuses, place.c moves models. */
+/* The scheduler that the home node keeps for an upstream: its request queue,
+ * and the exact count of granted requests.  Admission is in admit.c, placement
+ * of models in place.c. */
 
 #include "decide/home.h"
 
 #include <string.h>
 
 enum {
-    /* Most at once where neither the list nor a measurement says: more than
-     * any engine of the brief runs, and a service's usual worker count. */
-    MOST_ENGINE = 256,
-    MOST_SERVICE = 32,
-    /* A request with less time left than this is marked most urgent. */
-    URGENT = G_USEC_PER_SEC,
+    /* Maximum number of concurrent requests if neither the host list nor a
+     * measurement gives a limit: more than any engine is expected to run, and
+     * the usual number of workers of a plain service. */
+    MAX_RUNNING_ENGINE = 256,
+    MAX_RUNNING_SERVICE = 32,
+    /* A request with less time left than this until its target gets the most
+     * urgent priority. */
+    URGENT_TIME_LEFT_US = G_USEC_PER_SEC,
 };
 
-/* A home with an empty queue and nothing known to be resident. */
+/* Returns a scheduler with an empty queue and no resident items. */
 struct ch_home *
 ch_home_new(const struct ch_policy *policy, const struct ch_home_facts *facts,
             int64_t now)
@@ -31,7 +34,7 @@
     return home;
 }
 
-/* Frees the home; what is queued is the caller's to answer. */
+/* Frees the scheduler.  The caller must have answered all queued requests. */
 void
 ch_home_free(struct ch_home *home)
 {
@@ -44,8 +47,8 @@
     g_free(home);
 }
 
-/* Takes over what the host list says now.  What runs goes on; a lower batch
- * is reached as requests end. */
+/* Takes over the host list's current entry.  Running requests continue; a
+ * lower limit is reached as they end. */
 void
 ch_home_set_facts(struct ch_home *home, const struct ch_home_facts *facts)
 {
@@ -55,7 +58,8 @@
     home->facts = *facts;
 }
 
-/* The item's record, valid until another is added; NULL when never seen. */
+/* Returns the item's record, or NULL if the item was never seen.  The pointer
+ * is valid until another item is added. */
 struct ch_held *
 ch_home_item(struct ch_home *home, GQuark name)
 {
@@ -68,7 +72,8 @@
     return NULL;
 }
 
-/* The item's record, made as absent when it was never seen. */
+/* Returns the item's record, after adding it as absent if it was never seen.
+ */
 struct ch_held *
 ch_home_item_need(struct ch_home *home, GQuark name, GQuark model,
                   uint32_t memory_mb)
@@ -80,82 +85,86 @@
         }
         return item;
     }
-    struct ch_held fresh = {
+    struct ch_held added = {
         .name = name, .model = model, .memory_mb = memory_mb};
-    g_array_append_val(home->items, fresh);
+    g_array_append_val(home->items, added);
     return ch_home_item(home, name);
 }
 
-/* Whether new work on the item may be granted here: it is resident and not
- * about to go. */
+/* Whether requests for the item may be granted: it is resident and not being
+ * evicted. */
 bool
 ch_home_has(const struct ch_home *home, GQuark item)
 {
     for (guint i = 0; i < home->items->len; i++) {
-        const struct ch_held *held =
+        const struct ch_held *record =
             &g_array_index(home->items, struct ch_held, i);
-        if (held->name == item) {
-            return held->state == CH_ITEM_RESIDENT && !held->leaving;
+        if (record->name == item) {
+            return record->state == CH_ITEM_RESIDENT && !record->leaving;
         }
     }
     return false;
 }
 
-/* The strictest target between tokens among what runs and `between`. */
+/* Returns the smallest target time between tokens among the running requests
+ * and `token_target`; 0: none of them has a target. */
 static int64_t
-strictest(const struct ch_home *home, int64_t between)
+min_token_target(const struct ch_home *home, int64_t token_target)
 {
     for (guint i = 0; i < home->granted->len; i++) {
-        int64_t other =
+        int64_t target =
             g_array_index(home->granted, struct ch_granted, i).between;
-        if (other > 0 && (between == 0 || other < between)) {
-            between = other;
+        if (target > 0 && (token_target == 0 || target < token_target)) {
+            token_target = target;
         }
     }
-    return between;
+    return token_target;
 }
 
-/* Most that may run at once if one with this target joins. */
+/* Returns how many requests may run at once if one with this target between
+ * tokens joins. */
 static uint32_t
-limit_with(const struct ch_home *home, int64_t between)
+limit_with_target(const struct ch_home *home, int64_t token_target)
 {
     bool service = home->facts.service != 0;
-    uint32_t most = home->facts.batch;
-    if (most == 0) {
-        most = service ? MOST_SERVICE : MOST_ENGINE;
+    uint32_t max = home->facts.batch;
+    if (max == 0) {
+        max = service ? MAX_RUNNING_SERVICE : MAX_RUNNING_ENGINE;
     }
     if (service || !home->policy->admitting->find_batch) {
-        return most;
+        return max;
     }
-    return ch_rates_batch(&home->rates, strictest(home, between), most);
+    return ch_rates_batch(&home->rates, min_token_target(home, token_target),
+                          max);
 }
 
-/* Most that may run at once beside what runs and waits now. */
+/* Returns how many requests may run at once, given the running and queued
+ * requests. */
 uint32_t
 ch_home_limit(const struct ch_home *home)
 {
-    int64_t between = 0;
+    int64_t token_target = 0;
     for (guint i = 0; i < home->queue.entries->len; i++) {
-        int64_t other = ch_queue_at(&home->queue, i)->work.between;
-        if (other > 0 && (between == 0 || other < between)) {
-            between = other;
+        int64_t target = ch_queue_at(&home->queue, i)->work.between;
+        if (target > 0 && (token_target == 0 || target < token_target)) {
+            token_target = target;
         }
     }
-    return limit_with(home, between);
+    return limit_with_target(home, token_target);
 }
 
-/* Appends an action of one kind for an item or a request. */
 static void
-append(struct ch_actions *out, const struct ch_action *action)
+append_action(struct ch_actions *out, const struct ch_action *action)
 {
     g_array_append_val(out->list, *action);
 }
 
-/* Counts a request in or out of what waits for the items that it needs. */
+/* Adds `change` to the queued counts of the request's model and adapter. */
 static void
-count_queued(struct ch_home *home, const struct ch_work *work, int change)
+adjust_queued_counts(struct ch_home *home, const struct ch_work *request,
+                     int change)
 {
-    GQuark names[] = {work->model, work->adapter};
+    GQuark names[] = {request->model, request->adapter};
     for (size_t i = 0; i < G_N_ELEMENTS(names); i++) {
         struct ch_held *item =
             names[i] == 0 ? NULL : ch_home_item(home, names[i]);
@@ -165,35 +174,35 @@
     }
 }
 
-/* Takes the entry at a place out of the queue. */
 static struct ch_entry
-take_out(struct ch_home *home, guint at)
+remove_entry(struct ch_home *home, guint index)
 {
-    struct ch_entry entry = *ch_queue_at(&home->queue, at);
-    ch_queue_remove(&home->queue, at);
-    count_queued(home, &entry.work, -1);
+    struct ch_entry entry = *ch_queue_at(&home->queue, index);
+    ch_queue_remove(&home->queue, index);
+    adjust_queued_counts(home, &entry.work, -1);
     return entry;
 }
 
-/* Takes the entry at a place out of the queue and refuses it, at once and for
- * good.  retry_after: microseconds until it is worth asking again. */
+/* Removes the queue entry and refuses its request for good. retry_after:
+ * microseconds until the caller may usefully retry. */
 void
-ch_home_refuse(struct ch_home *home, guint at, enum ch_code code,
+ch_home_refuse(struct ch_home *home, guint index, enum ch_code code,
                int64_t retry_after, const char *reason, struct ch_actions *out)
 {
     struct ch_action action = {
         .kind = CH_ACTION_REFUSE,
-        .work = take_out(home, at).work.id,
+        .work = remove_entry(home, index).work.id,
         .code = code,
         .retry_after = retry_after,
     };
     g_strlcpy(action.message, reason, sizeof(action.message));
-    append(out, &action);
+    append_action(out, &action);
 }
 
-/* Counts a request in or out of what runs on the items that it uses. */
+/* Adds `change` to the running counts of the model and adapter. */
 static void
-count_running(struct ch_home *home, GQuark model, GQuark adapter, int change)
+adjust_running_counts(struct ch_home *home, GQuark model, GQuark adapter,
+                      int change)
 {
     GQuark names[] = {model, adapter};
     for (size_t i = 0; i < G_N_ELEMENTS(names); i++) {
@@ -205,96 +214,96 @@
     }
 }
 
-/* Lets the entry at a place run. */
+/* Removes the queue entry and grants its request. */
 static void
-grant(struct ch_home *home, guint at, int64_t now, struct ch_actions *out)
+grant_entry(struct ch_home *home, guint index, int64_t now,
+            struct ch_actions *out)
 {
-    struct ch_work work = take_out(home, at).work;
+    struct ch_work request = remove_entry(home, index).work;
     uint32_t running = home->granted->len + 1;
     struct ch_granted granted = {
-        .work = work.id,
-        .model = work.model,
-        .adapter = work.adapter,
-        .tenant = work.tenant,
-        .between = work.between,
+        .work = request.id,
+        .model = request.model,
+        .adapter = request.adapter,
+        .tenant = request.tenant,
+        .between = request.between,
         .at = now,
-        .expected = ch_rates_hold(&home->rates, &work, running),
+        .expected = ch_rates_hold(&home->rates, &request, running),
         .running_then = running,
     };
     g_array_append_val(home->granted, granted);
-    count_running(home, work.model, work.adapter, 1);
+    adjust_running_counts(home, request.model, request.adapter, 1);
     struct ch_action action = {
         .kind = CH_ACTION_GRANT,
-        .work = work.id,
+        .work = request.id,
         .code = CH_OK,
-        .priority = work.first_by - now < URGENT ? 0 : 1,
+        .priority = request.first_by - now < URGENT_TIME_LEFT_US ? 0 : 1,
     };
-    append(out, &action);
+    append_action(out, &action);
 }
 
-/* Whether all that the request needs is in memory. */
+/* Whether the model and adapter that the request needs are in memory. */
 static bool
-can_run(const struct ch_home *home, const struct ch_work *work)
+can_run(const struct ch_home *home, const struct ch_work *request)
 {
-    if (work->service) {
+    if (request->service) {
         return true;
     }
-    if (!ch_home_has(home, work->model)) {
+    if (!ch_home_has(home, request->model)) {
         return false;
     }
-    return work->adapter == 0 || ch_home_has(home, work->adapter);
+    return request->adapter == 0 || ch_home_has(home, request->adapter);
 }
 
-/*
- * Load: more waiting than may run.  The entry of lowest rank whose model is
- * here goes first; one that waits for its model stands in nobody's way.
- */
+/* Grants queued requests, lowest rank first, up to the concurrency limit.
+ * Requests whose model isn't in memory are skipped, so that they don't block
+ * those behind them. */
 static void
-grant_all(struct ch_home *home, int64_t now, struct ch_actions *out)
+grant_runnable(struct ch_home *home, int64_t now, struct ch_actions *out)
 {
-    guint at = 0;
-    uint32_t most =
-        home->policy->admitting->unlimited ? G_MAXUINT32 : limit_with(home, 0);
-    while (at < home->queue.entries->len && home->granted->len < most) {
-        struct ch_entry *entry = ch_queue_at(&home->queue, at);
+    guint index = 0;
+    uint32_t max = home->policy->admitting->unlimited
+                       ? G_MAXUINT32
+                       : limit_with_target(home, 0);
+    while (index < home->queue.entries->len && home->granted->len < max) {
+        struct ch_entry *entry = ch_queue_at(&home->queue, index);
         if (!can_run(home, &entry->work)) {
-            at++;
+            index++;
             continue;
         }
         if (!home->policy->admitting->unlimited &&
-            home->granted->len >= limit_with(home, entry->work.between)) {
+            home->granted->len >=
+                limit_with_target(home, entry->work.between)) {
             return;
         }
-        grant(home, at, now, out);
+        grant_entry(home, index, now, out);
     }
 }
 
-/*
- * Load: a queue that has become longer than was predicted (an upstream slowed
- * down, a shorter deadline came in between).  Harm prevented: a slot spent on
- * an answer that is late already, while the next in line becomes late too.
- * The refusal goes out at once, so that the caller can still ask elsewhere.
- */
+/* Refuses queued requests that can no longer meet their target.  The queue can
+ * take longer than predicted if the upstream slows down or a request with an
+ * earlier deadline arrives.  Without this, a slot would go to a response that
+ * is late already while the next request becomes late too.  The refusal is
+ * sent at once so that the caller can still try elsewhere. */
 static void
-shed_late(struct ch_home *home, int64_t now, struct ch_actions *out)
+refuse_late(struct ch_home *home, int64_t now, struct ch_actions *out)
 {
-    int64_t least =
+    int64_t min_remaining =
         home->policy->admitting->predict ? (int64_t)home->rates.first : 0;
-    for (guint at = home->queue.entries->len; at-- > 0;) {
-        const struct ch_entry *entry = ch_queue_at(&home->queue, at);
+    for (guint index = home->queue.entries->len; index-- > 0;) {
+        const struct ch_entry *entry = ch_queue_at(&home->queue, index);
         if (entry->late_ok || entry->work.first_by == 0 ||
-            now + least <= entry->work.first_by) {
+            now + min_remaining <= entry->work.first_by) {
             continue;
         }
         int64_t wait = ch_home_wait(home, entry->rank, now);
-        ch_home_refuse(home, at, CH_LATE, wait,
-                       "its turn did not come in time", out);
+        ch_home_refuse(home, index, CH_LATE, wait,
+                       "the queue took longer than predicted", out);
     }
 }
 
-/* Refuses all that waits: the upstream takes no new work. */
 static void
-refuse_all(struct ch_home *home, const char *reason, struct ch_actions *out)
+refuse_queued(struct ch_home *home, const char *reason, struct ch_actions *out)
 {
     while (home->queue.entries->len > 0) {
         ch_home_refuse(home, home->queue.entries->len - 1, CH_NO_UPSTREAM,
@@ -302,125 +311,129 @@
     }
 }
 
-/* Does whatever has become possible; called after every change. */
+/* Grants, refuses, loads and unloads whatever the current state allows.
+ * Called after every change. */
 static void
-pump(struct ch_home *home, const struct ch_fleet *fleet, int64_t now,
-     struct ch_actions *out)
+apply_pending(struct ch_home *home, const struct ch_fleet *fleet, int64_t now,
+              struct ch_actions *out)
 {
     if (home->leaving || home->down) {
-        refuse_all(home,
-                   home->leaving ? "the upstream is leaving"
-                                 : "the upstream does not answer",
-                   out);
+        refuse_queued(home,
+                      home->leaving ? "the upstream is leaving"
+                                    : "the upstream does not answer",
+                      out);
     }
     if (fleet != NULL) {
         home->loads_left = fleet->loads_left;
     }
-    grant_all(home, now, out);
-    shed_late(home, now, out);
+    grant_runnable(home, now, out);
+    refuse_late(home, now, out);
     if (home->facts.service == 0 && !home->policy->placing->fixed &&
         !home->down) {
         ch_place_pump(home, fleet, now, out);
     }
 }
 
-/* Notes that the request was asked for here, whether or not it is let in. */
+/* Counts the request in the demand for its model and adapter, whether or not
+ * it is admitted. */
 static void
-note_demand(struct ch_home *home, const struct ch_work *work, int64_t now)
+record_demand(struct ch_home *home, const struct ch_work *request, int64_t now)
 {
-    if (work->service) {
+    if (request->service) {
         return;
     }
     struct ch_held *model =
-        ch_home_item_need(home, work->model, 0, work->model_mb);
+        ch_home_item_need(home, request->model, 0, request->model_mb);
     ch_demand_add(&model->demand, now);
     model->used = now;
-    if (work->adapter != 0) {
+    if (request->adapter != 0) {
         struct ch_held *adapter = ch_home_item_need(
-            home, work->adapter, work->model, work->adapter_mb);
+            home, request->adapter, request->model, request->adapter_mb);
         ch_demand_add(&adapter->demand, now);
         adapter->used = now;
     }
 }
 
-/* A request asks for leave.  It is refused at once, or queued and later
- * granted or refused; exactly one of the two comes out for it. */
+/* Refuses the request at once, or queues it and grants or refuses it later.
+ * Exactly one grant or refusal is issued for each request, unless it is
+ * withdrawn. */
 void
-ch_home_offer(struct ch_home *home, const struct ch_work *work,
+ch_home_offer(struct ch_home *home, const struct ch_work *request,
               const struct ch_fleet *fleet, int64_t now,
               struct ch_actions *out)
 {
     if (fleet != NULL) {
         home->loads_left = fleet->loads_left;
     }
-    note_demand(home, work, now);
-    struct ch_admission admission = ch_admit(home, work, fleet, now, out);
+    record_demand(home, request, now);
+    struct ch_admission admission = ch_admit(home, request, fleet, now, out);
     if (admission.code != CH_OK) {
         struct ch_action action = {
             .kind = CH_ACTION_REFUSE,
-            .work = work->id,
+            .work = request->id,
             .code = admission.code,
             .retry_after = admission.retry_after,
         };
         g_strlcpy(action.message, admission.reason, sizeof(action.message));
-        append(out, &action);
+        append_action(out, &action);
     }
     else {
         struct ch_entry entry = {
-            .work = *work,
-            .rank = home->policy->ordering->rank(home, work, now),
+            .work = *request,
+            .rank = home->policy->ordering->rank(home, request, now),
             .late_ok = admission.late_ok,
         };
         if (entry.late_ok) {
-            entry.rank = MAX(entry.rank, work->arrived + CH_LATE_RANK);
+            entry.rank = MAX(entry.rank, request->arrived + CH_LATE_RANK);
         }
         ch_queue_add(&home->queue, &entry);
-        count_queued(home, work, 1);
+        adjust_queued_counts(home, request, 1);
     }
-    pump(home, fleet, now, out);
+    apply_pending(home, fleet, now, out);
 }
 
-/* The caller went away: takes the request out of the queue.  One that was
- * granted stays until it is released. */
+/* Removes a request from the queue because its caller has gone.  A granted
+ * request stays until it is released. */
 void
-ch_home_withdraw(struct ch_home *home, uint64_t work, int64_t now,
+ch_home_withdraw(struct ch_home *home, uint64_t request_id, int64_t now,
                  struct ch_actions *out)
 {
-    int at = ch_queue_find(&home->queue, work);
-    if (at >= 0) {
-        (void)take_out(home, (guint)at);
+    int index = ch_queue_find(&home->queue, request_id);
+    if (index >= 0) {
+        (void)remove_entry(home, (guint)index);
     }
-    pump(home, NULL, now, out);
+    apply_pending(home, NULL, now, out);
 }
 
-/* A granted request is over.  Unknown ids are ignored, so that a release that
- * comes twice (a lost node's and its own, late) frees one slot alone. */
+/* Ends a granted request.  Unknown IDs are ignored: if a request is released
+ * for a lost node and later by that node too, only one slot is freed. */
 void
-ch_home_release(struct ch_home *home, uint64_t work,
+ch_home_release(struct ch_home *home, uint64_t request_id,
                 const struct ch_sample *sample, int64_t now,
                 struct ch_actions *out)
 {
     for (guint i = 0; i < home->granted->len; i++) {
         struct ch_granted granted =
             g_array_index(home->granted, struct ch_granted, i);
-        if (granted.work != work) {
+        if (granted.work != request_id) {
             continue;
         }
         double running = (granted.running_then + home->granted->len) / 2.0;
         ch_rates_add(&home->rates, sample, running, now - granted.at, now);
-        count_running(home, granted.model, granted.adapter, -1);
+        adjust_running_counts(home, granted.model, granted.adapter, -1);
         g_array_remove_index_fast(home->granted, i);
         break;
     }
-    /* Load: none needed.  A refused connection says sooner than any report
-     * that nothing runs there; the next report that answers clears it. */
+    /* A refused connection shows earlier than any report that nothing runs on
+     * the upstream.  The next report that the engine answers clears this. */
     if (sample->code == CH_UPSTREAM_CONNECT) {
         home->down = true;
     }
-    pump(home, NULL, now, out);
+    apply_pending(home, NULL, now, out);
 }
 
-/* What the ledger says of an item; it overrides what was assumed here. */
+/* Takes over an item's state from the ledger, which overrides the state
+ * assumed here. */
 void
 ch_home_set_item(struct ch_home *home, GQuark item, enum ch_item_state state,
                  uint32_t memory_mb, int64_t now, struct ch_actions *out)
@@ -433,115 +446,117 @@
         model = g_quark_from_string(name);
         g_free(name);
     }
-    struct ch_held *held = ch_home_item_need(home, item, model, memory_mb);
-    if (held->state != state) {
-        held->changed = now;
-        held->leaving = false;
+    struct ch_held *record = ch_home_item_need(home, item, model, memory_mb);
+    if (record->state != state) {
+        record->changed = now;
+        record->leaving = false;
     }
-    held->state = state;
+    record->state = state;
     if (memory_mb > 0) {
-        held->memory_mb = memory_mb;
+        record->memory_mb = memory_mb;
     }
-    pump(home, NULL, now, out);
+    apply_pending(home, NULL, now, out);
 }
 
-/*
- * An order was not done.  Load: the key-value service is away, or another
- * holder changed the ledger.  Harm prevented: callers who wait for a model
- * that will not come, and a write a tick to a service that is in trouble.
- * Limit: a conflict is over in one round trip; an absent service is asked
- * again each second, which 1,900 homes can do, as only those with an order
- * pending ask.
- */
+/* Handles an order that was not carried out because the key-value store is
+ * unreachable or another lease holder changed the ledger.  Without this,
+ * callers would wait for a model that isn't coming, and each tick would send a
+ * write to a service that is in trouble.  A conflict is resolved within one
+ * round trip.  An unreachable service is tried again every second; with 1,900
+ * upstreams the store can still serve these requests, as only upstreams with a
+ * pending order cause them. */
 void
 ch_home_order_failed(struct ch_home *home, GQuark item,
                      enum ch_action_kind kind, enum ch_code code, int64_t now,
                      struct ch_actions *out)
 {
-    struct ch_held *held = ch_home_item(home, item);
-    if (held != NULL && kind == CH_ACTION_LOAD &&
-        held->state == CH_ITEM_LOADING) {
-        held->state = CH_ITEM_ABSENT;
+    struct ch_held *record = ch_home_item(home, item);
+    if (record != NULL && kind == CH_ACTION_LOAD &&
+        record->state == CH_ITEM_LOADING) {
+        record->state = CH_ITEM_ABSENT;
     }
-    if (held != NULL && kind == CH_ACTION_UNLOAD &&
-        held->state == CH_ITEM_UNLOADING) {
-        held->state = CH_ITEM_RESIDENT;
+    if (record != NULL && kind == CH_ACTION_UNLOAD &&
+        record->state == CH_ITEM_UNLOADING) {
+        record->state = CH_ITEM_RESIDENT;
     }
-    /* Passing: somebody else wrote first, or the ledger of a home that has
-     * just opened waits for the engine's first report. */
+    /* Temporary: another node wrote first, or the ledger of a home node that
+     * has just taken over the upstream waits for the engine's first report. */
     if (code == CH_KV_CONFLICT || code == CH_NOT_READY) {
-        if (held != NULL) {
-            held->not_before = now + CH_HOME_TICK;
+        if (record != NULL) {
+            record->not_before = now + CH_HOME_TICK;
         }
-        pump(home, NULL, now, out);
+        apply_pending(home, NULL, now, out);
         return;
     }
     home->blocked_until = now + G_USEC_PER_SEC;
-    for (guint at = home->queue.entries->len; at-- > 0;) {
-        if (!can_run(home, &ch_queue_at(&home->queue, at)->work)) {
-            ch_home_refuse(home, at, CH_NO_UPSTREAM, G_USEC_PER_SEC,
-                           "the model cannot be loaded here now", out);
+    for (guint index = home->queue.entries->len; index-- > 0;) {
+        if (!can_run(home, &ch_queue_at(&home->queue, index)->work)) {
+            ch_home_refuse(home, index, CH_NO_UPSTREAM, G_USEC_PER_SEC,
+                           "the model cannot be loaded on this upstream now",
+                           out);
         }
     }
-    pump(home, NULL, now, out);
+    apply_pending(home, NULL, now, out);
 }
 
-/* The engine's own word, as late as it comes.  Its counts are left aside: the
- * home's own are exact, and adding what runs beyond them was tried without
- * gain (docs/DECISIONS.md). */
+/* Takes over the engine's report, which may lag.  Its request counts are
+ * ignored: the counts kept here are exact, and adding the requests that the
+ * engine runs beyond them brought no gain (docs/DECISIONS.md). */
 void
 ch_home_report(struct ch_home *home, uint32_t running, uint32_t waiting,
-               bool leaving, bool down, int64_t now, struct ch_actions *out)
+               bool draining, bool down, int64_t now, struct ch_actions *out)
 {
     (void)running;
     (void)waiting;
-    home->leaving = leaving || home->facts.leaving;
+    home->leaving = draining || home->facts.leaving;
     home->down = down;
-    pump(home, NULL, now, out);
+    apply_pending(home, NULL, now, out);
 }
 
-/* Time has passed: sheds what became late and goes on with moves. */
+/* Refuses requests that have become late and continues loads and evictions. */
 void
 ch_home_tick(struct ch_home *home, const struct ch_fleet *fleet, int64_t now,
              struct ch_actions *out)
 {
-    pump(home, fleet, now, out);
+    apply_pending(home, fleet, now, out);
 }
 
-/* How much longer than expected the slowest running request is taking: 1 when
- * none is.  It shows a stuck or slow upstream before any answer has ended. */
+/* Returns the largest ratio of elapsed to predicted time among the running
+ * requests; 1 if no request has taken at least twice its predicted time.  This
+ * reveals a stuck or slow upstream before any response has ended. */
 static double
-overdue(const struct ch_home *home, int64_t now)
+max_overrun(const struct ch_home *home, int64_t now)
 {
-    double most = 1.0;
+    double max_ratio = 1.0;
     for (guint i = 0; i < home->granted->len; i++) {
         const struct ch_granted *granted =
             &g_array_index(home->granted, struct ch_granted, i);
         int64_t expected = MAX(granted->expected, 1);
-        most = MAX(most, (double)(now - granted->at) / (double)expected);
+        max_ratio =
+            MAX(max_ratio, (double)(now - granted->at) / (double)expected);
     }
-    return most < 2.0 ? 1.0 : most;
+    return max_ratio < 2.0 ? 1.0 : max_ratio;
 }
 
-/* Appends an item to the list that its state puts it in. */
+/* Appends the item to the list for its state, if there is one. */
 static void
-view_item(const struct ch_held *held, int64_t now,
-          struct ch_upstream_view *out)
+append_item_view(const struct ch_held *record, int64_t now,
+                 struct ch_upstream_view *out)
 {
     struct ch_item item = {
-        .name = held->name,
-        .rate = (uint32_t)(ch_demand_most(&held->demand, now) * 1000.0),
+        .name = record->name,
+        .rate = (uint32_t)(ch_demand_most(&record->demand, now) * 1000.0),
     };
-    if (held->state == CH_ITEM_RESIDENT && !held->leaving) {
+    if (record->state == CH_ITEM_RESIDENT && !record->leaving) {
         g_array_append_val(out->resident, item);
     }
-    else if (held->state == CH_ITEM_LOADING) {
+    else if (record->state == CH_ITEM_LOADING) {
         g_array_append_val(out->loading, item);
     }
 }
 
-/* What other nodes are told.  Region and data centre are the caller's to fill
- * in; the two arrays are new and the caller's to unref. */
+/* Fills in what other nodes are told, except for region and data centre.  The
+ * caller must unref the two new arrays. */
 void
 ch_home_view(const struct ch_home *home, int64_t now,
              struct ch_upstream_view *out)
@@ -563,15 +578,15 @@
     };
     uint32_t committed = 0;
     for (guint i = 0; i < home->items->len; i++) {
-        const struct ch_held *held =
+        const struct ch_held *record =
             &g_array_index(home->items, struct ch_held, i);
-        if (held->state != CH_ITEM_ABSENT) {
-            committed += held->memory_mb;
+        if (record->state != CH_ITEM_ABSENT) {
+            committed += record->memory_mb;
         }
-        view_item(held, now, out);
+        append_item_view(record, now, out);
     }
     uint32_t capacity = home->facts.capacity_mb;
     out->free_mb = committed < capacity ? capacity - committed : 0;
     double token = ch_rates_token(&home->rates, home->granted->len + 1.0);
-    out->token = (int64_t)(token * overdue(home, now));
+    out->token = (int64_t)(token * max_overrun(home, now));
 }
--- a/libchestnuthitch/decide/home.h
+++ b/libchestnuthitch/decide/home.h
@@ -1,31 +1,34 @@
 #ifndef CH_DECIDE_HOME_H
 #define CH_DECIDE_HOME_H
 
-/* The inside of a home and of a policy; for decide/ alone. */
+/* Internal structures of a home node's scheduler and of the policies; for use
+ * in decide/ only. */
 
 #include "decide/policy.h"
 
-/* ---- what a home has measured (rates.c) ---- */
+/* ---- service times that a home node has measured (rates.c) ---- */
 
 struct ch_rates {
-    /* Decaying sums over samples of (running at once, time for a token). */
+    /* Exponentially decaying sums for a linear regression of the time per
+     * token (t) on the number of concurrent requests (n). */
     double weight, sum_n, sum_t, sum_nn, sum_nt;
-    double first; /* mean, dispatch to first byte */
-    double hold;  /* mean, grant to release */
+    double first; /* mean, from send to first byte */
+    double hold;  /* mean, from grant to release */
     int64_t sampled;
     bool engine;
 };
 
 void ch_rates_init(struct ch_rates *rates, bool engine);
 void ch_rates_add(struct ch_rates *rates, const struct ch_sample *sample,
-                  double running, int64_t held, int64_t now);
+                  double running, int64_t slot_time, int64_t now);
 double ch_rates_token(const struct ch_rates *rates, double running);
-int64_t ch_rates_hold(const struct ch_rates *rates, const struct ch_work *work,
-                      uint32_t running);
-uint32_t ch_rates_batch(const struct ch_rates *rates, int64_t between,
-                        uint32_t most);
+int64_t ch_rates_hold(const struct ch_rates *rates,
+                      const struct ch_work *request, uint32_t running);
+uint32_t ch_rates_batch(const struct ch_rates *rates, int64_t token_target,
+                        uint32_t max);
 
-/* Requests a second, of the last seconds and of the last minute. */
+/* Requests per second at `at`: decaying averages over seconds and over a
+ * minute. */
 struct ch_demand {
     double fast;
     double slow;
@@ -36,41 +39,42 @@
 double ch_demand_most(const struct ch_demand *demand, int64_t now);
 double ch_demand_least(const struct ch_demand *demand, int64_t now);
 
-/* ---- one queue (queue.c) ---- */
+/* ---- request queue (queue.c) ---- */
 
 struct ch_entry {
     struct ch_work work;
     int64_t rank; /* lowest first */
-    bool late_ok; /* misses its target by a load that had to be: served late */
+    bool late_ok; /* serve although it will miss its target */
 };
 
 struct ch_queue {
-    GArray *entries; /* of struct ch_entry, by rank */
+    GArray *entries; /* of struct ch_queue_entry, by rank */
 };
 
 void ch_queue_init(struct ch_queue *queue);
 void ch_queue_clear(struct ch_queue *queue);
 void ch_queue_add(struct ch_queue *queue, const struct ch_entry *entry);
-int ch_queue_find(const struct ch_queue *queue, uint64_t work);
-struct ch_entry *ch_queue_at(const struct ch_queue *queue, guint at);
-void ch_queue_remove(struct ch_queue *queue, guint at);
+int ch_queue_find(const struct ch_queue *queue, uint64_t request_id);
+struct ch_entry *ch_queue_at(const struct ch_queue *queue, guint index);
+void ch_queue_remove(struct ch_queue *queue, guint index);
 
-/* ---- what is in the upstream's memory (place.c) ---- */
+/* ---- items in the upstream's memory (place.c) ---- */
 
 struct ch_held {
     GQuark name;
-    GQuark model; /* of an adapter; else 0 */
+    GQuark model; /* the adapter's model; 0: the item is a model */
     enum ch_item_state state;
     uint32_t memory_mb;
-    bool leaving;            /* to be unloaded once nothing runs on it */
-    bool wanted;             /* to be loaded as soon as there is room */
+    bool leaving;            /* to be unloaded once no request uses it */
+    bool wanted;             /* to be loaded as soon as there is memory */
     uint32_t running;        /* granted requests that use it */
-    uint32_t queued;         /* waiting ones */
-    struct ch_demand demand; /* offered, refused requests among it */
-    int64_t used;            /* last offered */
-    int64_t unserved;   /* first refused since it was last here; 0: none */
-    int64_t changed;    /* last change of state */
-    int64_t not_before; /* no order for it until then */
+    uint32_t queued;         /* queued requests that need it */
+    struct ch_demand demand; /* arriving requests, including refused ones */
+    int64_t used;            /* last request for it arrived */
+    int64_t unserved; /* since when no upstream has had it; 0: not known to be
+                         unavailable */
+    int64_t changed;  /* last change of state */
+    int64_t not_before; /* no load or unload order before this time */
 };
 
 struct ch_granted {
@@ -80,7 +84,7 @@
     uint64_t tenant;
     int64_t between;
     int64_t at;
-    int64_t expected; /* time that it was expected to hold its slot */
+    int64_t expected; /* predicted time from grant to release */
     uint32_t running_then;
 };
 
@@ -88,36 +92,40 @@
     const struct ch_policy *policy;
     struct ch_home_facts facts;
     struct ch_queue queue;
-    GArray *granted; /* of struct ch_granted */
-    GArray *items;   /* of struct ch_held */
+    GArray *granted; /* of struct ch_running_request */
+    GArray *items;   /* of struct ch_item_record */
     struct ch_rates rates;
     bool leaving;
     bool down;
     uint32_t loads_left;
-    int64_t blocked_until; /* orders fail until then: key-value service away */
+    int64_t blocked_until; /* no load or unload orders before this time:
+                              key-value store unreachable */
 };
 
 enum {
-    /* Work that is served late, for a load that had to be, ranks as if its
-     * target were this long after its arrival: behind what can still make its
-     * target, and not for ever. */
+    /* A request that is served late, because its model has to be loaded first
+     * or because it is a retry, is ranked as if its target were this long
+     * after its arrival: behind requests that can still meet their targets,
+     * but without starving. */
     CH_LATE_RANK = 20 * G_USEC_PER_SEC,
 };
 
-/* Whether the upstream serves the work as it is: resident, and fast enough. */
+/* Whether the upstream can serve the request as it is now: its model is
+ * resident and its tokens come fast enough. */
 bool ch_view_serves(const struct ch_upstream_view *view,
-                    const struct ch_work *work);
+                    const struct ch_work *request);
 
 struct ch_held *ch_home_item(struct ch_home *home, GQuark name);
 struct ch_held *ch_home_item_need(struct ch_home *home, GQuark name,
                                   GQuark model, uint32_t memory_mb);
 bool ch_home_has(const struct ch_home *home, GQuark item);
 int64_t ch_place_load_time(const struct ch_held *item);
-bool ch_place_is_served(const struct ch_home *home, const struct ch_work *work,
+bool ch_place_is_served(const struct ch_home *home,
+                        const struct ch_work *request,
                         const struct ch_fleet *fleet);
 void ch_place_pump(struct ch_home *home, const struct ch_fleet *fleet,
                    int64_t now, struct ch_actions *out);
-bool ch_place_may_load(struct ch_home *home, const struct ch_work *work,
+bool ch_place_may_load(struct ch_home *home, const struct ch_work *request,
                        const struct ch_fleet *fleet, int64_t now);
 
 /* ---- admission (admit.c) ---- */
@@ -129,48 +137,53 @@
     const char *reason;
 };
 
-struct ch_admission ch_admit(struct ch_home *home, const struct ch_work *work,
+struct ch_admission ch_admit(struct ch_home *home,
+                             const struct ch_work *request,
                              const struct ch_fleet *fleet, int64_t now,
                              struct ch_actions *out);
 uint32_t ch_home_limit(const struct ch_home *home);
 int64_t ch_home_wait(const struct ch_home *home, int64_t rank, int64_t now);
-void ch_home_refuse(struct ch_home *home, guint at, enum ch_code code,
+void ch_home_refuse(struct ch_home *home, guint index, enum ch_code code,
                     int64_t retry_after, const char *reason,
                     struct ch_actions *out);
 
-/* ---- a policy: a row of choices (policy.c) ---- */
+/* ---- a policy is a set of rules (policy.c) ---- */
 
 struct ch_routing {
     struct ch_route (*choose)(const struct ch_policy *policy,
                               struct ch_fleet *fleet,
-                              const struct ch_work *work,
+                              const struct ch_work *request,
                               const GArray *excluded, int64_t now);
-    bool affinity; /* prefix and adapter, before plain balance */
-    bool spill;    /* to another region */
-    bool counts;   /* own requests since the last report are counted */
+    bool affinity; /* prefer upstreams with the prompt prefix or adapter,
+                      before balancing by load */
+    bool spill;    /* may route to another region */
+    bool counts; /* count own requests sent since the upstream's last report */
 };
 
-/* Lower goes first; microseconds. */
+/* Returns a rank in microseconds; the lowest goes first. */
 struct ch_ordering {
-    int64_t (*rank)(const struct ch_home *home, const struct ch_work *work,
+    int64_t (*rank)(const struct ch_home *home, const struct ch_work *request,
                     int64_t now);
 };
 
 struct ch_admitting {
     struct ch_admission (*admit)(struct ch_home *home,
-                                 const struct ch_work *work,
+                                 const struct ch_work *request,
                                  const struct ch_fleet *fleet, int64_t now,
                                  struct ch_actions *out);
-    bool predict;    /* refuse what will miss; else shed what has missed */
-    bool find_batch; /* from measured times; else what the engine states */
-    bool fair;       /* between tenants when full */
-    bool unlimited;  /* grants all at once: the upstream queues by itself */
+    bool predict; /* refuse requests that are predicted to miss their target;
+                     otherwise only drop those that have missed it */
+    bool find_batch; /* derive the concurrency limit from measured times;
+                        otherwise use the engine's stated limit */
+    bool fair;       /* share the queue between tenants when it is full */
+    bool unlimited;  /* grant every request at once; the upstream queues by
+                        itself */
 };
 
 struct ch_placing {
-    bool fixed;     /* nothing is loaded or unloaded */
-    bool reluctant; /* a further replica must be worth its cost */
-    bool keep_last; /* last replicas go last */
+    bool fixed;     /* never load or unload */
+    bool reluctant; /* an additional replica must be worth its cost */
+    bool keep_last; /* evict last replicas only after others */
 };
 
 struct ch_policy {
@@ -183,26 +196,26 @@
 
 struct ch_route ch_route_default(const struct ch_policy *policy,
                                  struct ch_fleet *fleet,
-                                 const struct ch_work *work,
+                                 const struct ch_work *request,
                                  const GArray *excluded, int64_t now);
 struct ch_route ch_route_least_loaded(const struct ch_policy *policy,
                                       struct ch_fleet *fleet,
-                                      const struct ch_work *work,
+                                      const struct ch_work *request,
                                       const GArray *excluded, int64_t now);
 struct ch_route ch_route_independent(const struct ch_policy *policy,
                                      struct ch_fleet *fleet,
-                                     const struct ch_work *work,
+                                     const struct ch_work *request,
                                      const GArray *excluded, int64_t now);
 struct ch_route ch_route_static(const struct ch_policy *policy,
                                 struct ch_fleet *fleet,
-                                const struct ch_work *work,
+                                const struct ch_work *request,
                                 const GArray *excluded, int64_t now);
 struct ch_admission ch_admit_predicting(struct ch_home *home,
-                                        const struct ch_work *work,
+                                        const struct ch_work *request,
                                         const struct ch_fleet *fleet,
                                         int64_t now, struct ch_actions *out);
 struct ch_admission ch_admit_all(struct ch_home *home,
-                                 const struct ch_work *work,
+                                 const struct ch_work *request,
                                  const struct ch_fleet *fleet, int64_t now,
                                  struct ch_actions *out);
 
--- a/libchestnuthitch/decide/policy.c
+++ b/libchestnuthitch/decide/policy.c
@@ -1,69 +1,75 @@
-/* The policies: each a row of choices over the same home and router. */
+/* Table of the scheduling policies.  Each combines rules for the same
+ * scheduler and router. */
 
 #include "decide/home.h"
 
 #include <string.h>
 
 enum {
-    /* Work without a target ranks as if it had this one: behind what has a
-     * target, and never for ever. */
-    NO_TARGET = 60 * G_USEC_PER_SEC,
+    /* Requests without a target are ranked as if they had this target: behind
+     * requests that have one, but without starving. */
+    DEFAULT_TARGET_US = 60 * G_USEC_PER_SEC,
 };
 
-/* Earliest deadline first.
+/*
+ * Earliest deadline first.
  *
- * Load: short lookups beside long advice on one upstream.  Harm prevented: a
- * lookup that waits behind advice which has seconds to spare.  Limit: under
- * overload deadline order makes everything late in turn, so it stands only
- * beside admission, which keeps what would be late out. */
+ * Short lookups and long advice requests share an upstream.  In order of
+ * arrival, a lookup would wait behind an advice request that has seconds to
+ * spare.  Under overload, this order makes every request late in turn, so it
+ * is only used together with admission, which refuses requests that would be
+ * late.
+ */
 static int64_t
-rank_deadline(const struct ch_home *home, const struct ch_work *work,
-              int64_t now)
+rank_by_deadline(const struct ch_home *home, const struct ch_work *request,
+                 int64_t now)
 {
     (void)home;
     (void)now;
-    return work->first_by > 0 ? work->first_by : work->arrived + NO_TARGET;
+    return request->first_by > 0 ? request->first_by
+                                 : request->arrived + DEFAULT_TARGET_US;
 }
 
-/* First come, first served. */
 static int64_t
-rank_arrival(const struct ch_home *home, const struct ch_work *work,
-             int64_t now)
+rank_by_arrival(const struct ch_home *home, const struct ch_work *request,
+                int64_t now)
 {
     (void)home;
     (void)now;
-    return work->arrived;
+    return request->arrived;
 }
 
-/* Least slack: the deadline less the time that the request will hold its
- * slot, so that long work goes before short work of the same deadline. */
+/* Least slack first: the deadline minus the time that the request will hold
+ * its slot, so that of two requests with the same deadline the longer one goes
+ * first. */
 static int64_t
-rank_slack(const struct ch_home *home, const struct ch_work *work, int64_t now)
+rank_by_slack(const struct ch_home *home, const struct ch_work *request,
+              int64_t now)
 {
     uint32_t running = home->granted->len + 1;
-    return rank_deadline(home, work, now) -
-           ch_rates_hold(&home->rates, work, running);
+    return rank_by_deadline(home, request, now) -
+           ch_rates_hold(&home->rates, request, running);
 }
 
 static const struct ch_routing ROUTE_DEFAULT = {ch_route_default, true, true,
                                                 true};
-static const struct ch_routing ROUTE_PLAIN = {ch_route_default, false, true,
-                                              true};
-static const struct ch_routing ROUTE_LOCAL = {ch_route_default, true, false,
-                                              true};
+static const struct ch_routing ROUTE_NO_AFFINITY = {ch_route_default, false,
+                                                    true, true};
+static const struct ch_routing ROUTE_NO_SPILL = {ch_route_default, true, false,
+                                                 true};
 static const struct ch_routing ROUTE_LEAST_LOADED = {ch_route_least_loaded,
                                                      false, true, true};
 static const struct ch_routing ROUTE_STATIC = {ch_route_static, false, true,
                                                false};
 static const struct ch_routing ROUTE_INDEPENDENT = {ch_route_independent, true,
                                                     true, true};
-static const struct ch_ordering BY_DEADLINE = {rank_deadline};
-static const struct ch_ordering BY_ARRIVAL = {rank_arrival};
-static const struct ch_ordering BY_SLACK = {rank_slack};
+static const struct ch_ordering BY_DEADLINE = {rank_by_deadline};
+static const struct ch_ordering BY_ARRIVAL = {rank_by_arrival};
+static const struct ch_ordering BY_SLACK = {rank_by_slack};
 static const struct ch_admitting ADMIT_DEFAULT = {ch_admit_predicting, true,
                                                   true, true, false};
-static const struct ch_admitting ADMIT_SHEDDING = {ch_admit_all, false, true,
-                                                   false, false};
+static const struct ch_admitting ADMIT_LATE_SHEDDING = {ch_admit_all, false,
+                                                        true, false, false};
 static const struct ch_admitting ADMIT_UNFAIR = {ch_admit_predicting, true,
                                                  true, false, false};
 static const struct ch_admitting ADMIT_ALL = {ch_admit_all, false, false,
@@ -74,8 +80,10 @@
 static const struct ch_placing PLACE_EAGER = {false, false, false};
 static const struct ch_placing PLACE_FIXED = {true, false, false};
 
-/* The first is what the node runs; the next two are the baselines; each of
- * the others differs from the first in one choice, for measuring it. */
+/* The first policy is the node's.  The next two are baselines for comparison.
+ * Each of the others differs from the first in a single choice, to measure the
+ * effect of that choice; "independent" differs in routing, ordering and
+ * admission. */
 static const struct ch_policy POLICIES[] = {
     {"default", &ROUTE_DEFAULT, &BY_DEADLINE, &ADMIT_DEFAULT, &PLACE_DEFAULT},
     {"static", &ROUTE_STATIC, &BY_ARRIVAL, &ADMIT_ALL, &PLACE_FIXED},
@@ -83,11 +91,12 @@
      &PLACE_EAGER},
     {"fcfs", &ROUTE_DEFAULT, &BY_ARRIVAL, &ADMIT_DEFAULT, &PLACE_DEFAULT},
     {"least-slack", &ROUTE_DEFAULT, &BY_SLACK, &ADMIT_DEFAULT, &PLACE_DEFAULT},
-    {"late-shedding", &ROUTE_DEFAULT, &BY_DEADLINE, &ADMIT_SHEDDING,
+    {"late-shedding", &ROUTE_DEFAULT, &BY_DEADLINE, &ADMIT_LATE_SHEDDING,
+     &PLACE_DEFAULT},
+    {"no-affinity", &ROUTE_NO_AFFINITY, &BY_DEADLINE, &ADMIT_DEFAULT,
      &PLACE_DEFAULT},
-    {"no-affinity", &ROUTE_PLAIN, &BY_DEADLINE, &ADMIT_DEFAULT,
+    {"no-spill", &ROUTE_NO_SPILL, &BY_DEADLINE, &ADMIT_DEFAULT,
      &PLACE_DEFAULT},
-    {"no-spill", &ROUTE_LOCAL, &BY_DEADLINE, &ADMIT_DEFAULT, &PLACE_DEFAULT},
     {"no-fairness", &ROUTE_DEFAULT, &BY_DEADLINE, &ADMIT_UNFAIR,
      &PLACE_DEFAULT},
     {"eager-moves", &ROUTE_DEFAULT, &BY_DEADLINE, &ADMIT_DEFAULT,
@@ -96,7 +105,7 @@
      &PLACE_DEFAULT},
 };
 
-/* Names of all policies, ended by NULL; for messages. */
+/* Returns the names of all policies, NULL-terminated, for error messages. */
 const char *const *
 ch_policy_names(void)
 {
@@ -108,7 +117,8 @@
     return NAMES;
 }
 
-/* The policy of that name, which lives for ever; NULL when there is none. */
+/* Returns the policy of that name, statically allocated, or NULL if there is
+ * none. */
 const struct ch_policy *
 ch_policy_find(const char *name)
 {
--- a/libchestnuthitch/decide/policy.h
+++ b/libchestnuthitch/decide/policy.h
@@ -1,10 +1,9 @@
 #ifndef CH_DECIDE_POLICY_H
 #define CH_DECIDE_POLICY_H
 
-/*
- * A policy: how requests are routed, queued, refused, and models placed.
- * The node runs "default"; replay runs any by name.
- */
+/* Scheduling policies: how requests are routed, queued and refused, and how
+ * models are placed.  The node runs the policy "default"; the replay tool runs
+ * any policy by name. */
 
 #include "decide/fleet.h"
 
@@ -13,7 +12,7 @@
 const struct ch_policy *ch_policy_find(const char *name);
 const char *const *ch_policy_names(void);
 
-/* ---- at the entry node: which upstream's home to ask (route.c) ---- */
+/* ---- routing at the entry node: which upstream to try (route.c) ---- */
 
 struct ch_route {
     enum ch_code code; /* OK: upstream is set */
@@ -22,30 +21,30 @@
     char message[120];
 };
 
-/*
- * excluded: GQuark names that this request must not try again (NULL: none).
- * Counts the request in the chosen view's sent_since.
- */
+/* Chooses an upstream and adds the request to the sent_since of its view.
+ * excluded: GQuark names of upstreams that this request must not try again;
+ * NULL: none. */
 struct ch_route ch_route_choose(const struct ch_policy *policy,
                                 struct ch_fleet *fleet,
-                                const struct ch_work *work,
+                                const struct ch_work *request,
                                 const GArray *excluded, int64_t now);
 
-/* As above after failed tries: the first `failed` of excluded did not refuse
-   the request, but failed with it; see route.c. */
+/* Like ch_route_choose(), for a request that has already failed.  The first
+ * `failed` names in excluded are upstreams that failed while they had the
+ * request; the others only refused it.  See route.c. */
 struct ch_route ch_route_retry(const struct ch_policy *policy,
                                struct ch_fleet *fleet,
-                               const struct ch_work *work,
+                               const struct ch_work *request,
                                const GArray *excluded, guint failed,
                                int64_t now);
 
-/* ---- at the home of an upstream: one queue, exact counts (home.c) ---- */
+/* ---- at an upstream's home node: one queue, exact counts (home.c) ---- */
 
 enum ch_action_kind {
-    CH_ACTION_GRANT,  /* work may be dispatched now */
-    CH_ACTION_REFUSE, /* work is out: final, at once */
-    CH_ACTION_LOAD,   /* item is wanted in memory */
-    CH_ACTION_UNLOAD, /* item is to leave memory */
+    CH_ACTION_GRANT,  /* the request may be sent now */
+    CH_ACTION_REFUSE, /* the request is rejected, finally and at once */
+    CH_ACTION_LOAD,   /* load the item into memory */
+    CH_ACTION_UNLOAD, /* unload the item from memory */
 };
 
 struct ch_action {
@@ -59,33 +58,35 @@
     char message[120];
 };
 
-/* Filled by the calls below, emptied by their caller: struct ch_action. */
+/* List of struct ch_action.  The functions below append to it; their caller
+ * empties it. */
 struct ch_actions {
     GArray *list;
 };
 
 struct ch_home_facts {
     GQuark name;
-    GQuark service; /* 0: an engine */
+    GQuark service; /* of a plain service; 0: an inference engine */
     uint32_t capacity_mb;
     uint32_t accelerators;
-    uint32_t batch;     /* 0: found by measuring */
+    uint32_t batch;     /* maximum at once; 0: from measured times */
     uint32_t max_queue; /* entries */
     bool leaving;
 };
 
 enum ch_item_state {
     CH_ITEM_ABSENT,
-    CH_ITEM_LOADING, /* reserved */
+    CH_ITEM_LOADING, /* memory is reserved */
     CH_ITEM_RESIDENT,
-    CH_ITEM_UNLOADING, /* still counted */
+    CH_ITEM_UNLOADING, /* memory still counts as used */
 };
 
-/* How a granted request went: what the home learns its times from. */
+/* Result and times of a granted request, from which the home node estimates
+ * service times. */
 struct ch_sample {
     enum ch_code code;
-    int64_t first; /* dispatch to first byte; 0: none came */
-    int64_t token; /* mean between tokens; 0: fewer than two */
+    int64_t first; /* send to first byte; 0: no byte came */
+    int64_t token; /* mean between tokens; 0: fewer than two tokens */
     uint32_t tokens;
 };
 
@@ -96,34 +97,38 @@
 void ch_home_free(struct ch_home *home);
 void ch_home_set_facts(struct ch_home *home,
                        const struct ch_home_facts *facts);
-/*
- * fleet is what the home's node sees of the others (for the last replica and
- * what to bring in); it may be NULL.  Each call appends what is to be done.
- */
-void ch_home_offer(struct ch_home *home, const struct ch_work *work,
+/* fleet: the home node's view of all upstreams, used to recognise last
+ * replicas and to choose what to load; may be NULL.  Each of the following
+ * calls appends to out what is to be done. */
+void ch_home_offer(struct ch_home *home, const struct ch_work *request,
                    const struct ch_fleet *fleet, int64_t now,
                    struct ch_actions *out);
-void ch_home_withdraw(struct ch_home *home, uint64_t work, int64_t now,
+void ch_home_withdraw(struct ch_home *home, uint64_t request_id, int64_t now,
                       struct ch_actions *out);
-void ch_home_release(struct ch_home *home, uint64_t work,
+void ch_home_release(struct ch_home *home, uint64_t request_id,
                      const struct ch_sample *sample, int64_t now,
                      struct ch_actions *out);
-/* What the ledger holds of an item; memory_mb as reserved. */
+/* Sets an item to the state in the ledger. memory_mb: as reserved there; 0:
+ * unknown. */
 void ch_home_set_item(struct ch_home *home, GQuark item,
                       enum ch_item_state state, uint32_t memory_mb,
                       int64_t now, struct ch_actions *out);
-/* A LOAD or UNLOAD that could not be done (ledger conflict, KV away). */
+/* Reports that a load or unload order could not be carried out because of a
+ * ledger conflict or an unreachable key-value store. */
 void ch_home_order_failed(struct ch_home *home, GQuark item,
                           enum ch_action_kind kind, enum ch_code code,
                           int64_t now, struct ch_actions *out);
-/* The engine's own lagging report; down: it does not answer. */
+/* Takes over the engine's own report, which lags behind. down: the engine does
+ * not answer. */
 void ch_home_report(struct ch_home *home, uint32_t running, uint32_t waiting,
-                    bool leaving, bool down, int64_t now,
+                    bool draining, bool down, int64_t now,
                     struct ch_actions *out);
-/* Called every CH_HOME_TICK, and whenever there is reason to. */
+/* To be called every CH_HOME_TICK_US, and earlier whenever something may have
+ * changed. */
 void ch_home_tick(struct ch_home *home, const struct ch_fleet *fleet,
                   int64_t now, struct ch_actions *out);
-/* Fills in everything but region and data centre; the arrays are new. */
+/* Fills in everything but region and data centre.  The caller owns the two new
+ * arrays. */
 void ch_home_view(const struct ch_home *home, int64_t now,
                   struct ch_upstream_view *out);
 
@@ -131,57 +136,61 @@
     CH_HOME_TICK = 50 * 1000,
 };
 
-/* ---- after a failed dispatch (retry.c) ---- */
+/* ---- retries after a failed attempt (retry.c) ---- */
 
 enum {
-    /* A stream whose caller has its beginning is asked for again so much
-       later, microseconds: an engine's slots come free every 0.1 to 0.2 s, and
-       callers leave a stream that pauses for two seconds or more. */
+    /* Delay before a stream whose caller already has its beginning is tried
+     * again.  Slots of an engine become free every 0.1 to 0.2 s, and callers
+     * leave a stream that pauses for two seconds or more. */
     CH_RETRY_WAIT = 300 * 1000,
 };
 
 enum ch_retry {
     CH_RETRY_NO,
-    CH_RETRY_AGAIN,  /* elsewhere, from the start */
-    CH_RETRY_RESUME, /* elsewhere, from the tokens that the caller has */
+    CH_RETRY_AGAIN,  /* on another upstream, from the start */
+    CH_RETRY_RESUME, /* on another upstream, after the tokens delivered */
 };
 
 struct ch_retry_budget {
-    double level; /* grows by a share of each fresh request */
+    double level; /* retries left; each new request adds `share` */
     double share;
     double most;
 };
 
 void ch_retry_budget_init(struct ch_retry_budget *budget, double share);
 void ch_retry_budget_fresh(struct ch_retry_budget *budget);
-/* How a dispatch failed. */
+/* How an attempt failed. */
 struct ch_retry_failure {
     enum ch_code code;
     bool may_have_run;
-    bool stream;           /* the answer may go on from an event */
-    uint32_t events_given; /* to the caller */
+    bool stream;           /* the response can resume after an event */
+    uint32_t events_given; /* events that the caller already has */
 };
 
-/* Whether an upstream refused, without running it, a request of a class that
-   states its tries and whose answer has not begun: that is none of them. */
-bool ch_retry_is_refusal(const struct ch_work *work,
+/* Whether an upstream refused the request without running it, before any of
+ * the response was delivered, and the request's class sets a number of
+ * attempts.  Such a refusal doesn't count as an attempt. */
+bool ch_retry_is_refusal(const struct ch_work *request,
                          const struct ch_retry_failure *failure);
-/* Draws a further try from the budget, unless one is *held that no dispatch
-   has used yet; false: none is left now. */
-bool ch_retry_hold(struct ch_retry_budget *budget, bool *held);
-/* Gives a try back that is *held. */
-void ch_retry_give_back(struct ch_retry_budget *budget, bool *held);
-/* Whether a silent call is given up for another try, which is *held then. */
-bool ch_retry_reserve(struct ch_retry_budget *budget, bool *held,
-                      const struct ch_work *work, int64_t now);
-/* Whether a request that no upstream takes now, and surely none has run since
-   it was last sent, is asked for again after CH_RETRY_WAIT. */
-bool ch_retry_waits(const struct ch_work *work, enum ch_code code,
+/* Takes one retry from the budget and sets *reserved, unless *reserved is
+ * already set for a retry that no attempt has used yet.  Returns false when
+ * the budget is empty. */
+bool ch_retry_hold(struct ch_retry_budget *budget, bool *reserved);
+/* Returns a retry marked by *reserved to the budget and clears *reserved. */
+void ch_retry_give_back(struct ch_retry_budget *budget, bool *reserved);
+/* Whether to give up an attempt that has gone silent in favour of a retry.  If
+ * so, the retry is taken from the budget and *reserved is set. */
+bool ch_retry_reserve(struct ch_retry_budget *budget, bool *reserved,
+                      const struct ch_work *request, int64_t now);
+/* Whether to try a request again after CH_RETRY_DELAY_US: no upstream accepts
+ * it now, and it certainly hasn't run since it was last sent. */
+bool ch_retry_waits(const struct ch_work *request, enum ch_code code,
                     bool may_have_run, uint32_t events_given);
 
-/* A try is *held when the answer is not NO and something was sent. */
-enum ch_retry ch_retry_decide(struct ch_retry_budget *budget, bool *held,
-                              const struct ch_work *work,
+/* Decides on a retry after a failure.  If the result isn't CH_RETRY_NO and the
+ * request was sent, a retry is taken from the budget and *reserved is set. */
+enum ch_retry ch_retry_decide(struct ch_retry_budget *budget, bool *reserved,
+                              const struct ch_work *request,
                               const struct ch_retry_failure *failure,
                               int64_t now);
 
--- a/libchestnuthitch/decide/queue.c
+++ b/libchestnuthitch/decide/queue.c
@@ -1,8 +1,7 @@
-/* The one queue of an upstream, in order of rank. */
+/* The request queue of an upstream, ordered by rank. */
 
 #include "decide/home.h"
 
-/* An empty queue. */
 void
 ch_queue_init(struct ch_queue *queue)
 {
@@ -17,7 +16,7 @@
     queue->entries = NULL;
 }
 
-/* Puts the entry behind all of the same rank. */
+/* Inserts the entry behind all entries of the same rank. */
 void
 ch_queue_add(struct ch_queue *queue, const struct ch_entry *entry)
 {
@@ -35,28 +34,29 @@
     g_array_insert_val(queue->entries, low, *entry);
 }
 
-/* The place of a request in the queue; -1 when it is not there. */
+/* Returns the index of a request in the queue, or -1 if it isn't queued. */
 int
-ch_queue_find(const struct ch_queue *queue, uint64_t work)
+ch_queue_find(const struct ch_queue *queue, uint64_t request_id)
 {
     for (guint i = 0; i < queue->entries->len; i++) {
-        if (ch_queue_at(queue, i)->work.id == work) {
+        if (ch_queue_at(queue, i)->work.id == request_id) {
             return (int)i;
         }
     }
     return -1;
 }
 
-/* The entry at a place; valid until the queue changes. */
+/* Returns the entry at an index.  The pointer is valid until the queue
+ * changes. */
 struct ch_entry *
-ch_queue_at(const struct ch_queue *queue, guint at)
+ch_queue_at(const struct ch_queue *queue, guint index)
 {
-    return &g_array_index(queue->entries, struct ch_entry, at);
+    return &g_array_index(queue->entries, struct ch_entry, index);
 }
 
-/* Takes the entry at a place out. */
+/* Removes the entry at an index. */
 void
-ch_queue_remove(struct ch_queue *queue, guint at)
+ch_queue_remove(struct ch_queue *queue, guint index)
 {
-    g_array_remove_index(queue->entries, at);
+    g_array_remove_index(queue->entries, index);
 }
--- a/libchestnuthitch/decide/retry.c
+++ b/libchestnuthitch/decide/retry.c
@@ -1,39 +1,43 @@
-/* Whether a failed dispatch is tried again, and from where. */
+/* Decides whether a failed request is retried, and from which point of the
+ * response. */
 
 #include "decide/policy.h"
 
 enum {
-    /* Three dispatches at most.  For a single host that died one is enough,
-     * for one that died while the second was reached, two; more would only
-     * follow a fault of the request itself from upstream to upstream. */
-    MOST_ATTEMPTS = 2,
-    /* Upstreams that may refuse a request of a class with stated tries, in one
-     * course; the last of them ends it.  A view that is some hundred
-     * milliseconds old is wrong more than once where many send at once. */
-    MOST_REFUSALS = 3,
-    /* A node that has seen little traffic may still retry this often. */
-    SMALLEST_BUDGET = 3,
+    /* Together with the first attempt, at most three attempts.  One retry is
+     * enough for a single host that fails, and two if another host fails while
+     * the request is on its way to it.  More would only carry a request that
+     * itself causes the failure from upstream to upstream. */
+    MAX_RETRIES = 2,
+    /* Refusals after which a request is given up, if its class sets a number
+     * of attempts and none of the response has been delivered.  A view of the
+     * fleet that is some hundred milliseconds old is wrong more than once when
+     * many nodes send at the same time. */
+    MAX_REFUSALS = 3,
+    /* Retries that a node may make before it has seen much traffic. */
+    INITIAL_RETRIES = 3,
 };
 
-/* An empty node's budget: a few retries, so that the first failure after a
- * start is not passed on to the caller. */
+/* Fills the budget of a node that has just started with a few retries, so that
+ * the first failure isn't passed on to the caller. */
 void
 ch_retry_budget_init(struct ch_retry_budget *budget, double share)
 {
     *budget = (struct ch_retry_budget){
-        .level = SMALLEST_BUDGET, .share = share, .most = 20};
+        .level = INITIAL_RETRIES, .share = share, .most = 20};
 }
 
-/* A fresh request came: the budget grows by its share. */
+/* Adds the share of a new request to the budget. */
 void
 ch_retry_budget_fresh(struct ch_retry_budget *budget)
 {
     budget->level = MIN(budget->most, budget->level + budget->share);
 }
 
-/* Failures that another upstream may not show. */
+/* Whether the failure may be due to the upstream, so that another upstream may
+ * not show it. */
 static bool
-is_of_the_upstream(enum ch_code code)
+is_upstream_failure(enum ch_code code)
 {
     switch (code) {
     case CH_UPSTREAM_CONNECT:
@@ -50,126 +54,124 @@
     }
 }
 
-/* Tries of the work after its first; see MOST_ATTEMPTS. */
+/* Returns the maximum number of attempts after the first; see MAX_RETRIES. */
 static uint32_t
-most_attempts(const struct ch_work *work)
+max_retries(const struct ch_work *request)
 {
-    return work->tries > 0 ? work->tries - 1 : MOST_ATTEMPTS;
+    return request->tries > 0 ? request->tries - 1 : MAX_RETRIES;
 }
 
-/*
- * Whether the upstream that failed was the last that may be asked.  Load: many
- * nodes fill an engine at once, or a model goes while requests for it are on
- * their way.  Harm prevented: the caller is refused beside engines with places
- * free.  What surely was not run takes none of the tries, which bound on how
- * many upstreams a request may run.
- */
+/* Whether the request may not be sent to another upstream.  If many nodes fill
+ * an engine at once, or a model is evicted while requests for it are on their
+ * way, callers would otherwise be refused while other engines have free slots.
+ * The number of attempts bounds how many upstreams may run a request, so a
+ * refusal that certainly didn't run it isn't counted. */
 static bool
-was_last(const struct ch_work *work, const struct ch_retry_failure *failure)
+is_last_attempt(const struct ch_work *request,
+                const struct ch_retry_failure *failure)
 {
-    return ch_retry_is_refusal(work, failure)
-               ? work->refusals + 1 >= MOST_REFUSALS
-               : work->attempt >= most_attempts(work);
+    return ch_retry_is_refusal(request, failure)
+               ? request->refusals + 1 >= MAX_REFUSALS
+               : request->attempt >= max_retries(request);
 }
 
-/* Whether the time for the whole answer is over. */
+/* Whether the target time for the whole response has passed. */
 static bool
-is_past(const struct ch_work *work, int64_t now)
+is_past_target(const struct ch_work *request, int64_t now)
 {
-    return work->whole_by > 0 && now >= work->whole_by;
+    return request->whole_by > 0 && now >= request->whole_by;
 }
 
 /* See policy.h. */
 bool
-ch_retry_is_refusal(const struct ch_work *work,
+ch_retry_is_refusal(const struct ch_work *request,
                     const struct ch_retry_failure *failure)
 {
-    return work->tries > 0 && failure->code == CH_UPSTREAM_REFUSED &&
+    return request->tries > 0 && failure->code == CH_UPSTREAM_REFUSED &&
            !failure->may_have_run && failure->events_given == 0;
 }
 
 /* See policy.h. */
 bool
-ch_retry_hold(struct ch_retry_budget *budget, bool *held)
+ch_retry_hold(struct ch_retry_budget *budget, bool *reserved)
 {
-    if (!*held && budget->level >= 1.0) {
+    if (!*reserved && budget->level >= 1.0) {
         budget->level -= 1.0;
-        *held = true;
+        *reserved = true;
     }
-    return *held;
+    return *reserved;
 }
 
 /* See policy.h. */
 void
-ch_retry_give_back(struct ch_retry_budget *budget, bool *held)
+ch_retry_give_back(struct ch_retry_budget *budget, bool *reserved)
 {
-    if (*held) {
+    if (*reserved) {
         budget->level = MIN(budget->most, budget->level + 1.0);
     }
-    *held = false;
+    *reserved = false;
 }
 
-/*
- * Load: an upstream that is cut off, or a node that stands still, leaves many
- * calls silent at once.  Harm prevented: callers whose answers would still
- * have come are cut off, since all calls are given up for another try and only
- * some find one left.  So the try is drawn here, before the call is given up.
- */
+/* Takes the retry from the budget before the attempt is given up.  An upstream
+ * that is cut off, or a node that stalls, leaves many attempts silent at once.
+ * If all of them were given up first, only some would find a retry in the
+ * budget, and the other callers would lose responses that would still have
+ * come. */
 bool
-ch_retry_reserve(struct ch_retry_budget *budget, bool *held,
-                 const struct ch_work *work, int64_t now)
+ch_retry_reserve(struct ch_retry_budget *budget, bool *reserved,
+                 const struct ch_work *request, int64_t now)
 {
-    return work->idempotent && work->attempt < most_attempts(work) &&
-           !is_past(work, now) && ch_retry_hold(budget, held);
+    return request->idempotent && request->attempt < max_retries(request) &&
+           !is_past_target(request, now) && ch_retry_hold(budget, reserved);
 }
 
-/*
- * Load: upstreams that are full when a stream has to go on elsewhere.  Harm
- * prevented: a caller who has the beginning of an answer, and would have
- * waited for the rest, is cut off since the second upstream refused it at that
- * moment. Limit: only what was surely not run is asked for again, so that it
- * runs on no more upstreams than it may; the caller's deadline ends it.
- */
+/* See policy.h.  When a stream has to be resumed elsewhere, other upstreams
+ * may be full.  Without this delay, a caller who already has the beginning of
+ * the response and would have waited for the rest is cut off because the
+ * second upstream refused the request at that moment.  Only requests that
+ * certainly didn't run are tried again, so that the limit on upstreams that
+ * run a request holds.  The caller's deadline ends the retries. */
 bool
-ch_retry_waits(const struct ch_work *work, enum ch_code code,
+ch_retry_waits(const struct ch_work *request, enum ch_code code,
                bool may_have_run, uint32_t events_given)
 {
-    bool full = code == CH_UPSTREAM_REFUSED || code == CH_LATE ||
-                code == CH_NO_UPSTREAM;
-    return work->tries > 0 && work->idempotent && events_given > 0 &&
-           !may_have_run && full;
+    bool no_upstream_free = code == CH_UPSTREAM_REFUSED || code == CH_LATE ||
+                            code == CH_NO_UPSTREAM;
+    return request->tries > 0 && request->idempotent && events_given > 0 &&
+           !may_have_run && no_upstream_free;
 }
 
 /*
- * Load: an upstream that dies or goes silent under full load fails all that
- * it ran at once.  Harm prevented: all of that coming again on top of the
- * fresh work, which makes the next upstream late and its work come again too.
- * Limit: retries are a share of the fresh requests, so they can never exceed
- * that share of the load, whatever fails.
+ * See policy.h.  An upstream that dies or goes silent under full load fails
+ * all its running requests at once.  If all were retried on top of the new
+ * requests, the next upstream would become late and its requests would be
+ * retried too.  Retries are therefore limited to a share of the new requests,
+ * whatever fails.
  *
- * A request that may have run and must not run twice is never repeated.  One
- * whose target for the whole answer is past is not worth a second run.
+ * A request that may have run and must not run twice is never retried.  A
+ * request whose target for the whole response has passed isn't worth running
+ * again.
  */
 enum ch_retry
-ch_retry_decide(struct ch_retry_budget *budget, bool *held,
-                const struct ch_work *work,
+ch_retry_decide(struct ch_retry_budget *budget, bool *reserved,
+                const struct ch_work *request,
                 const struct ch_retry_failure *failure, int64_t now)
 {
-    bool sent = work->tries == 0 || failure->code != CH_UPSTREAM_CONNECT;
-    bool begun = failure->events_given > 0;
-    if (!is_of_the_upstream(failure->code) || is_past(work, now) ||
-        (sent && was_last(work, failure))) {
+    bool sent = request->tries == 0 || failure->code != CH_UPSTREAM_CONNECT;
+    bool response_begun = failure->events_given > 0;
+    if (!is_upstream_failure(failure->code) || is_past_target(request, now) ||
+        (sent && is_last_attempt(request, failure))) {
         return CH_RETRY_NO;
     }
-    if (failure->may_have_run && !work->idempotent) {
+    if (failure->may_have_run && !request->idempotent) {
         return CH_RETRY_NO;
     }
-    if (begun && !failure->stream) {
+    if (response_begun && !failure->stream) {
         return CH_RETRY_NO;
     }
-    /* What was never sent is no load on anybody. */
-    if (sent && !ch_retry_hold(budget, held)) {
+    /* A request that was never sent puts no load on any upstream. */
+    if (sent && !ch_retry_hold(budget, reserved)) {
         return CH_RETRY_NO;
     }
-    return begun ? CH_RETRY_RESUME : CH_RETRY_AGAIN;
+    return response_begun ? CH_RETRY_RESUME : CH_RETRY_AGAIN;
 }
