--- a/libchestnuthitch/decide/place.c
+++ b/libchestnuthitch/decide/place.c
@@ -1,55 +1,65 @@
-/* Placement at a home: which models come into memory, and which go. */
+/* Placement: decides which models are loaded into an upstream's memory and
+ * which are evicted. */
 
 #include "decide/home.h"
 
 enum {
-    /* A model's load at full speed: 1.5 loads a second at 10 at once is a
-     * little under 7 s for the middle size.  Until it has been measured. */
-    LOAD_PER_MB = 480, /* microseconds */
-    /* A model that has just come, or was asked for this lately, does not go
-     * for one that is served elsewhere: two models that take turns would
+    /* Load time of a model at full speed: at 1.5 loads per second with 10
+     * loads in parallel, a model of medium size takes a little under 7 s.
+     * Used until the load time has been measured. */
+    LOAD_US_PER_MB = 480,
+    /* A model that was loaded this recently isn't evicted for one that is
+     * served elsewhere.  Otherwise two models with alternating demand would
      * each be loading most of the time. */
-    SETTLE = 10 * G_USEC_PER_SEC,
-    /* A model that nobody serves comes in after this, whatever has to go. */
-    REACH = 90 * G_USEC_PER_SEC,
-    /* An adapter's request of this age lets it come with its model. */
-    ADAPTER_RECENT = 30 * G_USEC_PER_SEC,
-    /* A wish that nothing has renewed lapses; longer than what it made leave
-     * needs to end its requests, or that would be unloaded for nothing. */
-    WISH_LAPSES = 30 * G_USEC_PER_SEC,
+    MIN_RESIDENCE_US = 10 * G_USEC_PER_SEC,
+    /* A model that no upstream serves is loaded after this time, whatever must
+     * be evicted for it. */
+    UNSERVED_LOAD_DELAY_US = 90 * G_USEC_PER_SEC,
+    /* An adapter that was requested this recently is loaded together with its
+     * model. */
+    ADAPTER_RECENT_US = 30 * G_USEC_PER_SEC,
+    /* A wanted model is given up if no request has asked for it for this long.
+     * The time is longer than the requests on the models evicted for it need
+     * to end; otherwise those models would be unloaded for nothing. */
+    WANTED_EXPIRY_US = 30 * G_USEC_PER_SEC,
 };
 
-/* What a move has to earn, in requests that meet their target: its price (the
- * weight store's share, an engine kept busy), within the time for which the
- * demand of the last seconds is a fair guess of the next. */
-static const double PRICE = 3.0;
-static const double HORIZON_S = 30.0;
-/* Requests a second below which a model is taken to be idle: losing it costs
+/* Benefit that a load must exceed, in requests that meet their target: its
+ * cost (a share of the weight store's capacity, and a busy engine).  The
+ * benefit is summed over a horizon in which the demand of the last seconds is
+ * a fair estimate of the future. */
+static const double LOAD_COST_REQUESTS = 3.0;
+static const double DEMAND_HORIZON_S = 30.0;
+/* Requests per second below which a model counts as idle: evicting it causes
  * less than one miss in twenty seconds. */
-static const double IDLE = 0.05;
-/* Share of its demand that is lost with a replica whose fellows have room. */
-static const double FELLOWS = 0.1;
+static const double IDLE_REQUESTS_PER_S = 0.05;
+/* Share of a model's demand that is lost with a replica if other replicas have
+ * spare capacity. */
+static const double SHARED_DEMAND_LOSS = 0.1;
 
-/* Microseconds that loading the item takes when the weight store is free. */
+/* Returns the microseconds that loading the item takes if the weight store has
+ * capacity to spare. */
 int64_t
 ch_place_load_time(const struct ch_held *item)
 {
-    return (int64_t)item->memory_mb * LOAD_PER_MB;
+    return (int64_t)item->memory_mb * LOAD_US_PER_MB;
 }
 
-/* Memory that a model needs to come in: its own, and some of the engine left
- * for adapters (a twenty-fifth holds a handful of the usual size).  Without it
- * two models that just fit shut out every adapter of both. */
+/* Returns the memory needed to load a model: its own, plus a twenty-fifth of
+ * the engine's memory for adapters, which holds a handful of adapters of the
+ * usual size.  Without this reserve, two models that just fit would leave no
+ * memory for any of their adapters. */
 static uint32_t
-need_of(const struct ch_home *home, uint32_t memory_mb)
+memory_needed(const struct ch_home *home, uint32_t memory_mb)
 {
     uint32_t capacity = home->facts.capacity_mb;
     return MAX(memory_mb, MIN(memory_mb + capacity / 25, capacity));
 }
 
-/* Memory in use: resident, reserved, or not yet known to be gone. */
+/* Returns the memory in use: resident, reserved, or not yet known to be free.
+ */
 static uint32_t
-committed(const struct ch_home *home)
+memory_in_use(const struct ch_home *home)
 {
     uint32_t sum = 0;
     for (guint i = 0; i < home->items->len; i++) {
@@ -60,25 +70,26 @@
     return sum;
 }
 
-/* Memory that is on its way out. */
+/* Returns the memory that unloading and eviction will free. */
 static uint32_t
-outgoing(const struct ch_home *home)
+memory_being_freed(const struct ch_home *home)
 {
     uint32_t sum = 0;
     for (guint i = 0; i < home->items->len; i++) {
         const struct ch_held *item =
             &g_array_index(home->items, struct ch_held, i);
-        bool goes = item->state == CH_ITEM_UNLOADING ||
-                    (item->state == CH_ITEM_RESIDENT && item->leaving);
-        sum += goes ? item->memory_mb : 0;
+        bool is_leaving = item->state == CH_ITEM_UNLOADING ||
+                          (item->state == CH_ITEM_RESIDENT && item->leaving);
+        sum += is_leaving ? item->memory_mb : 0;
     }
     return sum;
 }
 
-/* Whether another replica has room to take over what this one serves. */
+/* Whether another replica of the model has spare capacity: less than three
+ * quarters of its concurrency limit are in use. */
 static bool
-has_fellow(const struct ch_home *home, const struct ch_fleet *fleet,
-           GQuark model)
+has_spare_replica(const struct ch_home *home, const struct ch_fleet *fleet,
+                  GQuark model)
 {
     for (size_t i = 0; fleet != NULL && i < fleet->count; i++) {
         const struct ch_upstream_view *view = &fleet->upstreams[i];
@@ -91,62 +102,64 @@
     return false;
 }
 
-/* Memory promised to models that are to come in before the named one: what
- * leaves for them is not free for it.  Those that were seen here first go
- * first, so that two that wait for each other's room cannot both stand. */
+/* Returns the memory reserved for wanted models that are to be loaded before
+ * this one; memory freed for them isn't available to it.  Models seen here
+ * earlier come first, so that two models that wait for each other's memory
+ * can't both be stuck. load_last: all other wanted models come first. */
 static uint32_t
-pledged(const struct ch_home *home, GQuark model, bool newcomer)
+memory_for_others(const struct ch_home *home, GQuark model, bool load_last)
 {
     uint32_t sum = 0;
     for (guint i = 0; i < home->items->len; i++) {
         const struct ch_held *item =
             &g_array_index(home->items, struct ch_held, i);
         if (item->name == model) {
-            if (!newcomer) {
+            if (!load_last) {
                 return sum;
             }
             continue;
         }
-        bool due = item->wanted || item->queued > 0;
-        if (item->model == 0 && item->state == CH_ITEM_ABSENT && due) {
-            sum += need_of(home, item->memory_mb);
+        bool is_pending = item->wanted || item->queued > 0;
+        if (item->model == 0 && item->state == CH_ITEM_ABSENT && is_pending) {
+            sum += memory_needed(home, item->memory_mb);
         }
     }
     return sum;
 }
 
-/* What it would cost to lose the model: requests a second that would miss.
- * Among models without demand the one longest unused goes first. */
+/* Returns the cost of evicting the model, in requests per second that would
+ * miss their target.  Among models without demand, the least recently used one
+ * costs least. */
 static double
-worth(const struct ch_home *home, const struct ch_fleet *fleet,
-      const struct ch_held *item, int64_t now)
+eviction_cost(const struct ch_home *home, const struct ch_fleet *fleet,
+              const struct ch_held *item, int64_t now)
 {
-    double worth = ch_demand_most(&item->demand, now);
-    double idle = (double)(now - item->used) / G_USEC_PER_SEC;
+    double cost = ch_demand_most(&item->demand, now);
+    double idle_s = (double)(now - item->used) / G_USEC_PER_SEC;
     if (home->policy->placing->keep_last &&
-        has_fellow(home, fleet, item->name)) {
-        worth *= FELLOWS;
+        has_spare_replica(home, fleet, item->name)) {
+        cost *= SHARED_DEMAND_LOSS;
     }
-    return worth + 0.001 / (1.0 + MAX(idle, 0.0));
+    return cost + 0.001 / (1.0 + MAX(idle_s, 0.0));
 }
 
-/* Whether the item may be chosen to go.  gentle: not for a model that is
- * served elsewhere anyway. */
+/* Whether the item may be evicted. spare_recent: evict only models that were
+ * not loaded recently. */
 static bool
-may_go(const struct ch_home *home, const struct ch_held *item, bool gentle,
-       int64_t now)
+may_evict(const struct ch_home *home, const struct ch_held *item,
+          bool spare_recent, int64_t now)
 {
     if (item->model != 0 || item->state != CH_ITEM_RESIDENT || item->leaving ||
         item->wanted || now < item->not_before) {
         return false;
     }
-    if (!home->policy->placing->reluctant || !gentle) {
+    if (!home->policy->placing->reluctant || !spare_recent) {
         return true;
     }
-    return now - item->changed >= SETTLE;
+    return now - item->changed >= MIN_RESIDENCE_US;
 }
 
-/* Memory of a model with the adapters that go with it. */
+/* Returns the memory of a model and of its loaded adapters. */
 static uint32_t
 memory_with_adapters(const struct ch_home *home, const struct ch_held *model)
 {
@@ -161,66 +174,70 @@
     return sum;
 }
 
-/* The model that is worth least, of those that may go and are not yet marked
- * in `chosen`; NULL when there is none. */
+/* Returns the model that costs least to evict and isn't in `chosen` yet; NULL:
+ * none. */
 static struct ch_held *
-least_worth(struct ch_home *home, const struct ch_fleet *fleet,
-            const GArray *chosen, bool gentle, int64_t now)
+find_cheapest_victim(struct ch_home *home, const struct ch_fleet *fleet,
+                     const GArray *chosen, bool spare_recent, int64_t now)
 {
-    struct ch_held *least = NULL;
-    double least_value = 0;
+    struct ch_held *cheapest = NULL;
+    double min_cost = 0;
     for (guint i = 0; i < home->items->len; i++) {
         struct ch_held *item = &g_array_index(home->items, struct ch_held, i);
-        bool taken = false;
+        bool already_chosen = false;
         for (guint j = 0; j < chosen->len; j++) {
-            taken = taken || g_array_index(chosen, GQuark, j) == item->name;
+            already_chosen = already_chosen ||
+                             g_array_index(chosen, GQuark, j) == item->name;
         }
-        if (taken || !may_go(home, item, gentle, now)) {
+        if (already_chosen || !may_evict(home, item, spare_recent, now)) {
             continue;
         }
-        double value = home->policy->placing->reluctant
-                           ? worth(home, fleet, item, now)
-                           : (double)item->used;
-        if (least == NULL || value < least_value) {
-            least = item;
-            least_value = value;
+        double cost = home->policy->placing->reluctant
+                          ? eviction_cost(home, fleet, item, now)
+                          : (double)item->used;
+        if (cheapest == NULL || cost < min_cost) {
+            cheapest = item;
+            min_cost = cost;
         }
     }
-    return least;
+    return cheapest;
 }
 
-/* Names of the models that have to go so that `model` has memory_mb, their
- * joint worth in *value; newcomer: others that are due go first; NULL when
- * that is not to be had.  The array is the caller's to unref. */
+/* Returns the names of the models to evict so that `model` has memory_mb, with
+ * their total eviction cost in *cost; NULL if that much memory can't be freed.
+ * load_last: other wanted models get their memory first.  The caller must
+ * unref the array. */
 static GArray *
-victims(struct ch_home *home, const struct ch_fleet *fleet, GQuark model,
-        uint32_t memory_mb, bool gentle, bool newcomer, int64_t now,
-        double *value)
+choose_victims(struct ch_home *home, const struct ch_fleet *fleet,
+               GQuark model, uint32_t memory_mb, bool spare_recent,
+               bool load_last, int64_t now, double *cost)
 {
     GArray *chosen = g_array_new(FALSE, FALSE, sizeof(GQuark));
-    uint32_t room = home->facts.capacity_mb + outgoing(home);
-    uint32_t used = committed(home) + pledged(home, model, newcomer);
-    room = room > used ? room - used : 0;
-    *value = 0;
-    while (room < memory_mb) {
-        struct ch_held *least = least_worth(home, fleet, chosen, gentle, now);
-        if (least == NULL) {
+    uint32_t available = home->facts.capacity_mb + memory_being_freed(home);
+    uint32_t used =
+        memory_in_use(home) + memory_for_others(home, model, load_last);
+    available = available > used ? available - used : 0;
+    *cost = 0;
+    while (available < memory_mb) {
+        struct ch_held *cheapest =
+            find_cheapest_victim(home, fleet, chosen, spare_recent, now);
+        if (cheapest == NULL) {
             g_array_unref(chosen);
             return NULL;
         }
         if (home->policy->placing->reluctant) {
-            *value += worth(home, fleet, least, now);
+            *cost += eviction_cost(home, fleet, cheapest, now);
         }
-        room += memory_with_adapters(home, least);
-        g_array_append_val(chosen, least->name);
+        available += memory_with_adapters(home, cheapest);
+        g_array_append_val(chosen, cheapest->name);
     }
     return chosen;
 }
 
-/* Whether another upstream serves the work, fast enough, or is loading its
+/* Whether another upstream serves the request fast enough or is loading its
  * model. */
 bool
-ch_place_is_served(const struct ch_home *home, const struct ch_work *work,
+ch_place_is_served(const struct ch_home *home, const struct ch_work *request,
                    const struct ch_fleet *fleet)
 {
     for (size_t i = 0; fleet != NULL && i < fleet->count; i++) {
@@ -228,80 +245,85 @@
         if (view->name == home->facts.name) {
             continue;
         }
-        if (ch_view_serves(view, work) ||
+        if (ch_view_serves(view, request) ||
             (!view->down && !view->leaving &&
-             ch_upstream_view_loads(view, work->model))) {
+             ch_upstream_view_loads(view, request->model))) {
             return true;
         }
     }
     return false;
 }
 
-/* Requests a second that one replica here could serve of this work's kind. */
+/* Returns the requests per second of this kind that one replica here could
+ * serve. */
 static double
-most_served(const struct ch_home *home, const struct ch_work *work)
+max_served_rate(const struct ch_home *home, const struct ch_work *request)
 {
     uint32_t limit = ch_home_limit(home);
-    int64_t hold = MAX(ch_rates_hold(&home->rates, work, limit), 1);
+    int64_t hold = MAX(ch_rates_hold(&home->rates, request, limit), 1);
     return (double)limit * G_USEC_PER_SEC / (double)hold;
 }
 
 /*
- * Whether work whose model is not here may bring it in.
+ * Whether a request may cause its absent model to be loaded.
  *
- * Load: demand that moves from model to model, up to tenfold within minutes,
- * over more models than fit.  Harm prevented: loads that chase each request,
- * so that every model is on its way somewhere and none is served.  A move
- * must earn its price: the requests that the newcomer would serve, less those
- * that the models which go would have served, over the next half minute.
+ * Demand may move between models, up to tenfold within minutes, and more
+ * models are in demand than fit into memory.  If every request could trigger a
+ * load, models would be loading all the time and none would be served.  A load
+ * must therefore be worth its cost: the requests that the new model would
+ * serve, minus those that the evicted models would have served, over the next
+ * half minute.
  *
- * Every model stays reachable: one that nobody serves comes in at once where
- * only idle models have to go for it, and after REACH whatever it displaces.
- * The room that brings a last replica back is thereby always there.
+ * Every model stays reachable.  A model that no upstream serves is loaded at
+ * once if only idle models must be evicted for it, and after
+ * UNSERVED_LOAD_DELAY_US whatever must be evicted.  A last replica that was
+ * evicted can therefore always be loaded again.
  */
 bool
-ch_place_may_load(struct ch_home *home, const struct ch_work *work,
+ch_place_may_load(struct ch_home *home, const struct ch_work *request,
                   const struct ch_fleet *fleet, int64_t now)
 {
-    uint32_t memory_mb = work->model_mb + work->adapter_mb;
+    uint32_t memory_mb = request->model_mb + request->adapter_mb;
     if (home->policy->placing->fixed || now < home->blocked_until ||
         memory_mb > home->facts.capacity_mb) {
         return false;
     }
-    struct ch_held *model = ch_home_item(home, work->model);
+    struct ch_held *model = ch_home_item(home, request->model);
     if (model->wanted || !home->policy->placing->reluctant) {
         return true;
     }
-    bool absent = !ch_place_is_served(home, work, fleet);
-    if (!absent && home->loads_left == 0) {
+    bool unserved = !ch_place_is_served(home, request, fleet);
+    if (!unserved && home->loads_left == 0) {
         return false;
     }
-    if (absent && model->unserved == 0) {
+    if (unserved && model->unserved == 0) {
         model->unserved = now;
     }
-    bool overdue = absent && now - model->unserved > REACH;
-    double value = 0;
-    GArray *chosen =
-        victims(home, fleet, work->model, need_of(home, memory_mb), !overdue,
-                true, now, &value);
+    bool unserved_too_long =
+        unserved && now - model->unserved > UNSERVED_LOAD_DELAY_US;
+    double cost = 0;
+    GArray *chosen = choose_victims(home, fleet, request->model,
+                                    memory_needed(home, memory_mb),
+                                    !unserved_too_long, true, now, &cost);
     if (chosen == NULL) {
         return false;
     }
     g_array_unref(chosen);
-    if (overdue || (absent && value < IDLE)) {
+    if (unserved_too_long || (unserved && cost < IDLE_REQUESTS_PER_S)) {
         return true;
     }
     double gain = ch_demand_least(&model->demand, now);
-    gain = MIN(gain, most_served(home, work));
+    gain = MIN(gain, max_served_rate(home, request));
     double load_s = (double)ch_place_load_time(model) / G_USEC_PER_SEC;
-    return (gain - value) * HORIZON_S > value * load_s + PRICE;
+    return (gain - cost) * DEMAND_HORIZON_S >
+           cost * load_s + LOAD_COST_REQUESTS;
 }
 
-/* Appends an order for an item and notes it as begun, so that it is not
- * ordered twice before the ledger answers. */
+/* Appends a load or unload order and sets the item's state as if the order had
+ * begun, so that it isn't issued again before the ledger answers. */
 static void
-order(struct ch_held *item, enum ch_action_kind kind, int64_t now,
-      struct ch_actions *out)
+append_order(struct ch_held *item, enum ch_action_kind kind, int64_t now,
+             struct ch_actions *out)
 {
     item->state = kind == CH_ACTION_LOAD ? CH_ITEM_LOADING : CH_ITEM_UNLOADING;
     item->leaving = false;
@@ -315,10 +337,10 @@
     g_array_append_val(out->list, action);
 }
 
-/* Unloads a model that is on its way out, with its adapters, once nothing
- * that was granted uses it. */
+/* Unloads models marked for eviction, with their adapters, once no granted
+ * request uses them. */
 static void
-unload_leaving(struct ch_home *home, int64_t now, struct ch_actions *out)
+unload_evicted(struct ch_home *home, int64_t now, struct ch_actions *out)
 {
     for (guint i = 0; i < home->items->len; i++) {
         struct ch_held *model = &g_array_index(home->items, struct ch_held, i);
@@ -331,41 +353,42 @@
                 &g_array_index(home->items, struct ch_held, j);
             if (item->model == model->name &&
                 item->state == CH_ITEM_RESIDENT) {
-                order(item, CH_ACTION_UNLOAD, now, out);
+                append_order(item, CH_ACTION_UNLOAD, now, out);
             }
         }
-        order(model, CH_ACTION_UNLOAD, now, out);
+        append_order(model, CH_ACTION_UNLOAD, now, out);
     }
 }
 
-/* Refuses what waits for a model that is on its way out, so that its entry
- * node asks another replica at once. */
+/* Refuses queued requests for models marked for eviction, so that the entry
+ * node tries another replica at once. */
 static void
-refuse_leaving(struct ch_home *home, struct ch_actions *out)
+refuse_for_evicted(struct ch_home *home, struct ch_actions *out)
 {
-    for (guint at = home->queue.entries->len; at-- > 0;) {
+    for (guint index = home->queue.entries->len; index-- > 0;) {
         const struct ch_held *model =
-            ch_home_item(home, ch_queue_at(&home->queue, at)->work.model);
+            ch_home_item(home, ch_queue_at(&home->queue, index)->work.model);
         if (model != NULL && model->leaving) {
-            ch_home_refuse(home, at, CH_NO_UPSTREAM, 0,
+            ch_home_refuse(home, index, CH_NO_UPSTREAM, 0,
                            "the model is leaving this upstream", out);
         }
     }
 }
 
-/* Marks models to go until the item has room.  What runs on them ends first:
- * no request is cut. */
+/* Marks models for eviction until the item has memory.  Requests that run on
+ * them end first; none is interrupted. */
 static void
-make_room(struct ch_home *home, const struct ch_fleet *fleet,
-          const struct ch_held *item, int64_t now, struct ch_actions *out)
+evict_models_for(struct ch_home *home, const struct ch_fleet *fleet,
+                 const struct ch_held *item, int64_t now,
+                 struct ch_actions *out)
 {
-    double value;
-    uint32_t need = need_of(home, item->memory_mb);
-    GArray *chosen =
-        victims(home, fleet, item->name, need, true, false, now, &value);
+    double cost;
+    uint32_t needed = memory_needed(home, item->memory_mb);
+    GArray *chosen = choose_victims(home, fleet, item->name, needed, true,
+                                    false, now, &cost);
     if (chosen == NULL) {
-        chosen =
-            victims(home, fleet, item->name, need, false, false, now, &value);
+        chosen = choose_victims(home, fleet, item->name, needed, false, false,
+                                now, &cost);
     }
     if (chosen == NULL) {
         return;
@@ -374,13 +397,14 @@
         ch_home_item(home, g_array_index(chosen, GQuark, i))->leaving = true;
     }
     g_array_unref(chosen);
-    refuse_leaving(home, out);
+    refuse_for_evicted(home, out);
 }
 
-/* Makes room for an adapter by unloading the adapter longest unused, of those
- * that nothing runs on; true when room is there or comes. */
+/* Starts to free memory for an adapter: unloads the least recently used
+ * adapter that no request uses or waits for, unless an adapter is being
+ * unloaded already. */
 static void
-make_adapter_room(struct ch_home *home, int64_t now, struct ch_actions *out)
+evict_adapter(struct ch_home *home, int64_t now, struct ch_actions *out)
 {
     struct ch_held *oldest = NULL;
     for (guint i = 0; i < home->items->len; i++) {
@@ -397,75 +421,79 @@
         }
     }
     if (oldest != NULL) {
-        order(oldest, CH_ACTION_UNLOAD, now, out);
+        append_order(oldest, CH_ACTION_UNLOAD, now, out);
     }
 }
 
-/* Orders the item's load when there is room, or else begins to make room. */
+/* Orders the item to be loaded if there is memory, or starts to free memory
+ * for it. */
 static void
-bring_in(struct ch_home *home, const struct ch_fleet *fleet,
-         struct ch_held *item, int64_t now, struct ch_actions *out)
+load_or_evict(struct ch_home *home, const struct ch_fleet *fleet,
+              struct ch_held *item, int64_t now, struct ch_actions *out)
 {
     if (now < item->not_before) {
         return;
     }
-    uint32_t need =
-        item->model == 0 ? need_of(home, item->memory_mb) : item->memory_mb;
-    if (committed(home) + need <= home->facts.capacity_mb) {
-        /* Load: many models wanted at once after a shift of demand.  Harm
-         * prevented: past its rate the weight store serves all loads slower,
-         * and each model comes later than the first would have.  Adapters
-         * load in milliseconds and have a limit of their own. */
+    uint32_t needed = item->model == 0 ? memory_needed(home, item->memory_mb)
+                                       : item->memory_mb;
+    if (memory_in_use(home) + needed <= home->facts.capacity_mb) {
+        /* After a shift in demand, many models are wanted at once.  Beyond its
+         * rate, the weight store slows down all loads, and every model would
+         * arrive later than the first one would have.  Adapters load in
+         * milliseconds and have a limit of their own. */
         if (item->model == 0) {
             if (home->loads_left == 0) {
                 return;
             }
             home->loads_left--;
         }
-        order(item, CH_ACTION_LOAD, now, out);
+        append_order(item, CH_ACTION_LOAD, now, out);
         return;
     }
     if (item->model != 0) {
         if (item->queued > 0) {
-            make_adapter_room(home, now, out);
+            evict_adapter(home, now, out);
         }
     }
     else if (fleet != NULL) {
-        make_room(home, fleet, item, now, out);
+        evict_models_for(home, fleet, item, now, out);
     }
 }
 
-/* Whether the item is to be loaded: somebody waits for it, or a wish for it
- * still stands.  An adapter waits for its model; one that was asked for here
- * of late comes with it, if there is room, before anybody waits. */
+/* Whether to load the item: a request waits for it, or it is still wanted.  An
+ * adapter is loaded after its model; if it was requested recently, it is
+ * loaded together with the model, if there is memory, before any request waits
+ * for it. */
 static bool
-is_due(struct ch_home *home, struct ch_held *item, int64_t now)
+is_load_due(struct ch_home *home, struct ch_held *item, int64_t now)
 {
     if (item->state != CH_ITEM_ABSENT) {
         return false;
     }
     if (item->model != 0) {
-        return (item->queued > 0 || now - item->used < ADAPTER_RECENT) &&
+        return (item->queued > 0 || now - item->used < ADAPTER_RECENT_US) &&
                ch_home_has(home, item->model);
     }
-    if (item->wanted && now - item->used > WISH_LAPSES && item->queued == 0) {
+    if (item->wanted && now - item->used > WANTED_EXPIRY_US &&
+        item->queued == 0) {
         item->wanted = false;
     }
     return item->wanted || item->queued > 0;
 }
 
-/* Keeps what was to go when nothing needs its room any more. */
+/* Cancels all evictions that have not begun; for when no model needs the
+ * memory any more. */
 static void
-keep_leaving(struct ch_home *home)
+cancel_evictions(struct ch_home *home)
 {
     for (guint i = 0; i < home->items->len; i++) {
         g_array_index(home->items, struct ch_held, i).leaving = false;
     }
 }
 
-/* Forgets for how long a model was out of reach once it is somewhere. */
+/* Resets unavailable_since for items that are resident on some upstream. */
 static void
-note_served(struct ch_home *home, const struct ch_fleet *fleet)
+reset_unavailable(struct ch_home *home, const struct ch_fleet *fleet)
 {
     for (guint i = 0; i < home->items->len; i++) {
         struct ch_held *item = &g_array_index(home->items, struct ch_held, i);
@@ -479,28 +507,28 @@
     }
 }
 
-/* Goes on with all moves: what is due is ordered, what leaves is unloaded.
- * Without a fleet nothing new is chosen to go; the next tick does. */
+/* Continues loads and evictions.  Without a fleet view no further models are
+ * chosen for eviction; the next tick does that. */
 void
 ch_place_pump(struct ch_home *home, const struct ch_fleet *fleet, int64_t now,
               struct ch_actions *out)
 {
     if (fleet != NULL) {
-        note_served(home, fleet);
+        reset_unavailable(home, fleet);
     }
     if (now < home->blocked_until) {
         return;
     }
-    bool model_due = false;
+    bool model_load_due = false;
     for (guint i = 0; i < home->items->len; i++) {
         struct ch_held *item = &g_array_index(home->items, struct ch_held, i);
-        if (is_due(home, item, now)) {
-            model_due = model_due || item->model == 0;
-            bring_in(home, fleet, item, now, out);
+        if (is_load_due(home, item, now)) {
+            model_load_due = model_load_due || item->model == 0;
+            load_or_evict(home, fleet, item, now, out);
         }
     }
-    if (!model_due) {
-        keep_leaving(home);
+    if (!model_load_due) {
+        cancel_evictions(home);
     }
-    unload_leaving(home, now, out);
+    unload_evicted(home, now, out);
 }
--- a/libchestnuthitch/decide/rates.c
+++ b/libchestnuthitch/decide/rates.c
@@ -1,114 +1,121 @@
-/* What a home learns from the requests that it granted: time for a token
- * against the number that run at once, time to the first byte, time a slot is
- * held. */
+/* Service times estimated from granted requests: time per token as a function
+ * of the number of concurrent requests, time to the first byte, and time that
+ * a request holds its slot. */
 
 #include "decide/home.h"
 
 #include <math.h>
 
 enum {
-    /* What is assumed of an upstream until it has been measured. */
-    FIRST_ENGINE = 150 * 1000,
-    FIRST_SERVICE = 50 * 1000,
-    TOKEN = 30 * 1000,
-    /* Demand fades by 1/e in these times: short enough that a burst at the
-     * start of a rehearsal shows within seconds, and long enough that a model
-     * asked for ten times a minute is not taken for idle between two. */
-    FAST = 10 * G_USEC_PER_SEC,
-    SLOW = 60 * G_USEC_PER_SEC,
+    /* Values assumed for an upstream until there are samples. */
+    ENGINE_FIRST_BYTE_US = 150 * 1000,
+    SERVICE_FIRST_BYTE_US = 50 * 1000,
+    ENGINE_US_PER_TOKEN = 30 * 1000,
+    /* Demand decays by 1/e in these times: fast enough for a burst at the
+     * start of a rehearsal to show within seconds, and slow enough that a
+     * model requested ten times a minute doesn't look idle between two
+     * requests. */
+    FAST_DEMAND_DECAY_US = 10 * G_USEC_PER_SEC,
+    SLOW_DEMAND_DECAY_US = 60 * G_USEC_PER_SEC,
 };
 
-/* Weight of the past at each sample: about the last fifty count, so that an
- * upstream that turns slow is seen after a few of its answers. */
-static const double KEEP = 0.98;
+/* Weight that older samples keep when one is added.  About the last fifty
+ * samples count, so that an upstream that becomes slow is noticed after a few
+ * responses. */
+static const double SAMPLE_DECAY = 0.98;
 
-/* Nothing measured yet: the assumptions above hold. */
 void
 ch_rates_init(struct ch_rates *rates, bool engine)
 {
     *rates = (struct ch_rates){
-        .first = engine ? FIRST_ENGINE : FIRST_SERVICE,
-        .hold = engine ? 100.0 * TOKEN : FIRST_SERVICE,
+        .first = engine ? ENGINE_FIRST_BYTE_US : SERVICE_FIRST_BYTE_US,
+        .hold = engine ? 100.0 * ENGINE_US_PER_TOKEN : SERVICE_FIRST_BYTE_US,
         .engine = engine,
     };
 }
 
-/* Takes in how one request went.  running: how many ran at once, on average;
- * held: microseconds from grant to release. */
+/* Adds the sample of a finished request; failed requests are ignored. running:
+ * mean number of concurrent requests while it ran; slot_time: microseconds
+ * from grant to release. */
 void
 ch_rates_add(struct ch_rates *rates, const struct ch_sample *sample,
-             double running, int64_t held, int64_t now)
+             double running, int64_t slot_time, int64_t now)
 {
     if (sample->code != CH_OK) {
         return;
     }
     rates->sampled = now;
-    rates->hold += 0.05 * ((double)held - rates->hold);
+    rates->hold += 0.05 * ((double)slot_time - rates->hold);
     if (sample->first > 0) {
         rates->first += 0.1 * ((double)sample->first - rates->first);
     }
     if (sample->token <= 0) {
         return;
     }
-    double token = (double)sample->token;
-    rates->weight = rates->weight * KEEP + 1;
-    rates->sum_n = rates->sum_n * KEEP + running;
-    rates->sum_t = rates->sum_t * KEEP + token;
-    rates->sum_nn = rates->sum_nn * KEEP + running * running;
-    rates->sum_nt = rates->sum_nt * KEEP + running * token;
+    double us_per_token = (double)sample->token;
+    rates->weight = rates->weight * SAMPLE_DECAY + 1;
+    rates->sum_n = rates->sum_n * SAMPLE_DECAY + running;
+    rates->sum_t = rates->sum_t * SAMPLE_DECAY + us_per_token;
+    rates->sum_nn = rates->sum_nn * SAMPLE_DECAY + running * running;
+    rates->sum_nt = rates->sum_nt * SAMPLE_DECAY + running * us_per_token;
 }
 
-/* Microseconds for a token when so many run at once: the line of least
- * squares through the samples, never falling with the number. */
+/* Predicts the microseconds per token with this many concurrent requests, by
+ * linear regression over the samples.  The prediction never falls as the
+ * number grows. */
 double
 ch_rates_token(const struct ch_rates *rates, double running)
 {
     if (rates->weight <= 0) {
-        return TOKEN;
+        return ENGINE_US_PER_TOKEN;
     }
     double mean_n = rates->sum_n / rates->weight;
     double mean_t = rates->sum_t / rates->weight;
-    double spread = rates->sum_nn / rates->weight - mean_n * mean_n;
-    if (spread < 0.5) {
+    double variance = rates->sum_nn / rates->weight - mean_n * mean_n;
+    if (variance < 0.5) {
         return mean_t;
     }
-    double slope = (rates->sum_nt / rates->weight - mean_n * mean_t) / spread;
+    double slope =
+        (rates->sum_nt / rates->weight - mean_n * mean_t) / variance;
     slope = CLAMP(slope, 0.0, mean_t / MAX(mean_n, 1.0));
     return mean_t + slope * (running - mean_n);
 }
 
-/* Microseconds that the request will hold its slot beside so many others. */
+/* Predicts the microseconds that the request will hold its slot, with
+ * `running` concurrent requests including this one. */
 int64_t
-ch_rates_hold(const struct ch_rates *rates, const struct ch_work *work,
+ch_rates_hold(const struct ch_rates *rates, const struct ch_work *request,
               uint32_t running)
 {
     if (!rates->engine) {
         return (int64_t)rates->hold;
     }
-    double token = ch_rates_token(rates, (double)running);
-    return (int64_t)(rates->first + token * (double)work->output_tokens);
+    double us_per_token = ch_rates_token(rates, (double)running);
+    return (int64_t)(rates->first +
+                     us_per_token * (double)request->output_tokens);
 }
 
 /*
- * How many requests may run at once so that a token takes no longer than
- * `between` (0: no target), and never more than most.
+ * Returns how many requests may run at once so that a token takes no longer
+ * than token_target (0: no target), but at most `max`.
  *
- * Load: a queue of waiting requests in front of an engine that batches.  Harm
- * prevented: each further request in the batch slows the tokens of all; past
- * the target every one of them misses.  One always may run, so that an
- * upstream that has become slow is still measured.
+ * Each further request in an engine's batch slows down the tokens of all.  If
+ * a queue of waiting requests were granted without this limit, every request
+ * in the batch would miss its target.  One request is always allowed to run,
+ * so that an upstream that has become slow is still measured.
  */
 uint32_t
-ch_rates_batch(const struct ch_rates *rates, int64_t between, uint32_t most)
+ch_rates_batch(const struct ch_rates *rates, int64_t token_target,
+               uint32_t max)
 {
-    if (between <= 0 || rates->weight < 5) {
-        return most;
+    if (token_target <= 0 || rates->weight < 5) {
+        return max;
     }
     uint32_t low = 1;
-    uint32_t high = most;
+    uint32_t high = max;
     while (low < high) {
         uint32_t middle = low + (high - low + 1) / 2;
-        if (ch_rates_token(rates, middle) <= (double)between) {
+        if (ch_rates_token(rates, middle) <= (double)token_target) {
             low = middle;
         }
         else {
@@ -118,39 +125,48 @@
     return low;
 }
 
-/* A level that has faded since. */
+/* Returns a level after exponential decay since updated_at. */
 static double
-faded(double level, int64_t since, int64_t now, int64_t fades)
+decay_level(double level, int64_t updated_at, int64_t now, int64_t decay_us)
 {
-    return now <= since ? level
-                        : level * exp(-(double)(now - since) / (double)fades);
+    return now <= updated_at
+               ? level
+               : level * exp(-(double)(now - updated_at) / (double)decay_us);
 }
 
 /* Counts one request. */
 void
 ch_demand_add(struct ch_demand *demand, int64_t now)
 {
-    demand->fast = faded(demand->fast, demand->at, now, FAST) +
-                   (double)G_USEC_PER_SEC / FAST;
-    demand->slow = faded(demand->slow, demand->at, now, SLOW) +
-                   (double)G_USEC_PER_SEC / SLOW;
+    demand->fast =
+        decay_level(demand->fast, demand->at, now, FAST_DEMAND_DECAY_US) +
+        (double)G_USEC_PER_SEC / FAST_DEMAND_DECAY_US;
+    demand->slow =
+        decay_level(demand->slow, demand->at, now, SLOW_DEMAND_DECAY_US) +
+        (double)G_USEC_PER_SEC / SLOW_DEMAND_DECAY_US;
     demand->at = MAX(demand->at, now);
 }
 
-/* Requests a second that have to be reckoned with: the higher of both. */
+/* Returns the highest plausible demand in requests per second: the larger of
+ * the two averages. */
 double
 ch_demand_most(const struct ch_demand *demand, int64_t now)
 {
-    return MAX(faded(demand->fast, demand->at, now, FAST),
-               faded(demand->slow, demand->at, now, SLOW));
+    return MAX(
+        decay_level(demand->fast, demand->at, now, FAST_DEMAND_DECAY_US),
+        decay_level(demand->slow, demand->at, now, SLOW_DEMAND_DECAY_US));
 }
 
-/* Requests a second that can be counted on: those of the last minute, or of
- * the last seconds less the chance error of so few arrivals. */
+/* Returns the demand in requests per second that is nearly certain: the larger
+ * of the one-minute average and the fast average minus its standard error, as
+ * few arrivals go into it. */
 double
 ch_demand_least(const struct ch_demand *demand, int64_t now)
 {
-    double fast = faded(demand->fast, demand->at, now, FAST);
-    double chance = sqrt(fast * G_USEC_PER_SEC / (2.0 * FAST));
-    return MAX(fast - chance, faded(demand->slow, demand->at, now, SLOW));
+    double fast =
+        decay_level(demand->fast, demand->at, now, FAST_DEMAND_DECAY_US);
+    double standard_error =
+        sqrt(fast * G_USEC_PER_SEC / (2.0 * FAST_DEMAND_DECAY_US));
+    return MAX(fast - standard_error, decay_level(demand->slow, demand->at,
+                                                  now, SLOW_DEMAND_DECAY_US));
 }
