--- a/tests/unit/test_decide.c
+++ b/tests/unit/test_decide.c
@@ -1,5 +1,5 @@
-/* The decisions under load, without sockets or clock: tables of cases that
- * look at the outcome for callers. */
+/* Scheduling decisions under load, without sockets or a clock.  Each test
+ * checks a table of cases for the outcome that callers see. */
 
 #include "decide/home.h"
 
@@ -8,16 +8,17 @@
 #define MS ((int64_t)1000)
 #define SECOND ((int64_t)G_USEC_PER_SEC)
 
-/* A home with models in memory, and what it decided last. */
-struct bench {
+/* A scheduler and the actions that it issued last. */
+struct fixture {
     struct ch_home *home;
     struct ch_actions out;
-    uint64_t next;
+    uint64_t next_id;
 };
 
-/* A home of an engine that holds one model, m01, under a policy. */
-static struct bench
-bench_new(const char *policy, uint32_t batch)
+/* Returns a scheduler under the policy for an engine that has model m01 in
+ * memory. */
+static struct fixture
+fixture_new(const char *policy, uint32_t batch)
 {
     struct ch_home_facts facts = {
         .name = g_quark_from_string("w01"),
@@ -26,29 +27,31 @@
         .batch = batch,
         .max_queue = 64,
     };
-    struct bench bench = {
+    struct fixture fixture = {
         .home = ch_home_new(ch_policy_find(policy), &facts, 0),
         .out = {g_array_new(FALSE, FALSE, sizeof(struct ch_action))},
-        .next = 1,
+        .next_id = 1,
     };
-    ch_home_set_item(bench.home, g_quark_from_string("m01"), CH_ITEM_RESIDENT,
-                     10000, 0, &bench.out);
-    return bench;
+    ch_home_set_item(fixture.home, g_quark_from_string("m01"),
+                     CH_ITEM_RESIDENT, 10000, 0, &fixture.out);
+    return fixture;
 }
 
 static void
-bench_free(struct bench *bench)
+fixture_free(struct fixture *fixture)
 {
-    ch_home_free(bench->home);
-    g_array_unref(bench->out.list);
+    ch_home_free(fixture->home);
+    g_array_unref(fixture->out.list);
 }
 
-/* Work on a model that arrives now with a target. */
+/* Returns a request for a model that arrives now and must have its first token
+ * within `target`. */
 static struct ch_work
-work_of(struct bench *bench, const char *model, int64_t now, int64_t target)
+make_request(struct fixture *fixture, const char *model, int64_t now,
+             int64_t target)
 {
     return (struct ch_work){
-        .id = bench->next++,
+        .id = fixture->next_id++,
         .model = g_quark_from_string(model),
         .tenant = 1,
         .model_mb = 10000,
@@ -60,34 +63,38 @@
     };
 }
 
-/* How many actions of a kind (and code, for refusals) came out; empties. */
+/* Returns the number of pending actions of a kind with this code, and clears
+ * all pending actions. */
 static unsigned
-drain(struct bench *bench, enum ch_action_kind kind, enum ch_code code)
+count_actions(struct fixture *fixture, enum ch_action_kind kind,
+              enum ch_code code)
 {
     unsigned count = 0;
-    for (guint i = 0; i < bench->out.list->len; i++) {
+    for (guint i = 0; i < fixture->out.list->len; i++) {
         const struct ch_action *action =
-            &g_array_index(bench->out.list, struct ch_action, i);
+            &g_array_index(fixture->out.list, struct ch_action, i);
         count += action->kind == kind && action->code == code ? 1 : 0;
     }
-    g_array_set_size(bench->out.list, 0);
+    g_array_set_size(fixture->out.list, 0);
     return count;
 }
 
-/* Ends a request after so long, with the first byte and token times given. */
+/* Releases a request with 100 ms to the first byte and the given time per
+ * token. */
 static void
-end(struct bench *bench, uint64_t work, int64_t now, int64_t token)
+release_request(struct fixture *fixture, uint64_t request_id, int64_t now,
+                int64_t token)
 {
     struct ch_sample sample = {
         .code = CH_OK, .first = 100 * MS, .token = token, .tokens = 50};
-    ch_home_release(bench->home, work, &sample, now, &bench->out);
+    ch_home_release(fixture->home, request_id, &sample, now, &fixture->out);
 }
 
-/* A burst: as many run as the batch holds, those that can still make their
- * target wait, and the rest is refused in the same call, with when to come
- * back. */
+/* In a burst, as many requests run as the batch limit allows, those that can
+ * still meet their target wait, and the others are refused in the same call,
+ * with a time to retry after. */
 static void
-test_burst(void)
+test_burst_admission(void)
 {
     static const struct {
         unsigned burst;
@@ -101,15 +108,16 @@
         {60, 10 * SECOND, 8, true},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-        struct bench bench = bench_new("default", 8);
+        struct fixture fixture = fixture_new("default", 8);
         unsigned granted = 0;
         unsigned refused = 0;
         for (unsigned n = 0; n < cases[i].burst; n++) {
-            struct ch_work work = work_of(&bench, "m01", 0, cases[i].target);
-            ch_home_offer(bench.home, &work, NULL, 0, &bench.out);
-            for (guint a = 0; a < bench.out.list->len; a++) {
+            struct ch_work request =
+                make_request(&fixture, "m01", 0, cases[i].target);
+            ch_home_offer(fixture.home, &request, NULL, 0, &fixture.out);
+            for (guint a = 0; a < fixture.out.list->len; a++) {
                 const struct ch_action *action =
-                    &g_array_index(bench.out.list, struct ch_action, a);
+                    &g_array_index(fixture.out.list, struct ch_action, a);
                 g_assert_cmpint(action->kind, <=, CH_ACTION_REFUSE);
                 granted += action->kind == CH_ACTION_GRANT ? 1 : 0;
                 refused += action->kind == CH_ACTION_REFUSE ? 1 : 0;
@@ -118,45 +126,50 @@
                     g_assert_cmpint(action->retry_after, >, 0);
                 }
             }
-            g_array_set_size(bench.out.list, 0);
+            g_array_set_size(fixture.out.list, 0);
         }
         g_assert_cmpuint(granted, ==, cases[i].granted);
         g_assert_true((refused > 0) == cases[i].some_refused);
-        bench_free(&bench);
+        fixture_free(&fixture);
     }
 }
 
-/* Long and short work on one upstream: the short one's nearer deadline goes
- * first though it came last; under first come, first served it does not. */
+/* A long and a short request wait for one upstream: the short one has the
+ * earlier deadline and goes first although it arrived last.  Under "fcfs" it
+ * doesn't. */
 static void
-test_order(void)
+test_deadline_order(void)
 {
     static const struct {
         const char *policy;
         uint64_t first;
     } cases[] = {{"default", 3}, {"fcfs", 2}};
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-        struct bench bench = bench_new(cases[i].policy, 1);
-        struct ch_work running = work_of(&bench, "m01", 0, 60 * SECOND);
-        struct ch_work advice = work_of(&bench, "m01", 0, 60 * SECOND);
-        struct ch_work lookup = work_of(&bench, "m01", 0, 10 * SECOND);
-        ch_home_offer(bench.home, &running, NULL, 0, &bench.out);
-        ch_home_offer(bench.home, &advice, NULL, 0, &bench.out);
-        ch_home_offer(bench.home, &lookup, NULL, 0, &bench.out);
-        g_assert_cmpuint(drain(&bench, CH_ACTION_GRANT, CH_OK), ==, 1);
-        end(&bench, running.id, SECOND, 20 * MS);
+        struct fixture fixture = fixture_new(cases[i].policy, 1);
+        struct ch_work running = make_request(&fixture, "m01", 0, 60 * SECOND);
+        struct ch_work long_request =
+            make_request(&fixture, "m01", 0, 60 * SECOND);
+        struct ch_work short_request =
+            make_request(&fixture, "m01", 0, 10 * SECOND);
+        ch_home_offer(fixture.home, &running, NULL, 0, &fixture.out);
+        ch_home_offer(fixture.home, &long_request, NULL, 0, &fixture.out);
+        ch_home_offer(fixture.home, &short_request, NULL, 0, &fixture.out);
+        g_assert_cmpuint(count_actions(&fixture, CH_ACTION_GRANT, CH_OK), ==,
+                         1);
+        release_request(&fixture, running.id, SECOND, 20 * MS);
         const struct ch_action *action =
-            &g_array_index(bench.out.list, struct ch_action, 0);
+            &g_array_index(fixture.out.list, struct ch_action, 0);
         g_assert_cmpint(action->kind, ==, CH_ACTION_GRANT);
         g_assert_cmpuint(action->work, ==, cases[i].first);
-        bench_free(&bench);
+        fixture_free(&fixture);
     }
 }
 
-/* The batch is the largest at which a token keeps its target, by the line
- * through what was measured: 20 ms and 5 ms more for each request. */
+/* The batch limit is the largest at which the time per token meets the target,
+ * by regression over the samples: 20 ms, plus 5 ms for each concurrent
+ * request. */
 static void
-test_batch(void)
+test_batch_limit(void)
 {
     static const struct {
         int64_t between;
@@ -176,67 +189,71 @@
     }
 }
 
-/* What the caller sees: of two callers on a full upstream, the one that asked
- * for little is served.  One fills batch and queue; then the other comes; the
- * last waiting request of the first makes room, refused at once. */
+/* A tenant fills the batch and the queue of an upstream, then another tenant
+ * sends a request.  The last queued request of the first tenant is refused at
+ * once to make room for it. */
 static void
-test_fairness(void)
+test_tenant_fairness(void)
 {
     static const struct {
         const char *policy;
         enum ch_code code;
     } cases[] = {{"default", CH_SHARE_FULL}, {"no-fairness", CH_LATE}};
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-        struct bench bench = bench_new(cases[i].policy, 4);
+        struct fixture fixture = fixture_new(cases[i].policy, 4);
         for (unsigned n = 0; n < 40; n++) {
-            struct ch_work work = work_of(&bench, "m01", 0, 4 * SECOND);
-            ch_home_offer(bench.home, &work, NULL, 0, &bench.out);
+            struct ch_work request =
+                make_request(&fixture, "m01", 0, 4 * SECOND);
+            ch_home_offer(fixture.home, &request, NULL, 0, &fixture.out);
         }
-        g_array_set_size(bench.out.list, 0);
-        struct ch_work work = work_of(&bench, "m01", 0, 4 * SECOND);
-        work.tenant = 2;
-        ch_home_offer(bench.home, &work, NULL, 0, &bench.out);
+        g_array_set_size(fixture.out.list, 0);
+        struct ch_work request = make_request(&fixture, "m01", 0, 4 * SECOND);
+        request.tenant = 2;
+        ch_home_offer(fixture.home, &request, NULL, 0, &fixture.out);
         const struct ch_action *action =
-            &g_array_index(bench.out.list, struct ch_action, 0);
+            &g_array_index(fixture.out.list, struct ch_action, 0);
         g_assert_cmpint(action->code, ==, cases[i].code);
-        g_assert_true((action->work == work.id) == (cases[i].code == CH_LATE));
-        bench_free(&bench);
+        g_assert_true((action->work == request.id) ==
+                      (cases[i].code == CH_LATE));
+        fixture_free(&fixture);
     }
 }
 
-/* Counts are exact: a grant that never comes back is given back by the node's
- * loss, a second release of it frees nothing, and a withdrawn one is gone. */
+/* Counts are exact: releasing a request for a lost node frees its slot,
+ * releasing it again frees nothing, and a withdrawn request is never granted.
+ */
 static void
-test_counts(void)
+test_exact_counts(void)
 {
-    struct bench bench = bench_new("default", 1);
-    struct ch_work a = work_of(&bench, "m01", 0, 60 * SECOND);
-    struct ch_work b = work_of(&bench, "m01", 0, 60 * SECOND);
-    struct ch_work c = work_of(&bench, "m01", 0, 60 * SECOND);
-    ch_home_offer(bench.home, &a, NULL, 0, &bench.out);
-    ch_home_offer(bench.home, &b, NULL, 0, &bench.out);
-    ch_home_offer(bench.home, &c, NULL, 0, &bench.out);
-    g_assert_cmpuint(drain(&bench, CH_ACTION_GRANT, CH_OK), ==, 1);
+    struct fixture fixture = fixture_new("default", 1);
+    struct ch_work a = make_request(&fixture, "m01", 0, 60 * SECOND);
+    struct ch_work b = make_request(&fixture, "m01", 0, 60 * SECOND);
+    struct ch_work c = make_request(&fixture, "m01", 0, 60 * SECOND);
+    ch_home_offer(fixture.home, &a, NULL, 0, &fixture.out);
+    ch_home_offer(fixture.home, &b, NULL, 0, &fixture.out);
+    ch_home_offer(fixture.home, &c, NULL, 0, &fixture.out);
+    g_assert_cmpuint(count_actions(&fixture, CH_ACTION_GRANT, CH_OK), ==, 1);
     struct ch_sample lost = {.code = CH_PEER_LOST};
-    ch_home_release(bench.home, a.id, &lost, SECOND, &bench.out);
-    g_assert_cmpuint(drain(&bench, CH_ACTION_GRANT, CH_OK), ==, 1);
-    ch_home_release(bench.home, a.id, &lost, SECOND, &bench.out);
-    g_assert_cmpuint(drain(&bench, CH_ACTION_GRANT, CH_OK), ==, 0);
-    ch_home_withdraw(bench.home, c.id, SECOND, &bench.out);
-    end(&bench, b.id, 2 * SECOND, 20 * MS);
-    g_assert_cmpuint(drain(&bench, CH_ACTION_GRANT, CH_OK), ==, 0);
+    ch_home_release(fixture.home, a.id, &lost, SECOND, &fixture.out);
+    g_assert_cmpuint(count_actions(&fixture, CH_ACTION_GRANT, CH_OK), ==, 1);
+    ch_home_release(fixture.home, a.id, &lost, SECOND, &fixture.out);
+    g_assert_cmpuint(count_actions(&fixture, CH_ACTION_GRANT, CH_OK), ==, 0);
+    ch_home_withdraw(fixture.home, c.id, SECOND, &fixture.out);
+    release_request(&fixture, b.id, 2 * SECOND, 20 * MS);
+    g_assert_cmpuint(count_actions(&fixture, CH_ACTION_GRANT, CH_OK), ==, 0);
     struct ch_upstream_view view;
-    ch_home_view(bench.home, 2 * SECOND, &view);
+    ch_home_view(fixture.home, 2 * SECOND, &view);
     g_assert_cmpuint(view.running, ==, 0);
     g_assert_cmpuint(view.queued, ==, 0);
     g_array_unref(view.resident);
     g_array_unref(view.loading);
-    bench_free(&bench);
+    fixture_free(&fixture);
 }
 
-/* A fleet of one other upstream that holds the models named. */
+/* Returns a fleet with one other upstream that has the named models in memory.
+ */
 static struct ch_fleet
-fleet_of(struct ch_upstream_view *view, const char *const *models)
+make_fleet(struct ch_upstream_view *view, const char *const *models)
 {
     *view = (struct ch_upstream_view){
         .name = g_quark_from_string("w02"),
@@ -261,149 +278,151 @@
     g_array_unref(view->loading);
 }
 
-/* Offers so many requests a second on m01, each over at once. */
+/* Sends this many requests for m01 at once, each finished immediately. */
 static void
-keep_busy(struct bench *bench, const struct ch_fleet *fleet, unsigned own,
-          int64_t now)
+run_requests(struct fixture *fixture, const struct ch_fleet *fleet,
+             unsigned m01_rate, int64_t now)
 {
-    for (unsigned n = 0; n < own; n++) {
-        struct ch_work work = work_of(bench, "m01", now, SECOND);
-        ch_home_offer(bench->home, &work, fleet, now, &bench->out);
-        end(bench, work.id, now, 20 * MS);
+    for (unsigned n = 0; n < m01_rate; n++) {
+        struct ch_work request = make_request(fixture, "m01", now, SECOND);
+        ch_home_offer(fixture->home, &request, fleet, now, &fixture->out);
+        release_request(fixture, request.id, now, 20 * MS);
     }
 }
 
-/* From second 40 until `until`, m01 and m02 are asked for so many times a
- * second; true when the home unloaded m01. */
+/* Sends requests for m01 and m02 at these rates per second, from second 40
+ * until `until`.  Returns whether m01 was unloaded. */
 static bool
-unloads(struct bench *bench, const struct ch_fleet *fleet, unsigned own,
-        unsigned wanted, int64_t until)
+is_evicted(struct fixture *fixture, const struct ch_fleet *fleet,
+           unsigned m01_rate, unsigned m02_rate, int64_t until)
 {
     unsigned unloaded = 0;
     for (int64_t now = 40 * SECOND; now < until; now += SECOND) {
-        keep_busy(bench, fleet, own, now);
-        for (unsigned n = 0; n < wanted; n++) {
-            struct ch_work work = work_of(bench, "m02", now, SECOND);
-            work.model_mb = 20000;
-            ch_home_offer(bench->home, &work, fleet, now, &bench->out);
+        run_requests(fixture, fleet, m01_rate, now);
+        for (unsigned n = 0; n < m02_rate; n++) {
+            struct ch_work request = make_request(fixture, "m02", now, SECOND);
+            request.model_mb = 20000;
+            ch_home_offer(fixture->home, &request, fleet, now, &fixture->out);
         }
-        ch_home_tick(bench->home, fleet, now, &bench->out);
-        unloaded += drain(bench, CH_ACTION_UNLOAD, CH_OK);
+        ch_home_tick(fixture->home, fleet, now, &fixture->out);
+        unloaded += count_actions(fixture, CH_ACTION_UNLOAD, CH_OK);
     }
     return unloaded > 0;
 }
 
-/* The last replica of a model that is asked for goes neither for a few
- * requests of a model served elsewhere nor for a few of an absent one; it
- * goes, idle, at once for an absent one, and after a minute and a half
- * whatever it serves, as every model stays reachable. */
+/* The last replica of a model in demand isn't evicted for a few requests for a
+ * model that is served elsewhere, nor for a few for a model on no upstream.
+ * For a model on no upstream it is evicted at once if it is idle, and after 90
+ * seconds in any case, so that every model stays reachable. */
 static void
-test_last_replica(void)
+test_last_replica_eviction(void)
 {
-    static const char *const with[] = {"m02", NULL};
-    static const char *const without[] = {NULL};
+    static const char *const m02_elsewhere[] = {"m02", NULL};
+    static const char *const nothing_elsewhere[] = {NULL};
     static const struct {
         const char *const *elsewhere;
-        unsigned own; /* requests a second on m01 */
-        unsigned wanted;
+        unsigned m01_rate; /* requests per second for m01 */
+        unsigned m02_rate;
         int64_t until;
-        bool goes;
+        bool evicted;
     } cases[] = {
-        {with, 2, 1, 45 * SECOND, false},
-        {without, 2, 1, 45 * SECOND, false},
-        {without, 0, 1, 45 * SECOND, true},
-        {without, 2, 1, 140 * SECOND, true},
-        {with, 2, 1, 140 * SECOND, false},
-        {with, 0, 8, 60 * SECOND, true},
+        {m02_elsewhere, 2, 1, 45 * SECOND, false},
+        {nothing_elsewhere, 2, 1, 45 * SECOND, false},
+        {nothing_elsewhere, 0, 1, 45 * SECOND, true},
+        {nothing_elsewhere, 2, 1, 140 * SECOND, true},
+        {m02_elsewhere, 2, 1, 140 * SECOND, false},
+        {m02_elsewhere, 0, 8, 60 * SECOND, true},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-        struct bench bench = bench_new("default", 8);
+        struct fixture fixture = fixture_new("default", 8);
         struct ch_upstream_view view;
-        struct ch_fleet fleet = fleet_of(&view, cases[i].elsewhere);
+        struct ch_fleet fleet = make_fleet(&view, cases[i].elsewhere);
         for (int64_t now = 0; now < 40 * SECOND; now += SECOND) {
-            keep_busy(&bench, &fleet, cases[i].own, now);
+            run_requests(&fixture, &fleet, cases[i].m01_rate, now);
         }
-        g_array_set_size(bench.out.list, 0);
-        bool goes = unloads(&bench, &fleet, cases[i].own, cases[i].wanted,
-                            cases[i].until);
-        if (goes != cases[i].goes) {
-            g_error("case %zu: goes %d", i, goes);
+        g_array_set_size(fixture.out.list, 0);
+        bool evicted = is_evicted(&fixture, &fleet, cases[i].m01_rate,
+                                  cases[i].m02_rate, cases[i].until);
+        if (evicted != cases[i].evicted) {
+            g_error("case %zu: evicted %d", i, evicted);
         }
         fleet_free(&view);
-        bench_free(&bench);
+        fixture_free(&fixture);
     }
 }
 
-/* An order that cannot be done (the key-value service is away) refuses those
- * who wait for it at once, and the rest of the home goes on. */
+/* If a load order can't be carried out because the key-value store is
+ * unreachable, the requests that wait for it are refused at once, and requests
+ * for other models are still granted. */
 static void
-test_order_failed(void)
+test_failed_load_order(void)
 {
-    struct bench bench = bench_new("default", 8);
-    static const char *const none[] = {NULL};
+    struct fixture fixture = fixture_new("default", 8);
+    static const char *const no_models[] = {NULL};
     struct ch_upstream_view view;
-    struct ch_fleet fleet = fleet_of(&view, none);
-    struct ch_work work = work_of(&bench, "m03", 0, 60 * SECOND);
-    ch_home_offer(bench.home, &work, &fleet, 0, &bench.out);
-    g_assert_cmpuint(drain(&bench, CH_ACTION_LOAD, CH_OK), ==, 1);
-    ch_home_order_failed(bench.home, work.model, CH_ACTION_LOAD,
-                         CH_KV_UNREACHABLE, MS, &bench.out);
-    g_assert_cmpuint(drain(&bench, CH_ACTION_REFUSE, CH_NO_UPSTREAM), ==, 1);
-    struct ch_work other = work_of(&bench, "m01", 2 * MS, SECOND);
-    ch_home_offer(bench.home, &other, &fleet, 2 * MS, &bench.out);
-    g_assert_cmpuint(drain(&bench, CH_ACTION_GRANT, CH_OK), ==, 1);
+    struct ch_fleet fleet = make_fleet(&view, no_models);
+    struct ch_work request = make_request(&fixture, "m03", 0, 60 * SECOND);
+    ch_home_offer(fixture.home, &request, &fleet, 0, &fixture.out);
+    g_assert_cmpuint(count_actions(&fixture, CH_ACTION_LOAD, CH_OK), ==, 1);
+    ch_home_order_failed(fixture.home, request.model, CH_ACTION_LOAD,
+                         CH_KV_UNREACHABLE, MS, &fixture.out);
+    g_assert_cmpuint(count_actions(&fixture, CH_ACTION_REFUSE, CH_NO_UPSTREAM),
+                     ==, 1);
+    struct ch_work other = make_request(&fixture, "m01", 2 * MS, SECOND);
+    ch_home_offer(fixture.home, &other, &fleet, 2 * MS, &fixture.out);
+    g_assert_cmpuint(count_actions(&fixture, CH_ACTION_GRANT, CH_OK), ==, 1);
     fleet_free(&view);
-    bench_free(&bench);
+    fixture_free(&fixture);
 }
 
-/* Upstreams that leave or do not answer get nothing new, and what waits is
- * refused at once. */
+/* An upstream that is draining or down is given no new requests, and queued
+ * requests are refused at once. */
 static void
-test_gone(void)
+test_draining_or_down(void)
 {
     static const struct {
         bool leaving;
         bool down;
     } cases[] = {{true, false}, {false, true}};
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-        struct bench bench = bench_new("default", 1);
-        struct ch_work a = work_of(&bench, "m01", 0, 60 * SECOND);
-        struct ch_work b = work_of(&bench, "m01", 0, 60 * SECOND);
-        ch_home_offer(bench.home, &a, NULL, 0, &bench.out);
-        ch_home_offer(bench.home, &b, NULL, 0, &bench.out);
-        g_array_set_size(bench.out.list, 0);
-        ch_home_report(bench.home, 1, 0, cases[i].leaving, cases[i].down, MS,
-                       &bench.out);
-        g_assert_cmpuint(drain(&bench, CH_ACTION_REFUSE, CH_NO_UPSTREAM), ==,
-                         1);
-        struct ch_work c = work_of(&bench, "m01", MS, 60 * SECOND);
-        ch_home_offer(bench.home, &c, NULL, MS, &bench.out);
-        g_assert_cmpuint(drain(&bench, CH_ACTION_REFUSE, CH_NO_UPSTREAM), ==,
-                         1);
-        bench_free(&bench);
+        struct fixture fixture = fixture_new("default", 1);
+        struct ch_work a = make_request(&fixture, "m01", 0, 60 * SECOND);
+        struct ch_work b = make_request(&fixture, "m01", 0, 60 * SECOND);
+        ch_home_offer(fixture.home, &a, NULL, 0, &fixture.out);
+        ch_home_offer(fixture.home, &b, NULL, 0, &fixture.out);
+        g_array_set_size(fixture.out.list, 0);
+        ch_home_report(fixture.home, 1, 0, cases[i].leaving, cases[i].down, MS,
+                       &fixture.out);
+        g_assert_cmpuint(
+            count_actions(&fixture, CH_ACTION_REFUSE, CH_NO_UPSTREAM), ==, 1);
+        struct ch_work c = make_request(&fixture, "m01", MS, 60 * SECOND);
+        ch_home_offer(fixture.home, &c, NULL, MS, &fixture.out);
+        g_assert_cmpuint(
+            count_actions(&fixture, CH_ACTION_REFUSE, CH_NO_UPSTREAM), ==, 1);
+        fixture_free(&fixture);
     }
 }
 
-/* One slow upstream of two: the router turns to the other. */
+/* With two upstreams of which one is slow, the router chooses the other. */
 static void
 test_slow_upstream(void)
 {
     static const char *const models[] = {"m01", NULL};
     struct ch_upstream_view views[2];
-    (void)fleet_of(&views[0], models);
-    struct ch_fleet fleet = fleet_of(&views[1], models);
+    (void)make_fleet(&views[0], models);
+    struct ch_fleet fleet = make_fleet(&views[1], models);
     views[0].name = g_quark_from_string("w01");
     views[0].token = 600 * MS;
     views[1].token = 30 * MS;
     views[1].running = 7;
     fleet.upstreams = views;
     fleet.count = 2;
-    struct ch_work work = {.id = 1,
-                           .model = g_quark_from_string("m01"),
-                           .first_by = 10 * SECOND,
-                           .between = 62 * MS};
+    struct ch_work request = {.id = 1,
+                              .model = g_quark_from_string("m01"),
+                              .first_by = 10 * SECOND,
+                              .between = 62 * MS};
     struct ch_route route =
-        ch_route_choose(ch_policy_find("default"), &fleet, &work, NULL, 0);
+        ch_route_choose(ch_policy_find("default"), &fleet, &request, NULL, 0);
     g_assert_cmpint(route.code, ==, CH_OK);
     g_assert_cmpuint(route.upstream, ==, 1);
     g_assert_cmpuint(views[1].sent_since, ==, 1);
@@ -411,8 +430,8 @@
     fleet_free(&views[1]);
 }
 
-/* All upstreams fail all the time: the retries stay under a tenth of the
- * fresh requests, but for the few of a node that has just started. */
+/* If all upstreams fail all the time, retries stay below a tenth of the new
+ * requests, apart from the few that a newly started node has. */
 static void
 test_retry_amplification(void)
 {
@@ -422,13 +441,13 @@
     for (unsigned i = 0; i < 10000; i++) {
         const struct ch_retry_failure failure = {
             .code = CH_UPSTREAM_CUT, .may_have_run = true, .stream = true};
-        struct ch_work work = {.idempotent = true};
-        bool held = false;
+        struct ch_work request = {.idempotent = true};
+        bool reserved = false;
         ch_retry_budget_fresh(&budget);
-        while (ch_retry_decide(&budget, &held, &work, &failure, 0) !=
+        while (ch_retry_decide(&budget, &reserved, &request, &failure, 0) !=
                CH_RETRY_NO) {
-            held = false;
-            work.attempt++;
+            reserved = false;
+            request.attempt++;
             retries++;
         }
     }
@@ -436,9 +455,9 @@
     g_assert_cmpuint(retries, >, 900);
 }
 
-/* Which failures are tried again, and from where. */
+/* Which failures are retried, and from which point of the response. */
 static void
-test_retry_cases(void)
+test_retry_decisions(void)
 {
     static const struct {
         enum ch_code code;
@@ -460,21 +479,22 @@
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         struct ch_retry_budget budget;
         ch_retry_budget_init(&budget, 0.1);
-        struct ch_work work = {.idempotent = cases[i].idempotent,
-                               .attempt = cases[i].attempt};
+        struct ch_work request = {.idempotent = cases[i].idempotent,
+                                  .attempt = cases[i].attempt};
         const struct ch_retry_failure failure = {
             cases[i].code, cases[i].may_have_run, cases[i].stream,
             cases[i].given};
-        bool held = false;
-        g_assert_cmpint(ch_retry_decide(&budget, &held, &work, &failure, 0),
-                        ==, cases[i].retry);
+        bool reserved = false;
+        g_assert_cmpint(
+            ch_retry_decide(&budget, &reserved, &request, &failure, 0), ==,
+            cases[i].retry);
     }
 }
 
-/* What is asked for again a little later: streams that their callers have the
- * beginning of and that no upstream has run since, and nothing else. */
+/* A request is only retried after a delay if its caller already has the
+ * beginning of the stream and no upstream has run it since. */
 static void
-test_retry_waits(void)
+test_retry_delays(void)
 {
     static const struct {
         enum ch_code code;
@@ -495,19 +515,19 @@
         {CH_DEADLINE, 2, 7, true, false, false},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-        const struct ch_work work = {
+        const struct ch_work request = {
             .idempotent = cases[i].idempotent,
             .tries = cases[i].tries,
         };
-        g_assert_cmpint(ch_retry_waits(&work, cases[i].code,
+        g_assert_cmpint(ch_retry_waits(&request, cases[i].code,
                                        cases[i].may_have_run, cases[i].given),
                         ==, cases[i].waits);
     }
 }
 
-/* A bucket gives what its rate allows and no more, whatever the clock does. */
+/* A bucket allows its rate and no more, even if the clock goes back. */
 static void
-test_bucket(void)
+test_token_bucket(void)
 {
     struct ch_bucket bucket;
     ch_bucket_init(&bucket, 2.0, 3.0, SECOND);
@@ -522,18 +542,18 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/decide/burst", test_burst);
-    g_test_add_func("/decide/order", test_order);
-    g_test_add_func("/decide/batch", test_batch);
-    g_test_add_func("/decide/fairness", test_fairness);
-    g_test_add_func("/decide/counts", test_counts);
-    g_test_add_func("/decide/last-replica", test_last_replica);
-    g_test_add_func("/decide/order-failed", test_order_failed);
-    g_test_add_func("/decide/gone", test_gone);
+    g_test_add_func("/decide/burst", test_burst_admission);
+    g_test_add_func("/decide/order", test_deadline_order);
+    g_test_add_func("/decide/batch", test_batch_limit);
+    g_test_add_func("/decide/fairness", test_tenant_fairness);
+    g_test_add_func("/decide/counts", test_exact_counts);
+    g_test_add_func("/decide/last-replica", test_last_replica_eviction);
+    g_test_add_func("/decide/order-failed", test_failed_load_order);
+    g_test_add_func("/decide/gone", test_draining_or_down);
     g_test_add_func("/decide/slow-upstream", test_slow_upstream);
     g_test_add_func("/decide/retry-amplification", test_retry_amplification);
-    g_test_add_func("/decide/retry-cases", test_retry_cases);
-    g_test_add_func("/decide/retry-waits", test_retry_waits);
-    g_test_add_func("/decide/bucket", test_bucket);
+    g_test_add_func("/decide/retry-cases", test_retry_decisions);
+    g_test_add_func("/decide/retry-waits", test_retry_delays);
+    g_test_add_func("/decide/bucket", test_token_bucket);
     return g_test_run();
 }
