--- a/libchestnuthitch/decide/arrange.c
+++ b/libchestnuthitch/decide/arrange.c
@@ -1,51 +1,68 @@
-/* Which models come and go on the engines of one data centre. */
+/* Decides which models are loaded and unloaded on the engines of a data
+ * centre. */
 
 #include "decide/arrange_internal.h"
 
-/* What makes one engine worse than another for a model, in engines' time that
- * is asked of it: a load of some seconds in place of one or less, a model that
- * has to go and whose requests end first, an engine that becomes one on which
- * nothing large can come any more.  To bring back what nobody holds, time
- * counts more: the load's, and that of a model whose requests end first. */
-static const double FROM_STORE = 4;
-static const double DISPLACES = 2;
-static const double DISPLACES_BUSY = 6;
-static const double SHIFT_FROM_STORE = 1;
-static const double BLOCKS_ADAPTERS = 0.5;
-static const double DRAINS = 0.25;
-static const double FILLS_UP = 2;
-/* Beyond this a replica is in use, and not moved for the sake of room. */
-static const double idle_replica = 0.25;
+/*
+ * Costs that rank engines for a model.  The engine with the lowest sum of
+ * these costs and of the load of its other models is chosen.  The unit is an
+ * engine's time: 1 is all the time of one engine.  For a model that no engine
+ * holds, time counts more: the time of its load, and the time until the
+ * requests of evicted models have ended.
+ */
+
+/* Restoring a model: a load from the weight store, which takes some seconds
+ * where a local copy takes one or less. */
+static const double RESTORE_STORE_COST = 4;
+/* Restoring a model: each eviction, and a factor for the load that the
+ * eviction leaves to other replicas. */
+static const double RESTORE_EVICTION_COST = 2;
+static const double RESTORE_EVICTED_LOAD_COST = 6;
+/* Otherwise: a load from the weight store. */
+static const double STORE_LOAD_COST = 1;
+/* The sole engine of a model with adapters, which can't load adapters during
+ * the change. */
+static const double BLOCKED_ADAPTERS_COST = 0.5;
+/* Otherwise: each eviction, since the evicted model's requests end first. */
+static const double EVICTION_COST = 0.25;
+/* Restoring a model: an engine on which no large model fits afterwards. */
+static const double RESTORE_FILLED_ENGINE_COST = 2;
+/* A replica with more load than this is in use and isn't moved to free memory
+ * elsewhere. */
+static const double MAX_IDLE_LOAD = 0.25;
 
 enum {
-    /* Loads of the weight store that are left for what is asked for, while
-     * others move for the sake of room. */
-    LOADS_KEPT = 1,
-    /* Engines are looked for so often in a round. */
-    MOST_LOOKS = 64,
+    /* Loads from the weight store that are kept for models in demand when a
+     * model is moved to free memory. */
+    RESERVED_STORE_LOADS = 1,
+    /* Limit on searches for an engine in one round. */
+    MAX_ENGINE_SEARCHES = 64,
 };
 
-/* ---- ordering ---- */
+/* ---- orders ---- */
 
-/* Appends an order: to load a model, or first to unload a victim for it.  The
- * load from the weight store is counted with the first of the two, so that the
- * room is not made in vain.  What is decided for an engine of another data
- * centre is only counted: its own holder decides the same. */
+/*
+ * Appends an order: to load a model, or to unload a victim first.  A load from
+ * the weight store is counted with the first of the two orders, so that the
+ * memory isn't freed in vain.  A decision for an engine of another data centre
+ * is only counted: that data centre's own lease holder makes the same
+ * decision.
+ */
 static void
-order(struct ch_round *round, const struct ch_arrange_engine *engine,
-      GQuark victim, GQuark model, const char *reason)
+add_order(struct ch_round *round, const struct ch_arrange_engine *engine,
+          GQuark victim, GQuark model, const char *reason)
 {
     ch_round_count_order(round, engine, victim, model);
     if (!engine->mine) {
         return;
     }
-    bool pledges = victim != 0 && !round->state->without.pledges;
+    bool reserves = victim != 0 && !round->state->without.pledges;
     const struct ch_arrange_action action = {
         .kind = victim == 0 ? CH_ACTION_LOAD : CH_ACTION_UNLOAD,
         .engine = engine->name,
         .model = victim == 0 ? model : victim,
-        .pledged = pledges ? model : 0,
-        .from_store = (victim == 0 || pledges) && engine->pledged != model &&
+        .pledged = reserves ? model : 0,
+        .from_store = (victim == 0 || reserves) && engine->pledged != model &&
                       !ch_round_has_copy(engine, model),
         .reason = reason,
     };
@@ -56,61 +73,65 @@
     g_array_append_val(round->out, action);
 }
 
-/* Whether room was made on the engine for another model. */
+/* Whether memory of the engine is reserved for another model. */
 static bool
-is_pledged_to_other(const struct ch_arrange_engine *engine, GQuark model)
+is_reserved_for_other(const struct ch_arrange_engine *engine, GQuark model)
 {
     return engine->pledged != 0 && engine->pledged != model;
 }
 
-/* What an engine's change costs those who need adapters meanwhile: it is the
- * only one with a model that has some. */
+/* The cost of a change on the engine for requests that need adapters
+ * meanwhile: it applies to models with adapters that only this engine
+ * holds. */
 static double
-blocks_adapters(const struct ch_round *round,
-                const struct ch_arrange_engine *engine)
+adapter_blocking_cost(const struct ch_round *round,
+                      const struct ch_arrange_engine *engine)
 {
     double cost = 0;
     for (size_t i = 0; i < engine->item_count; i++) {
-        const struct ch_tally *tally =
+        const struct ch_tally *count =
             ch_round_tally(round, engine->items[i].model);
-        if (tally != NULL && tally->model->adapters && tally->replicas < 2) {
-            cost += BLOCKS_ADAPTERS;
+        if (count != NULL && count->model->adapters && count->replicas < 2) {
+            cost += BLOCKED_ADAPTERS_COST;
         }
     }
     return cost;
 }
 
-/* What a load costs that takes `from_store` more without a copy near by. */
+/* The cost of loading the model on the engine: store_cost without a local
+ * copy, else 0. */
 static double
-load_cost(const struct ch_round *round, const struct ch_arrange_engine *engine,
-          GQuark model, double from_store)
+compute_load_cost(const struct ch_round *round,
+                  const struct ch_arrange_engine *engine, GQuark model,
+                  double store_cost)
 {
-    bool alike =
+    bool is_local =
         round->state->without.near_copies || ch_round_has_copy(engine, model);
-    return alike ? 0 : from_store;
+    return is_local ? 0 : store_cost;
 }
 
-/* The best of several engines for a model. */
-struct pick {
+/* The best engine found so far for a model. */
+struct candidate_engine {
     const struct ch_arrange_engine *engine; /* NULL: none */
     GQuark victim;
     double cost;
 };
 
-/* Takes the engine in place of a worse one. */
 static void
-consider(struct pick *pick, const struct ch_arrange_engine *engine,
-         GQuark victim, double cost)
+keep_cheaper(struct candidate_engine *best,
+             const struct ch_arrange_engine *engine, GQuark victim,
+             double cost)
 {
-    if (pick->engine == NULL || cost < pick->cost) {
-        *pick = (struct pick){engine, victim, cost};
+    if (best->engine == NULL || cost < best->cost) {
+        *best = (struct candidate_engine){engine, victim, cost};
     }
 }
 
-/* Whether the engine may be told now to take the model. */
+/* Whether the engine may get an order to load the model now. */
 static bool
-can_take(const struct ch_round *round, const struct ch_arrange_engine *engine,
-         const struct ch_arrange_model *model)
+can_take_load(const struct ch_round *round,
+              const struct ch_arrange_engine *engine,
+              const struct ch_arrange_model *model)
 {
     return ch_round_is_open(engine) && !ch_round_is_ordered(round, engine) &&
            ch_round_may_hold(engine, model) &&
@@ -118,13 +139,14 @@
            ch_round_may_load(round, engine, model->name);
 }
 
-/* ---- reachability ---- */
+/* ---- restoring models without replicas ---- */
 
-/* Whether this data centre is the one that brings back a model which nobody
- * holds: the same for every node, by rendezvous among those with engines. */
+/* Whether this data centre is the one that restores a model which no engine
+ * holds.  It is chosen by rendezvous hashing among the data centres with
+ * eligible engines, so that every node finds the same. */
 static bool
-is_chosen_centre(const struct ch_round *round,
-                 const struct ch_arrange_model *model)
+restores_model(const struct ch_round *round,
+               const struct ch_arrange_model *model)
 {
     GQuark best = 0;
     uint64_t best_weight = 0;
@@ -143,311 +165,335 @@
 }
 
 /*
- * Load: the last engine that held a model has crashed or leaves.  Harm
- * prevented: the model is out of reach until somebody asks for it, and then
- * for as long as its load takes.  It is brought back at once, where there is
- * room, else in place of a model that others hold too; a quick copy is worth
- * more than an idle engine.
+ * For a model whose last engine has crashed or is draining.  Otherwise the
+ * model would be unreachable until a request asks for it, and then for the
+ * time of its load.  So it is restored at once, in free memory or else in
+ * place of a model that other engines hold too.  A local copy counts more than
+ * an idle engine.
  */
 static void
-restore(struct ch_round *round, const struct ch_arrange_model *model)
+restore_model(struct ch_round *round, const struct ch_arrange_model *model)
 {
-    struct pick best = {NULL, 0, 0};
+    struct candidate_engine best = {NULL, 0, 0};
     for (size_t i = 0; i < round->state->engine_count; i++) {
         const struct ch_arrange_engine *engine = &round->state->engines[i];
         struct ch_eviction eviction;
-        if (!engine->mine || !can_take(round, engine, model) ||
-            is_pledged_to_other(engine, model->name) ||
+        if (!engine->mine || !can_take_load(round, engine, model) ||
+            is_reserved_for_other(engine, model->name) ||
             !ch_round_find_room(round, engine, model->memory_mb, G_MAXDOUBLE,
                                 &eviction)) {
             continue;
         }
-        bool fills = ch_round_flexible(round, engine) <
-                     model->memory_mb + round->largest_mb;
-        double cost = load_cost(round, engine, model->name, FROM_STORE) +
-                      eviction.count * DISPLACES +
-                      eviction.cost * DISPLACES_BUSY + (fills ? FILLS_UP : 0) +
-                      ch_round_busy(round, engine, eviction.first) +
-                      blocks_adapters(round, engine);
-        consider(&best, engine, eviction.first, cost);
+        bool fills_engine = ch_round_flexible(round, engine) <
+                            model->memory_mb + round->largest_mb;
+        double cost =
+            compute_load_cost(round, engine, model->name, RESTORE_STORE_COST) +
+            eviction.count * RESTORE_EVICTION_COST +
+            eviction.cost * RESTORE_EVICTED_LOAD_COST +
+            (fills_engine ? RESTORE_FILLED_ENGINE_COST : 0) +
+            ch_round_busy(round, engine, eviction.first) +
+            adapter_blocking_cost(round, engine);
+        keep_cheaper(&best, engine, eviction.first, cost);
     }
     if (best.engine != NULL) {
-        order(round, best.engine, best.victim, model->name,
-              "nobody holds the model");
+        add_order(round, best.engine, best.victim, model->name,
+                  "no engine holds the model");
     }
 }
 
 /* ---- demand ---- */
 
 /*
- * Load: demand that moves to another model within seconds.  Harm prevented: it
- * queues at the few engines that hold the model while others stand idle.  It
- * comes where there is room, or a replica that is missed much less gives way,
- * never the last one of anything; a copy near by goes first, since it loads in
- * a second or less where the weight store needs several.  The engine is looked
- * for in the whole fleet, and each holder orders its own: else the holders of
- * three data centres each bring what is missing, three times as much, and take
- * it from models that are short next.  False: no engine can take it.
+ * For demand that moves to another model within seconds.  Otherwise requests
+ * would queue at the few engines that hold the model while others are idle.
+ * The model is loaded into free memory, or replaces a replica with much less
+ * load, but never a model's last replica.  Engines with a local copy are
+ * preferred, since a load takes them a second or less, and several seconds
+ * from the weight store.
+ *
+ * The engine is searched for in the whole fleet, and each lease holder orders
+ * only its own engines.  Otherwise the lease holders of three data centres
+ * would each add the missing replica, three times as many as needed, at the
+ * expense of models that are short of replicas next.  Returns false if no
+ * engine can take the model.
  */
 static bool
-shift(struct ch_round *round, const struct ch_tally *tally)
+add_replica(struct ch_round *round, const struct ch_tally *count)
 {
-    const struct ch_arrange_model *model = tally->model;
-    double asked = ch_round_pressure(model, tally->replicas);
-    struct pick best = {NULL, 0, 0};
+    const struct ch_arrange_model *model = count->model;
+    double load_per_replica = ch_round_pressure(model, count->replicas);
+    struct candidate_engine best = {NULL, 0, 0};
     for (size_t i = 0; i < round->state->engine_count; i++) {
         const struct ch_arrange_engine *engine = &round->state->engines[i];
         struct ch_eviction eviction;
-        if (!can_take(round, engine, model) || engine->pledged != 0 ||
+        if (!can_take_load(round, engine, model) || engine->pledged != 0 ||
             (round->state->without.whole_fleet && !engine->mine) ||
             !ch_round_find_room(round, engine, model->memory_mb,
-                                asked / CH_CLEAR_GAIN, &eviction)) {
+                                load_per_replica / CH_CLEAR_GAIN, &eviction)) {
             continue;
         }
-        double cost = load_cost(round, engine, model->name, SHIFT_FROM_STORE) +
-                      eviction.cost + eviction.count * DRAINS +
-                      ch_round_busy(round, engine, eviction.first) +
-                      blocks_adapters(round, engine);
-        consider(&best, engine, eviction.first, cost);
+        double cost =
+            compute_load_cost(round, engine, model->name, STORE_LOAD_COST) +
+            eviction.cost + eviction.count * EVICTION_COST +
+            ch_round_busy(round, engine, eviction.first) +
+            adapter_blocking_cost(round, engine);
+        keep_cheaper(&best, engine, eviction.first, cost);
     }
     if (best.engine != NULL) {
-        order(round, best.engine, best.victim, model->name,
-              best.victim == 0 ? "there is room"
-                               : "another model is asked for more");
+        add_order(round, best.engine, best.victim, model->name,
+                  best.victim == 0
+                      ? "there is free memory for the model"
+                      : "replaces a model that is asked for less");
     }
     return best.engine != NULL;
 }
 
-/* ---- room that is being made ---- */
+/* ---- reserved memory ---- */
 
 /*
- * Load: room for one model needs more than one other to go.  Harm prevented:
- * what went first went in vain.  The next one goes as long as the model is
- * asked for that much more than what goes.
+ * For a model that needs more than one other to be evicted.  Without a further
+ * eviction the first was in vain.  The next model is evicted as long as the
+ * demand for the new one is CH_MIN_EVICTION_GAIN times as high; if no other
+ * engine holds the new one, whatever the demand.
  */
 static void
-make_more_room(struct ch_round *round, const struct ch_arrange_engine *engine,
-               const struct ch_tally *tally)
+evict_more(struct ch_round *round, const struct ch_arrange_engine *engine,
+           const struct ch_tally *count)
 {
-    const struct ch_arrange_model *model = tally->model;
-    double most =
-        tally->replicas < 2
+    const struct ch_arrange_model *model = count->model;
+    double max_load =
+        count->replicas < 2
             ? G_MAXDOUBLE
-            : ch_round_pressure(model, tally->replicas - 1) / CH_CLEAR_GAIN;
+            : ch_round_pressure(model, count->replicas - 1) / CH_CLEAR_GAIN;
     struct ch_eviction eviction;
-    if (ch_round_find_room(round, engine, model->memory_mb, most, &eviction) &&
+    if (ch_round_find_room(round, engine, model->memory_mb, max_load,
+                           &eviction) &&
         eviction.first != 0) {
-        order(round, engine, eviction.first, model->name,
-              "room is being made");
+        add_order(round, engine, eviction.first, model->name,
+                  "next eviction for the reservation");
     }
 }
 
-/* ---- last replicas that take all room ---- */
+/* ---- last replicas that use up the memory of engines ---- */
 
-/* The engine here with the least memory for what is asked for, of those that
- * have too little for the largest model; NULL: none. */
+/* The controlled engine with the least reclaimable memory, among those with
+ * too little for the largest model; NULL: none. */
 static const struct ch_arrange_engine *
-most_filled(const struct ch_round *round)
+find_fullest_engine(const struct ch_round *round)
 {
-    const struct ch_arrange_engine *worst = NULL;
-    uint32_t least = round->largest_mb;
+    const struct ch_arrange_engine *fullest = NULL;
+    uint32_t least_mb = round->largest_mb;
     for (size_t i = 0; i < round->state->engine_count; i++) {
         const struct ch_arrange_engine *engine = &round->state->engines[i];
-        uint32_t flexible = ch_round_flexible(round, engine);
-        if (engine->mine && !engine->leaving && flexible < least &&
+        uint32_t reclaimable_mb = ch_round_flexible(round, engine);
+        if (engine->mine && !engine->leaving && reclaimable_mb < least_mb &&
             engine->memory_mb > engine->reserve_mb + round->largest_mb) {
-            worst = engine;
-            least = flexible;
+            fullest = engine;
+            least_mb = reclaimable_mb;
         }
     }
-    return worst;
+    return fullest;
 }
 
-/* Looks for an engine that can take the model and still has room for the
- * largest one beside it. */
+/* Looks for an engine that can take the model and still keeps reclaimable
+ * memory for the largest model. */
 static void
-consider_moving(const struct ch_round *round,
-                const struct ch_arrange_model *model, struct pick *best)
+find_move_target(const struct ch_round *round,
+                 const struct ch_arrange_model *model,
+                 struct candidate_engine *best)
 {
     for (size_t i = 0; i < round->state->engine_count; i++) {
         const struct ch_arrange_engine *engine = &round->state->engines[i];
         struct ch_eviction eviction;
         bool from_store = !ch_round_has_copy(engine, model->name);
-        if (!engine->mine || !can_take(round, engine, model) ||
+        if (!engine->mine || !can_take_load(round, engine, model) ||
             engine->pledged != 0 ||
-            (from_store && round->loads_left <= LOADS_KEPT) ||
+            (from_store && round->loads_left <= RESERVED_STORE_LOADS) ||
             ch_round_flexible(round, engine) <
                 model->memory_mb + round->largest_mb ||
-            !ch_round_find_room(round, engine, model->memory_mb, idle_replica,
+            !ch_round_find_room(round, engine, model->memory_mb, MAX_IDLE_LOAD,
                                 &eviction)) {
             continue;
         }
-        double cost = load_cost(round, engine, model->name, SHIFT_FROM_STORE) +
-                      eviction.cost + eviction.count * DRAINS +
-                      ch_round_busy(round, engine, eviction.first) +
-                      blocks_adapters(round, engine);
-        consider(best, engine, eviction.first, cost);
+        double cost =
+            compute_load_cost(round, engine, model->name, STORE_LOAD_COST) +
+            eviction.cost + eviction.count * EVICTION_COST +
+            ch_round_busy(round, engine, eviction.first) +
+            adapter_blocking_cost(round, engine);
+        keep_cheaper(best, engine, eviction.first, cost);
     }
 }
 
 /*
- * Load: demand for a few models, while the last replicas of others stand two
- * and two on some engines.  Harm prevented: nothing that is asked for can come
- * there, and those engines stand idle beside a queue.  One of the idle models
- * there is loaded on an engine that keeps room beside it, one at a time; then
- * its first replica may go like any other.
+ * For demand for a few models while the last replicas of other models fill
+ * some engines in pairs.  No model in demand could be loaded on these engines,
+ * and they would be idle while requests queue elsewhere.  One of the idle
+ * models there is loaded on an engine that keeps enough memory, one model at a
+ * time; after that its first replica can be evicted like any other.
  */
 static void
-even_out(struct ch_round *round)
+move_last_replica(struct ch_round *round)
 {
-    const struct ch_arrange_engine *filled = most_filled(round);
-    struct pick best = {NULL, 0, 0};
+    const struct ch_arrange_engine *fullest = find_fullest_engine(round);
+    struct candidate_engine best = {NULL, 0, 0};
     GQuark model = 0;
-    for (size_t i = 0; filled != NULL && i < filled->item_count; i++) {
-        const struct ch_arrange_item *item = &filled->items[i];
-        const struct ch_tally *tally = ch_round_tally(round, item->model);
-        if (item->state != CH_ITEM_RESIDENT || tally == NULL ||
-            tally->replicas != 1 ||
-            ch_round_pressure(tally->model, 1) > idle_replica) {
+    for (size_t i = 0; fullest != NULL && i < fullest->item_count; i++) {
+        const struct ch_arrange_item *item = &fullest->items[i];
+        const struct ch_tally *count = ch_round_tally(round, item->model);
+        if (item->state != CH_ITEM_RESIDENT || count == NULL ||
+            count->replicas != 1 ||
+            ch_round_pressure(count->model, 1) > MAX_IDLE_LOAD) {
             continue;
         }
-        const struct ch_arrange_engine *before = best.engine;
+        const struct ch_arrange_engine *previous_engine = best.engine;
         double cost = best.cost;
-        consider_moving(round, tally->model, &best);
-        if (best.engine != before || best.cost != cost) {
+        find_move_target(round, count->model, &best);
+        if (best.engine != previous_engine || best.cost != cost) {
             model = item->model;
         }
     }
     if (best.engine != NULL) {
-        order(round, best.engine, best.victim, model,
-              "its engine is to have room for others");
+        add_order(round, best.engine, best.victim, model,
+                  "moved to free memory on its engine");
     }
 }
 
-/* ---- free room ---- */
+/* ---- free memory ---- */
 
-/* How much a further replica of the model on this engine is wanted. */
+/* The benefit of a further replica of the model on this engine. */
 static double
-want(const struct ch_arrange_engine *engine, const struct ch_tally *tally)
+compute_benefit(const struct ch_arrange_engine *engine,
+                const struct ch_tally *count)
 {
-    const struct ch_arrange_model *model = tally->model;
-    double want = ch_round_pressure(model, tally->replicas) / CH_BUSY_REPLICA +
-                  1.0 / (tally->replicas + 1);
-    /* Apart from that in another order on each engine, so that idle models
+    const struct ch_arrange_model *model = count->model;
+    double benefit =
+        ch_round_pressure(model, count->replicas) / CH_BUSY_REPLICA +
+        1.0 / (count->replicas + 1);
+    /* Breaks ties in a different order on each engine, so that idle models
      * spread. */
-    uint64_t tie = ch_hash_pair(model->name, engine->name);
-    return want + 0.1 * (double)(tie % 1024) / 1024;
+    uint64_t tie_breaker = ch_hash_pair(model->name, engine->name);
+    return benefit + 0.1 * (double)(tie_breaker % 1024) / 1024;
 }
 
 /*
- * Load: none yet, or engines with room to spare.  Harm prevented: demand that
- * moves to a model which a single engine holds, while memory stands empty.
- * What is free takes what is near by, most of all what few engines hold; the
- * weight store's rate is left for what is asked for.
+ * For engines with free memory, before there is any demand.  Otherwise demand
+ * would move to a model that only one engine holds while memory is unused.
+ * Free memory takes models with local copies, those with the fewest replicas
+ * first; the loads from the weight store are left for models in demand.
  */
 static void
-fill(struct ch_round *round, const struct ch_arrange_engine *engine)
+fill_free_memory(struct ch_round *round,
+                 const struct ch_arrange_engine *engine)
 {
     GQuark best = 0;
-    double best_want = 0;
-    uint32_t room = ch_round_free(round, engine);
+    double best_benefit = 0;
+    uint32_t free_mb = ch_round_free(round, engine);
     for (size_t i = 0; i < round->state->model_count; i++) {
-        const struct ch_tally *tally = &round->tallies[i];
-        const struct ch_arrange_model *model = tally->model;
-        if (model->memory_mb > room ||
+        const struct ch_tally *count = &round->tallies[i];
+        const struct ch_arrange_model *model = count->model;
+        if (model->memory_mb > free_mb ||
             !ch_round_has_copy(engine, model->name) ||
-            !can_take(round, engine, model)) {
+            !can_take_load(round, engine, model)) {
             continue;
         }
-        double wanted = want(engine, tally);
-        if (best == 0 || wanted > best_want) {
+        double benefit = compute_benefit(engine, count);
+        if (best == 0 || benefit > best_benefit) {
             best = model->name;
-            best_want = wanted;
+            best_benefit = benefit;
         }
     }
     if (best != 0) {
-        order(round, engine, 0, best, "there is room and a copy");
+        add_order(round, engine, 0, best,
+                  "there is free memory and a local copy");
     }
 }
 
-/* Brings what room was made for, or goes on making it. */
+/* Loads the model that memory is reserved for, or evicts more for it. */
 static void
-keep_pledge(struct ch_round *round, const struct ch_arrange_engine *engine)
+fulfil_reservation(struct ch_round *round,
+                   const struct ch_arrange_engine *engine)
 {
-    const struct ch_tally *tally = ch_round_tally(round, engine->pledged);
-    if (tally == NULL || !can_take(round, engine, tally->model)) {
+    const struct ch_tally *count = ch_round_tally(round, engine->pledged);
+    if (count == NULL || !can_take_load(round, engine, count->model)) {
         return;
     }
-    if (tally->model->memory_mb <= ch_round_free(round, engine)) {
-        order(round, engine, 0, engine->pledged, "room was made for it");
+    if (count->model->memory_mb <= ch_round_free(round, engine)) {
+        add_order(round, engine, 0, engine->pledged,
+                  "memory was reserved for the model");
     }
     else {
-        make_more_room(round, engine, tally);
+        evict_more(round, engine, count);
     }
 }
 
-/* Does one thing for each engine here that takes a change. */
+/* Calls a function for each controlled engine that accepts an order and has a
+ * reservation, or has none. */
 static void
-each_open(struct ch_round *round,
-          void (*job)(struct ch_round *round,
-                      const struct ch_arrange_engine *engine),
-          bool pledged)
+for_each_available(struct ch_round *round,
+                   void (*action)(struct ch_round *round,
+                                  const struct ch_arrange_engine *engine),
+                   bool reserved)
 {
     for (size_t i = 0; i < round->state->engine_count; i++) {
         const struct ch_arrange_engine *engine = &round->state->engines[i];
         if (engine->mine && ch_round_is_open(engine) &&
             !ch_round_is_ordered(round, engine) &&
-            (engine->pledged != 0) == pledged) {
-            job(round, engine);
+            (engine->pledged != 0) == reserved) {
+            action(round, engine);
         }
     }
 }
 
-/* ---- the whole ---- */
+/* ---- the whole round ---- */
 
-/* The busy model with the most requests for each replica; NULL: none.
- * settled: those for which nothing more can be done. */
+/* The model with the highest load per replica that is above CH_SCALE_UP_LOAD,
+ * not counting those in `finished`, for which nothing more can be done; NULL:
+ * none. */
 static const struct ch_tally *
-next_busy(const struct ch_round *round, GHashTable *settled)
+find_next_in_demand(const struct ch_round *round, GHashTable *finished)
 {
     const struct ch_tally *best = NULL;
-    double most = CH_BUSY_REPLICA;
+    double max_load = CH_BUSY_REPLICA;
     for (size_t i = 0; i < round->state->model_count; i++) {
-        const struct ch_tally *tally = &round->tallies[i];
-        double asked = ch_round_pressure(tally->model, tally->replicas);
-        if (asked > most && !g_hash_table_contains(settled, tally)) {
-            best = tally;
-            most = asked;
+        const struct ch_tally *count = &round->tallies[i];
+        double load_per_replica =
+            ch_round_pressure(count->model, count->replicas);
+        if (load_per_replica > max_load &&
+            !g_hash_table_contains(finished, count)) {
+            best = count;
+            max_load = load_per_replica;
         }
     }
     return best;
 }
 
 /*
- * Brings what is asked for, what presses most first.  Load: a hundred models
- * that are short at once, on two thousand engines.  Harm prevented: a round
- * that takes a small host's processor for a second, while what it decides upon
- * changes; what is left over is looked at in the next round.
+ * Adds replicas of models in demand, those with the highest load first.  For a
+ * hundred models that need replicas at once, on two thousand engines.  Without
+ * the limit on searches, a round could take the processor of a small host for
+ * a second, while the state that the round is based on changes.  The next
+ * round goes on with the rest.
  */
 static void
-meet_demand(struct ch_round *round)
+scale_up(struct ch_round *round)
 {
-    GHashTable *settled = g_hash_table_new(NULL, NULL);
-    for (int i = 0;
-         i < MOST_LOOKS && round->changing < round->state->most_changes; i++) {
-        const struct ch_tally *tally = next_busy(round, settled);
-        if (tally == NULL) {
+    GHashTable *finished = g_hash_table_new(NULL, NULL);
+    for (int i = 0; i < MAX_ENGINE_SEARCHES &&
+                    round->changing < round->state->most_changes;
+         i++) {
+        const struct ch_tally *count = find_next_in_demand(round, finished);
+        if (count == NULL) {
             break;
         }
-        if (!shift(round, tally)) {
-            g_hash_table_add(settled, (gpointer)tally);
+        if (!add_replica(round, count)) {
+            g_hash_table_add(finished, (gpointer)count);
         }
     }
-    g_hash_table_destroy(settled);
+    g_hash_table_destroy(finished);
 }
 
-/* See arrange.h.  What is out of reach goes first, then what was begun, then
- * what is asked for most, then what will be. */
+/* See arrange.h.  Models without replicas go first, then reservations, then
+ * the models with the highest demand, then spare replicas. */
 void
 ch_arrange(const struct ch_arrange_state *state, GArray *out)
 {
@@ -455,17 +501,17 @@
     ch_round_init(&round, state, out);
     for (size_t i = 0; i < state->model_count; i++) {
         if (round.tallies[i].replicas == 0 &&
-            is_chosen_centre(&round, &state->models[i])) {
-            restore(&round, &state->models[i]);
+            restores_model(&round, &state->models[i])) {
+            restore_model(&round, &state->models[i]);
         }
     }
-    each_open(&round, keep_pledge, true);
-    meet_demand(&round);
+    for_each_available(&round, fulfil_reservation, true);
+    scale_up(&round);
     if (!state->without.near_copies) {
-        each_open(&round, fill, false);
+        for_each_available(&round, fill_free_memory, false);
     }
     if (!state->without.move_apart && round.changing < state->most_changes) {
-        even_out(&round);
+        move_last_replica(&round);
     }
     ch_round_clear(&round);
 }
--- a/libchestnuthitch/decide/arrange.h
+++ b/libchestnuthitch/decide/arrange.h
@@ -2,14 +2,14 @@
 #define CH_DECIDE_ARRANGE_H
 
 /*
- * Which models stand on which engines, where one node at a time has the right
- * to order the engines of a data centre and sees what all engines hold.
- * No sockets, no clock, no threads.
+ * Placement of models on engines.  In each data centre one node at a time, the
+ * lease holder, may order the engines, and it sees what every engine of the
+ * fleet holds.  Pure functions: no sockets, no clock, no threads.
  */
 
 #include "decide/policy.h"
 
-/* What an engine holds, or is about to. */
+/* A model in an engine's memory, or being loaded or unloaded. */
 struct ch_arrange_item {
     GQuark model;
     enum ch_item_state state;
@@ -20,26 +20,26 @@
     GQuark service;
     GQuark data_centre;
     bool mine; /* the deciding node may order it */
-    bool open; /* it takes an order now */
+    bool open; /* accepts an order now */
     bool leaving;
     uint32_t memory_mb;
-    uint32_t reserve_mb; /* of it, for adapters */
+    uint32_t reserve_mb; /* part of memory_mb kept for adapters */
     const struct ch_arrange_item *items;
     size_t item_count;
-    const GQuark *copies; /* models that load quickly here */
+    const GQuark *copies; /* models whose weights load quickly here */
     size_t copy_count;
-    GQuark pledged; /* what room was made for; 0: nothing */
+    GQuark pledged; /* model that memory was freed for; 0: none */
 };
 
 struct ch_arrange_model {
     GQuark name;
     uint32_t memory_mb;
-    double work;    /* engines' time that the fleet asks for, smoothed: 1 is
-                       all the time of one engine */
-    double backlog; /* seconds of it that have not begun */
-    bool adapters;  /* it has some, which an engine that loads a model can't
-                       load meanwhile */
-    const GQuark *services; /* whose engines may hold it */
+    double work;    /* smoothed demand of the fleet, in engines: 1 keeps one
+                       engine fully busy */
+    double backlog; /* seconds of work that has not started */
+    bool adapters;  /* has adapters; an engine that loads a model can't load
+                       adapters meanwhile */
+    const GQuark *services; /* whose engines may hold the model */
     size_t service_count;
 };
 
@@ -48,9 +48,10 @@
     size_t engine_count;
     const struct ch_arrange_model *models;
     size_t model_count;
-    GQuark data_centre;    /* that the deciding node orders */
-    uint32_t loads_left;   /* from the weight store, now */
-    uint32_t most_changes; /* engines of the data centre changed at a time */
+    GQuark data_centre;    /* controlled by the deciding node */
+    uint32_t loads_left;   /* loads from the weight store that may start now */
+    uint32_t most_changes; /* limit on engines of this data centre that change
+                              their models at a time */
     struct ch_without without;
 };
 
@@ -58,27 +59,29 @@
     enum ch_action_kind kind; /* LOAD or UNLOAD */
     GQuark engine;
     GQuark model;
-    GQuark pledged;  /* of an unload: the model that is to come */
-    bool from_store; /* of a load, or of the one that is to come */
+    GQuark pledged;  /* for UNLOAD: the model to load afterwards */
+    bool from_store; /* whether the load, now or after the unload, reads from
+                        the weight store */
     const char *reason;
 };
 
-/* A model that is asked for more than its replicas have time for, while
- * nothing is done for it in this round, and why: engines of this data centre
- * by what stands in the way. */
+/* A model whose demand exceeds the time of its replicas and for which this
+ * round gives no order.  The counts say how many engines of this data centre
+ * hold the model, and what prevents a load on the others. */
 struct ch_arrange_short {
     GQuark model;
-    double asked; /* engines' time */
+    double asked; /* in engines */
     unsigned replicas;
-    unsigned holding;  /* have it, or are to have it */
-    unsigned changing; /* carry out another change */
-    unsigned no_room;  /* nothing there may go for it */
-    unsigned no_load;  /* the weight store has no load left */
+    unsigned holding;  /* hold the model or are about to */
+    unsigned changing; /* busy with another change */
+    unsigned no_room;  /* can't evict enough for the model */
+    unsigned no_load;  /* no load from the weight store left */
 };
 
-/* Appends the orders to give now: struct ch_arrange_action. */
+/* Appends the orders to give now: struct ch_placement_action. */
 void ch_arrange(const struct ch_arrange_state *state, GArray *out);
-/* Appends what stays short after those orders: struct ch_arrange_short. */
+/* Appends the shortages that remain after the given actions: struct
+ * ch_placement_shortage. */
 void ch_arrange_find_short(const struct ch_arrange_state *state,
                            GArray *actions, GArray *out);
 
--- a/libchestnuthitch/decide/arrange_short.c
+++ b/libchestnuthitch/decide/arrange_short.c
@@ -1,10 +1,10 @@
-/* Models that are asked for more than their replicas have time for, and what
- * stands in the way. */
+/* Finds models whose demand exceeds the time of their replicas, and what
+ * prevents further replicas. */
 
 #include "decide/arrange_internal.h"
 
-/* Counts an engine of this data centre by what keeps it from taking the
- * model. */
+/* Counts an engine of this data centre as holding the model, or by what
+ * prevents a load of the model on it. */
 static void
 count_obstacle(const struct ch_round *round,
                const struct ch_arrange_engine *engine,
@@ -35,16 +35,16 @@
     }
 }
 
-/* Whether an order of the round brings the model. */
+/* Whether an order of the round loads the model, or evicts another for it. */
 static bool
-is_helped(const struct ch_round *round, GQuark model)
+has_order(const struct ch_round *round, GQuark model)
 {
     for (guint i = 0; i < round->out->len; i++) {
         const struct ch_arrange_action *action =
             &g_array_index(round->out, struct ch_arrange_action, i);
-        GQuark comes =
+        GQuark loaded =
             action->kind == CH_ACTION_LOAD ? action->model : action->pledged;
-        if (comes == model) {
+        if (loaded == model) {
             return true;
         }
     }
@@ -72,7 +72,7 @@
             .replicas = ch_round_replicas(&round, model->name),
         };
         if (ch_round_pressure(model, entry.replicas) <= CH_BUSY_REPLICA ||
-            is_helped(&round, model->name)) {
+            has_order(&round, model->name)) {
             continue;
         }
         for (size_t k = 0; k < state->engine_count; k++) {
--- a/libchestnuthitch/decide/arrange_view.c
+++ b/libchestnuthitch/decide/arrange_view.c
@@ -1,25 +1,25 @@
-/* What is seen of a state in which models are arranged: counts, and the room
- * that can be made. */
+/* The view that placement decisions have of a state: replica counts, and the
+ * memory that evictions can free. */
 
 #include "decide/arrange_internal.h"
 
-/* What waits is to be done within this many seconds. */
-static const double backlog_s = 2;
-/* The last replica of a model would be left where nothing else of size could
- * come any more: in engines' time that is asked for. */
-static const double STRANDS = 0.5;
+/* Queued work is to be done within this many seconds. */
+static const double BACKLOG_TARGET_S = 2;
+/* Cost of an eviction that leaves a model's last replica on an engine without
+ * memory for any large model, in engines. */
+static const double STRANDED_REPLICA_COST = 0.5;
 
 /* ---- counting ---- */
 
-/* The number of an engine's data centre. */
 static guint
-centre_of(const struct ch_round *round, const struct ch_arrange_engine *engine)
+centre_index(const struct ch_round *round,
+             const struct ch_arrange_engine *engine)
 {
     return GPOINTER_TO_UINT(g_hash_table_lookup(
         round->centres, GUINT_TO_POINTER(engine->data_centre)));
 }
 
-/* Numbers the data centres, and makes the counts for them. */
+/* Numbers the data centres and allocates the counts for each. */
 static void
 number_centres(struct ch_round *round)
 {
@@ -31,17 +31,18 @@
             g_hash_table_insert(round->centres, key, GUINT_TO_POINTER(number));
         }
     }
-    guint centres = g_hash_table_size(round->centres);
-    round->counts = g_new0(unsigned, state->model_count *centres + 1);
+    guint centre_count = g_hash_table_size(round->centres);
+    round->counts = g_new0(unsigned, state->model_count *centre_count + 1);
     for (size_t i = 0; i < state->model_count; i++) {
-        round->tallies[i].own = &round->counts[i * centres];
+        round->tallies[i].own = &round->counts[i * centre_count];
     }
 }
 
 /*
- * Counts an engine's replica.  Which data centre keeps the last one is decided
- * by rendezvous among those with a replica, the same everywhere: else two data
- * centres that each see the other's give up both at once, and nobody holds the
+ * Counts an engine's replica.  The data centre that keeps the last replica is
+ * chosen by rendezvous hashing among those with a replica, so that every node
+ * finds the same.  Otherwise two data centres that each see the other's
+ * replica would evict theirs at the same time, and no engine would hold the
  * model.
  */
 static void
@@ -49,26 +50,26 @@
            const struct ch_arrange_engine *engine,
            const struct ch_arrange_item *item)
 {
-    struct ch_tally *tally =
+    struct ch_tally *count =
         g_hash_table_lookup(round->by_name, GUINT_TO_POINTER(item->model));
-    if (tally == NULL || item->state == CH_ITEM_UNLOADING) {
+    if (count == NULL || item->state == CH_ITEM_UNLOADING) {
         return;
     }
-    tally->replicas++;
+    count->replicas++;
     if (item->state != CH_ITEM_RESIDENT) {
         return;
     }
-    tally->own[centre_of(round, engine)]++;
+    count->own[centre_index(round, engine)]++;
     uint64_t weight =
         ch_hash_pair(ch_hash_string(g_quark_to_string(item->model)),
                      ch_hash_string(g_quark_to_string(engine->data_centre)));
-    if (tally->keeper == 0 || weight > tally->keeper_weight) {
-        tally->keeper = engine->data_centre;
-        tally->keeper_weight = weight;
+    if (count->keeper == 0 || weight > count->keeper_weight) {
+        count->keeper = engine->data_centre;
+        count->keeper_weight = weight;
     }
 }
 
-/* Counts the models of an engine that stays. */
+/* Counts the models of an engine that is not draining, and its reservation. */
 static void
 count_engine(const struct ch_round *round,
              const struct ch_arrange_engine *engine)
@@ -76,17 +77,18 @@
     for (size_t i = 0; i < engine->item_count; i++) {
         count_item(round, engine, &engine->items[i]);
     }
-    struct ch_tally *pledged =
+    struct ch_tally *reserved =
         g_hash_table_lookup(round->by_name, GUINT_TO_POINTER(engine->pledged));
     const struct ch_arrange_item *held =
         ch_round_item(engine, engine->pledged);
-    if (pledged != NULL &&
+    if (reserved != NULL &&
         (held == NULL || held->state == CH_ITEM_UNLOADING)) {
-        pledged->replicas++;
+        reserved->replicas++;
     }
 }
 
-/* Counts all; out: where orders are appended. */
+/* Initialises a round and counts all replicas; out: where orders are
+ * appended. */
 void
 ch_round_init(struct ch_round *round, const struct ch_arrange_state *state,
               GArray *out)
@@ -118,31 +120,31 @@
 }
 
 /*
- * See arrange_internal.h.  Load: several engines that come back empty at once,
- * or several models that need room.  Harm prevented: all of them load the same
- * model, which one would have been enough for; the last two replicas of a
- * model go in one round, each in view of the other.
+ * See arrange_internal.h.  For several engines that become empty at once, or
+ * several models that need memory.  Otherwise all of these engines would load
+ * the same model, for which one is enough, or the last two replicas of a model
+ * would be evicted in one round, each because the other exists.
  */
 void
 ch_round_count_order(struct ch_round *round,
                      const struct ch_arrange_engine *engine, GQuark victim,
                      GQuark model)
 {
-    struct ch_tally *comes =
+    struct ch_tally *loaded =
         g_hash_table_lookup(round->by_name, GUINT_TO_POINTER(model));
-    struct ch_tally *goes =
+    struct ch_tally *evicted =
         g_hash_table_lookup(round->by_name, GUINT_TO_POINTER(victim));
-    if (comes != NULL && engine->pledged != model) {
-        comes->replicas++;
+    if (loaded != NULL && engine->pledged != model) {
+        loaded->replicas++;
     }
-    if (goes != NULL) {
-        goes->replicas--;
-        goes->own[centre_of(round, engine)]--;
+    if (evicted != NULL) {
+        evicted->replicas--;
+        evicted->own[centre_index(round, engine)]--;
     }
     g_hash_table_add(round->ordered, GUINT_TO_POINTER(engine->name));
 }
 
-/* Frees what it holds. */
+/* Frees what the round owns; not the state and the array of orders. */
 void
 ch_round_clear(struct ch_round *round)
 {
@@ -153,7 +155,7 @@
     g_free(round->tallies);
 }
 
-/* ---- looking ---- */
+/* ---- queries ---- */
 
 /* See arrange_internal.h. */
 const struct ch_arrange_item *
@@ -203,38 +205,40 @@
 unsigned
 ch_round_replicas(const struct ch_round *round, GQuark model)
 {
-    const struct ch_tally *tally = ch_round_tally(round, model);
-    return tally == NULL ? 0 : tally->replicas;
+    const struct ch_tally *count = ch_round_tally(round, model);
+    return count == NULL ? 0 : count->replicas;
 }
 
 /* See arrange_internal.h. */
 double
 ch_round_pressure(const struct ch_arrange_model *model, unsigned replicas)
 {
-    return (model->work + model->backlog / backlog_s) / MAX(replicas, 1);
+    return (model->work + model->backlog / BACKLOG_TARGET_S) /
+           MAX(replicas, 1);
 }
 
 /* See arrange_internal.h. */
 double
 ch_round_busy(const struct ch_round *round,
-              const struct ch_arrange_engine *engine, GQuark but)
+              const struct ch_arrange_engine *engine, GQuark except)
 {
-    double busy = 0;
+    double load = 0;
     for (size_t i = 0; i < engine->item_count; i++) {
         GQuark name = engine->items[i].model;
-        const struct ch_tally *tally = ch_round_tally(round, name);
-        if (tally != NULL && name != but) {
-            busy += ch_round_pressure(tally->model, tally->replicas);
+        const struct ch_tally *count = ch_round_tally(round, name);
+        if (count != NULL && name != except) {
+            load += ch_round_pressure(count->model, count->replicas);
         }
     }
-    return busy;
+    return load;
 }
 
-/* Memory left of an engine's when this is taken. */
+/* The memory of the engine that is left with used_mb in use. */
 static uint32_t
-left_of(const struct ch_arrange_engine *engine, uint64_t used)
+remaining_mb(const struct ch_arrange_engine *engine, uint64_t used_mb)
 {
-    return used < engine->memory_mb ? engine->memory_mb - (uint32_t)used : 0;
+    return used_mb < engine->memory_mb ? engine->memory_mb - (uint32_t)used_mb
+                                       : 0;
 }
 
 /* See arrange_internal.h. */
@@ -242,13 +246,13 @@
 ch_round_free(const struct ch_round *round,
               const struct ch_arrange_engine *engine)
 {
-    uint64_t used = engine->reserve_mb;
+    uint64_t used_mb = engine->reserve_mb;
     for (size_t i = 0; i < engine->item_count; i++) {
-        const struct ch_tally *tally =
+        const struct ch_tally *count =
             ch_round_tally(round, engine->items[i].model);
-        used += tally == NULL ? 0 : tally->model->memory_mb;
+        used_mb += count == NULL ? 0 : count->model->memory_mb;
     }
-    return left_of(engine, used);
+    return remaining_mb(engine, used_mb);
 }
 
 /* See arrange_internal.h. */
@@ -256,15 +260,15 @@
 ch_round_flexible(const struct ch_round *round,
                   const struct ch_arrange_engine *engine)
 {
-    uint64_t used = engine->reserve_mb;
+    uint64_t used_mb = engine->reserve_mb;
     for (size_t i = 0; i < engine->item_count; i++) {
-        const struct ch_tally *tally =
+        const struct ch_tally *count =
             ch_round_tally(round, engine->items[i].model);
-        bool only = tally != NULL && tally->replicas < 2 &&
-                    engine->items[i].state != CH_ITEM_UNLOADING;
-        used += only ? tally->model->memory_mb : 0;
+        bool is_last_replica = count != NULL && count->replicas < 2 &&
+                               engine->items[i].state != CH_ITEM_UNLOADING;
+        used_mb += is_last_replica ? count->model->memory_mb : 0;
     }
-    return left_of(engine, used);
+    return remaining_mb(engine, used_mb);
 }
 
 /* See arrange_internal.h. */
@@ -292,144 +296,155 @@
            !engine->mine || round->loads_left > 0;
 }
 
-/* ---- room ---- */
+/* ---- evictions ---- */
 
-/* A model that may go from an engine. */
+/* A model that may be evicted from an engine. */
 struct candidate {
     GQuark model;
     uint32_t memory_mb;
-    double left; /* what is asked of each replica that stays */
-    double cost; /* ... and what else it takes from others */
+    double remaining_load; /* load of each of the model's other replicas
+                              afterwards */
+    double cost; /* remaining_load, plus STRANDED_REPLICA_COST where that
+                    applies */
 };
 
-/* Whether the model's replica on the engine may go. */
+/* Whether the model's replica on the engine may be evicted: it is neither the
+ * last one nor the one that this data centre must keep. */
 static bool
-may_go(const struct ch_round *round, const struct ch_arrange_engine *engine,
-       const struct ch_tally *tally)
+may_evict(const struct ch_round *round, const struct ch_arrange_engine *engine,
+          const struct ch_tally *count)
 {
-    return tally->replicas >= 2 &&
-           (tally->own[centre_of(round, engine)] >= 2 ||
-            tally->keeper != engine->data_centre);
+    return count->replicas >= 2 &&
+           (count->own[centre_index(round, engine)] >= 2 ||
+            count->keeper != engine->data_centre);
 }
 
-/* Whether the last replica of the model would be left on an engine on which
- * nothing large could come any more. */
+/* Whether the eviction would leave the model's last replica on an engine that
+ * then has no reclaimable memory for the largest model. */
 static bool
-strands(const struct ch_round *round, const struct ch_arrange_engine *from,
-        const struct ch_tally *tally)
+strands_last_replica(const struct ch_round *round,
+                     const struct ch_arrange_engine *from,
+                     const struct ch_tally *count)
 {
-    for (size_t i = 0; tally->replicas == 2 && i < round->state->engine_count;
+    for (size_t i = 0; count->replicas == 2 && i < round->state->engine_count;
          i++) {
         const struct ch_arrange_engine *engine = &round->state->engines[i];
         if (engine != from && !engine->leaving &&
-            ch_round_item(engine, tally->model->name) != NULL) {
+            ch_round_item(engine, count->model->name) != NULL) {
             return ch_round_flexible(round, engine) <
-                   tally->model->memory_mb + round->largest_mb;
+                   count->model->memory_mb + round->largest_mb;
         }
     }
     return false;
 }
 
-/* Orders candidates: what is missed least first. */
+/* Sorts candidates by ascending cost. */
 static gint
-by_cost(gconstpointer a, gconstpointer b)
+compare_cost(gconstpointer a, gconstpointer b)
 {
     double first = ((const struct candidate *)a)->cost;
     double second = ((const struct candidate *)b)->cost;
     return (first > second) - (first < second);
 }
 
-/* The models that may go from the engine, those that are missed least first.
- */
+/* The models that may be evicted from the engine, cheapest first; free with
+ * g_array_free(). */
 static GArray *
-candidates_on(const struct ch_round *round,
-              const struct ch_arrange_engine *engine, double most)
+list_candidates(const struct ch_round *round,
+                const struct ch_arrange_engine *engine, double max_load)
 {
     GArray *out = g_array_new(FALSE, FALSE, sizeof(struct candidate));
     for (size_t i = 0; i < engine->item_count; i++) {
         const struct ch_arrange_item *item = &engine->items[i];
-        const struct ch_tally *tally = ch_round_tally(round, item->model);
-        if (item->state != CH_ITEM_RESIDENT || tally == NULL ||
-            !may_go(round, engine, tally)) {
+        const struct ch_tally *count = ch_round_tally(round, item->model);
+        if (item->state != CH_ITEM_RESIDENT || count == NULL ||
+            !may_evict(round, engine, count)) {
             continue;
         }
-        double left = ch_round_pressure(tally->model, tally->replicas - 1);
+        double remaining_load =
+            ch_round_pressure(count->model, count->replicas - 1);
         const struct candidate candidate = {
             .model = item->model,
-            .memory_mb = tally->model->memory_mb,
-            .left = left,
-            .cost = left + (strands(round, engine, tally) ? STRANDS : 0),
+            .memory_mb = count->model->memory_mb,
+            .remaining_load = remaining_load,
+            .cost =
+                remaining_load + (strands_last_replica(round, engine, count)
+                                      ? STRANDED_REPLICA_COST
+                                      : 0),
         };
-        if (left <= most) {
+        if (remaining_load <= max_load) {
             g_array_append_val(out, candidate);
         }
     }
-    g_array_sort(out, by_cost);
+    g_array_sort(out, compare_cost);
     return out;
 }
 
-/* Leaves those out without which there is room all the same, beginning with
- * what is missed most. */
+/* Removes candidates that aren't needed to free memory_mb, the most expensive
+ * first. */
 static void
-leave_out(GArray *chosen, uint64_t room, uint32_t memory_mb)
+drop_unneeded(GArray *victims, uint64_t free_mb, uint32_t memory_mb)
 {
-    for (guint i = chosen->len; i > 0; i--) {
-        uint32_t without =
-            g_array_index(chosen, struct candidate, i - 1).memory_mb;
-        if (room - without >= memory_mb) {
-            room -= without;
-            g_array_remove_index(chosen, i - 1);
+    for (guint i = victims->len; i > 0; i--) {
+        uint32_t candidate_mb =
+            g_array_index(victims, struct candidate, i - 1).memory_mb;
+        if (free_mb - candidate_mb >= memory_mb) {
+            free_mb -= candidate_mb;
+            g_array_remove_index(victims, i - 1);
         }
     }
 }
 
-/* Leaves those out that do not make the room alone. */
+/* Removes candidates whose eviction alone doesn't free memory_mb. */
 static void
-leave_out_small(GArray *chosen, uint64_t room, uint32_t memory_mb)
+drop_insufficient(GArray *victims, uint64_t free_mb, uint32_t memory_mb)
 {
-    for (guint i = chosen->len; i > 0; i--) {
-        if (room + g_array_index(chosen, struct candidate, i - 1).memory_mb <
+    for (guint i = victims->len; i > 0; i--) {
+        if (free_mb +
+                g_array_index(victims, struct candidate, i - 1).memory_mb <
             memory_mb) {
-            g_array_remove_index(chosen, i - 1);
+            g_array_remove_index(victims, i - 1);
         }
     }
 }
 
 /*
- * See arrange_internal.h.  Load: a large model is asked for, and only small
- * ones can go.  Harm prevented: each of them alone makes too little room, and
- * the engine stands idle beside the large model's queue.
+ * See arrange_internal.h.  For a large model in demand when only small models
+ * can be evicted.  Evicting a single one of them frees too little memory;
+ * without further evictions the engine would be idle beside the large model's
+ * queue.
  */
 bool
 ch_round_find_room(const struct ch_round *round,
                    const struct ch_arrange_engine *engine, uint32_t memory_mb,
-                   double most, struct ch_eviction *out)
+                   double max_load, struct ch_eviction *out)
 {
     *out = (struct ch_eviction){.first = 0};
-    uint64_t room = ch_round_free(round, engine);
-    if (room >= memory_mb) {
+    uint64_t free_mb = ch_round_free(round, engine);
+    if (free_mb >= memory_mb) {
         return true;
     }
-    GArray *chosen = candidates_on(round, engine, most);
+    GArray *victims = list_candidates(round, engine, max_load);
     if (round->state->without.several_victims) {
-        leave_out_small(chosen, room, memory_mb);
+        drop_insufficient(victims, free_mb, memory_mb);
     }
-    guint needed = 0;
-    while (needed < chosen->len && room < memory_mb) {
-        room += g_array_index(chosen, struct candidate, needed).memory_mb;
-        needed++;
+    guint victim_count = 0;
+    while (victim_count < victims->len && free_mb < memory_mb) {
+        free_mb +=
+            g_array_index(victims, struct candidate, victim_count).memory_mb;
+        victim_count++;
     }
-    bool enough = room >= memory_mb;
+    bool enough = free_mb >= memory_mb;
     if (enough) {
-        g_array_set_size(chosen, needed);
-        leave_out(chosen, room, memory_mb);
+        g_array_set_size(victims, victim_count);
+        drop_unneeded(victims, free_mb, memory_mb);
         const struct candidate *last =
-            &g_array_index(chosen, struct candidate, chosen->len - 1);
-        out->first = g_array_index(chosen, struct candidate, 0).model;
-        out->count = chosen->len;
-        out->left = last->left;
+            &g_array_index(victims, struct candidate, victims->len - 1);
+        out->first = g_array_index(victims, struct candidate, 0).model;
+        out->count = victims->len;
+        out->left = last->remaining_load;
         out->cost = last->cost;
     }
-    g_array_free(chosen, TRUE);
+    g_array_free(victims, TRUE);
     return enough;
 }
--- a/tests/bench/bench_arrange.c
+++ b/tests/bench/bench_arrange.c
@@ -1,7 +1,7 @@
 /*
- * Processor time of one round in which models are arranged, as the fleet
- * grows: a calm one, and one in which a tenth of the models is short.  The
- * figures go into docs/CAPACITY.md.
+ * Processor time of one placement round as the fleet grows: without demand,
+ * and with demand for a tenth of the models.  The figures go into
+ * docs/CAPACITY.md.
  */
 
 #include "decide/arrange.h"
@@ -14,9 +14,9 @@
     ENGINE_MB = 200000,
     LARGE_MB = 72700,
     SMALL_MB = 34300,
-    HELD = 2, /* models on an engine */
+    MODELS_PER_ENGINE = 2,
     ROUNDS = 20,
-    SHORT_EVERY = 10, /* one model of so many */
+    DEMAND_EVERY = 10, /* one in this many models is in demand */
 };
 
 static const struct {
@@ -26,16 +26,15 @@
 
 struct fleet {
     struct ch_arrange_engine *engines;
-    struct ch_arrange_item *items; /* HELD of each engine */
+    struct ch_arrange_item *items; /* MODELS_PER_ENGINE for each engine */
     struct ch_arrange_model *models;
     size_t engine_count;
     size_t model_count;
     GQuark service;
 };
 
-/* A name with a number. */
 static GQuark
-name_of(const char *kind, size_t number)
+make_name(const char *kind, size_t number)
 {
     g_autofree char *name = g_strdup_printf("%s%zu", kind, number);
     return g_quark_from_string(name);
@@ -43,51 +42,51 @@
 
 /* Every engine holds two models, spread evenly. */
 static void
-fill(struct fleet *fleet, size_t engines, size_t models, double work)
+init_fleet(struct fleet *fleet, size_t engines, size_t models, double work)
 {
     fleet->engine_count = engines;
     fleet->model_count = models;
     fleet->service = g_quark_from_string("s");
     fleet->engines = g_new0(struct ch_arrange_engine, engines);
-    fleet->items = g_new0(struct ch_arrange_item, engines * HELD);
+    fleet->items = g_new0(struct ch_arrange_item, engines * MODELS_PER_ENGINE);
     fleet->models = g_new0(struct ch_arrange_model, models);
     for (size_t i = 0; i < models; i++) {
         fleet->models[i] = (struct ch_arrange_model){
-            .name = name_of("m", i),
+            .name = make_name("m", i),
             .memory_mb = i % 4 == 0 ? SMALL_MB : LARGE_MB,
-            .work = i % SHORT_EVERY == 0 ? work : 0.01,
+            .work = i % DEMAND_EVERY == 0 ? work : 0.01,
             .services = &fleet->service,
             .service_count = 1,
         };
     }
     for (size_t i = 0; i < engines; i++) {
-        for (size_t k = 0; k < HELD; k++) {
-            fleet->items[HELD * i + k] = (struct ch_arrange_item){
-                fleet->models[(HELD * i + k) % models].name, CH_ITEM_RESIDENT};
+        for (size_t k = 0; k < MODELS_PER_ENGINE; k++) {
+            fleet->items[MODELS_PER_ENGINE * i + k] = (struct ch_arrange_item){
+                fleet->models[(MODELS_PER_ENGINE * i + k) % models].name,
+                CH_ITEM_RESIDENT};
         }
         fleet->engines[i] = (struct ch_arrange_engine){
-            .name = name_of("e", i),
+            .name = make_name("e", i),
             .service = fleet->service,
-            .data_centre = name_of("d", i % CENTRE_COUNT),
+            .data_centre = make_name("d", i % CENTRE_COUNT),
             .mine = i % CENTRE_COUNT == 0,
             .open = true,
             .memory_mb = ENGINE_MB,
-            .items = &fleet->items[HELD * i],
-            .item_count = HELD,
+            .items = &fleet->items[MODELS_PER_ENGINE * i],
+            .item_count = MODELS_PER_ENGINE,
         };
     }
 }
 
-/* Frees what fill() made. */
 static void
-clear(struct fleet *fleet)
+clear_fleet(struct fleet *fleet)
 {
     g_free(fleet->engines);
     g_free(fleet->items);
     g_free(fleet->models);
 }
 
-/* Milliseconds of processor time of one round. */
+/* Processor time of one round in milliseconds. */
 static double
 round_ms(const struct fleet *fleet, guint *orders)
 {
@@ -96,7 +95,7 @@
         .engine_count = fleet->engine_count,
         .models = fleet->models,
         .model_count = fleet->model_count,
-        .data_centre = name_of("d", 0),
+        .data_centre = make_name("d", 0),
         .loads_left = (uint32_t)fleet->engine_count,
         .most_changes = (uint32_t)fleet->engine_count,
     };
@@ -114,19 +113,19 @@
 int
 main(void)
 {
-    printf("%8s %8s %12s %12s %8s\n", "engines", "models", "calm, ms",
-           "short, ms", "orders");
+    printf("%8s %8s %12s %12s %8s\n", "engines", "models", "idle, ms",
+           "demand, ms", "orders");
     for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
         struct fleet fleet;
         guint orders = 0;
-        fill(&fleet, sizes[i].engines, sizes[i].models, 0.01);
-        double calm = round_ms(&fleet, &orders);
-        clear(&fleet);
-        fill(&fleet, sizes[i].engines, sizes[i].models, 4);
-        double busy = round_ms(&fleet, &orders);
-        clear(&fleet);
+        init_fleet(&fleet, sizes[i].engines, sizes[i].models, 0.01);
+        double idle_ms = round_ms(&fleet, &orders);
+        clear_fleet(&fleet);
+        init_fleet(&fleet, sizes[i].engines, sizes[i].models, 4);
+        double demand_ms = round_ms(&fleet, &orders);
+        clear_fleet(&fleet);
         printf("%8zu %8zu %12.3f %12.3f %8u\n", sizes[i].engines,
-               sizes[i].models, calm, busy, orders);
+               sizes[i].models, idle_ms, demand_ms, orders);
     }
     return 0;
 }
