--- a/libchestnuthitch/decide/bucket.c
+++ b/libchestnuthitch/decide/bucket.c
@@ -1,29 +1,31 @@
-/* Token buckets: a share that grows with time and is used up by taking. */
+/* Token buckets: tokens accrue over time and are used up by taking. */
 
 #include "decide/fleet.h"
 
-/* A full bucket that grows by rate a second, up to most. */
+/* Initialises a full bucket: rate in tokens per second, up to capacity. */
 void
-ch_bucket_init(struct ch_bucket *bucket, double rate, double most, int64_t now)
+ch_bucket_init(struct ch_bucket *bucket, double rate, double capacity,
+               int64_t now)
 {
     *bucket = (struct ch_bucket){
-        .level = most, .rate = rate, .most = most, .at = now};
+        .level = capacity, .rate = rate, .most = capacity, .at = now};
 }
 
-/* What may be taken now.  A clock that seems to run back adds nothing. */
+/* The tokens available now.  A clock that runs backwards adds none. */
 double
 ch_bucket_level(struct ch_bucket *bucket, int64_t now)
 {
     if (now > bucket->at) {
-        double grown = (double)(now - bucket->at) / G_USEC_PER_SEC;
+        double elapsed_s = (double)(now - bucket->at) / G_USEC_PER_SEC;
         bucket->level =
-            MIN(bucket->most, bucket->level + grown * bucket->rate);
+            MIN(bucket->most, bucket->level + elapsed_s * bucket->rate);
         bucket->at = now;
     }
     return bucket->level;
 }
 
-/* Takes the amount, or nothing at all and answers false. */
+/* Takes the amount; if too few tokens are left, takes none and returns
+ * false. */
 bool
 ch_bucket_take(struct ch_bucket *bucket, double amount, int64_t now)
 {
--- a/libchestnuthitch/decide/fleet.c
+++ b/libchestnuthitch/decide/fleet.c
@@ -1,8 +1,8 @@
-/* Looking things up in what a node sees of the fleet. */
+/* Lookups in a node's view of the fleet. */
 
 #include "decide/fleet.h"
 
-/* Whether a list of struct ch_item names the item. */
+/* Whether a list of struct ch_item contains the item; list may be NULL. */
 static bool
 list_has(const GArray *list, GQuark item)
 {
@@ -17,21 +17,22 @@
     return false;
 }
 
-/* Whether the item can be used there now, as far as is known. */
+/* Whether the item is resident in the upstream's memory, by the last
+ * report. */
 bool
 ch_upstream_view_has(const struct ch_upstream_view *view, GQuark item)
 {
     return list_has(view->resident, item);
 }
 
-/* Whether the item is on its way into that upstream's memory. */
+/* Whether the upstream is loading the item, by the last report. */
 bool
 ch_upstream_view_loads(const struct ch_upstream_view *view, GQuark item)
 {
     return list_has(view->loading, item);
 }
 
-/* The view of one upstream, owned by the fleet; NULL when it has none. */
+/* The view of an upstream, owned by the fleet; NULL if the fleet has none. */
 struct ch_upstream_view *
 ch_fleet_find(struct ch_fleet *fleet, GQuark name)
 {
--- a/libchestnuthitch/decide/fleet.h
+++ b/libchestnuthitch/decide/fleet.h
@@ -2,17 +2,17 @@
 #define CH_DECIDE_FLEET_H
 
 /*
- * What the decisions see of the world: requests, upstreams and shares.
- * Nothing in decide/ touches sockets, threads or the clock: the time comes in
- * as an argument.  Models, adapters ("model/adapter"), classes and upstreams
- * are GQuarks, so that they stay the same when the configuration changes.
+ * What decisions are based on: requests, upstreams and rate limits.  Nothing
+ * in decide/ uses sockets, threads or the clock; the time is an argument.
+ * Models, adapters ("model/adapter"), classes and upstreams are GQuarks, so
+ * that they stay valid when the configuration changes.
  */
 
 #include "base/base.h"
 
-/* ---- a request, as the decisions see it ---- */
+/* ---- requests ---- */
 
-/* A part of a prompt that requests may share, in the prompt's order. */
+/* A part of a prompt that other requests may share, in the prompt's order. */
 struct ch_part {
     uint64_t id;
     uint32_t tokens;
@@ -20,7 +20,7 @@
 
 struct ch_work {
     uint64_t id;
-    GQuark model;   /* or the plain service's name */
+    GQuark model;   /* or the name of a plain service */
     GQuark adapter; /* "model/adapter"; 0: none */
     bool service;
     GQuark class_name;
@@ -28,72 +28,73 @@
     uint32_t model_mb;
     uint32_t adapter_mb;
     uint32_t prompt_tokens;
-    uint32_t output_tokens; /* most that may come */
+    uint32_t output_tokens; /* upper limit */
     uint64_t prefix;        /* hash of the prompt's first part; 0: none */
     int64_t arrived;
     int64_t first_by;  /* target for the first token, or a service's answer */
-    int64_t between;   /* target between tokens; 0: none */
+    int64_t between;   /* target time between tokens; 0: none */
     int64_t whole_by;  /* target for the whole answer; 0: none */
     uint32_t attempt;  /* 0 for the first */
-    uint32_t refusals; /* of upstreams that did not run it */
+    uint32_t refusals; /* by upstreams that did not run the request */
     bool idempotent;
-    bool begun;  /* the caller has the beginning of its answer */
-    GQuark pool; /* the service whose upstreams may take it; 0: any */
-    const struct ch_part *parts; /* the request's own; lives as long as it */
+    bool begun;  /* the caller has received the beginning of the answer */
+    GQuark pool; /* service whose upstreams may take the request; 0: any */
+    const struct ch_part *parts; /* owned by the request */
     size_t part_count;
-    uint32_t tries;    /* most upstreams that it may run on; 0: the policy's */
-    uint32_t priority; /* of its class, 0 goes first */
-    GQuark only;       /* no other upstream may take it; 0: any may */
+    uint32_t tries; /* limit on the upstreams that may run the request; 0: the
+                       policy's */
+    uint32_t priority; /* of the request's class; 0 goes first */
+    GQuark only; /* the sole upstream that may take the request; 0: any may */
 };
 
-/* ---- an upstream, as a node believes it to be ---- */
+/* ---- upstreams, as known to a node ---- */
 
 struct ch_item {
     GQuark name;
-    uint32_t rate; /* requests in 1,000 s, at this upstream */
+    uint32_t rate; /* requests in 1,000 s at this upstream */
 };
 
 struct ch_upstream_view {
     GQuark name;
     uint16_t region;      /* index into the fleet's regions */
-    uint16_t data_centre; /* likewise */
-    GQuark service;       /* of a plain service; 0: an engine */
+    uint16_t data_centre; /* index into the fleet's data centres */
+    GQuark service;       /* name of a plain service; 0: an engine */
     bool leaving;
     bool down;
     uint32_t accelerators;
     uint32_t capacity_mb;
     uint32_t free_mb; /* neither resident nor reserved */
-    uint32_t batch;   /* most requests at once */
+    uint32_t batch;   /* limit on requests that run at the same time */
     uint32_t running;
     uint32_t queued;
-    int64_t wait;        /* predicted for a request that comes now */
-    int64_t token;       /* measured time for a token at this batch */
-    int64_t seen;        /* when all this was so */
-    uint32_t sent_since; /* own requests sent there after seen */
+    int64_t wait;        /* predicted for a request that arrives now */
+    int64_t token;       /* measured time per token at this batch size */
+    int64_t seen;        /* time of the report that these values are from */
+    uint32_t sent_since; /* this node's requests since reported_at */
     GArray *resident;    /* of struct ch_item */
     GArray *loading;     /* of struct ch_item */
 };
 
 struct ch_fleet {
-    struct ch_upstream_view *upstreams; /* in order of name */
+    struct ch_upstream_view *upstreams; /* sorted by name */
     size_t count;
-    uint16_t region; /* of the node that decides */
+    uint16_t region; /* of the deciding node */
     uint16_t data_centre;
     int64_t region_delay; /* one way, between regions */
-    /* Bytes that may still cross to another region now; see ch_bucket. */
+    /* Bytes that may still go to other regions now; see ch_token_bucket. */
     int64_t link_bytes;
-    uint32_t loads_left; /* weight store: loads that may begin now */
+    uint32_t loads_left; /* loads from the weight store that may start now */
 };
 
 bool ch_upstream_view_has(const struct ch_upstream_view *view, GQuark item);
 bool ch_upstream_view_loads(const struct ch_upstream_view *view, GQuark item);
 struct ch_upstream_view *ch_fleet_find(struct ch_fleet *fleet, GQuark name);
 
-/* ---- shares by token bucket (bucket.c): loads, link bytes, retries ---- */
+/* ---- token buckets (bucket.c): limit loads, link bytes, watches ---- */
 
 struct ch_bucket {
     double level;
-    double rate; /* a second */
+    double rate; /* tokens per second */
     double most;
     int64_t at;
 };
