--- a/libchestnuthitch/decide/rank.c
+++ b/libchestnuthitch/decide/rank.c
@@ -1,39 +1,39 @@
-/* Which nodes take a duty. */
+/* Which nodes take a role. */
 
 #include "decide/rank.h"
 
-/* Whether a host is among the larger ones, where the largest has `most`. */
+/* Whether a host has at least half the capacity of the largest host. */
 static bool
-is_large(const struct ch_rank_node *node, uint32_t most)
+is_large(const struct ch_rank_node *node, uint32_t max_capacity)
 {
-    return node->capacity >= most / 2;
+    return node->capacity >= max_capacity / 2;
 }
 
 /*
- * See rank.h.  Load: most hosts have a tenth of a core and a slow link, a few
- * have several times that, and a duty sends to all others.  Harm prevented: a
- * small host has the duty by chance, its link is full with it, and the
- * requests of its callers and all that it tells come late.  So larger hosts
- * come first, and among those that are alike the rendezvous weight decides.
+ * See rank.h.  For fleets in which most hosts have a tenth of a core and a
+ * slow link, a few have several times that, and a role sends to all other
+ * nodes.  On a small host the role would fill the link and delay the requests
+ * of callers and all other messages of the node.  So larger hosts come first;
+ * among hosts of similar capacity the rendezvous weight decides.
  */
 size_t
 ch_rank_of(const struct ch_rank_node *nodes, size_t count, size_t self,
            uint64_t key)
 {
-    uint32_t most = 0;
-    size_t before = 0;
+    uint32_t max_capacity = 0;
+    size_t rank = 0;
     for (size_t i = 0; i < count; i++) {
-        most = MAX(most, nodes[i].capacity);
+        max_capacity = MAX(max_capacity, nodes[i].capacity);
     }
-    bool large = is_large(&nodes[self], most);
+    bool self_is_large = is_large(&nodes[self], max_capacity);
     uint64_t weight = ch_hash_pair(key, nodes[self].hash);
     for (size_t i = 0; i < count; i++) {
-        bool other = is_large(&nodes[i], most);
-        if (i != self &&
-            (other != large ? other
-                            : ch_hash_pair(key, nodes[i].hash) > weight)) {
-            before++;
+        bool other_is_large = is_large(&nodes[i], max_capacity);
+        if (i != self && (other_is_large != self_is_large
+                              ? other_is_large
+                              : ch_hash_pair(key, nodes[i].hash) > weight)) {
+            rank++;
         }
     }
-    return before;
+    return rank;
 }
--- a/libchestnuthitch/decide/tell.c
+++ b/libchestnuthitch/decide/tell.c
@@ -1,48 +1,52 @@
-/* Which holder tells which nodes. */
+/* Which lease holder publishes engine state to which nodes. */
 
 #include "decide/tell.h"
 
-/* The weight of a right's holder for a data centre. */
+/* The rendezvous weight of a lease's holder for a data centre. */
 static uint64_t
-weight_of(const struct ch_tell_right *right, GQuark data_centre)
+weight_of(const struct ch_tell_right *lease, GQuark data_centre)
 {
     return ch_hash_pair(ch_hash_string(g_quark_to_string(data_centre)),
-                        ch_hash_string(g_quark_to_string(right->holder)));
+                        ch_hash_string(g_quark_to_string(lease->holder)));
 }
 
-/* Whether the first is to tell rather than the second. */
+/* Whether the holder of lease a is preferred to that of lease b: a holder of
+ * the data centre's own region first, then the higher weight. */
 static bool
-is_better(const struct ch_tell_right *a, const struct ch_tell_right *b,
-          GQuark data_centre, GQuark region)
+is_preferred(const struct ch_tell_right *a, const struct ch_tell_right *b,
+             GQuark data_centre, GQuark region)
 {
-    bool near_a = region != 0 && a->region == region;
-    bool near_b = region != 0 && b->region == region;
-    if (near_a != near_b) {
-        return near_a;
+    bool same_region_a = region != 0 && a->region == region;
+    bool same_region_b = region != 0 && b->region == region;
+    if (same_region_a != same_region_b) {
+        return same_region_a;
     }
     return weight_of(a, data_centre) > weight_of(b, data_centre);
 }
 
 /*
- * See tell.h.  Load: some hundred nodes that each need to know some hundred
- * engines, on links that a few of them share.  Harm prevented: every holder
- * sends to every node, which takes more than the link of a small host carries,
- * and holds up its callers and the configuration.  So each node is told by the
- * holder of its own data centre alone, of all engines, and holders tell one
- * another.  Where a data centre has no holder, another one of its region
- * tells its nodes until it has, and one of another region where there is none.
+ * See tell.h.  For hundreds of nodes that each need the state of hundreds of
+ * engines, over links that a few nodes share.  If every lease holder sent to
+ * every node, the traffic would exceed the link of a small host and delay its
+ * callers and the configuration.  So each node gets the state of all engines
+ * from the lease holder of its own data centre alone, and lease holders
+ * exchange it among themselves.
+ *
+ * While a data centre has no lease holder, another lease holder of the same
+ * region publishes to its nodes, or one of another region if there is none.
  */
 GQuark
-ch_tell_teller(const struct ch_tell_right *rights, size_t count,
+ch_tell_teller(const struct ch_tell_right *leases, size_t count,
                GQuark data_centre, GQuark region)
 {
     const struct ch_tell_right *best = NULL;
     for (size_t i = 0; i < count; i++) {
-        if (rights[i].data_centre == data_centre) {
-            return rights[i].holder;
+        if (leases[i].data_centre == data_centre) {
+            return leases[i].holder;
         }
-        if (best == NULL || is_better(&rights[i], best, data_centre, region)) {
-            best = &rights[i];
+        if (best == NULL ||
+            is_preferred(&leases[i], best, data_centre, region)) {
+            best = &leases[i];
         }
     }
     return best == NULL ? 0 : best->holder;
--- a/libchestnuthitch/decide/tell.h
+++ b/libchestnuthitch/decide/tell.h
@@ -2,23 +2,25 @@
 #define CH_DECIDE_TELL_H
 
 /*
- * Which holder of a right tells the nodes of a data centre what engines hold
- * and run, and takes from them what their requests ask for.  A pure function
- * of the rights that are known: every node and every holder finds the same
- * without asking.  No sockets, no clock, no threads.
+ * Which lease holder publishes the state of engines (the models that they hold
+ * and the requests that they run) to the nodes of a data centre, and collects
+ * the demand of these nodes.  A pure function of the known leases, so that
+ * every node and every lease holder finds the same publisher without asking.
+ * No sockets, no clock, no threads.
  */
 
 #include "base/base.h"
 
-/* A right whose holder was heard lately. */
+/* A lease whose holder was heard from recently. */
 struct ch_tell_right {
-    GQuark data_centre; /* whose engines it orders */
+    GQuark data_centre; /* whose engines the holder controls */
     GQuark holder;
     GQuark region; /* of the data centre; 0: unknown */
 };
 
-/* The holder that tells the nodes of a data centre; 0: none is known. */
-GQuark ch_tell_teller(const struct ch_tell_right *rights, size_t count,
+/* The lease holder that publishes to the nodes of a data centre; 0: none is
+ * known.  region: of that data centre; 0: unknown. */
+GQuark ch_tell_teller(const struct ch_tell_right *leases, size_t count,
                       GQuark data_centre, GQuark region);
 
 #endif
--- a/libchestnuthitch/decide/turn.c
+++ b/libchestnuthitch/decide/turn.c
@@ -1,33 +1,40 @@
-/* Turns of many nodes, drawn by each for itself. */
+/* Schedule of a periodic job shared by many nodes. */
 
 #include "decide/turn.h"
 
-/* A turn that was drawn when the fleet was this much smaller, or larger, is
- * drawn anew: a node that has just started knows of no other, and one that
- * drew from the round of a single node acts together with all who did. */
-static const double GROWN = 1.1;
-static const double SHRUNK = 0.9;
-/* Part of a round by which a turn is moved either way: enough that nodes which
- * once act together drift apart, little enough that none misses its turn. */
-static const double JITTER = 0.25;
+/*
+ * The next run is scheduled anew when the period has grown or shrunk by this
+ * factor since the last schedule.  A node that has just started knows no other
+ * node; if it kept the time computed from the period of a single node, it
+ * would run together with all other nodes that started then.
+ */
+static const double PERIOD_GROWTH_FACTOR = 1.1;
+static const double PERIOD_SHRINK_FACTOR = 0.9;
+/* Part of the period by which a run is moved earlier or later.  This is enough
+ * for nodes that once ran together to drift apart, and little enough that no
+ * node misses its run. */
+static const double JITTER_FRACTION = 0.25;
 
 /*
- * See turn.h.  Load: hundreds of nodes that start within a second, or are
- * replaced one by one.  Harm prevented: all act in the same second and then
- * none for a whole round, in which a change goes unnoticed.
+ * See turn.h.  For hundreds of nodes that start within a second, or are
+ * replaced one by one.  Otherwise all nodes would run in the same second and
+ * none for a whole period after that, in which a change goes unnoticed.
  */
 bool
-ch_turn_due(struct ch_turn *turn, int64_t round, double random, int64_t now)
+ch_turn_due(struct ch_turn *schedule, int64_t period, double random,
+            int64_t now)
 {
-    double change = (double)round / (double)MAX(turn->round, 1);
-    if (turn->at == 0 || change > GROWN || change < SHRUNK) {
-        turn->round = round;
-        turn->at = now + (int64_t)(random * (double)round);
+    double change = (double)period / (double)MAX(schedule->round, 1);
+    if (schedule->at == 0 || change > PERIOD_GROWTH_FACTOR ||
+        change < PERIOD_SHRINK_FACTOR) {
+        schedule->round = period;
+        schedule->at = now + (int64_t)(random * (double)period);
     }
-    if (now < turn->at) {
+    if (now < schedule->at) {
         return false;
     }
-    turn->at =
-        now + (int64_t)((1 - JITTER + 2 * JITTER * random) * (double)round);
+    schedule->at =
+        now + (int64_t)((1 - JITTER_FRACTION + 2 * JITTER_FRACTION * random) *
+                        (double)period);
     return true;
 }
--- a/libchestnuthitch/decide/turn.h
+++ b/libchestnuthitch/decide/turn.h
@@ -2,23 +2,24 @@
 #define CH_DECIDE_TURN_H
 
 /*
- * When one of many nodes that take turns is to act, without any of them asking
- * another.  No sockets, no clock, no threads.
+ * Schedule of a periodic job that many nodes share, where each node picks its
+ * own times without asking the others.  No sockets, no clock, no threads.
  */
 
 #include "base/base.h"
 
 struct ch_turn {
-    int64_t at;    /* the next turn; 0: none was drawn yet */
-    int64_t round; /* of which it was drawn */
+    int64_t at;    /* next run; 0: not scheduled yet */
+    int64_t round; /* period that due_at was computed from */
 };
 
 /*
- * Whether the node acts now.  round: microseconds in which each node has one
- * turn, by the nodes that are known now; random: from 0 up to 1, fresh for
- * each call; now: microseconds, above 0.
+ * Whether the node runs the job now; if so, schedules the next run.  period:
+ * microseconds in which each node runs once, from the number of nodes known
+ * now; random: in [0, 1), a new value for each call; now: microseconds, above
+ * 0.
  */
-bool ch_turn_due(struct ch_turn *turn, int64_t round, double random,
+bool ch_turn_due(struct ch_turn *schedule, int64_t period, double random,
                  int64_t now);
 
 #endif
--- a/tests/unit/test_tell.c
+++ b/tests/unit/test_tell.c
@@ -1,20 +1,20 @@
-/* Who tells whom what engines hold and run, for fleets of several sizes. */
+/* Which lease holder publishes to which nodes, for fleets of several sizes. */
 
 #include "decide/tell.h"
 
 enum {
-    MOST_CENTRES = 8,
-    NO_LOSS = -1,
+    MAX_CENTRES = 8,
+    NONE_LOST = -1,
 };
 
-/* A fleet whose data centres take turns in two regions, and the most nodes
- * that one holder tells: with all holders, and with one of them lost. */
+/* A fleet whose data centres alternate between two regions, and the limits on
+ * nodes per publisher: with all lease holders, and with one lost. */
 static const struct fleet_case {
     const char *name;
     unsigned nodes;
     unsigned centres;
-    unsigned most;
-    unsigned most_after_loss;
+    unsigned max_nodes;
+    unsigned max_nodes_after_loss;
 } fleet_cases[] = {
     {"7", 7, 3, 3, 5},
     {"73", 73, 6, 13, 26},
@@ -42,71 +42,77 @@
     return g_quark_from_string(name);
 }
 
-/* The rights of a fleet, but for one that is lost. */
+/* The leases of a fleet, without the one of data centre `lost`. */
 static size_t
-make_rights(const struct fleet_case *test, int lost,
-            struct ch_tell_right *rights)
+make_leases(const struct fleet_case *test, int lost,
+            struct ch_tell_right *leases)
 {
     size_t count = 0;
     for (unsigned i = 0; i < test->centres; i++) {
         if ((int)i != lost) {
-            rights[count++] = (struct ch_tell_right){
+            leases[count++] = (struct ch_tell_right){
                 centre_name(i), holder_name(i), region_name(i)};
         }
     }
     return count;
 }
 
-/* The most nodes that one holder tells; each node is told, by a holder of its
- * own region as long as one is left. */
+/* The highest number of nodes with the same publisher.  Also checks that each
+ * node has one, of its own region as long as a lease holder is left there. */
 static unsigned
-most_told(const struct fleet_case *test, int lost)
+count_most_nodes(const struct fleet_case *test, int lost)
 {
-    struct ch_tell_right rights[MOST_CENTRES];
-    size_t count = make_rights(test, lost, rights);
-    unsigned told[MOST_CENTRES] = {0};
-    unsigned most = 0;
+    struct ch_tell_right leases[MAX_CENTRES];
+    size_t count = make_leases(test, lost, leases);
+    unsigned nodes_of[MAX_CENTRES] = {0};
+    unsigned max_nodes = 0;
     for (unsigned node = 0; node < test->nodes; node++) {
         unsigned centre = node % MAX(test->centres, 1U);
-        GQuark teller = ch_tell_teller(rights, count, centre_name(centre),
-                                       region_name(centre));
-        bool near_left = false;
-        bool near = false;
-        g_assert_cmpuint(teller, !=, 0);
+        GQuark publisher = ch_tell_teller(leases, count, centre_name(centre),
+                                          region_name(centre));
+        bool same_region_left = false;
+        bool same_region = false;
+        g_assert_cmpuint(publisher, !=, 0);
         for (unsigned i = 0; i < test->centres; i++) {
-            bool same = i % 2 == centre % 2;
-            near_left = near_left || (same && (int)i != lost);
-            if (teller == holder_name(i)) {
-                near = same;
-                told[i]++;
-                most = MAX(most, told[i]);
+            bool is_same_region = i % 2 == centre % 2;
+            same_region_left =
+                same_region_left || (is_same_region && (int)i != lost);
+            if (publisher == holder_name(i)) {
+                same_region = is_same_region;
+                nodes_of[i]++;
+                max_nodes = MAX(max_nodes, nodes_of[i]);
             }
         }
-        g_assert_true(near || !near_left);
+        g_assert_true(same_region || !same_region_left);
     }
-    return most;
+    return max_nodes;
 }
 
-/* Load: fleets of 7 to 1,000 nodes, with every holder and with any one lost.
- * Harm prevented: a holder sends to the whole fleet; a node is told by nobody
- * as the holder of its data centre is gone. */
+/*
+ * For fleets of 7 to 1,000 nodes, with all lease holders and with any one
+ * lost.  Guards against a lease holder that sends to the whole fleet, and
+ * against nodes without a publisher because the lease holder of their data
+ * centre is lost.
+ */
 static void
-test_fleets(void)
+test_nodes_per_publisher(void)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(fleet_cases); i++) {
         const struct fleet_case *test = &fleet_cases[i];
         g_test_message("%s nodes", test->name);
-        g_assert_cmpuint(most_told(test, NO_LOSS), <=, test->most);
+        g_assert_cmpuint(count_most_nodes(test, NONE_LOST), <=,
+                         test->max_nodes);
         for (unsigned lost = 0; lost < test->centres; lost++) {
-            g_assert_cmpuint(most_told(test, (int)lost), <=,
-                             test->most_after_loss);
+            g_assert_cmpuint(count_most_nodes(test, (int)lost), <=,
+                             test->max_nodes_after_loss);
         }
     }
 }
 
-/* A holder of two data centres tells both; none tells when none is known. */
+/* The holder of the leases of two data centres publishes to both; without any
+ * known lease, none does. */
 static void
-test_edges(void)
+test_edge_cases(void)
 {
     const struct ch_tell_right both[] = {
         {centre_name(0), holder_name(0), region_name(0)},
@@ -124,7 +130,7 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/tell/fleets", test_fleets);
-    g_test_add_func("/tell/edges", test_edges);
+    g_test_add_func("/tell/fleets", test_nodes_per_publisher);
+    g_test_add_func("/tell/edges", test_edge_cases);
     return g_test_run();
 }
