--- a/libchestnuthitch/decide/order.c
+++ b/libchestnuthitch/decide/order.c
@@ -1,56 +1,58 @@
-/* Orders to engines: when they are sent, and given up. */
+/* Orders to engines: when they are sent and when they are given up. */
 
 #include "decide/order.h"
 
 enum {
-    /* A model goes when nothing waits at its engine any more, or so much later
-     * all the same; microseconds. */
-    MOST_PATIENCE = 750 * 1000,
-    /* A load that no report shows as begun has failed. */
-    LOAD_LOST = 1500 * 1000,
-    /* What a report does not show this long after a change is so. */
-    REPORT_LAGS = 1500 * 1000,
+    /* Longest delay of an unload while requests are queued at the engine. */
+    MAX_UNLOAD_DELAY_US = 750 * 1000,
+    /* A load that no report shows for this long after the order has failed. */
+    LOAD_FAILED_AFTER_US = 1500 * 1000,
+    /* Reports may lag by this much: a change that a report requested later
+     * than this still contradicts did not happen. */
+    REPORT_LAG_US = 1500 * 1000,
 };
 
 /*
- * See order.h.  Load: a model goes from an engine that has more requests than
- * slots.  Harm prevented: the engine turns away those that wait for the model,
- * which were sent before anybody knew that it goes; a stream among them that
- * goes on here would be cut off.  No new ones come, so that a little patience
- * is enough for most of them to begin.
+ * See order.h.  For an engine with more requests than batch slots, from which
+ * a model is to be unloaded.  An unload rejects the requests that are queued
+ * for the model, which were sent before any node knew of the unload, and cuts
+ * off a stream that one of them resumes.  No new requests for the model
+ * arrive, so that a short delay is enough for most of the queued ones to
+ * start.
  */
 bool
 ch_order_unload_waits(int64_t due, uint32_t waiting, int64_t now)
 {
-    return now < due || (waiting > 0 && now < due + MOST_PATIENCE);
+    return now < due || (waiting > 0 && now < due + MAX_UNLOAD_DELAY_US);
 }
 
 /*
- * See order.h.  Load: a load fails, or a holder is lost while it makes room
- * for a model.  Harm prevented: its successor, who was told that the model
- * comes, waits for room that nobody makes any more, and the engine takes no
- * other change.  An engine that is not busy, and has taken no order since, is
- * loading no model.
+ * See order.h.  For a load that fails, and for a lease holder that is lost
+ * while it frees memory for a model.  Its successor, which knows from a
+ * message that the model is to be loaded, would wait forever for memory that
+ * nobody frees, and the engine would accept no other change.  An engine that
+ * is not busy, and has accepted no order since, is not loading a model.
  */
 bool
 ch_order_load_lost(const struct ch_load_facts *load)
 {
-    bool failed = load->ordered && load->age > LOAD_LOST;
-    return !load->busy && (load->told || failed);
+    bool order_failed = load->ordered && load->age > LOAD_FAILED_AFTER_US;
+    return !load->busy && (load->told || order_failed);
 }
 
 /*
- * See order.h.  Load: a node whose thread has no turn for a second or two
- * while its engines load.  Harm prevented: a report from within a load, or
- * just after it, is handled when the load is older than reports lag; the item
- * counts as lost, and is ordered or sought again.  So ages end when the report
- * was asked for: it tells of no later moment for certain.
+ * See order.h.  For a node whose thread gets no processor time for a second or
+ * two while its engines load.  A report from during a load or just after it is
+ * then handled when the load is older than REPORT_LAG_US; the item would count
+ * as lost and be ordered or looked for again.  So ages are computed up to the
+ * time of the report's request: the report is certain to cover that moment,
+ * but none after it.
  */
 enum ch_report_news
 ch_order_report(const struct ch_report_facts *facts)
 {
     int64_t age = facts->asked - facts->changed;
-    bool old = age > REPORT_LAGS;
+    bool is_past_report_lag = age > REPORT_LAG_US;
     const struct ch_load_facts load = {
         .ordered = facts->ordered,
         .told = facts->told,
@@ -59,7 +61,8 @@
     };
     switch (facts->state) {
     case CH_ITEM_RESIDENT:
-        return !facts->there && old ? CH_REPORT_LOST : CH_REPORT_NOTHING;
+        return !facts->there && is_past_report_lag ? CH_REPORT_LOST
+                                                   : CH_REPORT_NOTHING;
     case CH_ITEM_LOADING:
         if (facts->there) {
             return CH_REPORT_LOADED;
@@ -69,8 +72,9 @@
         if (!facts->there) {
             return CH_REPORT_UNLOADED;
         }
-        return facts->ordered && old && !facts->busy ? CH_REPORT_STAYS
-                                                     : CH_REPORT_NOTHING;
+        return facts->ordered && is_past_report_lag && !facts->busy
+                   ? CH_REPORT_STAYS
+                   : CH_REPORT_NOTHING;
     default:
         return CH_REPORT_NOTHING;
     }
--- a/tests/unit/test_order.c
+++ b/tests/unit/test_order.c
@@ -1,76 +1,77 @@
-/* Orders to engines: when they are sent, and given up. */
+/* Orders to engines: when they are sent, and when they are given up. */
 
 #include "decide/order.h"
 
 enum {
-    MILLI = 1000,
-    DUE = 5000 * MILLI,
+    US_PER_MS = 1000,
+    DUE_US = 5000 * US_PER_MS,
 };
 
-/* A model goes from an engine: its requests were sent elsewhere a moment ago.
- */
+/* A model is to be unloaded: its new requests go elsewhere from DUE_US on. */
 static const struct {
-    const char *what;
+    const char *description;
     int64_t now;
     uint32_t waiting;
-    bool waits;
+    bool delayed;
 } unloads[] = {
-    {"nodes have not been told yet", DUE - 1, 0, true},
-    {"nothing waits: it goes at once", DUE, 0, false},
-    {"a request waits that the engine would turn away", DUE, 1, true},
-    {"... and still does", DUE + (int64_t)700 * MILLI, 3, true},
-    {"it is not waited for without end", DUE + (int64_t)750 * MILLI, 3, false},
+    {"nodes don't know of the unload yet", DUE_US - 1, 0, true},
+    {"no queued requests: unloaded at once", DUE_US, 0, false},
+    {"the unload would reject a queued request", DUE_US, 1, true},
+    {"a request is still queued", DUE_US + (int64_t)700 * US_PER_MS, 3, true},
+    {"the delay has an end", DUE_US + (int64_t)750 * US_PER_MS, 3, false},
 };
 
 static void
 test_unloads(void)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(unloads); i++) {
-        g_test_message("%s", unloads[i].what);
+        g_test_message("%s", unloads[i].description);
         g_assert_cmpint(
-            ch_order_unload_waits(DUE, unloads[i].waiting, unloads[i].now), ==,
-            unloads[i].waits);
+            ch_order_unload_waits(DUE_US, unloads[i].waiting, unloads[i].now),
+            ==, unloads[i].delayed);
     }
 }
 
 /* A model that no report lists yet. */
 static const struct {
-    const char *what;
+    const char *description;
     struct ch_load_facts load;
     bool lost;
 } loads[] = {
     {"the engine is loading it",
-     {.ordered = true, .busy = true, .age = (int64_t)9000 * MILLI},
+     {.ordered = true, .busy = true, .age = (int64_t)9000 * US_PER_MS},
      false},
-    {"a report is older than the order",
-     {.ordered = true, .age = (int64_t)400 * MILLI},
+    {"too soon after the order for a report to show the load",
+     {.ordered = true, .age = (int64_t)400 * US_PER_MS},
      false},
     {"the load has failed",
-     {.ordered = true, .age = (int64_t)1600 * MILLI},
+     {.ordered = true, .age = (int64_t)1600 * US_PER_MS},
      true},
-    {"not ordered yet, by the holder that decided it",
-     {.age = (int64_t)9000 * MILLI},
+    {"not ordered yet by the lease holder that decided on the load",
+     {.age = (int64_t)9000 * US_PER_MS},
      false},
-    {"the former holder ordered it before it was lost",
+    {"the former lease holder ordered the load before it was lost",
      {.told = true, .busy = true},
      false},
-    {"the former holder was lost before it ordered it", {.told = true}, true},
+    {"the former lease holder was lost before it ordered the load",
+     {.told = true},
+     true},
 };
 
 static void
 test_loads(void)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(loads); i++) {
-        g_test_message("%s", loads[i].what);
+        g_test_message("%s", loads[i].description);
         g_assert_cmpint(ch_order_load_lost(&loads[i].load), ==, loads[i].lost);
     }
 }
 
-/* What a report says of an item; times are in milliseconds. */
+/* What a report means for an item; times are in milliseconds. */
 static const struct {
-    const char *what;
+    const char *description;
     struct ch_report_facts facts;
-    enum ch_report_news news;
+    enum ch_report_news change;
 } reports[] = {
     {"loaded",
      {.state = CH_ITEM_LOADING,
@@ -79,13 +80,13 @@
       .changed = 5000,
       .asked = 5100},
      CH_REPORT_LOADED},
-    {"asked before the load shows, whenever it is handled",
+    {"asked for before the load shows, whenever the report is handled",
      {.state = CH_ITEM_LOADING,
       .ordered = true,
       .changed = 5000,
       .asked = 5400},
      CH_REPORT_NOTHING},
-    {"asked before the order was taken",
+    {"asked for before the order was taken",
      {.state = CH_ITEM_LOADING,
       .ordered = true,
       .changed = 5000,
@@ -104,19 +105,19 @@
       .changed = 5000,
       .asked = 9000},
      CH_REPORT_NOTHING},
-    {"the former holder was lost before it ordered it",
+    {"the former lease holder was lost before it ordered the load",
      {.state = CH_ITEM_LOADING, .told = true, .changed = 5000, .asked = 5100},
      CH_REPORT_LOST},
-    {"asked before an adapter shows that has just come",
+    {"asked for before a newly loaded adapter shows",
      {.state = CH_ITEM_RESIDENT, .changed = 5000, .asked = 4990},
      CH_REPORT_NOTHING},
-    {"asked while reports may still lag",
+    {"asked for while reports may still lag",
      {.state = CH_ITEM_RESIDENT, .changed = 5000, .asked = 6500},
      CH_REPORT_NOTHING},
-    {"it has gone",
+    {"the item has gone",
      {.state = CH_ITEM_RESIDENT, .changed = 5000, .asked = 6501},
      CH_REPORT_LOST},
-    {"it is where it was",
+    {"the item is still resident",
      {.state = CH_ITEM_RESIDENT,
       .there = true,
       .changed = 5000,
@@ -128,7 +129,7 @@
       .changed = 5000,
       .asked = 5100},
      CH_REPORT_UNLOADED},
-    {"asked before the unload shows",
+    {"asked for before the unload shows",
      {.state = CH_ITEM_UNLOADING,
       .ordered = true,
       .there = true,
@@ -150,7 +151,7 @@
       .changed = 5000,
       .asked = 9000},
      CH_REPORT_NOTHING},
-    {"not ordered to go yet",
+    {"the unload is not ordered yet",
      {.state = CH_ITEM_UNLOADING,
       .there = true,
       .changed = 5000,
@@ -159,16 +160,16 @@
 };
 
 /* Guards against items that count as lost, and are ordered again, because a
- * report was handled long after it was asked for. */
+ * report was handled long after it was requested. */
 static void
 test_reports(void)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(reports); i++) {
         struct ch_report_facts facts = reports[i].facts;
-        facts.changed *= MILLI;
-        facts.asked *= MILLI;
-        g_test_message("%s", reports[i].what);
-        g_assert_cmpint(ch_order_report(&facts), ==, reports[i].news);
+        facts.changed *= US_PER_MS;
+        facts.asked *= US_PER_MS;
+        g_test_message("%s", reports[i].description);
+        g_assert_cmpint(ch_order_report(&facts), ==, reports[i].change);
     }
 }
 
