--- a/libchestnuthitch/decide/once.h
+++ b/libchestnuthitch/decide/once.h
@@ -2,14 +2,19 @@
 #define CH_DECIDE_ONCE_H
 
 /*
- * At most once: the records of one slot of keys, and the state machine of the
- * node that is the slot's home.
+ * At-most-once execution: the records of one slot of idempotency keys, and the
+ * state machine that the slot's owner node runs.
  *
- * A slot is a log of batches at once/SLOT/SEQUENCE.  Each is created if
- * absent, so that of two homes that write the same sequence one is told of the
- * conflict: duplicate homes are harmless.  An attempt is one try of one entry
- * node; it may be dispatched only on evidence that the log gives the key to
- * it.  Names follow tests/spec/once.pml.
+ * A slot is a log of batches, stored at once/SLOT/SEQUENCE in the key-value
+ * store.  A batch is created only if its sequence is absent, so when two nodes
+ * that both act as owner write the same sequence, one of them gets a conflict:
+ * duplicate owners do no harm.  Each batch links to the one before by that
+ * batch's revision; only the batches that the links reach from the last one
+ * count.
+ *
+ * An attempt is one try of a request by one entry node; it may be dispatched
+ * only when the log shows that the key belongs to it.  tests/spec/once.pml
+ * models this protocol under the same names.
  */
 
 #include "base/base.h"
@@ -17,9 +22,9 @@
 /* ---- batches (once_batch.c) ---- */
 
 enum ch_once_event_kind {
-    CH_ONCE_EVENT_CREATE,   /* the attempt asks for the key */
-    CH_ONCE_EVENT_COMPLETE, /* the attempt ran: its answer */
-    CH_ONCE_EVENT_RELEASE, /* the attempt certainly did not and will not run */
+    CH_ONCE_EVENT_CREATE,   /* the attempt claims the key */
+    CH_ONCE_EVENT_COMPLETE, /* the attempt ran; may carry its response */
+    CH_ONCE_EVENT_RELEASE,  /* the attempt did not run and never will */
 };
 
 struct ch_once_event {
@@ -27,8 +32,8 @@
     char *caller;
     char *key;
     uint64_t attempt;
-    uint64_t fingerprint; /* of a creation */
-    bool kept;            /* of a completion: body is the whole answer */
+    uint64_t fingerprint; /* CREATE only */
+    bool kept;            /* COMPLETE only: body is the whole response */
     int status;
     char *content_type;
     void *body;
@@ -36,40 +41,43 @@
 };
 
 struct ch_once_batch {
-    uint64_t previous; /* revision of the batch before it; 0: the first */
-    char *writer;      /* mark of the write, to know one's own again */
+    uint64_t previous; /* link: revision of the batch before; 0: none */
+    char *writer;      /* write ID: tells this write from those of others */
     GPtrArray *events; /* of struct ch_once_event */
 };
 
 enum {
-    /* A kept answer: a booking's or an order's confirmation, not a report. */
+    /* Largest response that is stored: enough for the confirmation of a
+       booking or an order, too small for a report. */
     CH_ONCE_MOST_BODY = 16 * 1024,
-    /* A batch as JSON stays well under the service's megabyte. */
+    /* Size limit of an encoded batch, well below the 1 MB that the key-value
+       store accepts. */
     CH_ONCE_MOST_BATCH = 256 * 1024,
 };
 
 void ch_once_event_free(void *event);
-struct ch_once_batch *ch_once_batch_new(uint64_t previous, const char *writer);
+struct ch_once_batch *ch_once_batch_new(uint64_t previous_revision,
+                                        const char *write_id);
 void ch_once_batch_free(struct ch_once_batch *batch);
 char *ch_once_batch_encode(const struct ch_once_batch *batch);
 struct ch_once_batch *ch_once_batch_decode(const char *bytes, size_t length,
                                            struct ch_error *error);
-/* The completion of an attempt in a batch; NULL: none. */
+/* The completion of an attempt, valid as long as the batch; NULL: none. */
 const struct ch_once_event *
 ch_once_batch_completion(const struct ch_once_batch *batch, const char *caller,
                          const char *key, uint64_t attempt);
 
-/* ---- the log as a node knows it (once_log.c) ---- */
+/* ---- a node's copy of the log (once_log.c) ---- */
 
 struct ch_once_record {
     uint64_t attempt;
     uint64_t fingerprint;
-    uint64_t created;   /* sequence of its creation */
-    uint64_t completed; /* sequence of its completion; 0: none */
+    uint64_t created;   /* sequence of the batch that created it */
+    uint64_t completed; /* sequence of its completion; 0: not completed */
     bool kept;
 };
 
-/* A batch as it was listed. */
+/* A batch as the key-value store lists it. */
 struct ch_once_listed {
     uint64_t sequence;
     uint64_t revision;
@@ -81,12 +89,12 @@
 
 struct ch_once_log *ch_once_log_new(void);
 void ch_once_log_free(struct ch_once_log *log);
-/* In place of what was known; in order of sequence.  False: a batch that
-   counts is damaged, and nothing may be told from this log. */
+/* Replaces the contents of log; `listed` is in order of sequence.  False: a
+   batch that counts is damaged, and log must not be used for a decision. */
 bool ch_once_log_load(struct ch_once_log *log,
                       const struct ch_once_listed *listed, size_t count,
                       int64_t now, struct ch_error *error);
-/* The next batch, which was written at revision. */
+/* Adds the next batch, which was written at revision. */
 void ch_once_log_append(struct ch_once_log *log,
                         const struct ch_once_batch *batch, uint64_t revision,
                         int64_t now);
@@ -95,35 +103,37 @@
                                               const char *key);
 uint64_t ch_once_log_last(const struct ch_once_log *log);
 uint64_t ch_once_log_last_revision(const struct ch_once_log *log);
-/* True when the sequence is there at revision and linked up to the last. */
+/* Whether the batch is in the log at that revision and linked to the last
+   batch. */
 bool ch_once_log_holds(const struct ch_once_log *log, uint64_t sequence,
                        uint64_t revision);
-/* The first batch, if it was known before `seen` and is not the last. */
-bool ch_once_log_expired(const struct ch_once_log *log, int64_t seen,
+/* Finds the first batch, if this node saw it before `seen_before` and it is
+   not the last.  Otherwise false. */
+bool ch_once_log_expired(const struct ch_once_log *log, int64_t seen_before,
                          uint64_t *sequence, uint64_t *revision);
 void ch_once_log_remove_first(struct ch_once_log *log);
 
-/* ---- what the record means for an attempt ---- */
+/* ---- the state of a record for one attempt ---- */
 
 enum ch_once_state {
-    CH_ONCE_CREATED,  /* this try alone may be dispatched, once */
-    CH_ONCE_DONE,     /* ran before: answer is given when it was kept */
-    CH_ONCE_RUNNING,  /* another try of it may be running or have run */
-    CH_ONCE_MISMATCH, /* the key came with another body */
-    CH_ONCE_REFUSED,  /* surely not created by this try */
+    CH_ONCE_CREATED, /* this attempt owns the key and may be dispatched once */
+    CH_ONCE_DONE,    /* ran before; the response is returned if stored */
+    CH_ONCE_RUNNING, /* another attempt may be running or have run */
+    CH_ONCE_MISMATCH, /* the key was used with another request body */
+    CH_ONCE_REFUSED,  /* the record was not created for this attempt */
 };
 
 enum ch_once_state ch_once_state_of(const struct ch_once_record *record,
                                     uint64_t attempt, uint64_t fingerprint);
 
-/* ---- a slot at its home (once_slot.c) ---- */
+/* ---- a slot at its owner node (once_slot.c) ---- */
 
 enum ch_once_action_kind {
-    CH_ONCE_LIST,   /* then ch_once_slot_listed */
-    CH_ONCE_PUT,    /* bytes at sequence, if absent; then _written */
-    CH_ONCE_GET,    /* sequence; then _got */
-    CH_ONCE_REMOVE, /* sequence at revision; then _removed */
-    CH_ONCE_ANSWER, /* waiter gets state */
+    CH_ONCE_LIST,   /* call ch_once_slot_handle_list with the result */
+    CH_ONCE_PUT,    /* create bytes at sequence if absent; _handle_put */
+    CH_ONCE_GET,    /* read sequence; _handle_get */
+    CH_ONCE_REMOVE, /* delete sequence at revision; _handle_remove */
+    CH_ONCE_ANSWER, /* send state to waiter */
 };
 
 struct ch_once_action {
@@ -133,13 +143,14 @@
     char *bytes; /* owned by the action */
     uint64_t waiter;
     enum ch_once_state state;
-    enum ch_code code;   /* why REFUSED: KV_UNREACHABLE: surely not written */
-    uint64_t completed;  /* DONE and kept: the batch that holds the answer */
+    enum ch_code
+        code; /* reason for REFUSED; KV_UNREACHABLE: surely not written */
+    uint64_t completed;  /* DONE: batch with the stored response; 0: none */
     uint64_t by_attempt; /* DONE: the attempt that ran */
 };
 
-/* The actions (struct ch_once_action) in order; of the first four kinds one at
-   a time is under way for a slot. */
+/* Actions (struct ch_once_action) to carry out in order.  At most one of the
+   first four kinds is in progress for a slot. */
 struct ch_once_actions {
     GArray *list;
 };
@@ -149,10 +160,10 @@
 
 struct ch_once_slot;
 
-struct ch_once_slot *ch_once_slot_new(uint64_t writer, int64_t gather,
-                                      int64_t keep);
+struct ch_once_slot *ch_once_slot_new(uint64_t writer_id, int64_t batch_delay,
+                                      int64_t retention);
 void ch_once_slot_free(struct ch_once_slot *slot);
-/* waiter 0: nobody waits.  The event is owned by the slot from then on. */
+/* waiter 0: no reply is wanted.  The slot takes ownership of the event. */
 void ch_once_slot_add(struct ch_once_slot *slot, struct ch_once_event *event,
                       uint64_t waiter, int64_t now,
                       struct ch_once_actions *out);
@@ -167,12 +178,12 @@
                       int64_t now, struct ch_once_actions *out);
 void ch_once_slot_removed(struct ch_once_slot *slot, enum ch_code code,
                           int64_t now, struct ch_once_actions *out);
-/* expire: this node is the slot's home, and drops what is too old. */
+/* expire: this node owns the slot and removes expired batches. */
 void ch_once_slot_tick(struct ch_once_slot *slot, bool expire, int64_t now,
                        struct ch_once_actions *out);
-/* When a tick is due; INT64_MAX: not before something is added. */
+/* Time of the next tick; INT64_MAX: none until an event is added. */
 int64_t ch_once_slot_due(const struct ch_once_slot *slot);
-/* Nothing waits and nothing is under way. */
+/* Whether no event waits and no call is in progress. */
 bool ch_once_slot_idle(const struct ch_once_slot *slot);
 
 #endif
--- a/libchestnuthitch/decide/once_batch.c
+++ b/libchestnuthitch/decide/once_batch.c
@@ -1,4 +1,4 @@
-/* Batches of the at-most-once log as JSON. */
+/* Batches of the at-most-once log, encoded as JSON. */
 
 #include "decide/once.h"
 #include "base/json.h"
@@ -6,14 +6,14 @@
 #include <string.h>
 
 enum {
-    MOST_EVENTS = 10000,
-    MOST_STATUS = 999,
+    MAX_EVENTS = 10000,
+    MAX_STATUS = 999,
 };
 
 static const char *const kind_names[] = {"create", "complete", "release",
                                          NULL};
 
-/* Frees an event; a GDestroyNotify. */
+/* Frees an event; NULL is fine.  A GDestroyNotify. */
 void
 ch_once_event_free(void *data)
 {
@@ -28,13 +28,13 @@
     g_free(event);
 }
 
-/* An empty batch that owns the events put into it. */
+/* Makes an empty batch, which owns the events added to it. */
 struct ch_once_batch *
-ch_once_batch_new(uint64_t previous, const char *writer)
+ch_once_batch_new(uint64_t previous_revision, const char *write_id)
 {
     struct ch_once_batch *batch = g_new0(struct ch_once_batch, 1);
-    batch->previous = previous;
-    batch->writer = g_strdup(writer);
+    batch->previous = previous_revision;
+    batch->writer = g_strdup(write_id);
     batch->events = g_ptr_array_new_with_free_func(ch_once_event_free);
     return batch;
 }
@@ -59,7 +59,7 @@
     json_builder_add_string_value(builder, value);
 }
 
-/* Appends "name": "N"; as text, since JSON readers round large numbers. */
+/* Appends "name": "N"; a string, because JSON readers round large numbers. */
 static void
 add_number(JsonBuilder *builder, const char *name, uint64_t value)
 {
@@ -68,7 +68,7 @@
     add_text(builder, name, text);
 }
 
-/* Appends text that may hold any byte but NUL, escaped as in a URI. */
+/* Appends a string that may hold any byte but NUL, escaped as in a URI. */
 static void
 add_escaped(JsonBuilder *builder, const char *name, const char *value)
 {
@@ -76,7 +76,6 @@
     add_text(builder, name, escaped);
 }
 
-/* Appends an event's object. */
 static void
 add_event(JsonBuilder *builder, const struct ch_once_event *event)
 {
@@ -98,7 +97,7 @@
     json_builder_end_object(builder);
 }
 
-/* The batch's JSON, a new string. */
+/* Encodes a batch as JSON; the caller frees the string. */
 char *
 ch_once_batch_encode(const struct ch_once_batch *batch)
 {
@@ -116,7 +115,7 @@
     return ch_json_print(builder);
 }
 
-/* A text member, valid as long as the object; NULL with an error. */
+/* Reads a string member, valid as long as the object; NULL: error is set. */
 static const char *
 read_text(JsonObject *object, const char *name, struct ch_error *error)
 {
@@ -127,23 +126,24 @@
     return text;
 }
 
-/* A number that was written as text; false with an error. */
+/* Reads a number that was written as a string; false: error is set. */
 static bool
-read_number(JsonObject *object, const char *name, uint64_t most, uint64_t *out,
+read_number(JsonObject *object, const char *name, uint64_t max, uint64_t *out,
             struct ch_error *error)
 {
     const char *text = read_text(object, name, error);
     if (text == NULL) {
         return false;
     }
-    if (!g_ascii_string_to_unsigned(text, 10, 0, most, out, NULL)) {
-        ch_error_set(error, CH_BAD_JSON, "once: '%s' is out of range", name);
+    if (!g_ascii_string_to_unsigned(text, 10, 0, max, out, NULL)) {
+        ch_error_set(error, CH_BAD_JSON, "once: '%s' is not a number in range",
+                     name);
         return false;
     }
     return true;
 }
 
-/* An escaped member as it was; NULL with an error. */
+/* Reads a string member, unescaped into a new string; NULL: error is set. */
 static char *
 read_escaped(JsonObject *object, const char *name, struct ch_error *error)
 {
@@ -151,14 +151,16 @@
     if (text == NULL) {
         return NULL;
     }
-    char *plain = g_uri_unescape_string(text, NULL);
-    if (plain == NULL) {
-        ch_error_set(error, CH_BAD_JSON, "once: '%s' is badly escaped", name);
+    char *unescaped = g_uri_unescape_string(text, NULL);
+    if (unescaped == NULL) {
+        ch_error_set(error, CH_BAD_JSON, "once: '%s' has an invalid escape",
+                     name);
     }
-    return plain;
+    return unescaped;
 }
 
-/* The kept answer of a completion; false with an error. */
+/* Reads the stored response of a completion, if there is one; false: error is
+ * set. */
 static bool
 read_answer(JsonObject *object, struct ch_once_event *event,
             struct ch_error *error)
@@ -170,7 +172,7 @@
     const char *body = read_text(object, "body", error);
     event->content_type = read_escaped(object, "type", error);
     if (body == NULL || event->content_type == NULL ||
-        !read_number(object, "status", MOST_STATUS, &status, error)) {
+        !read_number(object, "status", MAX_STATUS, &status, error)) {
         return false;
     }
     event->kept = true;
@@ -179,22 +181,22 @@
     return true;
 }
 
-/* Fills in an event; false with an error. */
+/* Reads an event from its object; false: error is set. */
 static bool
 read_event(JsonObject *object, struct ch_once_event *event,
            struct ch_error *error)
 {
-    const char *kind = read_text(object, "do", error);
-    int index = 0;
-    while (kind != NULL && kind_names[index] != NULL &&
-           strcmp(kind_names[index], kind) != 0) {
-        index++;
+    const char *name = read_text(object, "do", error);
+    int kind_index = 0;
+    while (name != NULL && kind_names[kind_index] != NULL &&
+           strcmp(kind_names[kind_index], name) != 0) {
+        kind_index++;
     }
-    if (kind == NULL || kind_names[index] == NULL) {
-        ch_error_set(error, CH_BAD_JSON, "once: an event of unknown kind");
+    if (name == NULL || kind_names[kind_index] == NULL) {
+        ch_error_set(error, CH_BAD_JSON, "once: event of unknown kind");
         return false;
     }
-    event->kind = (enum ch_once_event_kind)index;
+    event->kind = (enum ch_once_event_kind)kind_index;
     event->caller = read_escaped(object, "caller", error);
     event->key = read_escaped(object, "key", error);
     if (event->caller == NULL || event->key == NULL ||
@@ -213,7 +215,7 @@
     return true;
 }
 
-/* Fills in the events; false with an error. */
+/* Reads all events into the batch; false: error is set. */
 static bool
 read_events(JsonObject *object, struct ch_once_batch *batch,
             struct ch_error *error)
@@ -222,8 +224,9 @@
     JsonArray *array = node != NULL && JSON_NODE_HOLDS_ARRAY(node)
                            ? json_node_get_array(node)
                            : NULL;
-    if (array == NULL || json_array_get_length(array) > MOST_EVENTS) {
-        ch_error_set(error, CH_BAD_JSON, "once: no list of events");
+    if (array == NULL || json_array_get_length(array) > MAX_EVENTS) {
+        ch_error_set(error, CH_BAD_JSON,
+                     "once: 'events' is not a list or too long");
         return false;
     }
     for (guint i = 0; i < json_array_get_length(array); i++) {
@@ -232,31 +235,32 @@
         g_ptr_array_add(batch->events, event);
         if (!JSON_NODE_HOLDS_OBJECT(element) ||
             !read_event(json_node_get_object(element), event, error)) {
-            ch_error_set(error, CH_BAD_JSON, "once: an event is no object");
+            ch_error_set(error, CH_BAD_JSON, "once: event is not an object");
             return false;
         }
     }
     return true;
 }
 
-/* The batch in a value; NULL with an error when any part is damaged: an event
- * left out would let its request run again. */
+/* Decodes a batch.  NULL, with error set, when any part is damaged: skipping a
+ * damaged event would let its request run again. */
 struct ch_once_batch *
 ch_once_batch_decode(const char *bytes, size_t length, struct ch_error *error)
 {
     g_autoptr(JsonParser) parser = NULL;
     JsonObject *object = ch_json_object(bytes, length, &parser);
     if (object == NULL) {
-        ch_error_set(error, CH_BAD_JSON, "once: not one JSON object");
+        ch_error_set(error, CH_BAD_JSON, "once: not a JSON object");
         return NULL;
     }
-    uint64_t previous = 0;
-    const char *writer = read_text(object, "writer", error);
-    if (writer == NULL ||
-        !read_number(object, "previous", UINT64_MAX, &previous, error)) {
+    uint64_t previous_revision = 0;
+    const char *write_id = read_text(object, "writer", error);
+    if (write_id == NULL || !read_number(object, "previous", UINT64_MAX,
+                                         &previous_revision, error)) {
         return NULL;
     }
-    struct ch_once_batch *batch = ch_once_batch_new(previous, writer);
+    struct ch_once_batch *batch =
+        ch_once_batch_new(previous_revision, write_id);
     if (!read_events(object, batch, error)) {
         ch_once_batch_free(batch);
         return NULL;
@@ -264,7 +268,7 @@
     return batch;
 }
 
-/* The completion of an attempt, valid as long as the batch; NULL: none. */
+/* See once.h. */
 const struct ch_once_event *
 ch_once_batch_completion(const struct ch_once_batch *batch, const char *caller,
                          const char *key, uint64_t attempt)
--- a/libchestnuthitch/decide/once_log.c
+++ b/libchestnuthitch/decide/once_log.c
@@ -1,4 +1,4 @@
-/* The at-most-once log of a slot as a node knows it. */
+/* A node's copy of the at-most-once log of one slot. */
 
 #include "decide/once.h"
 
@@ -7,8 +7,8 @@
 struct batch_row {
     uint64_t sequence;
     uint64_t revision;
-    int64_t seen; /* when this node first knew of it */
-    bool linked;  /* its successors' links lead to it from the last */
+    int64_t first_seen; /* when this node first saw the batch */
+    bool linked;        /* the links from the last batch down reach this one */
 };
 
 struct ch_once_log {
@@ -16,7 +16,7 @@
     GHashTable *records; /* caller, newline, key: struct ch_once_record */
 };
 
-/* An empty log. */
+/* Makes an empty log. */
 struct ch_once_log *
 ch_once_log_new(void)
 {
@@ -39,8 +39,8 @@
     g_free(log);
 }
 
-/* The table's key.  The key itself is printable, so that the newline parts the
- * two in one way only. */
+/* The key of the hash table.  The request key is printable, so the last
+ * newline always separates it from the caller. */
 static char *
 record_key(const char *caller, const char *key)
 {
@@ -56,8 +56,8 @@
     return g_hash_table_lookup(log->records, name);
 }
 
-/* Applies one event.  The first creation has the key until it is released;
- * what comes from another attempt than the one that has it changes nothing. */
+/* Applies one event.  The first creation owns the key until it is released;
+ * events of any other attempt change nothing. */
 static void
 apply_event(struct ch_once_log *log, const struct ch_once_event *event,
             uint64_t sequence)
@@ -87,7 +87,6 @@
     record->kept = event->kept;
 }
 
-/* Applies a batch's events in order. */
 static void
 apply_batch(struct ch_once_log *log, const struct ch_once_batch *batch,
             uint64_t sequence)
@@ -98,15 +97,15 @@
 }
 
 /*
- * The index of the first batch that counts: links are followed from the last
- * one down.  A home that was paused for longer than keys are kept can create a
- * sequence anew whose first bearer has expired; nothing links to it, and if it
- * counted, the attempt in it would take a key that another holds.  -1: a batch
- * that counts is damaged.
+ * The index of the first batch that counts, found by following the links from
+ * the last batch down; -1: a batch that counts is damaged.  An owner that was
+ * paused for longer than the retention can create a sequence again whose
+ * original batch has expired.  No batch links to it, so it is left out: if it
+ * counted, its attempt would take a key that another attempt owns.
  */
 static int64_t
-first_linked(const struct ch_once_listed *listed, size_t count,
-             struct ch_once_batch **batches, struct ch_error *error)
+find_first_linked(const struct ch_once_listed *listed, size_t count,
+                  struct ch_once_batch **batches, struct ch_error *error)
 {
     for (size_t i = count; i-- > 0;) {
         batches[i] =
@@ -122,28 +121,28 @@
     return 0;
 }
 
-/* When a listed batch was first known here. */
+/* When this node first saw a listed batch. */
 static int64_t
-first_seen(const GArray *rows, const struct ch_once_listed *listed,
-           int64_t now)
+find_first_seen(const GArray *rows, const struct ch_once_listed *listed,
+                int64_t now)
 {
     for (guint i = 0; i < rows->len; i++) {
         const struct batch_row *row =
             &g_array_index(rows, struct batch_row, i);
         if (row->sequence == listed->sequence) {
-            return row->revision == listed->revision ? row->seen : now;
+            return row->revision == listed->revision ? row->first_seen : now;
         }
     }
     return now;
 }
 
-/* Replaces what was known by a list of the slot. */
+/* See once.h. */
 bool
 ch_once_log_load(struct ch_once_log *log, const struct ch_once_listed *listed,
                  size_t count, int64_t now, struct ch_error *error)
 {
     struct ch_once_batch **batches = g_new0(struct ch_once_batch *, count + 1);
-    int64_t first = first_linked(listed, count, batches, error);
+    int64_t first = find_first_linked(listed, count, batches, error);
     if (first >= 0) {
         GArray *rows = g_array_new(FALSE, TRUE, sizeof(struct batch_row));
         g_hash_table_remove_all(log->records);
@@ -151,7 +150,7 @@
             const struct batch_row row = {
                 .sequence = listed[i].sequence,
                 .revision = listed[i].revision,
-                .seen = first_seen(log->rows, &listed[i], now),
+                .first_seen = find_first_seen(log->rows, &listed[i], now),
                 .linked = (int64_t)i >= first,
             };
             g_array_append_val(rows, row);
@@ -169,7 +168,7 @@
     return first >= 0;
 }
 
-/* Adds the batch after the last. */
+/* See once.h. */
 void
 ch_once_log_append(struct ch_once_log *log, const struct ch_once_batch *batch,
                    uint64_t revision, int64_t now)
@@ -177,14 +176,14 @@
     const struct batch_row row = {
         .sequence = ch_once_log_last(log) + 1,
         .revision = revision,
-        .seen = now,
+        .first_seen = now,
         .linked = true,
     };
     g_array_append_val(log->rows, row);
     apply_batch(log, batch, row.sequence);
 }
 
-/* The last row, or NULL. */
+/* The last row; NULL: the log is empty. */
 static const struct batch_row *
 last_row(const struct ch_once_log *log)
 {
@@ -194,7 +193,7 @@
     return &g_array_index(log->rows, struct batch_row, log->rows->len - 1);
 }
 
-/* The last sequence; 0 when there is none. */
+/* The last sequence; 0: the log is empty. */
 uint64_t
 ch_once_log_last(const struct ch_once_log *log)
 {
@@ -202,7 +201,7 @@
     return row == NULL ? 0 : row->sequence;
 }
 
-/* The last batch's revision; 0 when there is none. */
+/* The revision of the last batch; 0: the log is empty. */
 uint64_t
 ch_once_log_last_revision(const struct ch_once_log *log)
 {
@@ -210,7 +209,7 @@
     return row == NULL ? 0 : row->revision;
 }
 
-/* Whether a batch counts, at this revision. */
+/* See once.h. */
 bool
 ch_once_log_holds(const struct ch_once_log *log, uint64_t sequence,
                   uint64_t revision)
@@ -226,13 +225,13 @@
 }
 
 /*
- * The first batch, when it may be removed.  The last one always stays: its
- * sequence is what keeps the log from beginning anew, and removing in order is
- * what lets a writer tell from the batch before its own that its sequence was
- * never removed.
+ * Finds the first batch, if it may be removed.  The last batch always stays:
+ * its sequence keeps the log from starting again at the first one.  Batches
+ * are removed in order, so that a writer can tell from the batch before its
+ * own that its own sequence was never removed.
  */
 bool
-ch_once_log_expired(const struct ch_once_log *log, int64_t seen,
+ch_once_log_expired(const struct ch_once_log *log, int64_t seen_before,
                     uint64_t *sequence, uint64_t *revision)
 {
     if (log->rows->len < 2) {
@@ -242,11 +241,10 @@
         &g_array_index(log->rows, struct batch_row, 0);
     *sequence = row->sequence;
     *revision = row->revision;
-    return row->seen < seen;
+    return row->first_seen < seen_before;
 }
 
-/* True when the record's creation was in the batch; for
- * g_hash_table_foreach_remove. */
+/* Whether the record was created in the batch; a GHRFunc. */
 static gboolean
 created_in(void *key, void *value, void *data)
 {
@@ -256,7 +254,7 @@
     return record->created == row->sequence;
 }
 
-/* Drops the first batch and the records that were created in it. */
+/* Removes the first batch and the records that were created in it. */
 void
 ch_once_log_remove_first(struct ch_once_log *log)
 {
@@ -267,8 +265,8 @@
     }
 }
 
-/* What a record (NULL: none) means for an attempt: CREATED only if the log
- * gives the key to this very attempt.  REFUSED: nobody has it. */
+/* The state of a record (NULL: none) for an attempt.  CREATED only if the log
+ * gives the key to this attempt; REFUSED: no attempt owns the key. */
 enum ch_once_state
 ch_once_state_of(const struct ch_once_record *record, uint64_t attempt,
                  uint64_t fingerprint)
--- a/libchestnuthitch/decide/once_slot.c
+++ b/libchestnuthitch/decide/once_slot.c
@@ -1,38 +1,39 @@
-/* A slot at its home: gathers what comes into batches, and writes one at a
- * time. */
+/* A slot at its owner node: collects events into batches and writes one batch
+ * at a time to the key-value store. */
 
 #include "decide/once.h"
 
 #include <string.h>
 
 enum {
-    /* While the service is away: one try after each pause.  Non-idempotent
-     * work is refused until a try succeeds, so the longest pause is the time
-     * that callers lose after the service is back; a try a second for each of
-     * 64 slots is a fifth of what the service may be asked, whatever the
-     * number of nodes. */
-    FIRST_PAUSE = 250 * 1000,
-    MOST_PAUSE = 1000 * 1000,
-    /* Completions that wait for the service; the oldest go first, and their
-       keys stay in doubt. */
-    MOST_WAITING = 4096,
-    /* Times that a batch is put in all when no answer comes. */
-    MOST_PUTS = 3,
+    /* Backoff while the key-value store is unavailable: one call after each
+     * delay.  Non-idempotent requests are refused until a call succeeds, so
+     * the longest delay is the time that callers lose after the store has
+     * recovered.  One call per second for each of 64 slots is a fifth of the
+     * load that the store may get, whatever the number of nodes. */
+    INITIAL_BACKOFF_US = 250 * 1000,
+    MAX_BACKOFF_US = 1000 * 1000,
+    /* Completions and releases that are queued while the store is
+       unavailable.  Beyond this the oldest are dropped, and the state of their
+       keys stays unknown. */
+    MAX_QUEUED_COMPLETIONS = 4096,
+    /* Writes of one batch, the first included, when no reply comes. */
+    MAX_PUTS_PER_BATCH = 3,
 };
 
 enum phase {
-    PHASE_UNKNOWN,    /* the log is to be listed */
-    PHASE_READY,      /* it is known, and nothing is under way */
-    PHASE_LISTING,    /* ... to know it */
-    PHASE_WRITING,    /* batch at the next sequence */
-    PHASE_RESOLVING,  /* answer lost: the sequence is read back */
-    PHASE_CHECKING,   /* written: the sequence before it is read */
-    PHASE_CONFIRMING, /* written as the first: the slot is listed */
-    PHASE_PROBING,    /* the next sequence is read: another home's? */
-    PHASE_REMOVING,   /* the first batch has expired */
+    PHASE_UNLOADED,           /* the log must be listed */
+    PHASE_READY,              /* log loaded, no call in progress */
+    PHASE_LISTING,            /* the log is being listed */
+    PHASE_WRITING,            /* the batch is written at the next sequence */
+    PHASE_READING_BACK,       /* conflict or no reply: the sequence is read */
+    PHASE_VERIFYING_PREVIOUS, /* written: the sequence before is read */
+    PHASE_VERIFYING_FIRST,    /* written as the first: the slot is listed */
+    PHASE_PROBING,            /* next sequence: did another owner write it? */
+    PHASE_REMOVING,           /* the first batch has expired */
 };
 
-struct waiting {
+struct pending_event {
     struct ch_once_event *event;
     uint64_t waiter;
 };
@@ -40,25 +41,25 @@
 struct ch_once_slot {
     struct ch_once_log *log;
     enum phase phase;
-    uint64_t writer;
-    uint64_t writes;
-    int64_t gather;
-    int64_t keep;
-    int64_t due;        /* of the next write or try; INT64_MAX: none */
-    int64_t pause;      /* above 0: the service did not answer the last call */
-    int64_t not_before; /* of the next call, while pause is above 0 */
-    bool stale;      /* something is asked that the log may be too old for */
-    GQueue queue;    /* of struct waiting */
-    GQueue in_batch; /* of struct waiting, in the batch under way */
+    uint64_t writer_id;
+    uint64_t write_count;
+    int64_t batch_delay;
+    int64_t retention;
+    int64_t due_at;   /* of the next write or retry; INT64_MAX: none */
+    int64_t backoff;  /* above 0: the store did not answer the last call */
+    int64_t retry_at; /* time of the next call while backoff is above 0 */
+    bool stale;       /* the log may be too old to decide a queued event */
+    GQueue queue;     /* of struct pending_event */
+    GQueue batched;   /* of struct pending_event, in the batch being written */
     struct ch_once_batch *batch;
     char *bytes;
-    uint64_t revision; /* at which the batch was written */
-    unsigned puts;
+    uint64_t revision; /* of the written batch */
+    unsigned put_count;
 };
 
 /* ---- actions ---- */
 
-/* Frees what an action holds. */
+/* Frees the contents of an action; a GDestroyNotify. */
 static void
 action_clear(void *data)
 {
@@ -66,7 +67,7 @@
     g_free(action->bytes);
 }
 
-/* An empty list of actions. */
+/* Initialises an empty list; free it with ch_once_actions_clear(). */
 void
 ch_once_actions_init(struct ch_once_actions *actions)
 {
@@ -74,7 +75,7 @@
     g_array_set_clear_func(actions->list, action_clear);
 }
 
-/* Frees the list. */
+/* Frees the list with its actions. */
 void
 ch_once_actions_clear(struct ch_once_actions *actions)
 {
@@ -82,7 +83,7 @@
     actions->list = NULL;
 }
 
-/* Appends a call to the service. */
+/* Appends a call to the key-value store. */
 static void
 add_call(struct ch_once_actions *out, enum ch_once_action_kind kind,
          uint64_t sequence, uint64_t revision, const char *bytes)
@@ -96,11 +97,11 @@
     g_array_append_val(out->list, action);
 }
 
-/* Appends the answer to a waiter, unless nobody waits. */
+/* Appends the reply to a waiter; none if waiter is 0. */
 static void
-add_answer(struct ch_once_actions *out, uint64_t waiter,
-           enum ch_once_state state, enum ch_code code,
-           const struct ch_once_record *record)
+add_reply(struct ch_once_actions *out, uint64_t waiter,
+          enum ch_once_state state, enum ch_code code,
+          const struct ch_once_record *record)
 {
     if (waiter == 0) {
         return;
@@ -120,31 +121,31 @@
 
 /* ---- construction ---- */
 
-/* A slot of which nothing is known.  writer tells this process's writes from
- * those of others; gather and keep in microseconds. */
+/* Makes a slot whose log is not loaded yet.  writer_id tells the writes of
+ * this process from those of others; batch_delay and retention are in
+ * microseconds. */
 struct ch_once_slot *
-ch_once_slot_new(uint64_t writer, int64_t gather, int64_t keep)
+ch_once_slot_new(uint64_t writer_id, int64_t batch_delay, int64_t retention)
 {
     struct ch_once_slot *slot = g_new0(struct ch_once_slot, 1);
     slot->log = ch_once_log_new();
-    slot->writer = writer;
-    slot->gather = gather;
-    slot->keep = keep;
-    slot->due = INT64_MAX;
+    slot->writer_id = writer_id;
+    slot->batch_delay = batch_delay;
+    slot->retention = retention;
+    slot->due_at = INT64_MAX;
     g_queue_init(&slot->queue);
-    g_queue_init(&slot->in_batch);
+    g_queue_init(&slot->batched);
     return slot;
 }
 
-/* Frees one that waits, with its event. */
 static void
-waiting_free(struct waiting *waiting)
+pending_event_free(struct pending_event *pending)
 {
-    ch_once_event_free(waiting->event);
-    g_free(waiting);
+    ch_once_event_free(pending->event);
+    g_free(pending);
 }
 
-/* Drops the batch under way.  Its events belong to in_batch. */
+/* Drops the batch being written.  Its events stay owned by batched. */
 static void
 drop_batch(struct ch_once_slot *slot)
 {
@@ -156,7 +157,7 @@
     g_clear_pointer(&slot->bytes, g_free);
 }
 
-/* Frees a slot; whoever waits gets no answer. */
+/* Frees a slot; NULL is fine.  Waiters get no reply. */
 void
 ch_once_slot_free(struct ch_once_slot *slot)
 {
@@ -164,25 +165,25 @@
         return;
     }
     drop_batch(slot);
-    struct waiting *waiting = NULL;
-    while ((waiting = g_queue_pop_head(&slot->queue)) != NULL ||
-           (waiting = g_queue_pop_head(&slot->in_batch)) != NULL) {
-        waiting_free(waiting);
+    struct pending_event *pending = NULL;
+    while ((pending = g_queue_pop_head(&slot->queue)) != NULL ||
+           (pending = g_queue_pop_head(&slot->batched)) != NULL) {
+        pending_event_free(pending);
     }
     ch_once_log_free(slot->log);
     g_free(slot);
 }
 
-/* ---- answers by what the log holds ---- */
+/* ---- replies that the log decides ---- */
 
 /* The record of the event's key; NULL: none. */
 static const struct ch_once_record *
-record_of(const struct ch_once_slot *slot, const struct ch_once_event *event)
+find_record(const struct ch_once_slot *slot, const struct ch_once_event *event)
 {
     return ch_once_log_find(slot->log, event->caller, event->key);
 }
 
-/* True when both are of the same attempt at the same key. */
+/* Whether both events belong to the same attempt at the same key. */
 static bool
 same_attempt(const struct ch_once_event *a, const struct ch_once_event *b)
 {
@@ -190,94 +191,96 @@
            strcmp(a->caller, b->caller) == 0;
 }
 
-/* Takes the creations of a released attempt out of the queue: written after
- * the release, they would hold the key for an attempt that is over. */
+/* Removes the queued creations of a released attempt: written after the
+ * release, they would keep the key for an attempt that is over. */
 static void
 cancel_creations(struct ch_once_slot *slot, const struct ch_once_event *event,
                  struct ch_once_actions *out)
 {
     GList *next = NULL;
     for (GList *at = slot->queue.head; at != NULL; at = next) {
-        struct waiting *waiting = at->data;
+        struct pending_event *pending = at->data;
         next = at->next;
-        if (waiting->event->kind == CH_ONCE_EVENT_CREATE &&
-            same_attempt(waiting->event, event)) {
-            add_answer(out, waiting->waiter, CH_ONCE_REFUSED,
-                       CH_KV_UNREACHABLE, NULL);
-            waiting_free(waiting);
+        if (pending->event->kind == CH_ONCE_EVENT_CREATE &&
+            same_attempt(pending->event, event)) {
+            add_reply(out, pending->waiter, CH_ONCE_REFUSED, CH_KV_UNREACHABLE,
+                      NULL);
+            pending_event_free(pending);
             g_queue_delete_link(&slot->queue, at);
         }
     }
 }
 
-/* Answers a creation if the log tells enough; true: it was freed.  Whether
- * another attempt still runs is told from a log that is not stale alone. */
+/* Replies to a creation and frees it if the log decides its state; else
+ * returns false.  Only a log that is not stale can tell whether another
+ * attempt is still running. */
 static bool
-settle_creation(struct ch_once_slot *slot, struct waiting *waiting,
-                struct ch_once_actions *out)
+try_reply_creation(struct ch_once_slot *slot, struct pending_event *pending,
+                   struct ch_once_actions *out)
 {
-    const struct ch_once_event *event = waiting->event;
-    const struct ch_once_record *record = record_of(slot, event);
+    const struct ch_once_event *event = pending->event;
+    const struct ch_once_record *record = find_record(slot, event);
     enum ch_once_state state =
         ch_once_state_of(record, event->attempt, event->fingerprint);
     if (state == CH_ONCE_REFUSED ||
         (state == CH_ONCE_RUNNING && slot->stale)) {
         return false;
     }
-    add_answer(out, waiting->waiter, state, CH_OK, record);
-    waiting_free(waiting);
+    add_reply(out, pending->waiter, state, CH_OK, record);
+    pending_event_free(pending);
     return true;
 }
 
-/* Answers a completion or a release once the log shows it, or shows that the
- * key is no longer the attempt's; true: it was freed. */
+/* Replies to a completion or a release and frees it once the log shows it, or
+ * shows that the attempt does not own the key; else returns false. */
 static bool
-settle_end(struct ch_once_slot *slot, struct waiting *waiting,
-           struct ch_once_actions *out)
+try_reply_end(struct ch_once_slot *slot, struct pending_event *pending,
+              struct ch_once_actions *out)
 {
-    const struct ch_once_event *event = waiting->event;
-    const struct ch_once_record *record = record_of(slot, event);
-    bool own = record != NULL && record->attempt == event->attempt;
-    if (own ? record->completed == 0 : slot->stale) {
+    const struct ch_once_event *event = pending->event;
+    const struct ch_once_record *record = find_record(slot, event);
+    bool owns_key = record != NULL && record->attempt == event->attempt;
+    if (owns_key ? record->completed == 0 : slot->stale) {
         return false;
     }
-    bool done = own || event->kind == CH_ONCE_EVENT_RELEASE;
+    bool recorded = owns_key || event->kind == CH_ONCE_EVENT_RELEASE;
     if (event->kind == CH_ONCE_EVENT_RELEASE) {
         cancel_creations(slot, event, out);
     }
-    add_answer(out, waiting->waiter, done ? CH_ONCE_DONE : CH_ONCE_REFUSED,
-               CH_OK, NULL);
-    waiting_free(waiting);
+    add_reply(out, pending->waiter, recorded ? CH_ONCE_DONE : CH_ONCE_REFUSED,
+              CH_OK, NULL);
+    pending_event_free(pending);
     return true;
 }
 
-/* Answers one that waits if the log tells enough; true: it was freed. */
+/* Replies to a pending event and frees it if the log decides its state; else
+ * returns false. */
 static bool
-settle(struct ch_once_slot *slot, struct waiting *waiting,
-       struct ch_once_actions *out)
+try_reply(struct ch_once_slot *slot, struct pending_event *pending,
+          struct ch_once_actions *out)
 {
-    return waiting->event->kind == CH_ONCE_EVENT_CREATE
-               ? settle_creation(slot, waiting, out)
-               : settle_end(slot, waiting, out);
+    return pending->event->kind == CH_ONCE_EVENT_CREATE
+               ? try_reply_creation(slot, pending, out)
+               : try_reply_end(slot, pending, out);
 }
 
-/* Answers all in the queue that the log tells enough of. */
+/* Replies to every queued event whose state the log decides. */
 static void
-settle_queue(struct ch_once_slot *slot, struct ch_once_actions *out)
+reply_decided_events(struct ch_once_slot *slot, struct ch_once_actions *out)
 {
     GQueue rest = G_QUEUE_INIT;
-    struct waiting *waiting = NULL;
-    while ((waiting = g_queue_pop_head(&slot->queue)) != NULL) {
-        if (!settle(slot, waiting, out)) {
-            g_queue_push_tail(&rest, waiting);
+    struct pending_event *pending = NULL;
+    while ((pending = g_queue_pop_head(&slot->queue)) != NULL) {
+        if (!try_reply(slot, pending, out)) {
+            g_queue_push_tail(&rest, pending);
         }
     }
     slot->queue = rest;
 }
 
-/* ---- writing ---- */
+/* ---- writing batches ---- */
 
-/* Bytes that an event takes in a batch, roughly from above. */
+/* An upper estimate of the event's bytes in an encoded batch. */
 static size_t
 event_size(const struct ch_once_event *event)
 {
@@ -285,53 +288,54 @@
            event->length * 4 / 3;
 }
 
-/* Takes from the queue as much as a batch holds. */
+/* Makes the next batch from as many queued events as fit. */
 static void
 fill_batch(struct ch_once_slot *slot)
 {
-    char writer[40];
+    char write_id[40];
     size_t size = 0;
-    (void)g_snprintf(writer, sizeof(writer),
+    (void)g_snprintf(write_id, sizeof(write_id),
                      "%016" G_GINT64_MODIFIER "x-%" G_GINT64_MODIFIER "x",
-                     slot->writer, ++slot->writes);
+                     slot->writer_id, ++slot->write_count);
     slot->batch =
-        ch_once_batch_new(ch_once_log_last_revision(slot->log), writer);
+        ch_once_batch_new(ch_once_log_last_revision(slot->log), write_id);
     while (!g_queue_is_empty(&slot->queue)) {
-        struct waiting *waiting = g_queue_peek_head(&slot->queue);
-        size += event_size(waiting->event);
+        struct pending_event *pending = g_queue_peek_head(&slot->queue);
+        size += event_size(pending->event);
         if (size > CH_ONCE_MOST_BATCH && slot->batch->events->len > 0) {
             break;
         }
         (void)g_queue_pop_head(&slot->queue);
-        g_queue_push_tail(&slot->in_batch, waiting);
-        g_ptr_array_add(slot->batch->events, waiting->event);
+        g_queue_push_tail(&slot->batched, pending);
+        g_ptr_array_add(slot->batch->events, pending->event);
     }
     slot->bytes = ch_once_batch_encode(slot->batch);
 }
 
-/* Puts the batch under way at the next sequence. */
+/* Writes the current batch at the next sequence. */
 static void
 put_batch(struct ch_once_slot *slot, struct ch_once_actions *out)
 {
     slot->phase = PHASE_WRITING;
-    slot->puts++;
+    slot->put_count++;
     add_call(out, CH_ONCE_PUT, ch_once_log_last(slot->log) + 1, 0,
              slot->bytes);
 }
 
-/* Begins what is due: knowing the log, knowing that it is not stale, or
- * writing the next batch. */
+/* Starts the call that is due: list the log, check that it is not stale, or
+ * write the next batch. */
 static void
-proceed(struct ch_once_slot *slot, int64_t now, struct ch_once_actions *out)
+start_next_call(struct ch_once_slot *slot, int64_t now,
+                struct ch_once_actions *out)
 {
     if (g_queue_is_empty(&slot->queue)) {
-        slot->due = INT64_MAX;
+        slot->due_at = INT64_MAX;
         return;
     }
-    if (now < slot->due) {
+    if (now < slot->due_at) {
         return;
     }
-    if (slot->phase == PHASE_UNKNOWN) {
+    if (slot->phase == PHASE_UNLOADED) {
         slot->phase = PHASE_LISTING;
         add_call(out, CH_ONCE_LIST, 0, 0, NULL);
     }
@@ -341,151 +345,156 @@
     }
     else if (slot->phase == PHASE_READY) {
         fill_batch(slot);
-        slot->puts = 0;
+        slot->put_count = 0;
         put_batch(slot, out);
     }
 }
 
-/* Puts what was in the batch back to the front of the queue, in order. */
+/* Puts the events of the batch back at the front of the queue, in order. */
 static void
 requeue_batch(struct ch_once_slot *slot)
 {
     drop_batch(slot);
-    struct waiting *waiting = NULL;
-    while ((waiting = g_queue_pop_tail(&slot->in_batch)) != NULL) {
-        g_queue_push_head(&slot->queue, waiting);
+    struct pending_event *pending = NULL;
+    while ((pending = g_queue_pop_tail(&slot->batched)) != NULL) {
+        g_queue_push_head(&slot->queue, pending);
     }
 }
 
-/* Answers a creation while the service is away: by what was known before, as
- * far as that can't change any more, else with a refusal.  Frees it. */
+/* Replies to a creation while the store is unavailable, and frees it: with the
+ * state in the known log where that state is final, else with a refusal. */
 static void
-refuse_creation(struct ch_once_slot *slot, struct waiting *waiting,
-                enum ch_code code, struct ch_once_actions *out)
+reply_without_store(struct ch_once_slot *slot, struct pending_event *pending,
+                    enum ch_code code, struct ch_once_actions *out)
 {
-    const struct ch_once_event *event = waiting->event;
-    const struct ch_once_record *record = record_of(slot, event);
+    const struct ch_once_event *event = pending->event;
+    const struct ch_once_record *record = find_record(slot, event);
     enum ch_once_state state =
         ch_once_state_of(record, event->attempt, event->fingerprint);
-    add_answer(out, waiting->waiter, state,
-               state == CH_ONCE_REFUSED ? code : CH_OK, record);
-    waiting_free(waiting);
+    add_reply(out, pending->waiter, state,
+              state == CH_ONCE_REFUSED ? code : CH_OK, record);
+    pending_event_free(pending);
 }
 
 /*
- * The service is away.  Creations are answered at once, so that no caller
- * waits for the outage to end, and are not tried again: their attempts are
- * over.  Completions and releases are told to be not kept yet, and stay.
+ * Fails the queue when the store is unavailable.  Creations get a reply at
+ * once, so that no caller waits for the outage to end, and are not retried,
+ * since their attempts are over.  Completions and releases are reported as not
+ * stored yet, and stay queued.
  */
 static void
 fail_queue(struct ch_once_slot *slot, enum ch_code code,
            struct ch_once_actions *out)
 {
-    for (guint left = g_queue_get_length(&slot->queue); left > 0; left--) {
-        struct waiting *waiting = g_queue_pop_head(&slot->queue);
-        if (waiting->event->kind == CH_ONCE_EVENT_CREATE) {
-            refuse_creation(slot, waiting, code, out);
+    for (guint remaining = g_queue_get_length(&slot->queue); remaining > 0;
+         remaining--) {
+        struct pending_event *pending = g_queue_pop_head(&slot->queue);
+        if (pending->event->kind == CH_ONCE_EVENT_CREATE) {
+            reply_without_store(slot, pending, code, out);
             continue;
         }
-        add_answer(out, waiting->waiter, CH_ONCE_REFUSED, code, NULL);
-        waiting->waiter = 0;
-        if (left > MOST_WAITING) {
-            waiting_free(waiting);
+        add_reply(out, pending->waiter, CH_ONCE_REFUSED, code, NULL);
+        pending->waiter = 0;
+        if (remaining > MAX_QUEUED_COMPLETIONS) {
+            pending_event_free(pending);
         }
         else {
-            g_queue_push_tail(&slot->queue, waiting);
+            g_queue_push_tail(&slot->queue, pending);
         }
     }
 }
 
-/* A call got no answer.  code tells those who wait whether their creation may
- * have been written all the same. */
+/* Handles a failed call to the store and starts the backoff.  code tells the
+ * waiters whether their creation may have been written after all. */
 static void
-service_away(struct ch_once_slot *slot, enum ch_code code, int64_t now,
-             struct ch_once_actions *out)
+handle_store_failure(struct ch_once_slot *slot, enum ch_code code, int64_t now,
+                     struct ch_once_actions *out)
 {
     requeue_batch(slot);
     fail_queue(slot, code, out);
-    slot->phase = PHASE_UNKNOWN;
+    slot->phase = PHASE_UNLOADED;
     slot->stale = false;
-    slot->pause = CLAMP(slot->pause * 2, FIRST_PAUSE, MOST_PAUSE);
-    slot->not_before = now + slot->pause;
-    slot->due = slot->not_before;
+    slot->backoff =
+        CLAMP(slot->backoff * 2, INITIAL_BACKOFF_US, MAX_BACKOFF_US);
+    slot->retry_at = now + slot->backoff;
+    slot->due_at = slot->retry_at;
 }
 
-/* The log is not what was thought: it is listed, and the batch made anew. */
+/* Lists the log again when it is not as expected, and makes a new batch after
+ * that. */
 static void
-relist(struct ch_once_slot *slot, int64_t now, struct ch_once_actions *out)
+reload_log(struct ch_once_slot *slot, int64_t now, struct ch_once_actions *out)
 {
     requeue_batch(slot);
-    slot->phase = PHASE_UNKNOWN;
+    slot->phase = PHASE_UNLOADED;
     slot->stale = false;
-    slot->due = now;
-    proceed(slot, now, out);
+    slot->due_at = now;
+    start_next_call(slot, now, out);
 }
 
-/* Answers one whose event is in the log.  A creation that the log does not
- * show was released by the same batch: its attempt is over. */
+/* Replies to an event that is in the log.  A creation that the log does not
+ * show was released in the same batch: its attempt is over. */
 static void
-end_batched(struct ch_once_slot *slot, struct waiting *waiting,
-            struct ch_once_actions *out)
+reply_batched_event(struct ch_once_slot *slot, struct pending_event *pending,
+                    struct ch_once_actions *out)
 {
-    if (!settle(slot, waiting, out)) {
-        add_answer(out, waiting->waiter, CH_ONCE_REFUSED, CH_KV_UNREACHABLE,
-                   NULL);
-        waiting_free(waiting);
+    if (!try_reply(slot, pending, out)) {
+        add_reply(out, pending->waiter, CH_ONCE_REFUSED, CH_KV_UNREACHABLE,
+                  NULL);
+        pending_event_free(pending);
     }
 }
 
-/* The batch is in the log for certain. */
+/* Takes the batch into the log once it certainly belongs there. */
 static void
-batch_written(struct ch_once_slot *slot, int64_t now,
-              struct ch_once_actions *out)
+commit_batch(struct ch_once_slot *slot, int64_t now,
+             struct ch_once_actions *out)
 {
     ch_once_log_append(slot->log, slot->batch, slot->revision, now);
     drop_batch(slot);
     slot->phase = PHASE_READY;
     slot->stale = false;
-    struct waiting *waiting = NULL;
-    while ((waiting = g_queue_pop_head(&slot->in_batch)) != NULL) {
-        end_batched(slot, waiting, out);
+    struct pending_event *pending = NULL;
+    while ((pending = g_queue_pop_head(&slot->batched)) != NULL) {
+        reply_batched_event(slot, pending, out);
     }
-    settle_queue(slot, out);
-    slot->due = now;
-    proceed(slot, now, out);
+    reply_decided_events(slot, out);
+    slot->due_at = now;
+    start_next_call(slot, now, out);
 }
 
 /*
- * The sequence was created.  That alone is no proof: a home that was paused
- * for longer than keys are kept creates a sequence anew that others have used
- * and removed since.  Batches are removed in order, so the one before it, when
- * still there as it was, proves that this sequence was never used.  Of the
- * first sequence the links from the last batch down to it are the proof.
+ * Verifies a batch whose sequence was created.  The successful write alone is
+ * no proof: an owner that was paused for longer than the retention can create
+ * a sequence again that others have used and removed since.  Batches are
+ * removed in order, so if the batch before it is unchanged, this sequence was
+ * never used.  For the first sequence, the links from the last batch down to
+ * it are the proof.
  */
 static void
-check_batch(struct ch_once_slot *slot, uint64_t revision,
-            struct ch_once_actions *out)
+verify_batch(struct ch_once_slot *slot, uint64_t revision,
+             struct ch_once_actions *out)
 {
     uint64_t last = ch_once_log_last(slot->log);
     slot->revision = revision;
     if (last == 0) {
-        slot->phase = PHASE_CONFIRMING;
+        slot->phase = PHASE_VERIFYING_FIRST;
         add_call(out, CH_ONCE_LIST, 0, 0, NULL);
     }
     else {
-        slot->phase = PHASE_CHECKING;
+        slot->phase = PHASE_VERIFYING_PREVIOUS;
         add_call(out, CH_ONCE_GET, last, 0, NULL);
     }
 }
 
-/* ---- what comes in ---- */
+/* ---- events and results of calls ---- */
 
-/* Notes whether the log may be too old to tell what the event asks: a node
- * that was this slot's home for a while may have written since. */
+/* Marks the log as stale if it may be too old to decide the event: another
+ * node that owned this slot for a while may have written since. */
 static void
-check_stale(struct ch_once_slot *slot, const struct ch_once_event *event)
+mark_if_stale(struct ch_once_slot *slot, const struct ch_once_event *event)
 {
-    const struct ch_once_record *record = record_of(slot, event);
+    const struct ch_once_record *record = find_record(slot, event);
     if (event->kind == CH_ONCE_EVENT_CREATE) {
         slot->stale |= ch_once_state_of(record, event->attempt,
                                         event->fingerprint) == CH_ONCE_RUNNING;
@@ -495,70 +504,72 @@
     }
 }
 
-/* Takes a creation, a completion or a release. */
+/* Adds a creation, a completion or a release. */
 void
 ch_once_slot_add(struct ch_once_slot *slot, struct ch_once_event *event,
                  uint64_t waiter, int64_t now, struct ch_once_actions *out)
 {
-    struct waiting *waiting = g_new0(struct waiting, 1);
-    waiting->event = event;
-    waiting->waiter = waiter;
+    struct pending_event *pending = g_new0(struct pending_event, 1);
+    pending->event = event;
+    pending->waiter = waiter;
     bool create = event->kind == CH_ONCE_EVENT_CREATE;
-    bool away = slot->pause > 0 &&
-                (now < slot->not_before || slot->phase == PHASE_LISTING);
-    if (create && away) {
-        refuse_creation(slot, waiting, CH_KV_UNREACHABLE, out);
+    bool unavailable = slot->backoff > 0 &&
+                       (now < slot->retry_at || slot->phase == PHASE_LISTING);
+    if (create && unavailable) {
+        reply_without_store(slot, pending, CH_KV_UNREACHABLE, out);
         return;
     }
     if (event->kind == CH_ONCE_EVENT_RELEASE) {
         cancel_creations(slot, event, out);
     }
-    bool known = slot->phase != PHASE_UNKNOWN && slot->phase != PHASE_LISTING;
-    if (known) {
-        check_stale(slot, event);
-        if (create && settle(slot, waiting, out)) {
+    bool loaded =
+        slot->phase != PHASE_UNLOADED && slot->phase != PHASE_LISTING;
+    if (loaded) {
+        mark_if_stale(slot, event);
+        if (create && try_reply(slot, pending, out)) {
             return;
         }
     }
     if (g_queue_is_empty(&slot->queue)) {
-        bool at_once = slot->phase == PHASE_UNKNOWN || slot->stale;
-        slot->due = MAX(at_once ? now : now + slot->gather, slot->not_before);
+        bool urgent = slot->phase == PHASE_UNLOADED || slot->stale;
+        slot->due_at =
+            MAX(urgent ? now : now + slot->batch_delay, slot->retry_at);
     }
-    g_queue_push_tail(&slot->queue, waiting);
-    proceed(slot, now, out);
+    g_queue_push_tail(&slot->queue, pending);
+    start_next_call(slot, now, out);
 }
 
-/* The answer to a LIST. */
+/* Handles the result of a LIST. */
 void
 ch_once_slot_listed(struct ch_once_slot *slot, enum ch_code code,
                     const struct ch_once_listed *listed, size_t count,
                     int64_t now, struct ch_once_actions *out)
 {
-    enum ch_code refusal =
-        slot->phase == PHASE_CONFIRMING ? CH_KV_AMBIGUOUS : CH_KV_UNREACHABLE;
+    enum ch_code refusal = slot->phase == PHASE_VERIFYING_FIRST
+                               ? CH_KV_AMBIGUOUS
+                               : CH_KV_UNREACHABLE;
     if (code != CH_OK ||
         !ch_once_log_load(slot->log, listed, count, now, NULL)) {
-        service_away(slot, refusal, now, out);
+        handle_store_failure(slot, refusal, now, out);
         return;
     }
-    bool confirmed = slot->phase == PHASE_CONFIRMING &&
+    bool confirmed = slot->phase == PHASE_VERIFYING_FIRST &&
                      ch_once_log_holds(slot->log, 1, slot->revision);
-    struct waiting *waiting = NULL;
+    struct pending_event *pending = NULL;
     slot->stale = false;
-    while (confirmed &&
-           (waiting = g_queue_pop_head(&slot->in_batch)) != NULL) {
-        end_batched(slot, waiting, out);
+    while (confirmed && (pending = g_queue_pop_head(&slot->batched)) != NULL) {
+        reply_batched_event(slot, pending, out);
     }
     requeue_batch(slot);
     slot->phase = PHASE_READY;
-    slot->pause = 0;
-    slot->not_before = 0;
-    settle_queue(slot, out);
-    slot->due = now;
-    proceed(slot, now, out);
+    slot->backoff = 0;
+    slot->retry_at = 0;
+    reply_decided_events(slot, out);
+    slot->due_at = now;
+    start_next_call(slot, now, out);
 }
 
-/* The answer to a PUT. */
+/* Handles the result of a PUT. */
 void
 ch_once_slot_written(struct ch_once_slot *slot, enum ch_code code,
                      uint64_t revision, int64_t now,
@@ -566,89 +577,89 @@
 {
     switch (code) {
     case CH_OK:
-        check_batch(slot, revision, out);
+        verify_batch(slot, revision, out);
         return;
     case CH_KV_CONFLICT:
     case CH_KV_AMBIGUOUS:
-        /* The batch of an earlier put that got no answer may be in the way:
-           reading it back tells whose it is. */
-        slot->phase = PHASE_RESOLVING;
+        /* The sequence may be taken by this batch, from an earlier write that
+           got no reply; reading it back shows whose batch it is. */
+        slot->phase = PHASE_READING_BACK;
         add_call(out, CH_ONCE_GET, ch_once_log_last(slot->log) + 1, 0, NULL);
         return;
     default:
-        service_away(slot,
-                     slot->puts > 1 ? CH_KV_AMBIGUOUS : CH_KV_UNREACHABLE, now,
-                     out);
+        handle_store_failure(
+            slot, slot->put_count > 1 ? CH_KV_AMBIGUOUS : CH_KV_UNREACHABLE,
+            now, out);
     }
 }
 
-/* The sequence was read back after a lost answer or a conflict. */
+/* Handles the read of the sequence after a conflict or a missing reply. */
 static void
-resolved(struct ch_once_slot *slot, enum ch_code code, const char *bytes,
-         size_t length, uint64_t revision, int64_t now,
-         struct ch_once_actions *out)
+handle_read_back(struct ch_once_slot *slot, enum ch_code code,
+                 const char *bytes, size_t length, uint64_t revision,
+                 int64_t now, struct ch_once_actions *out)
 {
-    if (code == CH_KV_MISSING && slot->puts < MOST_PUTS) {
+    if (code == CH_KV_MISSING && slot->put_count < MAX_PUTS_PER_BATCH) {
         put_batch(slot, out);
     }
     else if (code == CH_OK && length == strlen(slot->bytes) &&
              memcmp(bytes, slot->bytes, length) == 0) {
-        check_batch(slot, revision, out);
+        verify_batch(slot, revision, out);
     }
     else if (code == CH_OK) {
-        relist(slot, now, out);
+        reload_log(slot, now, out);
     }
     else {
-        service_away(slot, CH_KV_AMBIGUOUS, now, out);
+        handle_store_failure(slot, CH_KV_AMBIGUOUS, now, out);
     }
 }
 
-/* The sequence after the last was read. */
+/* Handles the read of the sequence after the last. */
 static void
-probed(struct ch_once_slot *slot, enum ch_code code, int64_t now,
-       struct ch_once_actions *out)
+handle_probe(struct ch_once_slot *slot, enum ch_code code, int64_t now,
+             struct ch_once_actions *out)
 {
     if (code == CH_OK) {
-        relist(slot, now, out);
+        reload_log(slot, now, out);
         return;
     }
     if (code != CH_KV_MISSING) {
-        service_away(slot, CH_KV_UNREACHABLE, now, out);
+        handle_store_failure(slot, CH_KV_UNREACHABLE, now, out);
         return;
     }
     slot->phase = PHASE_READY;
     slot->stale = false;
-    settle_queue(slot, out);
-    slot->due = now;
-    proceed(slot, now, out);
+    reply_decided_events(slot, out);
+    slot->due_at = now;
+    start_next_call(slot, now, out);
 }
 
-/* The answer to a GET. */
+/* Handles the result of a GET. */
 void
 ch_once_slot_got(struct ch_once_slot *slot, enum ch_code code,
                  const char *bytes, size_t length, uint64_t revision,
                  int64_t now, struct ch_once_actions *out)
 {
-    if (slot->phase == PHASE_RESOLVING) {
-        resolved(slot, code, bytes, length, revision, now, out);
+    if (slot->phase == PHASE_READING_BACK) {
+        handle_read_back(slot, code, bytes, length, revision, now, out);
         return;
     }
     if (slot->phase == PHASE_PROBING) {
-        probed(slot, code, now, out);
+        handle_probe(slot, code, now, out);
         return;
     }
     if (code == CH_OK && revision == ch_once_log_last_revision(slot->log)) {
-        batch_written(slot, now, out);
+        commit_batch(slot, now, out);
     }
     else if (code == CH_OK || code == CH_KV_MISSING) {
-        relist(slot, now, out);
+        reload_log(slot, now, out);
     }
     else {
-        service_away(slot, CH_KV_AMBIGUOUS, now, out);
+        handle_store_failure(slot, CH_KV_AMBIGUOUS, now, out);
     }
 }
 
-/* The answer to a REMOVE. */
+/* Handles the result of a REMOVE. */
 void
 ch_once_slot_removed(struct ch_once_slot *slot, enum ch_code code, int64_t now,
                      struct ch_once_actions *out)
@@ -658,40 +669,40 @@
         ch_once_log_remove_first(slot->log);
     }
     else {
-        slot->phase = PHASE_UNKNOWN;
+        slot->phase = PHASE_UNLOADED;
         slot->stale = false;
     }
-    proceed(slot, now, out);
+    start_next_call(slot, now, out);
 }
 
-/* Writes what is due, and then drops one batch that has expired. */
+/* Starts the call that is due, else removes one expired batch. */
 void
 ch_once_slot_tick(struct ch_once_slot *slot, bool expire, int64_t now,
                   struct ch_once_actions *out)
 {
     uint64_t sequence = 0;
     uint64_t revision = 0;
-    proceed(slot, now, out);
+    start_next_call(slot, now, out);
     if (expire && slot->phase == PHASE_READY &&
-        ch_once_log_expired(slot->log, now - slot->keep, &sequence,
+        ch_once_log_expired(slot->log, now - slot->retention, &sequence,
                             &revision)) {
         slot->phase = PHASE_REMOVING;
         add_call(out, CH_ONCE_REMOVE, sequence, revision, NULL);
     }
 }
 
-/* When the next write or try is due. */
+/* Time of the next write or retry; INT64_MAX: none. */
 int64_t
 ch_once_slot_due(const struct ch_once_slot *slot)
 {
-    bool waits = slot->phase == PHASE_UNKNOWN || slot->phase == PHASE_READY;
-    return waits && slot->queue.length > 0 ? slot->due : INT64_MAX;
+    bool no_call = slot->phase == PHASE_UNLOADED || slot->phase == PHASE_READY;
+    return no_call && slot->queue.length > 0 ? slot->due_at : INT64_MAX;
 }
 
-/* Whether the slot could be forgotten. */
+/* Whether the slot can be freed without losing an event. */
 bool
 ch_once_slot_idle(const struct ch_once_slot *slot)
 {
-    bool rests = slot->phase == PHASE_UNKNOWN || slot->phase == PHASE_READY;
-    return rests && slot->queue.length == 0;
+    bool no_call = slot->phase == PHASE_UNLOADED || slot->phase == PHASE_READY;
+    return no_call && slot->queue.length == 0;
 }
