--- a/libchestnuthitch/crash/cuts.c
+++ b/libchestnuthitch/crash/cuts.c
@@ -1,193 +1,206 @@
 /*
- * Calls whose connection ended in the middle, until it is known whether their
- * upstream did: a connection alone is lost, reset or turned away as well.
+ * Calls whose connection ended before the response did, kept until it is known
+ * whether their upstream crashed: a lost, reset or refused connection alone
+ * does not tell.
  */
 
 #include "crash/crash.h"
 
 enum {
-    /* An upstream that refuses connections so long after a call was cut may
-     * have ended since then for another reason. */
-    REFUSES_SOON = 2 * 1000 * 1000,
-    /* The list drops an entry some seconds after the last sign of life. */
-    LISTED_LATE = 10 * 1000 * 1000,
-    /* Those beyond it are the oldest ones, and forgotten. */
-    MOST_CUTS = 1024,
+    /* An upstream that starts to refuse connections later than this after the
+     * call was interrupted may have ended for another reason since. */
+    MAX_REFUSAL_DELAY_US = 2 * 1000 * 1000,
+    /* The host list drops an entry some seconds after the host's last
+     * heartbeat; calls that are older than this are dropped. */
+    MAX_CALL_AGE_US = 10 * 1000 * 1000,
+    /* Beyond this the oldest calls are dropped. */
+    MAX_CALLS = 1024,
 };
 
 struct ch_crash_cuts {
-    GArray *runs; /* struct ch_crash_run, in order of time */
+    GArray *observations; /* struct ch_crash_observation, ordered by time */
 };
 
 /* See crash.h. */
 struct ch_crash_cuts *
 ch_crash_cuts_new(void)
 {
-    struct ch_crash_cuts *cuts = g_new0(struct ch_crash_cuts, 1);
-    cuts->runs = g_array_new(FALSE, FALSE, sizeof(struct ch_crash_run));
-    return cuts;
+    struct ch_crash_cuts *calls = g_new0(struct ch_crash_cuts, 1);
+    calls->observations =
+        g_array_new(FALSE, FALSE, sizeof(struct ch_crash_run));
+    return calls;
 }
 
 /* See crash.h. */
 void
-ch_crash_cuts_free(struct ch_crash_cuts *cuts)
+ch_crash_cuts_free(struct ch_crash_cuts *calls)
 {
-    if (cuts != NULL) {
-        g_array_free(cuts->runs, TRUE);
-        g_free(cuts);
+    if (calls != NULL) {
+        g_array_free(calls->observations, TRUE);
+        g_free(calls);
     }
 }
 
 /* See crash.h. */
 void
-ch_crash_cuts_add(struct ch_crash_cuts *cuts, const struct ch_crash_run *run)
+ch_crash_cuts_add(struct ch_crash_cuts *calls,
+                  const struct ch_crash_run *observation)
 {
-    if (cuts->runs->len >= MOST_CUTS) {
-        g_array_remove_index(cuts->runs, 0);
+    if (calls->observations->len >= MAX_CALLS) {
+        g_array_remove_index(calls->observations, 0);
     }
-    g_array_append_val(cuts->runs, *run);
+    g_array_append_val(calls->observations, *observation);
 }
 
-/* What becomes of a cut call. */
-enum fate {
-    FATE_STAYS,
-    FATE_ENDED,
-    FATE_DROPPED,
+/* What happens to an interrupted call. */
+enum verdict {
+    VERDICT_UNDECIDED,
+    VERDICT_CRASHED,
+    VERDICT_DROPPED,
 };
 
-/* Sorts all by what is decided of each; `ended` may be NULL. */
+/* Keeps, drops or moves to `ended` each call, as decide() says; `ended` may be
+ * NULL if decide() moves none. */
 static void
-sift(struct ch_crash_cuts *cuts,
-     enum fate (*decide)(const void *data, const struct ch_crash_run *run),
-     const void *data, GArray *ended)
+apply_verdicts(struct ch_crash_cuts *calls,
+               enum verdict (*decide)(const void *data,
+                                      const struct ch_crash_run *observation),
+               const void *data, GArray *ended)
 {
-    guint kept = 0;
-    for (guint i = 0; i < cuts->runs->len; i++) {
-        const struct ch_crash_run run =
-            g_array_index(cuts->runs, struct ch_crash_run, i);
-        enum fate fate = decide(data, &run);
-        if (fate == FATE_STAYS) {
-            g_array_index(cuts->runs, struct ch_crash_run, kept++) = run;
+    guint kept_count = 0;
+    for (guint i = 0; i < calls->observations->len; i++) {
+        const struct ch_crash_run observation =
+            g_array_index(calls->observations, struct ch_crash_run, i);
+        enum verdict verdict = decide(data, &observation);
+        if (verdict == VERDICT_UNDECIDED) {
+            g_array_index(calls->observations, struct ch_crash_run,
+                          kept_count++) = observation;
         }
-        else if (fate == FATE_ENDED) {
-            g_array_append_val(ended, run);
+        else if (verdict == VERDICT_CRASHED) {
+            g_array_append_val(ended, observation);
         }
     }
-    g_array_set_size(cuts->runs, kept);
+    g_array_set_size(calls->observations, kept_count);
 }
 
-/* What is known of an upstream, and since when. */
-struct news {
+/* An event of an upstream, and its time. */
+struct upstream_event {
     GQuark upstream;
     uint64_t boot;
     int64_t at;
 };
 
-/* An upstream refuses connections. */
-static enum fate
-decide_refused(const void *data, const struct ch_crash_run *run)
+/* The upstream refuses connections. */
+static enum verdict
+decide_refused(const void *data, const struct ch_crash_run *observation)
 {
-    const struct news *news = data;
-    return run->upstream == news->upstream &&
-                   news->at - run->at <= REFUSES_SOON
-               ? FATE_ENDED
-               : FATE_STAYS;
+    const struct upstream_event *event = data;
+    return observation->upstream == event->upstream &&
+                   event->at - observation->at <= MAX_REFUSAL_DELAY_US
+               ? VERDICT_CRASHED
+               : VERDICT_UNDECIDED;
 }
 
 /* See crash.h. */
 void
-ch_crash_cuts_refused(struct ch_crash_cuts *cuts, GQuark upstream, int64_t now,
-                      GArray *ended)
+ch_crash_cuts_refused(struct ch_crash_cuts *calls, GQuark upstream,
+                      int64_t now, GArray *ended)
 {
-    const struct news news = {upstream, 0, now};
-    sift(cuts, decide_refused, &news, ended);
+    const struct upstream_event event = {upstream, 0, now};
+    apply_verdicts(calls, decide_refused, &event, ended);
 }
 
-/* Another node knows that an upstream ended. */
-static enum fate
-decide_ended(const void *data, const struct ch_crash_run *run)
+/* Another node found that the upstream crashed. */
+static enum verdict
+decide_crashed(const void *data, const struct ch_crash_run *observation)
 {
-    const struct news *news = data;
-    return run->upstream == news->upstream && run->boot == news->boot
-               ? FATE_ENDED
-               : FATE_STAYS;
+    const struct upstream_event *event = data;
+    return observation->upstream == event->upstream &&
+                   observation->boot == event->boot
+               ? VERDICT_CRASHED
+               : VERDICT_UNDECIDED;
 }
 
 /* See crash.h. */
 void
-ch_crash_cuts_ended(struct ch_crash_cuts *cuts, GQuark upstream, uint64_t boot,
-                    GArray *ended)
+ch_crash_cuts_ended(struct ch_crash_cuts *calls, GQuark upstream,
+                    uint64_t boot, GArray *ended)
 {
-    const struct news news = {upstream, boot, 0};
-    sift(cuts, decide_ended, &news, ended);
+    const struct upstream_event event = {upstream, boot, 0};
+    apply_verdicts(calls, decide_crashed, &event, ended);
 }
 
-struct list {
+struct host_list {
     const struct ch_crash_listed *rows;
     size_t count;
 };
 
-/* By the list; an upstream that leaves ends as planned. */
-static enum fate
-decide_listed(const void *data, const struct ch_crash_run *run)
+/* Compares a call with the host list.  An upstream that is listed as draining
+ * ends as planned: that is no crash. */
+static enum verdict
+decide_listed(const void *data, const struct ch_crash_run *observation)
 {
-    const struct list *list = data;
+    const struct host_list *list = data;
     for (size_t i = 0; i < list->count; i++) {
         const struct ch_crash_listed *row = &list->rows[i];
-        if (row->upstream == run->upstream && row->boot == run->boot) {
-            return row->leaving ? FATE_DROPPED : FATE_STAYS;
+        if (row->upstream == observation->upstream &&
+            row->boot == observation->boot) {
+            return row->leaving ? VERDICT_DROPPED : VERDICT_UNDECIDED;
         }
     }
-    return FATE_ENDED;
+    return VERDICT_CRASHED;
 }
 
 /* See crash.h. */
 void
-ch_crash_cuts_listed(struct ch_crash_cuts *cuts,
+ch_crash_cuts_listed(struct ch_crash_cuts *calls,
                      const struct ch_crash_listed *listed, size_t count,
                      GArray *ended)
 {
-    const struct list list = {listed, count};
-    sift(cuts, decide_listed, &list, ended);
+    const struct host_list list = {listed, count};
+    apply_verdicts(calls, decide_listed, &list, ended);
 }
 
-/* An upstream answers a call that was sent after the cut. */
-static enum fate
-decide_answered(const void *data, const struct ch_crash_run *run)
+/* The upstream answers a call that was sent after the interruption. */
+static enum verdict
+decide_responding(const void *data, const struct ch_crash_run *observation)
 {
-    const struct news *news = data;
-    return run->upstream == news->upstream && run->at < news->at ? FATE_DROPPED
-                                                                 : FATE_STAYS;
+    const struct upstream_event *event = data;
+    return observation->upstream == event->upstream &&
+                   observation->at < event->at
+               ? VERDICT_DROPPED
+               : VERDICT_UNDECIDED;
 }
 
 /* See crash.h. */
 void
-ch_crash_cuts_answered(struct ch_crash_cuts *cuts, GQuark upstream,
-                       int64_t sent)
+ch_crash_cuts_answered(struct ch_crash_cuts *calls, GQuark upstream,
+                       int64_t sent_at)
 {
-    const struct news news = {upstream, 0, sent};
-    sift(cuts, decide_answered, &news, NULL);
+    const struct upstream_event event = {upstream, 0, sent_at};
+    apply_verdicts(calls, decide_responding, &event, NULL);
 }
 
-/* Nothing was learnt of the upstream. */
-static enum fate
-decide_old(const void *data, const struct ch_crash_run *run)
+/* The cause did not become known in time. */
+static enum verdict
+decide_expired(const void *data, const struct ch_crash_run *observation)
 {
-    const struct news *news = data;
-    return news->at - run->at > LISTED_LATE ? FATE_DROPPED : FATE_STAYS;
+    const struct upstream_event *event = data;
+    return event->at - observation->at > MAX_CALL_AGE_US ? VERDICT_DROPPED
+                                                         : VERDICT_UNDECIDED;
 }
 
 /* See crash.h. */
 void
-ch_crash_cuts_expire(struct ch_crash_cuts *cuts, int64_t now)
+ch_crash_cuts_expire(struct ch_crash_cuts *calls, int64_t now)
 {
-    const struct news news = {0, 0, now};
-    sift(cuts, decide_old, &news, NULL);
+    const struct upstream_event event = {0, 0, now};
+    apply_verdicts(calls, decide_expired, &event, NULL);
 }
 
 /* See crash.h. */
 size_t
-ch_crash_cuts_count(const struct ch_crash_cuts *cuts)
+ch_crash_cuts_count(const struct ch_crash_cuts *calls)
 {
-    return cuts->runs->len;
+    return calls->observations->len;
 }
--- a/libchestnuthitch/crash/digest.c
+++ b/libchestnuthitch/crash/digest.c
@@ -1,36 +1,36 @@
-/* Which requests are the same. */
+/* Digests, which tell whether two requests are the same. */
 
 #include "crash/crash.h"
 
 #include <stdio.h>
 #include <string.h>
 
-/* Adds a part after its length, so that no two lists of parts with shifted
- * borders give the same digest. */
+/* Hashes the length of a part, then the part, so that the same bytes divided
+ * differently into parts give another digest. */
 static void
-add_part(GChecksum *sum, const struct ch_digest_part *part)
+add_part(GChecksum *checksum, const struct ch_digest_part *part)
 {
     uint64_t length = GUINT64_TO_BE((uint64_t)part->length);
-    g_checksum_update(sum, (const guchar *)&length, sizeof(length));
+    g_checksum_update(checksum, (const guchar *)&length, sizeof(length));
     if (part->length > 0) {
-        g_checksum_update(sum, part->bytes, (gssize)part->length);
+        g_checksum_update(checksum, part->bytes, (gssize)part->length);
     }
 }
 
-/* The first half of SHA-256 over the parts in order. */
+/* The first half of a SHA-256 hash over the parts in order. */
 struct ch_digest
 ch_digest_of(const struct ch_digest_part *parts, size_t count)
 {
     struct ch_digest digest;
-    guint8 whole[32];
-    gsize length = sizeof(whole);
-    GChecksum *sum = g_checksum_new(G_CHECKSUM_SHA256);
+    guint8 hash[32];
+    gsize length = sizeof(hash);
+    GChecksum *checksum = g_checksum_new(G_CHECKSUM_SHA256);
     for (size_t i = 0; i < count; i++) {
-        add_part(sum, &parts[i]);
+        add_part(checksum, &parts[i]);
     }
-    g_checksum_get_digest(sum, whole, &length);
-    g_checksum_free(sum);
-    memcpy(digest.bytes, whole, sizeof(digest.bytes));
+    g_checksum_get_digest(checksum, hash, &length);
+    g_checksum_free(checksum);
+    memcpy(digest.bytes, hash, sizeof(digest.bytes));
     return digest;
 }
 
@@ -41,7 +41,7 @@
     return memcmp(a->bytes, b->bytes, sizeof(a->bytes)) == 0;
 }
 
-/* Prints a digest in hexadecimal. */
+/* Writes a digest in hexadecimal. */
 void
 ch_digest_print(const struct ch_digest *digest, char text[CH_DIGEST_TEXT])
 {
@@ -50,7 +50,7 @@
     }
 }
 
-/* Reads what ch_digest_print() made. */
+/* Parses the text that ch_digest_format() wrote. */
 bool
 ch_digest_parse(const char *text, struct ch_digest *digest)
 {
--- a/libchestnuthitch/crash/judge.c
+++ b/libchestnuthitch/crash/judge.c
@@ -1,68 +1,70 @@
 /*
- * Which requests are sent no more.
+ * Decides which requests are barred.
  *
- * Load: upstreams end under a request that its callers repeat at any node, or
- * a quarter of them ends at once under requests that have no part in it.  Harm
- * prevented: a request that crashes what runs it takes one upstream after the
- * other, with all that others run there; and a sound request is refused
- * because it was on the wrong upstreams.
+ * Load: upstreams crash under a request that its callers repeat at any node,
+ * or a quarter of all upstreams crashes at once under requests that did not
+ * cause it.  Harm prevented: a request that crashes its upstream takes down
+ * one upstream after the other, with everything that others run there; and a
+ * harmless request is refused because it was on the wrong upstreams.
  *
- * A crash counts in full when the request had no part of its answer yet, when
- * no other request explains it as well, and when it was not one of several
- * that nothing explains: those have another cause, such as a rack that lost
- * power.  A request that was on so many more that chance is ruled out is
- * barred all the same; one that was ever answered whole is not.
+ * A crash is held against a request in full if no part of the response had
+ * arrived, no other request explains the crash as well, and the crash was not
+ * one of several that no request explains: those have another cause, such as a
+ * rack that lost power.  A request that was on so many more crashed upstreams
+ * that chance is ruled out is barred all the same.  A request that ever got
+ * a complete response is not barred.
  */
 
 #include "crash/crash_internal.h"
 
 enum {
-    /* Upstreams that end within this time of each other may have one cause. */
-    TOGETHER = 1000 * 1000,
-    /* ... when so many others do. */
-    LEAST_TOGETHER = 2,
-    /* Crashes beyond the limit after which a request is barred whatever else
-     * explains them: more than all tries of one caller's request. */
-    MORE_CRASHES = 2,
+    /* Crashes within this time of each other may have one cause ... */
+    WAVE_WINDOW_US = 1000 * 1000,
+    /* ... if at least this many other upstreams crash as well. */
+    WAVE_MIN_OTHERS = 2,
+    /* A request is barred at this many crashes beyond the limit, whatever else
+     * explains them: more crashes than all tries of one caller's request can
+     * cause. */
+    CRASHES_RULING_OUT_CHANCE = 2,
 };
 
-/* Whether evidence against a suspect counts. */
+/* Whether a crash counts as evidence against a suspect. */
 static bool
-counts(const struct crash_suspect *suspect, const struct crash_end *end)
+is_evidence(const struct crash_suspect *suspect, const struct crash_end *crash)
 {
     return !suspect->sound &&
-           (!suspect->released || end->at > suspect->released_at);
+           (!suspect->released || crash->at > suspect->released_at);
 }
 
-/* Whether a suspect is recorded as barred, and was not released since. */
+/* Whether a suspect is stored as barred and was not released since. */
 static bool
-is_recorded(const struct crash_suspect *suspect)
+is_restored_barred(const struct crash_suspect *suspect)
 {
     return suspect->recorded &&
            (!suspect->released || suspect->recorded_at > suspect->released_at);
 }
 
-/* Upstreams that ended under a suspect. */
+/* Counts the upstreams that crashed under a suspect. */
 static unsigned
 count_crashes(const struct crash_suspect *suspect)
 {
     unsigned crashes = 0;
     for (guint i = 0; i < suspect->ends->len; i++) {
-        crashes += counts(
+        crashes += is_evidence(
             suspect, g_array_index(suspect->ends, struct crash_on, i).end);
     }
     return crashes;
 }
 
-/* Whether a request other than the suspect, with `crashes` of them at least,
- * was there. */
+/* Whether a request other than the suspect, with at least `crashes` crashes,
+ * was running on the upstream. */
 static bool
-is_explained(const struct crash_end *end, const struct crash_suspect *suspect,
-             unsigned crashes)
+is_explained(const struct crash_end *crash,
+             const struct crash_suspect *suspect, unsigned crashes)
 {
-    for (guint i = 0; i < end->suspects->len; i++) {
+    for (guint i = 0; i < crash->suspects->len; i++) {
         const struct crash_suspect *other =
-            g_ptr_array_index(end->suspects, i);
+            g_ptr_array_index(crash->suspects, i);
         if (other != suspect && count_crashes(other) >= crashes) {
             return true;
         }
@@ -70,75 +72,83 @@
     return false;
 }
 
-/* Whether the suspect was on an end. */
+/* Whether the suspect was running on the upstream that crashed. */
 static bool
-was_on(const struct crash_suspect *suspect, const struct crash_end *end)
+was_running_on(const struct crash_suspect *suspect,
+               const struct crash_end *crash)
 {
-    for (guint i = 0; i < end->suspects->len; i++) {
-        if (g_ptr_array_index(end->suspects, i) == suspect) {
+    for (guint i = 0; i < crash->suspects->len; i++) {
+        if (g_ptr_array_index(crash->suspects, i) == suspect) {
             return true;
         }
     }
     return false;
 }
 
-/* Whether a request was on another upstream that ended about then: calls that
- * a wave cuts go on at upstreams that stay. */
+/* Whether a request was on another upstream that crashed at about the same
+ * time.  Calls that a wave of crashes interrupts are retried on upstreams that
+ * stay up, so such a request may be the cause of both. */
 static bool
-goes_around(const struct crash_suspect *suspect, const struct crash_end *end)
+is_on_concurrent_crash(const struct crash_suspect *suspect,
+                       const struct crash_end *crash)
 {
     for (guint i = 0; i < suspect->ends->len; i++) {
         const struct crash_end *other =
             g_array_index(suspect->ends, struct crash_on, i).end;
-        if (other != end && counts(suspect, other) &&
-            ABS(other->at - end->at) <= TOGETHER) {
+        if (other != crash && is_evidence(suspect, other) &&
+            ABS(other->at - crash->at) <= WAVE_WINDOW_US) {
             return true;
         }
     }
     return false;
 }
 
-/* Whether a request was there that goes from one upstream to the next. */
+/* Whether one of the requests on the upstream was on several that crashed at
+ * about the same time. */
 static bool
-has_one_that_goes_around(const struct crash_end *end)
+has_suspect_on_concurrent_crash(const struct crash_end *crash)
 {
-    for (guint i = 0; i < end->suspects->len; i++) {
-        if (goes_around(g_ptr_array_index(end->suspects, i), end)) {
+    for (guint i = 0; i < crash->suspects->len; i++) {
+        if (is_on_concurrent_crash(g_ptr_array_index(crash->suspects, i),
+                                   crash)) {
             return true;
         }
     }
     return false;
 }
 
-/* Whether several upstreams ended together for which neither the suspect nor
- * any other request is the reason. */
+/* Whether the crash is part of a wave: several upstreams crashed together, and
+ * neither the suspect nor any other request is the reason. */
 static bool
-is_wave(const struct ch_crash_table *table, const struct crash_end *end,
+is_wave(const struct ch_crash_table *table, const struct crash_end *crash,
         const struct crash_suspect *suspect)
 {
     unsigned others = 0;
     for (guint i = 0; i < table->ends->len; i++) {
         const struct crash_end *other = g_ptr_array_index(table->ends, i);
-        others += other != end && ABS(other->at - end->at) <= TOGETHER &&
-                  !was_on(suspect, other) && !has_one_that_goes_around(other);
+        others += other != crash &&
+                  ABS(other->at - crash->at) <= WAVE_WINDOW_US &&
+                  !was_running_on(suspect, other) &&
+                  !has_suspect_on_concurrent_crash(other);
     }
-    return others >= LEAST_TOGETHER;
+    return others >= WAVE_MIN_OTHERS;
 }
 
-/* Crashes that count in full. */
+/* Counts the crashes that are held against a suspect in full. */
 static unsigned
-count_sure(const struct ch_crash_table *table,
-           const struct crash_suspect *suspect, unsigned crashes)
+count_unexplained(const struct ch_crash_table *table,
+                  const struct crash_suspect *suspect, unsigned crashes)
 {
-    unsigned sure = 0;
+    unsigned unexplained = 0;
     for (guint i = 0; i < suspect->ends->len; i++) {
-        const struct crash_on *on =
+        const struct crash_on *involvement =
             &g_array_index(suspect->ends, struct crash_on, i);
-        sure += on->fresh && counts(suspect, on->end) &&
-                !is_explained(on->end, suspect, crashes) &&
-                !is_wave(table, on->end, suspect);
+        unexplained += involvement->fresh &&
+                       is_evidence(suspect, involvement->end) &&
+                       !is_explained(involvement->end, suspect, crashes) &&
+                       !is_wave(table, involvement->end, suspect);
     }
-    return sure;
+    return unexplained;
 }
 
 /* See crash.h. */
@@ -146,25 +156,27 @@
 ch_crash_table_view(const struct ch_crash_table *table,
                     const struct ch_digest *digest)
 {
-    struct ch_crash_view view = {.digest = *digest};
+    struct ch_crash_view assessment = {.digest = *digest};
     const struct crash_suspect *suspect =
         g_hash_table_lookup(table->suspects, digest);
     if (suspect == NULL) {
-        return view;
+        return assessment;
     }
-    view.fingerprint = suspect->fingerprint;
-    view.last = suspect->last;
-    view.crashes = count_crashes(suspect);
-    view.sure = count_sure(table, suspect, view.crashes);
+    assessment.fingerprint = suspect->fingerprint;
+    assessment.last = suspect->last;
+    assessment.crashes = count_crashes(suspect);
+    assessment.sure = count_unexplained(table, suspect, assessment.crashes);
     if (suspect->sound) {
-        view.state = CH_CRASH_SOUND;
+        assessment.state = CH_CRASH_SOUND;
     }
-    else if (is_recorded(suspect) || view.sure >= table->limits.crashes ||
-             view.crashes >= table->limits.crashes + MORE_CRASHES) {
-        view.state = CH_CRASH_BARRED;
+    else if (is_restored_barred(suspect) ||
+             assessment.sure >= table->limits.crashes ||
+             assessment.crashes >=
+                 table->limits.crashes + CRASHES_RULING_OUT_CHANCE) {
+        assessment.state = CH_CRASH_BARRED;
     }
-    else if (view.crashes > 0) {
-        view.state = CH_CRASH_SUSPECTED;
+    else if (assessment.crashes > 0) {
+        assessment.state = CH_CRASH_SUSPECTED;
     }
-    return view;
+    return assessment;
 }
--- a/libchestnuthitch/crash/table.c
+++ b/libchestnuthitch/crash/table.c
@@ -1,16 +1,17 @@
-/* Which requests were on upstreams that ended, as all nodes together saw it:
- * a set that only grows, so that nodes agree whatever comes in which order. */
+/* Which requests were running on upstreams when these crashed, merged from all
+ * nodes.  Evidence is only ever added, so that all nodes reach the same state
+ * whatever the order in which it arrives. */
 
 #include "crash/crash_internal.h"
 
 #include <string.h>
 
 enum {
-    /* Of the table that makes room at once: one in so many. */
-    DROPPED_PART = 8,
+    /* Share of the table that is dropped when it is full: one in this many. */
+    DROP_DIVISOR = 8,
 };
 
-/* A digest's bytes are as good as any hash. */
+/* The bytes of a digest are uniform, so the first ones serve as a hash. */
 static guint
 hash_digest(gconstpointer data)
 {
@@ -19,14 +20,14 @@
     return hash;
 }
 
-/* For the table of suspects. */
+/* A GEqualFunc. */
 static gboolean
-equal_digests(gconstpointer a, gconstpointer b)
+digests_equal(gconstpointer a, gconstpointer b)
 {
     return ch_digest_equal(a, b);
 }
 
-/* Frees a suspect that no end names any more. */
+/* Frees a suspect that no crash refers to any more; a GDestroyNotify. */
 static void
 free_suspect(void *data)
 {
@@ -35,13 +36,13 @@
     g_free(suspect);
 }
 
-/* Frees an end that no suspect names any more. */
+/* Frees a crash that no suspect refers to any more; a GDestroyNotify. */
 static void
-free_end(void *data)
+free_crash(void *data)
 {
-    struct crash_end *end = data;
-    g_ptr_array_free(end->suspects, TRUE);
-    g_free(end);
+    struct crash_end *crash = data;
+    g_ptr_array_free(crash->suspects, TRUE);
+    g_free(crash);
 }
 
 /* See crash.h. */
@@ -51,10 +52,10 @@
     struct ch_crash_table *table = g_new0(struct ch_crash_table, 1);
     table->limits = *limits;
     table->suspects =
-        g_hash_table_new_full(hash_digest, equal_digests, NULL, free_suspect);
+        g_hash_table_new_full(hash_digest, digests_equal, NULL, free_suspect);
     table->fingerprints =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
-    table->ends = g_ptr_array_new_with_free_func(free_end);
+    table->ends = g_ptr_array_new_with_free_func(free_crash);
     return table;
 }
 
@@ -70,7 +71,7 @@
     }
 }
 
-/* Counts suspects with a fingerprint up or down. */
+/* Adds change to the number of suspects with a fingerprint. */
 static void
 count_fingerprint(struct ch_crash_table *table, uint64_t fingerprint,
                   int change)
@@ -87,36 +88,36 @@
                          GINT_TO_POINTER(count));
 }
 
-/* The end of an upstream's process, or NULL. */
+/* The crash of an upstream's process; NULL: none is known. */
 static struct crash_end *
-find_end(const struct ch_crash_table *table, GQuark upstream, uint64_t boot)
+find_crash(const struct ch_crash_table *table, GQuark upstream, uint64_t boot)
 {
     for (guint i = 0; i < table->ends->len; i++) {
-        struct crash_end *end = g_ptr_array_index(table->ends, i);
-        if (end->upstream == upstream && end->boot == boot) {
-            return end;
+        struct crash_end *crash = g_ptr_array_index(table->ends, i);
+        if (crash->upstream == upstream && crash->boot == boot) {
+            return crash;
         }
     }
     return NULL;
 }
 
-/* Takes a suspect out, and the ends that nothing else was on. */
+/* Removes a suspect, and the crashes that have no other suspect. */
 static void
 drop_suspect(struct ch_crash_table *table, struct crash_suspect *suspect)
 {
     for (guint i = 0; i < suspect->ends->len; i++) {
-        struct crash_end *end =
+        struct crash_end *crash =
             g_array_index(suspect->ends, struct crash_on, i).end;
-        g_ptr_array_remove_fast(end->suspects, suspect);
-        if (end->suspects->len == 0) {
-            g_ptr_array_remove_fast(table->ends, end);
+        g_ptr_array_remove_fast(crash->suspects, suspect);
+        if (crash->suspects->len == 0) {
+            g_ptr_array_remove_fast(table->ends, crash);
         }
     }
     count_fingerprint(table, suspect->fingerprint, -1);
     g_hash_table_remove(table->suspects, &suspect->digest);
 }
 
-/* The suspect with the oldest evidence, or NULL. */
+/* The suspect with the oldest evidence; NULL: the table is empty. */
 static struct crash_suspect *
 find_oldest(const struct ch_crash_table *table)
 {
@@ -133,10 +134,10 @@
     return oldest;
 }
 
-/* The suspect of a digest, added when there is none. */
 static struct crash_suspect *
-need_suspect(struct ch_crash_table *table, const struct ch_digest *digest,
-             uint64_t fingerprint, int64_t now)
+find_or_add_suspect(struct ch_crash_table *table,
+                    const struct ch_digest *digest, uint64_t fingerprint,
+                    int64_t now)
 {
     struct crash_suspect *suspect =
         g_hash_table_lookup(table->suspects, digest);
@@ -152,54 +153,60 @@
     return suspect;
 }
 
-/* The end of an upstream's process, added when there is none. */
+/* Finds or adds the crash of an observation, and keeps the earliest time that
+ * was reported for it. */
 static struct crash_end *
-need_end(struct ch_crash_table *table, const struct ch_crash_run *run)
+find_or_add_crash(struct ch_crash_table *table,
+                  const struct ch_crash_run *observation)
 {
-    struct crash_end *end = find_end(table, run->upstream, run->boot);
-    if (end == NULL) {
-        end = g_new0(struct crash_end, 1);
-        end->upstream = run->upstream;
-        end->boot = run->boot;
-        end->at = run->at;
-        end->suspects = g_ptr_array_new();
-        g_ptr_array_add(table->ends, end);
+    struct crash_end *crash =
+        find_crash(table, observation->upstream, observation->boot);
+    if (crash == NULL) {
+        crash = g_new0(struct crash_end, 1);
+        crash->upstream = observation->upstream;
+        crash->boot = observation->boot;
+        crash->at = observation->at;
+        crash->suspects = g_ptr_array_new();
+        g_ptr_array_add(table->ends, crash);
     }
-    end->at = MIN(end->at, run->at);
-    return end;
+    crash->at = MIN(crash->at, observation->at);
+    return crash;
 }
 
-/* Notes that a suspect was on an end; true when it is news. */
+/* Records that a suspect was running on the crashed upstream; true when that
+ * is new. */
 static bool
-note_on(struct crash_suspect *suspect, struct crash_end *end, bool fresh)
+add_involvement(struct crash_suspect *suspect, struct crash_end *crash,
+                bool before_response)
 {
     for (guint i = 0; i < suspect->ends->len; i++) {
-        struct crash_on *on =
+        struct crash_on *involvement =
             &g_array_index(suspect->ends, struct crash_on, i);
-        if (on->end == end) {
-            bool news = fresh && !on->fresh;
-            on->fresh = on->fresh || fresh;
-            return news;
+        if (involvement->end == crash) {
+            bool is_new = before_response && !involvement->fresh;
+            involvement->fresh = involvement->fresh || before_response;
+            return is_new;
         }
     }
-    const struct crash_on on = {end, fresh};
-    g_array_append_val(suspect->ends, on);
-    g_ptr_array_add(end->suspects, suspect);
+    const struct crash_on involvement = {crash, before_response};
+    g_array_append_val(suspect->ends, involvement);
+    g_ptr_array_add(crash->suspects, suspect);
     return true;
 }
 
-/* Orders suspects by their newest evidence. */
+/* Orders suspects by the time of their newest evidence; a GCompareFunc. */
 static gint
-compare_last(gconstpointer a, gconstpointer b)
+compare_last_evidence(gconstpointer a, gconstpointer b)
 {
-    const struct crash_suspect *one = *(struct crash_suspect *const *)a;
-    const struct crash_suspect *two = *(struct crash_suspect *const *)b;
-    return (one->last > two->last) - (one->last < two->last);
+    const struct crash_suspect *first = *(struct crash_suspect *const *)a;
+    const struct crash_suspect *second = *(struct crash_suspect *const *)b;
+    return (first->last > second->last) - (first->last < second->last);
 }
 
-/* Makes room for a suspect that was added.  The oldest evidence goes, a part
- * of all at once: an outage of many upstreams brings thousands of suspects,
- * and each would look for the oldest one. */
+/* Makes room after a suspect was added, by dropping those with the oldest
+ * evidence.  A share of the table is dropped at once: an outage of many
+ * upstreams adds thousands of suspects, and dropping one for each would search
+ * the whole table every time. */
 static void
 make_room(struct ch_crash_table *table, struct crash_suspect *added)
 {
@@ -207,20 +214,20 @@
     if (size <= table->limits.requests) {
         return;
     }
-    GPtrArray *all = g_ptr_array_sized_new(size);
+    GPtrArray *suspects = g_ptr_array_sized_new(size);
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, table->suspects);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         if (value != added) {
-            g_ptr_array_add(all, value);
+            g_ptr_array_add(suspects, value);
         }
     }
-    g_ptr_array_sort(all, compare_last);
-    for (guint i = 0; i < MIN(1 + size / DROPPED_PART, all->len); i++) {
-        drop_suspect(table, g_ptr_array_index(all, i));
+    g_ptr_array_sort(suspects, compare_last_evidence);
+    for (guint i = 0; i < MIN(1 + size / DROP_DIVISOR, suspects->len); i++) {
+        drop_suspect(table, g_ptr_array_index(suspects, i));
     }
-    g_ptr_array_free(all, TRUE);
+    g_ptr_array_free(suspects, TRUE);
 }
 
 /* See crash.h. */
@@ -230,7 +237,7 @@
                       int64_t now)
 {
     struct crash_suspect *suspect =
-        need_suspect(table, digest, fingerprint, now);
+        find_or_add_suspect(table, digest, fingerprint, now);
     suspect->recorded = true;
     suspect->recorded_at = now;
     suspect->last = MAX(suspect->last, now);
@@ -240,14 +247,16 @@
 /* See crash.h. */
 bool
 ch_crash_table_add(struct ch_crash_table *table,
-                   const struct ch_crash_run *run)
+                   const struct ch_crash_run *observation)
 {
     struct crash_suspect *suspect =
-        need_suspect(table, &run->digest, run->fingerprint, run->at);
-    bool news = note_on(suspect, need_end(table, run), run->fresh);
-    suspect->last = MAX(suspect->last, run->at);
+        find_or_add_suspect(table, &observation->digest,
+                            observation->fingerprint, observation->at);
+    bool is_new = add_involvement(
+        suspect, find_or_add_crash(table, observation), observation->fresh);
+    suspect->last = MAX(suspect->last, observation->at);
     make_room(table, suspect);
-    return news;
+    return is_new;
 }
 
 /* See crash.h. */
@@ -291,7 +300,7 @@
 ch_crash_table_ended(const struct ch_crash_table *table, GQuark upstream,
                      uint64_t boot)
 {
-    return find_end(table, upstream, boot) != NULL;
+    return find_crash(table, upstream, boot) != NULL;
 }
 
 /* See crash.h. */
@@ -322,43 +331,45 @@
     }
 }
 
-/* A number for one piece of evidence. */
+/* A checksum of one observation. */
 static uint64_t
-sum_on(const struct crash_suspect *suspect, const struct crash_on *on)
+checksum_observation(const struct crash_suspect *suspect,
+                     const struct crash_on *involvement)
 {
-    uint64_t sum = ch_hash(suspect->digest.bytes, CH_DIGEST_BYTES);
-    sum = ch_hash_pair(sum,
-                       ch_hash_string(g_quark_to_string(on->end->upstream)));
-    return ch_hash_pair(sum, on->end->boot * 2 + on->fresh);
+    uint64_t checksum = ch_hash(suspect->digest.bytes, CH_DIGEST_BYTES);
+    checksum = ch_hash_pair(checksum, ch_hash_string(g_quark_to_string(
+                                          involvement->end->upstream)));
+    return ch_hash_pair(checksum,
+                        involvement->end->boot * 2 + involvement->fresh);
 }
 
-/* See crash.h.  Of a sum that is told, the order of the pieces is not. */
+/* See crash.h.  The sum does not depend on the order of the observations. */
 uint64_t
 ch_crash_table_sum(const struct ch_crash_table *table)
 {
-    uint64_t sum = 0;
+    uint64_t checksum = 0;
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, table->suspects);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const struct crash_suspect *suspect = value;
         for (guint i = 0; i < suspect->ends->len; i++) {
-            sum += sum_on(suspect,
-                          &g_array_index(suspect->ends, struct crash_on, i));
+            checksum += checksum_observation(
+                suspect, &g_array_index(suspect->ends, struct crash_on, i));
         }
         uint64_t own = ch_hash(suspect->digest.bytes, CH_DIGEST_BYTES);
-        sum += suspect->sound ? ch_hash_pair(own, 1) : 0;
-        sum += suspect->released ? ch_hash_pair(own, 2) : 0;
+        checksum += suspect->sound ? ch_hash_pair(own, 1) : 0;
+        checksum += suspect->released ? ch_hash_pair(own, 2) : 0;
     }
-    return sum;
+    return checksum;
 }
 
 /* See crash.h. */
 void
-ch_crash_table_each_run(const struct ch_crash_table *table,
-                        void (*each)(void *data,
-                                     const struct ch_crash_run *run),
-                        void *data)
+ch_crash_table_each_run(
+    const struct ch_crash_table *table,
+    void (*callback)(void *data, const struct ch_crash_run *observation),
+    void *data)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
@@ -366,17 +377,17 @@
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const struct crash_suspect *suspect = value;
         for (guint i = 0; i < suspect->ends->len; i++) {
-            const struct crash_on *on =
+            const struct crash_on *involvement =
                 &g_array_index(suspect->ends, struct crash_on, i);
-            const struct ch_crash_run run = {
+            const struct ch_crash_run observation = {
                 .digest = suspect->digest,
                 .fingerprint = suspect->fingerprint,
-                .upstream = on->end->upstream,
-                .boot = on->end->boot,
-                .at = on->end->at,
-                .fresh = on->fresh,
+                .upstream = involvement->end->upstream,
+                .boot = involvement->end->boot,
+                .at = involvement->end->at,
+                .fresh = involvement->fresh,
             };
-            each(data, &run);
+            callback(data, &observation);
         }
     }
 }
@@ -384,15 +395,17 @@
 /* See crash.h. */
 void
 ch_crash_table_each(const struct ch_crash_table *table,
-                    void (*each)(void *data, const struct ch_crash_view *view),
+                    void (*callback)(void *data,
+                                     const struct ch_crash_view *assessment),
                     void *data)
 {
     GHashTableIter iterator;
     gpointer key = NULL;
     g_hash_table_iter_init(&iterator, table->suspects);
     while (g_hash_table_iter_next(&iterator, &key, NULL)) {
-        const struct ch_crash_view view = ch_crash_table_view(table, key);
-        each(data, &view);
+        const struct ch_crash_view assessment =
+            ch_crash_table_view(table, key);
+        callback(data, &assessment);
     }
 }
 
