--- a/libchestnuthitch/decide/once.h
+++ b/libchestnuthitch/decide/once.h
@@ -14,7 +14,8 @@
  *
  * An attempt is one try of a request by one entry node; it may be dispatched
  * only when the log shows that the key belongs to it.  tests/spec/once.pml
- * models this protocol under the same names.
+ * is a model of this protocol with the same names of phases and states; its
+ * "home" is the owner.
  */
 
 #include "base/base.h"
--- a/libchestnuthitch/decide/once_slot.c
+++ b/libchestnuthitch/decide/once_slot.c
@@ -22,15 +22,15 @@
 };
 
 enum phase {
-    PHASE_UNLOADED,           /* the log must be listed */
-    PHASE_READY,              /* log loaded, no call in progress */
-    PHASE_LISTING,            /* the log is being listed */
-    PHASE_WRITING,            /* the batch is written at the next sequence */
-    PHASE_READING_BACK,       /* conflict or no reply: the sequence is read */
-    PHASE_VERIFYING_PREVIOUS, /* written: the sequence before is read */
-    PHASE_VERIFYING_FIRST,    /* written as the first: the slot is listed */
-    PHASE_PROBING,            /* next sequence: did another owner write it? */
-    PHASE_REMOVING,           /* the first batch has expired */
+    PHASE_UNLOADED,   /* the log must be listed */
+    PHASE_READY,      /* log loaded, no call in progress */
+    PHASE_LISTING,    /* the log is being listed */
+    PHASE_WRITING,    /* the batch is being written at the next sequence */
+    PHASE_RESOLVING,  /* conflict or no reply: the sequence is read back */
+    PHASE_CHECKING,   /* batch written: the sequence before it is read */
+    PHASE_CONFIRMING, /* written as the first batch: the slot is listed */
+    PHASE_PROBING,    /* next sequence read: did another owner write it? */
+    PHASE_REMOVING,   /* the first batch has expired and is being deleted */
 };
 
 struct pending_event {
@@ -478,11 +478,11 @@
     uint64_t last = ch_once_log_last(slot->log);
     slot->revision = revision;
     if (last == 0) {
-        slot->phase = PHASE_VERIFYING_FIRST;
+        slot->phase = PHASE_CONFIRMING;
         add_call(out, CH_ONCE_LIST, 0, 0, NULL);
     }
     else {
-        slot->phase = PHASE_VERIFYING_PREVIOUS;
+        slot->phase = PHASE_CHECKING;
         add_call(out, CH_ONCE_GET, last, 0, NULL);
     }
 }
@@ -545,15 +545,14 @@
                     const struct ch_once_listed *listed, size_t count,
                     int64_t now, struct ch_once_actions *out)
 {
-    enum ch_code refusal = slot->phase == PHASE_VERIFYING_FIRST
-                               ? CH_KV_AMBIGUOUS
-                               : CH_KV_UNREACHABLE;
+    enum ch_code refusal =
+        slot->phase == PHASE_CONFIRMING ? CH_KV_AMBIGUOUS : CH_KV_UNREACHABLE;
     if (code != CH_OK ||
         !ch_once_log_load(slot->log, listed, count, now, NULL)) {
         handle_store_failure(slot, refusal, now, out);
         return;
     }
-    bool confirmed = slot->phase == PHASE_VERIFYING_FIRST &&
+    bool confirmed = slot->phase == PHASE_CONFIRMING &&
                      ch_once_log_holds(slot->log, 1, slot->revision);
     struct pending_event *pending = NULL;
     slot->stale = false;
@@ -583,7 +582,7 @@
     case CH_KV_AMBIGUOUS:
         /* The sequence may be taken by this batch, from an earlier write that
            got no reply; reading it back shows whose batch it is. */
-        slot->phase = PHASE_READING_BACK;
+        slot->phase = PHASE_RESOLVING;
         add_call(out, CH_ONCE_GET, ch_once_log_last(slot->log) + 1, 0, NULL);
         return;
     default:
@@ -640,7 +639,7 @@
                  const char *bytes, size_t length, uint64_t revision,
                  int64_t now, struct ch_once_actions *out)
 {
-    if (slot->phase == PHASE_READING_BACK) {
+    if (slot->phase == PHASE_RESOLVING) {
         handle_read_back(slot, code, bytes, length, revision, now, out);
         return;
     }
--- a/tests/unit/explore.h
+++ b/tests/unit/explore.h
@@ -2,9 +2,9 @@
 #define CH_TESTS_EXPLORE_H
 
 /*
- * Runs a scenario once for every sequence of choices up to a bound: the
- * scenario asks explore_choose wherever something else could happen, and is
- * run from the start each time.
+ * Bounded exploration: runs a scenario from the start once for every sequence
+ * of choices up to a bound.  The scenario calls explore_choose() wherever more
+ * than one event could happen next.
  */
 
 #include <glib.h>
@@ -18,23 +18,23 @@
     unsigned path[EXPLORE_MOST];
     unsigned width[EXPLORE_MOST];
     unsigned depth;
-    unsigned bound; /* choices after this many are all the first */
+    unsigned bound; /* choices beyond this many always take the first option */
     guint64 runs;
 };
 
-/* A number below width. */
+/* Chooses a number below width. */
 static inline unsigned
 explore_choose(struct explore *explore, unsigned width)
 {
     if (explore->depth >= explore->bound || width < 2) {
         return 0;
     }
-    unsigned at = explore->depth++;
-    explore->width[at] = width;
-    return explore->path[at];
+    unsigned position = explore->depth++;
+    explore->width[position] = width;
+    return explore->path[position];
 }
 
-/* Sets the path of the next run; false when all were run. */
+/* Moves on to the next sequence of choices; false: all of them were run. */
 static inline bool
 explore_next(struct explore *explore)
 {
--- a/tests/unit/test_crash.c
+++ b/tests/unit/test_crash.c
@@ -1,59 +1,63 @@
-/* Requests that crash upstreams: evidence, what follows from it, and calls
- * that were cut. */
+/* Requests that crash upstreams: digests, observations, the assessment of
+ * requests, and interrupted calls. */
 
 #include "crash/crash.h"
 
 #include <string.h>
 
 enum {
-    LIMIT = 3,
-    SECOND = G_USEC_PER_SEC,
-    HOUR = 3600,
+    CRASHES_TO_BAR = 3,
+    SECOND_US = G_USEC_PER_SEC,
+    HOUR_S = 3600,
 };
 
-/* A digest with a number in it. */
+/* The digest of a number. */
 static struct ch_digest
-digest_of(unsigned number)
+number_digest(unsigned number)
 {
     const struct ch_digest_part part = {&number, sizeof(number)};
     return ch_digest_of(&part, 1);
 }
 
-/* A table with the usual limits, for so many requests. */
+/* Makes a table for at most `requests` requests, with the limits of this
+ * test. */
 static struct ch_crash_table *
-table_for(size_t requests)
+table_new(size_t requests)
 {
-    const struct ch_crash_limits limits = {LIMIT, requests,
-                                           (int64_t)HOUR * SECOND};
+    const struct ch_crash_limits limits = {CRASHES_TO_BAR, requests,
+                                           (int64_t)HOUR_S * SECOND_US};
     return ch_crash_table_new(&limits);
 }
 
-/* A run of a request on an upstream, ended then. */
+/* An observation that a request was running on an upstream that ended at
+ * at_s. */
 static struct ch_crash_run
-run_of(unsigned request, const char *upstream, double at_s, bool fresh)
+make_observation(unsigned request, const char *upstream, double at_s,
+                 bool before_response)
 {
     return (struct ch_crash_run){
-        .digest = digest_of(request),
+        .digest = number_digest(request),
         .fingerprint = 1000 + request,
         .upstream = g_quark_from_string(upstream),
         .boot = 7,
-        .at = (int64_t)(at_s * SECOND),
-        .fresh = fresh,
+        .at = (int64_t)(at_s * SECOND_US),
+        .fresh = before_response,
     };
 }
 
-/* What the table says of a request. */
+/* The table's assessment of a request. */
 static struct ch_crash_view
-view_of(const struct ch_crash_table *table, unsigned request)
+assess(const struct ch_crash_table *table, unsigned request)
 {
-    const struct ch_digest digest = digest_of(request);
+    const struct ch_digest digest = number_digest(request);
     return ch_crash_table_view(table, &digest);
 }
 
 /* ---- digests ---- */
 
-/* Guards against two requests that share a digest by shifted borders between
- * path, caller and body: one would be refused for the other's crashes. */
+/* Guards against two requests with the same digest because path, caller and
+ * body are divided differently: one would be refused for the crashes of the
+ * other. */
 static void
 test_digest_borders(void)
 {
@@ -79,7 +83,7 @@
     }
 }
 
-/* A digest is read as it was printed, and nothing else is. */
+/* A digest is parsed as it was formatted, and invalid text is rejected. */
 static void
 test_digest_text(void)
 {
@@ -90,7 +94,7 @@
         "0123456789abcdef0123456789abcdef0",
         "0123456789abcdef0123456789abcdeg",
     };
-    const struct ch_digest digest = digest_of(5);
+    const struct ch_digest digest = number_digest(5);
     struct ch_digest read;
     char text[CH_DIGEST_TEXT];
     ch_digest_print(&digest, text);
@@ -101,28 +105,28 @@
     }
 }
 
-/* ---- what follows from evidence ---- */
+/* ---- assessment of requests ---- */
 
-struct piece {
+struct observation_row {
     unsigned request;
     const char *upstream;
     double at_s;
-    bool begun; /* some of the answer had come */
+    bool response_begun; /* part of the response had arrived */
 };
 
 enum {
-    MOST_PIECES = 24,
+    MAX_ROWS = 24,
 };
 
-/* What is expected of request 1, and of request 2. */
-struct judge_case {
+/* The expected states of requests 1 and 2. */
+struct assess_case {
     const char *name;
-    struct piece pieces[MOST_PIECES];
+    struct observation_row rows[MAX_ROWS];
     enum ch_crash_state first;
     enum ch_crash_state second;
 };
 
-static const struct judge_case judge_cases[] = {
+static const struct assess_case assess_cases[] = {
     {"one crash", {{1, "a", 1, false}}, CH_CRASH_SUSPECTED, CH_CRASH_UNKNOWN},
     {"two crashes",
      {{1, "a", 1, false}, {1, "b", 3, false}},
@@ -222,39 +226,41 @@
      CH_CRASH_BARRED},
 };
 
-/* Adds the pieces of a case, from the one at `first` on, in steps that visit
- * each once. */
+/* Adds the observations of a case in steps that visit each once, starting at
+ * index `first`; returns how many there are. */
 static unsigned
-add_pieces(struct ch_crash_table *table, const struct judge_case *row,
-           unsigned first, unsigned step)
+add_rows(struct ch_crash_table *table, const struct assess_case *row,
+         unsigned first, unsigned step)
 {
     unsigned count = 0;
-    while (count < MOST_PIECES && row->pieces[count].upstream != NULL) {
+    while (count < MAX_ROWS && row->rows[count].upstream != NULL) {
         count++;
     }
     for (unsigned i = 0; i < count; i++) {
-        const struct piece *piece = &row->pieces[(first + i * step) % count];
-        const struct ch_crash_run run = run_of(piece->request, piece->upstream,
-                                               piece->at_s, !piece->begun);
-        (void)ch_crash_table_add(table, &run);
+        const struct observation_row *observed =
+            &row->rows[(first + i * step) % count];
+        const struct ch_crash_run observation =
+            make_observation(observed->request, observed->upstream,
+                             observed->at_s, !observed->response_begun);
+        (void)ch_crash_table_add(table, &observation);
     }
     return count;
 }
 
-/* What follows does not hang on the order in which evidence comes, nor on how
- * often; nodes that know the same have the same sum. */
+/* The assessment does not depend on the order in which observations arrive,
+ * nor on how often; tables that hold the same have the same checksum. */
 static void
-test_judge(gconstpointer data)
+test_assess(gconstpointer data)
 {
-    const struct judge_case *row = data;
-    struct ch_crash_table *forward = table_for(100);
-    unsigned count = add_pieces(forward, row, 0, 1);
+    const struct assess_case *row = data;
+    struct ch_crash_table *forward = table_new(100);
+    unsigned count = add_rows(forward, row, 0, 1);
     for (unsigned first = 0; first < count; first++) {
-        struct ch_crash_table *other = table_for(100);
-        (void)add_pieces(other, row, first, count - 1);
-        (void)add_pieces(other, row, 0, 1);
-        g_assert_cmpint(view_of(other, 1).state, ==, row->first);
-        g_assert_cmpint(view_of(other, 2).state, ==, row->second);
+        struct ch_crash_table *other = table_new(100);
+        (void)add_rows(other, row, first, count - 1);
+        (void)add_rows(other, row, 0, 1);
+        g_assert_cmpint(assess(other, 1).state, ==, row->first);
+        g_assert_cmpint(assess(other, 2).state, ==, row->second);
         g_assert_cmphex(ch_crash_table_sum(other), ==,
                         ch_crash_table_sum(forward));
         ch_crash_table_free(other);
@@ -262,136 +268,146 @@
     ch_crash_table_free(forward);
 }
 
-/* Adds to another table. */
+/* Adds an observation to the table in data. */
 static void
-add_to(void *data, const struct ch_crash_run *run)
+add_to(void *data, const struct ch_crash_run *observation)
 {
-    (void)ch_crash_table_add(data, run);
+    (void)ch_crash_table_add(data, observation);
 }
 
-/* Guards against a node that has just started and sends what all others hold
- * back: it is told all, and then judges as they do. */
+/* Guards against a node that has just started and sends requests that all
+ * other nodes bar: it receives all observations and reaches the same
+ * assessment. */
 static void
-test_joins(void)
+test_new_node_catches_up(void)
 {
-    struct ch_crash_table *table = table_for(100);
-    struct ch_crash_table *joins = table_for(100);
-    (void)add_pieces(table, &judge_cases[3], 0, 1);
-    g_assert_cmphex(ch_crash_table_sum(table), !=, ch_crash_table_sum(joins));
-    ch_crash_table_each_run(table, add_to, joins);
-    g_assert_cmphex(ch_crash_table_sum(table), ==, ch_crash_table_sum(joins));
-    g_assert_cmpint(view_of(joins, 1).state, ==, CH_CRASH_BARRED);
-    ch_crash_table_free(joins);
+    struct ch_crash_table *table = table_new(100);
+    struct ch_crash_table *joining = table_new(100);
+    (void)add_rows(table, &assess_cases[3], 0, 1);
+    g_assert_cmphex(ch_crash_table_sum(table), !=,
+                    ch_crash_table_sum(joining));
+    ch_crash_table_each_run(table, add_to, joining);
+    g_assert_cmphex(ch_crash_table_sum(table), ==,
+                    ch_crash_table_sum(joining));
+    g_assert_cmpint(assess(joining, 1).state, ==, CH_CRASH_BARRED);
+    ch_crash_table_free(joining);
     ch_crash_table_free(table);
 }
 
 /* Guards against a host that started after the crashes and lets the request
- * through: their times are before its clock's beginning. */
+ * through: the times of these crashes are negative on its clock. */
 static void
-test_before_the_clock(void)
+test_negative_times(void)
 {
-    struct ch_crash_table *table = table_for(100);
-    for (unsigned i = 0; i < LIMIT; i++) {
+    struct ch_crash_table *table = table_new(100);
+    for (unsigned i = 0; i < CRASHES_TO_BAR; i++) {
         char name[] = {(char)('a' + i), '\0'};
-        const struct ch_crash_run run = run_of(1, name, -10.0 - 3 * i, true);
-        (void)ch_crash_table_add(table, &run);
+        const struct ch_crash_run observation =
+            make_observation(1, name, -10.0 - 3 * i, true);
+        (void)ch_crash_table_add(table, &observation);
     }
-    g_assert_cmpint(view_of(table, 1).state, ==, CH_CRASH_BARRED);
+    g_assert_cmpint(assess(table, 1).state, ==, CH_CRASH_BARRED);
     ch_crash_table_expire(table, 0);
-    g_assert_cmpint(view_of(table, 1).state, ==, CH_CRASH_BARRED);
+    g_assert_cmpint(assess(table, 1).state, ==, CH_CRASH_BARRED);
     ch_crash_table_free(table);
 }
 
 /* Guards against a popular request that is refused after a wave of crashes: it
- * runs on each upstream, and was answered by one of them. */
+ * runs on every upstream, and one of them sent a complete response. */
 static void
-test_sound(void)
+test_harmless(void)
 {
-    for (unsigned before = 0; before < 6; before++) {
+    for (unsigned answered_after = 0; answered_after < 6; answered_after++) {
         static const char *const names[] = {"a", "b", "c", "d", "e", "f"};
-        struct ch_crash_table *table = table_for(100);
-        const struct ch_digest digest = digest_of(1);
+        struct ch_crash_table *table = table_new(100);
+        const struct ch_digest digest = number_digest(1);
         g_assert_false(ch_crash_table_sound(table, &digest));
         for (unsigned i = 0; i < G_N_ELEMENTS(names); i++) {
-            const struct ch_crash_run run = run_of(1, names[i], i + 1, true);
-            (void)ch_crash_table_add(table, &run);
-            if (i == before) {
+            const struct ch_crash_run observation =
+                make_observation(1, names[i], i + 1, true);
+            (void)ch_crash_table_add(table, &observation);
+            if (i == answered_after) {
                 g_assert_true(ch_crash_table_sound(table, &digest));
                 g_assert_false(ch_crash_table_sound(table, &digest));
             }
         }
-        g_assert_cmpint(view_of(table, 1).state, ==, CH_CRASH_SOUND);
+        g_assert_cmpint(assess(table, 1).state, ==, CH_CRASH_SOUND);
         ch_crash_table_free(table);
     }
 }
 
-/* What an operator released is judged by later crashes alone. */
+/* After an operator has released a request, only later crashes count. */
 static void
 test_release(void)
 {
-    struct ch_crash_table *table = table_for(100);
-    const struct ch_digest digest = digest_of(1);
-    g_assert_false(ch_crash_table_release(table, &digest, SECOND));
-    (void)add_pieces(table, &judge_cases[3], 0, 1);
+    struct ch_crash_table *table = table_new(100);
+    const struct ch_digest digest = number_digest(1);
+    g_assert_false(ch_crash_table_release(table, &digest, SECOND_US));
+    (void)add_rows(table, &assess_cases[3], 0, 1);
     g_assert_true(
-        ch_crash_table_release(table, &digest, (int64_t)10 * SECOND));
-    g_assert_cmpint(view_of(table, 1).state, ==, CH_CRASH_UNKNOWN);
-    for (unsigned i = 0; i < LIMIT; i++) {
+        ch_crash_table_release(table, &digest, (int64_t)10 * SECOND_US));
+    g_assert_cmpint(assess(table, 1).state, ==, CH_CRASH_UNKNOWN);
+    for (unsigned i = 0; i < CRASHES_TO_BAR; i++) {
         char name[] = {(char)('m' + i), '\0'};
-        const struct ch_crash_run run = run_of(1, name, 20 + i, true);
-        (void)ch_crash_table_add(table, &run);
+        const struct ch_crash_run observation =
+            make_observation(1, name, 20 + i, true);
+        (void)ch_crash_table_add(table, &observation);
     }
-    g_assert_cmpint(view_of(table, 1).state, ==, CH_CRASH_BARRED);
+    g_assert_cmpint(assess(table, 1).state, ==, CH_CRASH_BARRED);
     ch_crash_table_free(table);
 }
 
-/* Guards against nodes that are all killed at once and begin anew with a
- * request that was barred: its record bars it, until it is released. */
+/* Guards against nodes that are all killed at once and restart without knowing
+ * that a request was barred: its stored record bars it until a release. */
 static void
-test_record(void)
+test_stored_record(void)
 {
-    struct ch_crash_table *table = table_for(2);
-    const struct ch_digest digest = digest_of(1);
-    ch_crash_table_record(table, &digest, 1001, SECOND);
-    g_assert_cmpint(view_of(table, 1).state, ==, CH_CRASH_BARRED);
+    struct ch_crash_table *table = table_new(2);
+    const struct ch_digest digest = number_digest(1);
+    ch_crash_table_record(table, &digest, 1001, SECOND_US);
+    g_assert_cmpint(assess(table, 1).state, ==, CH_CRASH_BARRED);
     g_assert_true(ch_crash_table_knows(table, 1001));
-    g_assert_true(ch_crash_table_release(table, &digest, (int64_t)2 * SECOND));
-    g_assert_cmpint(view_of(table, 1).state, ==, CH_CRASH_UNKNOWN);
+    g_assert_true(
+        ch_crash_table_release(table, &digest, (int64_t)2 * SECOND_US));
+    g_assert_cmpint(assess(table, 1).state, ==, CH_CRASH_UNKNOWN);
     for (unsigned i = 2; i < 5; i++) {
-        const struct ch_digest other = digest_of(i);
-        ch_crash_table_record(table, &other, 1000 + i, (int64_t)i * SECOND);
+        const struct ch_digest other = number_digest(i);
+        ch_crash_table_record(table, &other, 1000 + i, (int64_t)i * SECOND_US);
     }
     g_assert_false(ch_crash_table_knows(table, 1001));
     g_assert_true(ch_crash_table_knows(table, 1004));
     ch_crash_table_free(table);
 }
 
-/* Guards against a table that grows with each crash, and one that drops what
- * it is there for: the oldest evidence goes, and what is too old. */
+/* Guards against a table that grows with every crash, and against one that
+ * drops evidence it still needs: the oldest evidence is dropped first, and
+ * evidence older than the retention. */
 static void
 test_bounds(void)
 {
     enum {
         REQUESTS = 8,
     };
-    struct ch_crash_table *table = table_for(REQUESTS);
+    struct ch_crash_table *table = table_new(REQUESTS);
     for (unsigned i = 0; i < 100; i++) {
         char *name = g_strdup_printf("u%u", i);
-        const struct ch_crash_run other = run_of(100 + i, name, i + 1, true);
-        const struct ch_crash_run repeated = run_of(1, name, i + 1, true);
+        const struct ch_crash_run other =
+            make_observation(100 + i, name, i + 1, true);
+        const struct ch_crash_run repeated =
+            make_observation(1, name, i + 1, true);
         (void)ch_crash_table_add(table, &other);
         (void)ch_crash_table_add(table, &repeated);
         g_free(name);
     }
-    g_assert_cmpint(view_of(table, 1).state, ==, CH_CRASH_BARRED);
-    g_assert_cmpuint(view_of(table, 1).crashes, ==, 100);
-    g_assert_cmpuint(view_of(table, 100).crashes, ==, 0);
-    g_assert_cmpuint(view_of(table, 199).crashes, ==, 1);
+    g_assert_cmpint(assess(table, 1).state, ==, CH_CRASH_BARRED);
+    g_assert_cmpuint(assess(table, 1).crashes, ==, 100);
+    g_assert_cmpuint(assess(table, 100).crashes, ==, 0);
+    g_assert_cmpuint(assess(table, 199).crashes, ==, 1);
     g_assert_true(ch_crash_table_knows(table, 1001));
     g_assert_false(ch_crash_table_knows(table, 1100));
-    ch_crash_table_expire(table, (int64_t)(HOUR + 99) * SECOND);
-    g_assert_cmpuint(view_of(table, 1).crashes, ==, 100);
-    ch_crash_table_expire(table, (int64_t)(HOUR + 101) * SECOND);
+    ch_crash_table_expire(table, (int64_t)(HOUR_S + 99) * SECOND_US);
+    g_assert_cmpuint(assess(table, 1).crashes, ==, 100);
+    ch_crash_table_expire(table, (int64_t)(HOUR_S + 101) * SECOND_US);
     g_assert_true(ch_crash_table_is_empty(table));
     g_assert_cmphex(ch_crash_table_sum(table), ==, 0);
     g_assert_false(ch_crash_table_knows(table, 1001));
@@ -399,130 +415,132 @@
 }
 
 /*
- * Guards against nodes that stand still when a data centre is lost: 270
- * upstreams end under 42 requests each, and every node is told of each.  The
- * last of them are kept.
+ * Guards against nodes that stall when a data centre is lost: 270 upstreams
+ * crash under 42 requests each, and every node receives each observation.  The
+ * newest requests are kept.
  */
 static void
 test_data_centre_lost(void)
 {
     enum {
         UPSTREAMS = 270,
-        CALLS = 42,
-        KEPT = 1024,
-        MOST_US = 2 * SECOND,
+        REQUESTS_PER_UPSTREAM = 42,
+        MAX_REQUESTS = 1024,
+        MAX_DURATION_US = 2 * SECOND_US,
     };
-    struct ch_crash_table *table = table_for(KEPT);
+    struct ch_crash_table *table = table_new(MAX_REQUESTS);
     unsigned request = 0;
-    int64_t begun = g_get_monotonic_time();
+    int64_t started_at = g_get_monotonic_time();
     for (unsigned i = 0; i < UPSTREAMS; i++) {
         char *name = g_strdup_printf("u%u", i);
-        for (unsigned j = 0; j < CALLS; j++) {
-            const struct ch_crash_run run =
-                run_of(request++, name, 1 + 0.001 * i, true);
-            (void)ch_crash_table_add(table, &run);
-            g_assert_cmpuint(ch_crash_table_crashes(table, &run.digest), ==,
-                             1);
+        for (unsigned j = 0; j < REQUESTS_PER_UPSTREAM; j++) {
+            const struct ch_crash_run observation =
+                make_observation(request++, name, 1 + 0.001 * i, true);
+            (void)ch_crash_table_add(table, &observation);
+            g_assert_cmpuint(
+                ch_crash_table_crashes(table, &observation.digest), ==, 1);
         }
         g_free(name);
     }
-    int64_t took = g_get_monotonic_time() - begun;
-    g_test_message("%u requests in %" G_GINT64_FORMAT " us", request, took);
-    g_assert_cmpint(took, <, MOST_US);
-    g_assert_cmpint(view_of(table, request - 1).state, ==, CH_CRASH_SUSPECTED);
-    g_assert_cmpint(view_of(table, 0).state, ==, CH_CRASH_UNKNOWN);
+    int64_t duration_us = g_get_monotonic_time() - started_at;
+    g_test_message("%u requests in %" G_GINT64_FORMAT " us", request,
+                   duration_us);
+    g_assert_cmpint(duration_us, <, MAX_DURATION_US);
+    g_assert_cmpint(assess(table, request - 1).state, ==, CH_CRASH_SUSPECTED);
+    g_assert_cmpint(assess(table, 0).state, ==, CH_CRASH_UNKNOWN);
     ch_crash_table_free(table);
 }
 
-/* ---- waves of crashes, and one that crashes, among many requests ---- */
+/* ---- many requests: waves of crashes, and one request that crashes ---- */
 
 enum {
     ENGINES = 12,
     REQUESTS = 3000,
-    TRIES = 4, /* of one caller's request, over its two attempts */
+    MAX_TRIES = 4, /* of one caller's request, over its two attempts */
     SEEDS = 40,
 };
 
-/* A simulated fleet: which engines are down, and until when. */
+/* Simulated engines, with the time at which each is up again. */
 struct fleet {
     GRand *random;
     struct ch_crash_table *table;
-    unsigned boots[ENGINES];
-    double back_s[ENGINES];
+    unsigned boot_ids[ENGINES];
+    double up_at_s[ENGINES];
 };
 
 /* Whether an engine is up. */
 static bool
 is_up(const struct fleet *fleet, unsigned engine, double now_s)
 {
-    return fleet->back_s[engine] <= now_s;
+    return fleet->up_at_s[engine] <= now_s;
 }
 
-/* The run of a request on an engine of the fleet. */
+/* An observation of a request on an engine. */
 static struct ch_crash_run
-fleet_run(const struct fleet *fleet, unsigned request, unsigned engine,
-          double at_s, bool fresh)
+fleet_observation(const struct fleet *fleet, unsigned request, unsigned engine,
+                  double at_s, bool before_response)
 {
     char name[16];
     (void)g_snprintf(name, sizeof(name), "e%u", engine);
-    struct ch_crash_run run = run_of(request, name, at_s, fresh);
-    run.boot = fleet->boots[engine];
-    return run;
+    struct ch_crash_run observation =
+        make_observation(request, name, at_s, before_response);
+    observation.boot = fleet->boot_ids[engine];
+    return observation;
 }
 
-/* An engine ends under so many requests, numbered from `first` on. */
+/* Crashes an engine under `count` requests; it is down for 3 s. */
 static void
-end_engine(struct fleet *fleet, unsigned engine, double at_s,
-           const unsigned *requests, unsigned count)
+crash_engine(struct fleet *fleet, unsigned engine, double at_s,
+             const unsigned *requests, unsigned count)
 {
     for (unsigned i = 0; i < count; i++) {
-        bool fresh = g_rand_boolean(fleet->random);
-        const struct ch_crash_run run =
-            fleet_run(fleet, requests[i], engine, at_s, fresh);
-        (void)ch_crash_table_add(fleet->table, &run);
+        bool before_response = g_rand_boolean(fleet->random);
+        const struct ch_crash_run observation = fleet_observation(
+            fleet, requests[i], engine, at_s, before_response);
+        (void)ch_crash_table_add(fleet->table, &observation);
     }
-    fleet->boots[engine]++;
-    fleet->back_s[engine] = at_s + 3;
+    fleet->boot_ids[engine]++;
+    fleet->up_at_s[engine] = at_s + 3;
 }
 
 /*
- * Guards against sound requests that are refused after a wave of crashes.  A
- * quarter of the engines ends at the same moment, three times; what ran there
- * is tried again elsewhere, at once and by its caller, at an engine that ends
- * in the next wave as well if chance has it.
+ * Guards against harmless requests that are refused after waves of crashes.
+ * A quarter of the engines crashes at about the same moment, MAX_TRIES times.
+ * The requests that ran there are retried elsewhere, at once and by their
+ * callers, and by chance on an engine that crashes in the next wave as well.
  */
 static void
 test_wave(void)
 {
     for (unsigned seed = 0; seed < SEEDS; seed++) {
         struct fleet fleet = {
-            g_rand_new_with_seed(seed), table_for(100000), {0}, {0}};
-        unsigned on[REQUESTS];
+            g_rand_new_with_seed(seed), table_new(100000), {0}, {0}};
+        unsigned engines[REQUESTS];
         unsigned tries[REQUESTS] = {0};
-        for (unsigned wave = 0; wave < TRIES; wave++) {
+        for (unsigned wave = 0; wave < MAX_TRIES; wave++) {
             double at_s = 1 + 4.0 * wave;
             for (unsigned i = 0; i < REQUESTS; i++) {
-                on[i] = (unsigned)g_rand_int_range(fleet.random, 0, ENGINES);
+                engines[i] =
+                    (unsigned)g_rand_int_range(fleet.random, 0, ENGINES);
             }
             for (unsigned engine = 0; engine < ENGINES; engine++) {
                 if (g_rand_int_range(fleet.random, 0, 4) != 0) {
                     continue;
                 }
-                unsigned cut[REQUESTS];
+                unsigned interrupted[REQUESTS];
                 unsigned count = 0;
                 for (unsigned i = 0; i < REQUESTS; i++) {
-                    if (on[i] == engine && tries[i] == wave) {
+                    if (engines[i] == engine && tries[i] == wave) {
                         tries[i]++;
-                        cut[count++] = i;
+                        interrupted[count++] = i;
                     }
                 }
-                end_engine(&fleet, engine, at_s, cut, count);
+                crash_engine(&fleet, engine, at_s, interrupted, count);
                 at_s += 0.02;
             }
         }
         for (unsigned i = 0; i < REQUESTS; i++) {
-            g_assert_cmpint(view_of(fleet.table, i).state, !=,
-                            CH_CRASH_BARRED);
+            g_assert_cmpint(assess(fleet.table, i).state, !=, CH_CRASH_BARRED);
         }
         ch_crash_table_free(fleet.table);
         g_rand_free(fleet.random);
@@ -530,163 +548,171 @@
 }
 
 /*
- * One request crashes each engine that runs it, and is sent again and again.
- * Beside it, a handful of others on each engine is tried again elsewhere,
- * often where that request goes as well.  It is barred in time, none of the
- * others ever is.
+ * Guards against other requests that are barred instead of the one that
+ * crashes each engine it runs on and is sent again and again.  A few others
+ * run on the same engine each time and are retried elsewhere, often on the
+ * engine that the crashing request gets next.  The crashing request is barred
+ * within MAX_CRASHES crashes, and no other request ever is.
  */
 static void
-test_repeated_among_others(void)
+test_crashing_among_others(void)
 {
     enum {
-        CRASHER = 1000000,
-        BESIDE = 8,
-        MOST_CRASHES = LIMIT + 2,
+        CRASHING_REQUEST = 1000000,
+        OTHERS = 8,
+        MAX_CRASHES = CRASHES_TO_BAR + 2,
     };
     for (unsigned seed = 0; seed < SEEDS; seed++) {
         struct fleet fleet = {
-            g_rand_new_with_seed(seed), table_for(100000), {0}, {0}};
-        unsigned beside[BESIDE];
-        unsigned tries[BESIDE] = {0};
+            g_rand_new_with_seed(seed), table_new(100000), {0}, {0}};
+        unsigned others[OTHERS];
+        unsigned tries[OTHERS] = {0};
         unsigned next = 0;
         unsigned crashes = 0;
-        for (unsigned i = 0; i < BESIDE; i++) {
-            beside[i] = next++;
+        for (unsigned i = 0; i < OTHERS; i++) {
+            others[i] = next++;
         }
         double at_s = 1;
-        while (view_of(fleet.table, CRASHER).state != CH_CRASH_BARRED) {
+        while (assess(fleet.table, CRASHING_REQUEST).state !=
+               CH_CRASH_BARRED) {
             unsigned engine = 0;
             do {
                 engine = (unsigned)g_rand_int_range(fleet.random, 0, ENGINES);
                 at_s += 0.1;
             } while (!is_up(&fleet, engine, at_s));
-            const struct ch_crash_run run =
-                fleet_run(&fleet, CRASHER, engine, at_s, true);
-            (void)ch_crash_table_add(fleet.table, &run);
-            end_engine(&fleet, engine, at_s, beside, BESIDE);
+            const struct ch_crash_run observation = fleet_observation(
+                &fleet, CRASHING_REQUEST, engine, at_s, true);
+            (void)ch_crash_table_add(fleet.table, &observation);
+            crash_engine(&fleet, engine, at_s, others, OTHERS);
             crashes++;
-            g_assert_cmpuint(crashes, <=, MOST_CRASHES);
-            for (unsigned i = 0; i < BESIDE; i++) {
-                bool stays = ++tries[i] < TRIES &&
-                             g_rand_int_range(fleet.random, 0, 3) > 0;
-                beside[i] = stays ? beside[i] : next++;
-                tries[i] = stays ? tries[i] : 0;
+            g_assert_cmpuint(crashes, <=, MAX_CRASHES);
+            for (unsigned i = 0; i < OTHERS; i++) {
+                bool retried = ++tries[i] < MAX_TRIES &&
+                               g_rand_int_range(fleet.random, 0, 3) > 0;
+                others[i] = retried ? others[i] : next++;
+                tries[i] = retried ? tries[i] : 0;
             }
         }
         for (unsigned i = 0; i < next; i++) {
-            g_assert_cmpint(view_of(fleet.table, i).state, !=,
-                            CH_CRASH_BARRED);
+            g_assert_cmpint(assess(fleet.table, i).state, !=, CH_CRASH_BARRED);
         }
         ch_crash_table_free(fleet.table);
         g_rand_free(fleet.random);
     }
 }
 
-/* ---- calls that were cut ---- */
+/* ---- interrupted calls ---- */
 
-enum cut_event {
-    REFUSED,
+enum call_event {
+    REFUSED_SOON,
     REFUSED_LATE,
-    LISTED_SAME,
-    LISTED_LEAVING,
-    LISTED_ANEW,
+    LISTED_UNCHANGED,
+    LISTED_DRAINING,
+    LISTED_NEW_BOOT,
     NOT_LISTED,
-    ANSWERED,
-    ANSWERED_BEFORE,
-    TOLD,
-    TOLD_OTHER_BOOT,
+    RESPONDED_LATER_CALL,
+    RESPONDED_EARLIER_CALL,
+    CRASH_REPORTED,
+    CRASH_REPORTED_OTHER_BOOT,
     OTHER_REFUSED,
-    TOO_OLD,
+    EXPIRED,
 };
 
 static const struct {
     const char *name;
-    enum cut_event event;
+    enum call_event event;
     unsigned ended;
-    unsigned left;
-} cut_cases[] = {
-    {"refuses connections", REFUSED, 1, 0},
+    unsigned remaining;
+} call_cases[] = {
+    {"refuses connections soon", REFUSED_SOON, 1, 0},
     {"refuses connections much later", REFUSED_LATE, 0, 1},
-    {"is listed as it was", LISTED_SAME, 0, 1},
-    {"leaves as planned", LISTED_LEAVING, 0, 0},
-    {"started anew", LISTED_ANEW, 1, 0},
-    {"is listed no more", NOT_LISTED, 1, 0},
-    {"answers a later call: the connection alone went", ANSWERED, 0, 0},
-    {"answers an earlier call", ANSWERED_BEFORE, 0, 1},
-    {"another node saw it end", TOLD, 1, 0},
-    {"another node saw an earlier process end", TOLD_OTHER_BOOT, 0, 1},
+    {"is listed unchanged", LISTED_UNCHANGED, 0, 1},
+    {"is listed as draining", LISTED_DRAINING, 0, 0},
+    {"has started again with a new boot ID", LISTED_NEW_BOOT, 1, 0},
+    {"is no longer listed", NOT_LISTED, 1, 0},
+    {"responds to a later call: only the connection was lost",
+     RESPONDED_LATER_CALL, 0, 0},
+    {"responds to an earlier call", RESPONDED_EARLIER_CALL, 0, 1},
+    {"another node found that it crashed", CRASH_REPORTED, 1, 0},
+    {"another node found that an earlier process crashed",
+     CRASH_REPORTED_OTHER_BOOT, 0, 1},
     {"another upstream refuses connections", OTHER_REFUSED, 0, 1},
-    {"nothing was learnt of it", TOO_OLD, 0, 0},
+    {"the cause did not become known in time", EXPIRED, 0, 0},
 };
 
-/* Has an event happen to upstream "a" of boot 7, on which a call was cut at
- * 10 s. */
+/* Applies an event to upstream "a" with boot ID 7, on which a call was
+ * interrupted at 10 s. */
 static void
-happen(struct ch_crash_cuts *cuts, enum cut_event event, GArray *ended)
+apply_event(struct ch_crash_cuts *calls, enum call_event event, GArray *ended)
 {
     GQuark a = g_quark_from_string("a");
     const struct ch_crash_listed rows[] = {
         {g_quark_from_string("b"), 7, false},
-        {a, event == LISTED_ANEW ? 8 : 7, event == LISTED_LEAVING},
+        {a, event == LISTED_NEW_BOOT ? 8 : 7, event == LISTED_DRAINING},
     };
     switch (event) {
-    case REFUSED:
+    case REFUSED_SOON:
     case REFUSED_LATE:
         ch_crash_cuts_refused(
-            cuts, a, (int64_t)(event == REFUSED ? 11 : 15) * SECOND, ended);
+            calls, a, (int64_t)(event == REFUSED_SOON ? 11 : 15) * SECOND_US,
+            ended);
         return;
     case OTHER_REFUSED:
-        ch_crash_cuts_refused(cuts, g_quark_from_string("b"),
-                              (int64_t)11 * SECOND, ended);
+        ch_crash_cuts_refused(calls, g_quark_from_string("b"),
+                              (int64_t)11 * SECOND_US, ended);
         return;
-    case ANSWERED:
-    case ANSWERED_BEFORE:
-        ch_crash_cuts_answered(cuts, a,
-                               (int64_t)(event == ANSWERED ? 11 : 9) * SECOND);
+    case RESPONDED_LATER_CALL:
+    case RESPONDED_EARLIER_CALL:
+        ch_crash_cuts_answered(
+            calls, a,
+            (int64_t)(event == RESPONDED_LATER_CALL ? 11 : 9) * SECOND_US);
         return;
-    case TOLD:
-    case TOLD_OTHER_BOOT:
-        ch_crash_cuts_ended(cuts, a, event == TOLD ? 7 : 6, ended);
+    case CRASH_REPORTED:
+    case CRASH_REPORTED_OTHER_BOOT:
+        ch_crash_cuts_ended(calls, a, event == CRASH_REPORTED ? 7 : 6, ended);
         return;
-    case TOO_OLD:
-        ch_crash_cuts_expire(cuts, (int64_t)30 * SECOND);
+    case EXPIRED:
+        ch_crash_cuts_expire(calls, (int64_t)30 * SECOND_US);
         return;
     default:
-        ch_crash_cuts_listed(cuts, rows, event == NOT_LISTED ? 1 : 2, ended);
+        ch_crash_cuts_listed(calls, rows, event == NOT_LISTED ? 1 : 2, ended);
         return;
     }
 }
 
-/* Guards against answers that break off, or connections that are reset, being
- * taken for the end of an upstream, and against ends that go unnoticed. */
+/* Guards against broken responses or reset connections that are taken for a
+ * crash of the upstream, and against crashes that go unnoticed. */
 static void
-test_cuts(void)
+test_interrupted_calls(void)
 {
-    for (size_t i = 0; i < G_N_ELEMENTS(cut_cases); i++) {
-        struct ch_crash_cuts *cuts = ch_crash_cuts_new();
+    for (size_t i = 0; i < G_N_ELEMENTS(call_cases); i++) {
+        struct ch_crash_cuts *calls = ch_crash_cuts_new();
         GArray *ended = g_array_new(FALSE, FALSE, sizeof(struct ch_crash_run));
-        const struct ch_crash_run run = run_of(1, "a", 10, true);
-        ch_crash_cuts_add(cuts, &run);
-        happen(cuts, cut_cases[i].event, ended);
-        g_test_message("%s", cut_cases[i].name);
-        g_assert_cmpuint(ended->len, ==, cut_cases[i].ended);
-        g_assert_cmpuint(ch_crash_cuts_count(cuts), ==, cut_cases[i].left);
+        const struct ch_crash_run observation =
+            make_observation(1, "a", 10, true);
+        ch_crash_cuts_add(calls, &observation);
+        apply_event(calls, call_cases[i].event, ended);
+        g_test_message("%s", call_cases[i].name);
+        g_assert_cmpuint(ended->len, ==, call_cases[i].ended);
+        g_assert_cmpuint(ch_crash_cuts_count(calls), ==,
+                         call_cases[i].remaining);
         g_array_free(ended, TRUE);
-        ch_crash_cuts_free(cuts);
+        ch_crash_cuts_free(calls);
     }
 }
 
-/* Many cut calls, of which nothing is learnt, take no more than so much. */
+/* Interrupted calls whose cause stays unknown take bounded memory. */
 static void
-test_cuts_bounded(void)
+test_interrupted_calls_bounded(void)
 {
-    struct ch_crash_cuts *cuts = ch_crash_cuts_new();
+    struct ch_crash_cuts *calls = ch_crash_cuts_new();
     for (unsigned i = 0; i < 5000; i++) {
-        const struct ch_crash_run run = run_of(i, "a", 10, true);
-        ch_crash_cuts_add(cuts, &run);
+        const struct ch_crash_run observation =
+            make_observation(i, "a", 10, true);
+        ch_crash_cuts_add(calls, &observation);
     }
-    g_assert_cmpuint(ch_crash_cuts_count(cuts), <=, 1024);
-    ch_crash_cuts_free(cuts);
+    g_assert_cmpuint(ch_crash_cuts_count(calls), <=, 1024);
+    ch_crash_cuts_free(calls);
 }
 
 int
@@ -695,22 +721,22 @@
     g_test_init(&argc, &argv, NULL);
     g_test_add_func("/crash/digest/borders", test_digest_borders);
     g_test_add_func("/crash/digest/text", test_digest_text);
-    for (size_t i = 0; i < G_N_ELEMENTS(judge_cases); i++) {
-        char *path = g_strconcat("/crash/judge/", judge_cases[i].name, NULL);
-        g_test_add_data_func(path, &judge_cases[i], test_judge);
+    for (size_t i = 0; i < G_N_ELEMENTS(assess_cases); i++) {
+        char *path = g_strconcat("/crash/judge/", assess_cases[i].name, NULL);
+        g_test_add_data_func(path, &assess_cases[i], test_assess);
         g_free(path);
     }
-    g_test_add_func("/crash/joins", test_joins);
-    g_test_add_func("/crash/before-the-clock", test_before_the_clock);
-    g_test_add_func("/crash/sound", test_sound);
+    g_test_add_func("/crash/joins", test_new_node_catches_up);
+    g_test_add_func("/crash/before-the-clock", test_negative_times);
+    g_test_add_func("/crash/sound", test_harmless);
     g_test_add_func("/crash/release", test_release);
-    g_test_add_func("/crash/record", test_record);
+    g_test_add_func("/crash/record", test_stored_record);
     g_test_add_func("/crash/bounds", test_bounds);
     g_test_add_func("/crash/data-centre-lost", test_data_centre_lost);
     g_test_add_func("/crash/wave", test_wave);
     g_test_add_func("/crash/repeated-among-others",
-                    test_repeated_among_others);
-    g_test_add_func("/crash/cuts", test_cuts);
-    g_test_add_func("/crash/cuts-bounded", test_cuts_bounded);
+                    test_crashing_among_others);
+    g_test_add_func("/crash/cuts", test_interrupted_calls);
+    g_test_add_func("/crash/cuts-bounded", test_interrupted_calls_bounded);
     return g_test_run();
 }
--- a/tests/unit/test_once.c
+++ b/tests/unit/test_once.c
@@ -1,5 +1,6 @@
-/* At most once: batches, the log and the slot's machine, with every order of
- * events up to a bound against a small model of the service. */
+/* At-most-once execution: encoding of batches, the log, and the state machine
+ * of a slot, explored in every order of events up to a bound against a small
+ * model of the key-value store. */
 
 #include "decide/once.h"
 
@@ -8,13 +9,13 @@
 #include <string.h>
 
 enum {
-    GATHER = 5 * 1000,
-    KEEP = 1000 * 1000 * 1000,
-    MOST_BATCHES = 8,
-    HOMES = 2,
+    BATCH_DELAY_US = 5 * 1000,
+    RETENTION_US = 1000 * 1000 * 1000,
+    MAX_BATCHES = 8,
+    OWNERS = 2,
 };
 
-/* ---- a service, and homes that call it ---- */
+/* ---- model: a key-value store and owner nodes that call it ---- */
 
 struct model_batch {
     char *bytes; /* NULL: absent */
@@ -22,40 +23,41 @@
 };
 
 struct model {
-    struct model_batch batches[MOST_BATCHES + 1]; /* from 1 */
+    struct model_batch batches[MAX_BATCHES + 1]; /* index 0 is not used */
     uint64_t revision;
-    struct ch_once_slot *home[HOMES];
-    struct ch_once_action call[HOMES]; /* under way, if called */
-    bool called[HOMES];
-    int answers[8]; /* by waiter: 1 + state; 0: none yet */
+    struct ch_once_slot *owner[OWNERS];
+    struct ch_once_action call[OWNERS]; /* in progress if in_call */
+    bool in_call[OWNERS];
+    int replies[8]; /* by waiter: 1 + state; 0: no reply yet */
     uint64_t completed[8];
-    char *late; /* a put that arrives without its sender */
-    uint64_t late_at;
+    char *late_put; /* a put that arrives after its sender gave up */
+    uint64_t late_sequence;
     int64_t now;
 };
 
-/* Takes the actions of a home: a call that is now under way, and answers. */
+/* Carries out the actions of an owner: starts a call, records replies. */
 static void
-model_take(struct model *model, unsigned home, struct ch_once_actions *actions)
+model_run_actions(struct model *model, unsigned owner,
+                  struct ch_once_actions *actions)
 {
     for (guint i = 0; i < actions->list->len; i++) {
         struct ch_once_action *action =
             &g_array_index(actions->list, struct ch_once_action, i);
         if (action->kind == CH_ONCE_ANSWER) {
-            g_assert_cmpint(model->answers[action->waiter], ==, 0);
-            model->answers[action->waiter] = 1 + (int)action->state;
+            g_assert_cmpint(model->replies[action->waiter], ==, 0);
+            model->replies[action->waiter] = 1 + (int)action->state;
             model->completed[action->waiter] = action->completed;
             continue;
         }
-        g_assert_false(model->called[home]);
-        model->called[home] = true;
-        model->call[home] = *action;
+        g_assert_false(model->in_call[owner]);
+        model->in_call[owner] = true;
+        model->call[owner] = *action;
         action->bytes = NULL;
     }
     ch_once_actions_clear(actions);
 }
 
-/* An event of attempt for the one key. */
+/* Makes an event of an attempt for a key. */
 static struct ch_once_event *
 event_new(enum ch_once_event_kind kind, const char *key, uint64_t attempt)
 {
@@ -68,26 +70,26 @@
     return event;
 }
 
-/* Hands an event to a home. */
+/* Adds an event at an owner and lets the batch delay pass. */
 static void
-model_add(struct model *model, unsigned home, struct ch_once_event *event,
+model_add(struct model *model, unsigned owner, struct ch_once_event *event,
           uint64_t waiter)
 {
     struct ch_once_actions actions;
     ch_once_actions_init(&actions);
-    ch_once_slot_add(model->home[home], event, waiter, model->now, &actions);
-    model_take(model, home, &actions);
+    ch_once_slot_add(model->owner[owner], event, waiter, model->now, &actions);
+    model_run_actions(model, owner, &actions);
     ch_once_actions_init(&actions);
-    model->now += GATHER + 1;
-    ch_once_slot_tick(model->home[home], false, model->now, &actions);
-    model_take(model, home, &actions);
+    model->now += BATCH_DELAY_US + 1;
+    ch_once_slot_tick(model->owner[owner], false, model->now, &actions);
+    model_run_actions(model, owner, &actions);
 }
 
-/* Creates a batch, if absent. */
+/* Creates a batch if its sequence is absent. */
 static enum ch_code
 model_put(struct model *model, uint64_t sequence, const char *bytes)
 {
-    g_assert_cmpuint(sequence, <=, MOST_BATCHES);
+    g_assert_cmpuint(sequence, <=, MAX_BATCHES);
     struct model_batch *batch = &model->batches[sequence];
     if (batch->bytes != NULL) {
         return CH_KV_CONFLICT;
@@ -97,126 +99,130 @@
     return CH_OK;
 }
 
-/* Answers a list. */
+/* Answers a LIST; lost: the result does not arrive. */
 static void
-model_list(struct model *model, unsigned home, bool lost,
+model_list(struct model *model, unsigned owner, bool lost,
            struct ch_once_actions *actions)
 {
-    struct ch_once_listed listed[MOST_BATCHES];
+    struct ch_once_listed listed[MAX_BATCHES];
     size_t count = 0;
-    for (uint64_t i = 1; i <= MOST_BATCHES; i++) {
+    for (uint64_t i = 1; i <= MAX_BATCHES; i++) {
         const struct model_batch *batch = &model->batches[i];
         if (batch->bytes != NULL) {
             listed[count++] = (struct ch_once_listed){
                 i, batch->revision, batch->bytes, strlen(batch->bytes)};
         }
     }
-    ch_once_slot_listed(model->home[home], lost ? CH_KV_UNREACHABLE : CH_OK,
+    ch_once_slot_listed(model->owner[owner], lost ? CH_KV_UNREACHABLE : CH_OK,
                         listed, lost ? 0 : count, model->now, actions);
 }
 
-/* Answers a get. */
+/* Answers a GET; lost: the result does not arrive. */
 static void
-model_get(struct model *model, unsigned home, uint64_t sequence, bool lost,
+model_get(struct model *model, unsigned owner, uint64_t sequence, bool lost,
           struct ch_once_actions *actions)
 {
     const struct model_batch *batch = &model->batches[sequence];
     enum ch_code code = batch->bytes == NULL ? CH_KV_MISSING : CH_OK;
-    ch_once_slot_got(model->home[home], lost ? CH_KV_UNREACHABLE : code,
+    ch_once_slot_got(model->owner[owner], lost ? CH_KV_UNREACHABLE : code,
                      batch->bytes, batch->bytes ? strlen(batch->bytes) : 0,
                      batch->revision, model->now, actions);
 }
 
-enum fate {
-    FATE_ANSWERED,
-    FATE_DONE_UNANSWERED,
-    FATE_NOT_DONE,
-    FATE_LATE, /* of a put: no answer, and it may arrive at any time */
+enum outcome {
+    OUTCOME_REPLIED,
+    OUTCOME_DONE_REPLY_LOST,
+    OUTCOME_NOT_DONE,
+    OUTCOME_LATE, /* PUT only: no reply; takes effect at any time */
 };
 
-/* Carries out the call that a home has under way. */
+/* Carries out the call that an owner has in progress. */
 static void
-model_call(struct model *model, unsigned home, enum fate fate)
+model_finish_call(struct model *model, unsigned owner, enum outcome outcome)
 {
-    struct ch_once_action call = model->call[home];
+    struct ch_once_action call = model->call[owner];
     struct ch_once_actions actions;
     enum ch_code code = CH_KV_AMBIGUOUS;
     ch_once_actions_init(&actions);
-    model->called[home] = false;
+    model->in_call[owner] = false;
     switch (call.kind) {
     case CH_ONCE_LIST:
-        model_list(model, home, fate != FATE_ANSWERED, &actions);
+        model_list(model, owner, outcome != OUTCOME_REPLIED, &actions);
         break;
     case CH_ONCE_GET:
-        model_get(model, home, call.sequence, fate != FATE_ANSWERED, &actions);
+        model_get(model, owner, call.sequence, outcome != OUTCOME_REPLIED,
+                  &actions);
         break;
     default:
-        if (fate == FATE_LATE && model->late == NULL) {
-            model->late = g_strdup(call.bytes);
-            model->late_at = call.sequence;
+        if (outcome == OUTCOME_LATE && model->late_put == NULL) {
+            model->late_put = g_strdup(call.bytes);
+            model->late_sequence = call.sequence;
         }
-        else if (fate == FATE_ANSWERED || fate == FATE_DONE_UNANSWERED) {
+        else if (outcome == OUTCOME_REPLIED ||
+                 outcome == OUTCOME_DONE_REPLY_LOST) {
             code = model_put(model, call.sequence, call.bytes);
         }
-        ch_once_slot_written(model->home[home],
-                             fate == FATE_ANSWERED ? code : CH_KV_AMBIGUOUS,
+        ch_once_slot_written(model->owner[owner],
+                             outcome == OUTCOME_REPLIED ? code
+                                                        : CH_KV_AMBIGUOUS,
                              model->revision, model->now, &actions);
     }
     g_free(call.bytes);
-    model_take(model, home, &actions);
+    model_run_actions(model, owner, &actions);
 }
 
-/* Calls of a home until it has none. */
+/* Completes the calls of an owner until none is in progress. */
 static void
-model_settle(struct model *model, unsigned home)
+model_finish_calls(struct model *model, unsigned owner)
 {
-    for (int i = 0; i < 50 && model->called[home]; i++) {
-        model_call(model, home, FATE_ANSWERED);
+    for (int i = 0; i < 50 && model->in_call[owner]; i++) {
+        model_finish_call(model, owner, OUTCOME_REPLIED);
     }
-    g_assert_false(model->called[home]);
+    g_assert_false(model->in_call[owner]);
 }
 
 static void
 model_init(struct model *model)
 {
     *model = (struct model){0};
-    for (unsigned i = 0; i < HOMES; i++) {
-        model->home[i] = ch_once_slot_new(i + 1, GATHER, KEEP);
+    for (unsigned i = 0; i < OWNERS; i++) {
+        model->owner[i] =
+            ch_once_slot_new(i + 1, BATCH_DELAY_US, RETENTION_US);
     }
 }
 
 static void
 model_clear(struct model *model)
 {
-    for (unsigned i = 0; i < HOMES; i++) {
-        ch_once_slot_free(model->home[i]);
-        if (model->called[i]) {
+    for (unsigned i = 0; i < OWNERS; i++) {
+        ch_once_slot_free(model->owner[i]);
+        if (model->in_call[i]) {
             g_free(model->call[i].bytes);
         }
     }
-    for (unsigned i = 1; i <= MOST_BATCHES; i++) {
+    for (unsigned i = 1; i <= MAX_BATCHES; i++) {
         g_free(model->batches[i].bytes);
     }
-    g_free(model->late);
+    g_free(model->late_put);
 }
 
 /* ---- every order of events ---- */
 
-/* One move of the world; false when nothing can move. */
+/* Makes one move that is possible now; false when there is none. */
 static bool
-explore_move(struct model *model, struct explore *explore, bool *asked)
+explore_move(struct model *model, struct explore *explore, bool *requested)
 {
     unsigned moves[8];
     unsigned count = 0;
-    for (unsigned home = 0; home < HOMES; home++) {
-        if (model->called[home]) {
-            moves[count++] = home;
+    for (unsigned owner = 0; owner < OWNERS; owner++) {
+        if (model->in_call[owner]) {
+            moves[count++] = owner;
         }
-        if (!asked[home]) {
-            moves[count++] = 2 + home;
+        if (!requested[owner]) {
+            moves[count++] = 2 + owner;
         }
     }
-    if (model->late != NULL) {
+    if (model->late_put != NULL) {
         moves[count++] = 4;
     }
     if (count == 0) {
@@ -225,52 +231,54 @@
     unsigned move = moves[explore_choose(explore, count)];
     if (move < 2) {
         bool put = model->call[move].kind == CH_ONCE_PUT;
-        unsigned fate = explore_choose(explore, put ? 4 : 2);
-        model_call(model, move,
-                   put || fate == 0 ? (enum fate)fate : FATE_NOT_DONE);
+        unsigned outcome = explore_choose(explore, put ? 4 : 2);
+        model_finish_call(model, move,
+                          put || outcome == 0 ? (enum outcome)outcome
+                                              : OUTCOME_NOT_DONE);
     }
     else if (move < 4) {
-        unsigned home = move - 2;
-        asked[home] = true;
-        model_add(model, home, event_new(CH_ONCE_EVENT_CREATE, "k", home + 1),
-                  home + 1);
+        unsigned owner = move - 2;
+        requested[owner] = true;
+        model_add(model, owner,
+                  event_new(CH_ONCE_EVENT_CREATE, "k", owner + 1), owner + 1);
     }
     else {
-        (void)model_put(model, model->late_at, model->late);
-        g_clear_pointer(&model->late, g_free);
+        (void)model_put(model, model->late_sequence, model->late_put);
+        g_clear_pointer(&model->late_put, g_free);
     }
     return true;
 }
 
 /*
- * Two entry nodes send the same key, each to another node that believes to be
- * the slot's home.  Answers of the service are lost, or a write arrives after
- * its sender gave up.  If both were told CREATED the order would be cut twice.
+ * Guards against a request that runs twice: two entry nodes send the same key,
+ * each to a different node that acts as the slot's owner, while replies of the
+ * key-value store are lost or a write takes effect after its sender gave up.
+ * At most one of the two may get the state CREATED.
  */
 static void
 test_every_order(void)
 {
     struct explore explore = {.bound = 16};
-    guint64 created = 0;
+    guint64 total_created = 0;
     do {
         struct model model;
-        bool asked[HOMES] = {false, false};
+        bool requested[OWNERS] = {false, false};
         model_init(&model);
         for (int i = 0; i < 60; i++) {
-            if (!explore_move(&model, &explore, asked)) {
+            if (!explore_move(&model, &explore, requested)) {
                 break;
             }
         }
-        unsigned both = 0;
-        for (unsigned i = 1; i <= HOMES; i++) {
-            both += model.answers[i] == 1 + CH_ONCE_CREATED;
-            g_assert_cmpint(model.answers[i], !=, 0);
+        unsigned created_count = 0;
+        for (unsigned i = 1; i <= OWNERS; i++) {
+            created_count += model.replies[i] == 1 + CH_ONCE_CREATED;
+            g_assert_cmpint(model.replies[i], !=, 0);
         }
-        g_assert_cmpuint(both, <=, 1);
-        created += both;
+        g_assert_cmpuint(created_count, <=, 1);
+        total_created += created_count;
         model_clear(&model);
     } while (explore_next(&explore));
-    g_assert_cmpuint(created, >, 0);
+    g_assert_cmpuint(total_created, >, 0);
     g_print("figure: once interleavings %" G_GUINT64_FORMAT "\n",
             explore.runs);
 }
@@ -278,32 +286,33 @@
 /* ---- counter-examples of tests/spec/once.pml as cases ---- */
 
 /*
- * MUTATION_NO_CHECK: home 1 lists an empty slot and is paused.  Home 0 writes
- * two batches, the second gives the key to attempt 2, and the first expires.
- * Home 1 goes on and creates the first sequence anew, for attempt 1.  It must
- * not be told CREATED, since attempt 2 was dispatched.
+ * MUTATION_NO_CHECK: guards against a paused owner that reuses a sequence.
+ * Owner 1 lists an empty slot and is paused.  Owner 0 writes two batches, of
+ * which the second gives the key to attempt 2, and the first expires.  Owner 1
+ * resumes and creates the first sequence again, for attempt 1.  It must not
+ * get the state CREATED, because attempt 2 was dispatched.
  */
 static void
-test_paused_home(void)
+test_paused_owner(void)
 {
     struct model model;
     model_init(&model);
     model_add(&model, 1, event_new(CH_ONCE_EVENT_CREATE, "k", 1), 1);
-    model_call(&model, 1, FATE_ANSWERED);
-    g_assert_true(model.called[1]);
+    model_finish_call(&model, 1, OUTCOME_REPLIED);
+    g_assert_true(model.in_call[1]);
     model_add(&model, 0, event_new(CH_ONCE_EVENT_CREATE, "other", 9), 3);
-    model_settle(&model, 0);
+    model_finish_calls(&model, 0);
     model_add(&model, 0, event_new(CH_ONCE_EVENT_CREATE, "k", 2), 2);
-    model_settle(&model, 0);
-    g_assert_cmpint(model.answers[2], ==, 1 + CH_ONCE_CREATED);
+    model_finish_calls(&model, 0);
+    g_assert_cmpint(model.replies[2], ==, 1 + CH_ONCE_CREATED);
     g_clear_pointer(&model.batches[1].bytes, g_free);
-    model_settle(&model, 1);
-    g_assert_cmpint(model.answers[1], ==, 1 + CH_ONCE_RUNNING);
+    model_finish_calls(&model, 1);
+    g_assert_cmpint(model.replies[1], ==, 1 + CH_ONCE_RUNNING);
     model_clear(&model);
 }
 
-/* MUTATION_NO_LINKS: the same first sequence, created anew, must not count
- * for an entry node that reads the log after its home was lost. */
+/* MUTATION_NO_LINKS: a first sequence that was created again must not count
+ * for an entry node that reads the log itself after the owner was lost. */
 static void
 test_unlinked_batch(void)
 {
@@ -334,14 +343,14 @@
     g_free(bytes[1]);
 }
 
-/* A key's course: created, asked again, completed, asked again; another body;
- * released, and then free for another attempt.  Also at the other home, whose
- * view is older. */
+/* The states of a key: created, asked for again, released and then free for
+ * another attempt, completed, used with another body.  Steps alternate between
+ * two owners, whose copies of the log may be older. */
 static void
-test_course(void)
+test_key_states(void)
 {
     const struct {
-        unsigned home;
+        unsigned owner;
         enum ch_once_event_kind kind;
         uint64_t attempt;
         uint64_t fingerprint;
@@ -370,10 +379,10 @@
             event->body = g_memdup2("cut", 3);
             event->length = 3;
         }
-        model.answers[1] = 0;
-        model_add(&model, steps[i].home, event, 1);
-        model_settle(&model, steps[i].home);
-        g_assert_cmpint(model.answers[1], ==, 1 + (int)steps[i].expect);
+        model.replies[1] = 0;
+        model_add(&model, steps[i].owner, event, 1);
+        model_finish_calls(&model, steps[i].owner);
+        g_assert_cmpint(model.replies[1], ==, 1 + (int)steps[i].expect);
         if (steps[i].kind == CH_ONCE_EVENT_CREATE &&
             steps[i].expect == CH_ONCE_DONE) {
             g_assert_cmpuint(model.completed[1], !=, 0);
@@ -383,9 +392,9 @@
 }
 
 /*
- * The service goes away.  The first caller waits for the call that finds out;
- * those after it are refused in the same moment, without a call, until the
- * pause is over.
+ * Guards against callers that wait through an outage of the key-value store.
+ * The first caller waits for the call that fails; later ones are refused at
+ * once, without a call, until the backoff is over.
  */
 static void
 test_outage(void)
@@ -393,47 +402,47 @@
     struct model model;
     model_init(&model);
     model_add(&model, 0, event_new(CH_ONCE_EVENT_CREATE, "k", 1), 1);
-    model_call(&model, 0, FATE_NOT_DONE);
-    g_assert_cmpint(model.answers[1], ==, 1 + CH_ONCE_REFUSED);
+    model_finish_call(&model, 0, OUTCOME_NOT_DONE);
+    g_assert_cmpint(model.replies[1], ==, 1 + CH_ONCE_REFUSED);
     model_add(&model, 0, event_new(CH_ONCE_EVENT_CREATE, "k", 2), 2);
-    g_assert_cmpint(model.answers[2], ==, 1 + CH_ONCE_REFUSED);
-    g_assert_false(model.called[0]);
+    g_assert_cmpint(model.replies[2], ==, 1 + CH_ONCE_REFUSED);
+    g_assert_false(model.in_call[0]);
     model.now += (int64_t)10 * G_USEC_PER_SEC;
     model_add(&model, 0, event_new(CH_ONCE_EVENT_CREATE, "k", 3), 3);
-    model_settle(&model, 0);
-    g_assert_cmpint(model.answers[3], ==, 1 + CH_ONCE_CREATED);
+    model_finish_calls(&model, 0);
+    g_assert_cmpint(model.replies[3], ==, 1 + CH_ONCE_CREATED);
     model_clear(&model);
 }
 
-/* Batches go in order once they are too old, all but the last. */
+/* Batches older than the retention are removed in order, all but the last. */
 static void
 test_expiry(void)
 {
     struct model model;
     model_init(&model);
     model_add(&model, 0, event_new(CH_ONCE_EVENT_CREATE, "a", 1), 1);
-    model_settle(&model, 0);
+    model_finish_calls(&model, 0);
     model_add(&model, 0, event_new(CH_ONCE_EVENT_CREATE, "b", 2), 2);
-    model_settle(&model, 0);
-    model.now += KEEP + 1;
+    model_finish_calls(&model, 0);
+    model.now += RETENTION_US + 1;
     for (int i = 0; i < 2; i++) {
         struct ch_once_actions actions;
         ch_once_actions_init(&actions);
-        ch_once_slot_tick(model.home[0], true, model.now, &actions);
+        ch_once_slot_tick(model.owner[0], true, model.now, &actions);
         g_assert_cmpuint(actions.list->len, ==, i == 0 ? 1 : 0);
         if (i == 0) {
             const struct ch_once_action *action =
                 &g_array_index(actions.list, struct ch_once_action, 0);
             g_assert_cmpint(action->kind, ==, CH_ONCE_REMOVE);
             g_assert_cmpuint(action->sequence, ==, 1);
-            ch_once_slot_removed(model.home[0], CH_OK, model.now, &actions);
+            ch_once_slot_removed(model.owner[0], CH_OK, model.now, &actions);
         }
         ch_once_actions_clear(&actions);
     }
     model_clear(&model);
 }
 
-/* What is written is read back the same; what is damaged is refused. */
+/* A batch is decoded as it was encoded; a truncated batch is an error. */
 static void
 test_batch(void)
 {
@@ -449,23 +458,23 @@
     event->caller = g_strdup("Band \xe9\"\n%");
     g_ptr_array_add(batch->events, event);
     char *bytes = ch_once_batch_encode(batch);
-    struct ch_once_batch *back =
+    struct ch_once_batch *decoded =
         ch_once_batch_decode(bytes, strlen(bytes), NULL);
-    g_assert_nonnull(back);
-    const struct ch_once_event *read =
-        ch_once_batch_completion(back, event->caller, "k", UINT64_MAX);
-    g_assert_nonnull(read);
-    g_assert_cmpmem(read->body, read->length, "a\0b", 3);
-    g_assert_cmpint(read->status, ==, 201);
-    g_assert_cmpstr(read->content_type, ==, event->content_type);
-    for (size_t cut = 0; cut < strlen(bytes); cut++) {
+    g_assert_nonnull(decoded);
+    const struct ch_once_event *completion =
+        ch_once_batch_completion(decoded, event->caller, "k", UINT64_MAX);
+    g_assert_nonnull(completion);
+    g_assert_cmpmem(completion->body, completion->length, "a\0b", 3);
+    g_assert_cmpint(completion->status, ==, 201);
+    g_assert_cmpstr(completion->content_type, ==, event->content_type);
+    for (size_t length = 0; length < strlen(bytes); length++) {
         struct ch_error error = {0};
-        g_assert_null(ch_once_batch_decode(bytes, cut, &error));
+        g_assert_null(ch_once_batch_decode(bytes, length, &error));
         g_assert_cmpint(error.code, ==, CH_BAD_JSON);
     }
     g_free(bytes);
     ch_once_batch_free(batch);
-    ch_once_batch_free(back);
+    ch_once_batch_free(decoded);
 }
 
 int
@@ -473,9 +482,9 @@
 {
     g_test_init(&argc, &argv, NULL);
     g_test_add_func("/once/every-order", test_every_order);
-    g_test_add_func("/once/paused-home", test_paused_home);
+    g_test_add_func("/once/paused-home", test_paused_owner);
     g_test_add_func("/once/unlinked-batch", test_unlinked_batch);
-    g_test_add_func("/once/course", test_course);
+    g_test_add_func("/once/course", test_key_states);
     g_test_add_func("/once/outage", test_outage);
     g_test_add_func("/once/expiry", test_expiry);
     g_test_add_func("/once/batch", test_batch);
