--- a/libchestnuthitch/decide/ledger.c
+++ b/libchestnuthitch/decide/ledger.c
@@ -1,5 +1,4 @@
-/* The reservation ledger of one upstream: what may change, on what evidence.
- */
+/* The reservation ledger of one upstream: its changes and their conditions. */
 
 #include "decide/ledger.h"
 
@@ -7,16 +6,16 @@
 
 enum {
     /*
-     * An engine lists the latest 64 orders that it carried out.  Fewer than
-     * that may be open at once, so that none falls off the list between two
-     * reports and stays reserved for good.
+     * An engine reports the latest 64 orders that it executed.  Open loads and
+     * unloads together stay below 64, because an order that drops off that
+     * list between two reports would keep its memory reserved for ever.
      */
-    MOST_LOADS_OPEN = 32,
-    MOST_UNLOADS_OPEN = 24,
+    MAX_OPEN_LOADS = 32,
+    MAX_OPEN_UNLOADS = 24,
 };
 
-/* An empty ledger, of no boot: nothing can be reserved before a report told
- * what the engine already holds. */
+/* An empty ledger without a boot ID: nothing can be reserved before a report
+ * tells what is already resident in the engine.  Free with ch_ledger_free. */
 struct ch_ledger *
 ch_ledger_new(const char *upstream, uint32_t capacity_mb)
 {
@@ -26,15 +25,14 @@
     return ledger;
 }
 
-/* Frees what a send holds. */
 static void
-send_clear(struct ch_ledger_send *sending)
+clear_send(struct ch_ledger_send *sending)
 {
     g_free(sending->item);
     g_free(sending->sender);
 }
 
-/* Frees a ledger; NULL is fine. */
+/* Frees a ledger, which may be NULL. */
 void
 ch_ledger_free(struct ch_ledger *ledger)
 {
@@ -45,7 +43,7 @@
         g_free(ledger->entries[i].item);
     }
     for (size_t i = 0; i < ledger->send_count; i++) {
-        send_clear(&ledger->sends[i]);
+        clear_send(&ledger->sends[i]);
     }
     g_free(ledger->entries);
     g_free(ledger->sends);
@@ -55,7 +53,7 @@
     g_free(ledger);
 }
 
-/* A deep copy. */
+/* A deep copy, to be freed with ch_ledger_free. */
 struct ch_ledger *
 ch_ledger_copy(const struct ch_ledger *ledger)
 {
@@ -78,20 +76,20 @@
     return copy;
 }
 
-/* A copy of the next version with the mark of its writer. */
+/* A deep copy with the next version number and the given write ID. */
 struct ch_ledger *
-ch_ledger_next(const struct ch_ledger *ledger, const char *writer)
+ch_ledger_next(const struct ch_ledger *ledger, const char *write_id)
 {
     struct ch_ledger *next = ch_ledger_copy(ledger);
     next->version++;
     g_free(next->writer);
-    next->writer = g_strdup(writer);
+    next->writer = g_strdup(write_id);
     return next;
 }
 
-/* The entry of an item, or NULL. */
+/* Returns NULL when the item has no entry. */
 static struct ch_ledger_entry *
-entry_of(const struct ch_ledger *ledger, const char *item)
+find_entry(const struct ch_ledger *ledger, const char *item)
 {
     for (size_t i = 0; i < ledger->count; i++) {
         if (strcmp(ledger->entries[i].item, item) == 0) {
@@ -101,20 +99,21 @@
     return NULL;
 }
 
-/* The entry of an item, valid until the ledger changes; NULL: none. */
+/* The entry of an item, valid until the ledger changes, or NULL. */
 const struct ch_ledger_entry *
 ch_ledger_find(const struct ch_ledger *ledger, const char *item)
 {
-    return entry_of(ledger, item);
+    return find_entry(ledger, item);
 }
 
-/* The send of an order by a sender, or NULL. */
+/* Returns NULL when the sender has no send of that order. */
 static struct ch_ledger_send *
-send_of(const struct ch_ledger *ledger, const char *order, const char *sender)
+find_send(const struct ch_ledger *ledger, const char *order_id,
+          const char *sender)
 {
     for (size_t i = 0; i < ledger->send_count; i++) {
         struct ch_ledger_send *sending = &ledger->sends[i];
-        if (strcmp(sending->order, order) == 0 &&
+        if (strcmp(sending->order, order_id) == 0 &&
             strcmp(sending->sender, sender) == 0) {
             return sending;
         }
@@ -122,20 +121,21 @@
     return NULL;
 }
 
-/* Megabytes of all entries; the largest number when they are beyond it. */
+/* Memory of all entries in MB, at most UINT32_MAX. */
 uint32_t
 ch_ledger_committed(const struct ch_ledger *ledger)
 {
-    uint64_t sum = 0;
+    uint64_t sum_mb = 0;
     for (size_t i = 0; i < ledger->count; i++) {
-        sum += ledger->entries[i].memory_mb;
+        sum_mb += ledger->entries[i].memory_mb;
     }
-    return (uint32_t)MIN(sum, UINT32_MAX);
+    return (uint32_t)MIN(sum_mb, UINT32_MAX);
 }
 
-/* True for the first of an item's sends that may reach a new boot. */
+/* True for the first of an item's sends that a restarted engine may execute;
+ * the item's memory is counted once, for that send. */
 static bool
-first_unsettled(const struct ch_ledger *ledger, size_t index)
+is_first_unsettled(const struct ch_ledger *ledger, size_t index)
 {
     if (ledger->sends[index].delivery == CH_LEDGER_SETTLED) {
         return false;
@@ -149,75 +149,78 @@
     return true;
 }
 
-/* Megabytes that copies on the way could take, leaving one item out (NULL:
- * none). */
+/* Memory in MB that copies in flight could use, without the given item (NULL:
+ * of all items). */
 static uint64_t
-exposed_without(const struct ch_ledger *ledger, const char *item)
+sum_in_flight_mb_without(const struct ch_ledger *ledger, const char *item)
 {
-    uint64_t sum = 0;
+    uint64_t sum_mb = 0;
     for (size_t i = 0; i < ledger->send_count; i++) {
         const struct ch_ledger_send *sending = &ledger->sends[i];
-        if (first_unsettled(ledger, i) &&
+        if (is_first_unsettled(ledger, i) &&
             (item == NULL || strcmp(sending->item, item) != 0)) {
-            sum += sending->memory_mb;
+            sum_mb += sending->memory_mb;
         }
     }
-    return sum;
+    return sum_mb;
 }
 
-/* Megabytes of the models whose orders may reach a new boot. */
+/* Memory in MB of the items whose load orders a restarted engine may execute,
+ * at most UINT32_MAX. */
 uint32_t
 ch_ledger_exposed(const struct ch_ledger *ledger)
 {
-    return (uint32_t)MIN(exposed_without(ledger, NULL), UINT32_MAX);
+    return (uint32_t)MIN(sum_in_flight_mb_without(ledger, NULL), UINT32_MAX);
 }
 
 /*
- * Whether a copy of an order for item may be put on its way.  In a new boot
- * every copy that has not settled may be carried out, and nothing that runs
- * there by then could be taken back in time: so together they must fit.
+ * Checks that another copy of a load order may be sent.  A restarted engine
+ * may execute every copy that has not settled, and there would be no time to
+ * unload anything first, so all of them together must fit into its memory.
  */
 static bool
-may_send(const struct ch_ledger *ledger, const char *item, uint32_t memory_mb,
-         struct ch_error *error)
+check_memory_for_send(const struct ch_ledger *ledger, const char *item,
+                      uint32_t memory_mb, struct ch_error *error)
 {
-    if (exposed_without(ledger, item) + memory_mb > ledger->capacity_mb) {
+    if (sum_in_flight_mb_without(ledger, item) + memory_mb >
+        ledger->capacity_mb) {
         ch_error_set(error, CH_QUEUE_FULL,
-                     "%s: no room for %s beside orders that may yet arrive",
+                     "%s: not enough memory for %s: other load orders may "
+                     "still arrive",
                      ledger->upstream, item);
         return false;
     }
     return true;
 }
 
-/* How many orders to load are not known to be carried out. */
+/* Counts the load orders that the engine has not reported as executed. */
 static size_t
-loads_open(const struct ch_ledger *ledger)
+count_open_loads(const struct ch_ledger *ledger)
 {
-    size_t open = 0;
+    size_t open_count = 0;
     for (size_t i = 0; i < ledger->send_count; i++) {
-        open += !ledger->sends[i].done;
+        open_count += !ledger->sends[i].done;
     }
-    return open;
+    return open_count;
 }
 
-/* How many unloads are not known to be carried out. */
+/* Counts the unload orders that the engine has not reported as executed. */
 static size_t
-unloads_open(const struct ch_ledger *ledger)
+count_open_unloads(const struct ch_ledger *ledger)
 {
-    size_t open = 0;
+    size_t open_count = 0;
     for (size_t i = 0; i < ledger->count; i++) {
-        open += ledger->entries[i].state == CH_LEDGER_UNLOADING;
+        open_count += ledger->entries[i].state == CH_LEDGER_UNLOADING;
     }
-    return open;
+    return open_count;
 }
 
-/* Notes that sender is about to send a copy of an order to load. */
+/* Records that sender is about to send a copy of a load order. */
 static void
-open_send(struct ch_ledger *ledger, const char *order, const char *item,
-          uint32_t memory_mb, const char *sender)
+record_send(struct ch_ledger *ledger, const char *order_id, const char *item,
+            uint32_t memory_mb, const char *sender)
 {
-    struct ch_ledger_send *sending = send_of(ledger, order, sender);
+    struct ch_ledger_send *sending = find_send(ledger, order_id, sender);
     if (sending == NULL) {
         ledger->sends = g_renew(struct ch_ledger_send, ledger->sends,
                                 ledger->send_count + 1);
@@ -227,16 +230,16 @@
             .memory_mb = memory_mb,
             .sender = g_strdup(sender),
         };
-        g_strlcpy(sending->order, order, sizeof(sending->order));
+        g_strlcpy(sending->order, order_id, sizeof(sending->order));
     }
     sending->copies++;
     sending->delivery = CH_LEDGER_OPEN;
 }
 
-/* Adds an entry; the item must have none. */
+/* The item must not have an entry yet. */
 static struct ch_ledger_entry *
 add_entry(struct ch_ledger *ledger, const char *item, uint32_t memory_mb,
-          enum ch_ledger_state state, const char *order)
+          enum ch_ledger_state state, const char *order_id)
 {
     ledger->entries =
         g_renew(struct ch_ledger_entry, ledger->entries, ledger->count + 1);
@@ -247,78 +250,83 @@
         .state = state,
         .fence = ledger->version,
     };
-    g_strlcpy(entry->order, order, sizeof(entry->order));
+    g_strlcpy(entry->order, order_id, sizeof(entry->order));
     return entry;
 }
 
-/* Reserves room for an item and notes that sender will order it.  Refused:
- * before the first report, when it is there already, and without room. */
+/* Reserves memory for an item and records that sender will send its load
+ * order.  Fails before the first report (CH_NOT_READY), when the item already
+ * has an entry (CH_DUPLICATE), and when memory is short or too many load
+ * orders are open (CH_QUEUE_FULL). */
 bool
 ch_ledger_reserve(struct ch_ledger *ledger, const char *item,
-                  uint32_t memory_mb, const char *order, const char *sender,
+                  uint32_t memory_mb, const char *order_id, const char *sender,
                   struct ch_error *error)
 {
     if (ledger->boot == NULL) {
-        ch_error_set(error, CH_NOT_READY, "%s: no report was seen yet",
+        ch_error_set(error, CH_NOT_READY,
+                     "%s: no report received from the engine yet",
                      ledger->upstream);
         return false;
     }
-    if (entry_of(ledger, item) != NULL) {
-        ch_error_set(error, CH_DUPLICATE, "%s: %s is in the ledger",
+    if (find_entry(ledger, item) != NULL) {
+        ch_error_set(error, CH_DUPLICATE, "%s: %s already has a ledger entry",
                      ledger->upstream, item);
         return false;
     }
     if ((uint64_t)ch_ledger_committed(ledger) + memory_mb >
         ledger->capacity_mb) {
-        ch_error_set(error, CH_QUEUE_FULL, "%s: no room for %s",
+        ch_error_set(error, CH_QUEUE_FULL, "%s: not enough free memory for %s",
                      ledger->upstream, item);
         return false;
     }
-    if (loads_open(ledger) >= MOST_LOADS_OPEN) {
+    if (count_open_loads(ledger) >= MAX_OPEN_LOADS) {
         ch_error_set(error, CH_QUEUE_FULL, "%s: too many loads are open",
                      ledger->upstream);
         return false;
     }
-    if (!may_send(ledger, item, memory_mb, error)) {
+    if (!check_memory_for_send(ledger, item, memory_mb, error)) {
         return false;
     }
-    add_entry(ledger, item, memory_mb, CH_LEDGER_RESERVED, order);
-    open_send(ledger, order, item, memory_mb, sender);
+    add_entry(ledger, item, memory_mb, CH_LEDGER_RESERVED, order_id);
+    record_send(ledger, order_id, item, memory_mb, sender);
     return true;
 }
 
-/* Marks a resident item for its unload; the room stays counted until the
- * unload was seen carried out. */
+/* Marks a resident item as unloading.  Its memory stays counted until a report
+ * shows that the unload was executed.  Fails when the item is not resident
+ * (CH_UNKNOWN_MODEL) or too many unloads are open (CH_QUEUE_FULL). */
 bool
 ch_ledger_release(struct ch_ledger *ledger, const char *item,
-                  const char *order, struct ch_error *error)
+                  const char *order_id, struct ch_error *error)
 {
-    struct ch_ledger_entry *entry = entry_of(ledger, item);
+    struct ch_ledger_entry *entry = find_entry(ledger, item);
     if (entry == NULL || entry->state != CH_LEDGER_RESIDENT) {
         ch_error_set(error, CH_UNKNOWN_MODEL, "%s: %s is not resident",
                      ledger->upstream, item);
         return false;
     }
-    if (unloads_open(ledger) >= MOST_UNLOADS_OPEN) {
+    if (count_open_unloads(ledger) >= MAX_OPEN_UNLOADS) {
         ch_error_set(error, CH_QUEUE_FULL, "%s: too many unloads are open",
                      ledger->upstream);
         return false;
     }
     entry->state = CH_LEDGER_UNLOADING;
     entry->fence = ledger->version;
-    g_strlcpy(entry->order, order, sizeof(entry->order));
+    g_strlcpy(entry->order, order_id, sizeof(entry->order));
     return true;
 }
 
 /*
- * The order that is to be sent (again) for an entry.  Of a load it may be an
- * older one: until the boot in force has carried out every order whose copies
- * may reach it, a late one could bring the item back after its unload.
+ * The order to send, or send again, for an entry.  For a load it may be an
+ * older order of the same item: until the current boot has executed every
+ * order whose copies may reach it, a delayed copy could load the item again
+ * after it was unloaded.
  */
 const char *
 ch_ledger_unclosed(const struct ch_ledger *ledger, const char *item)
 {
-    const struct ch_ledger_entry *entry = entry_of(ledger, item);
+    const struct ch_ledger_entry *entry = find_entry(ledger, item);
     if (entry == NULL || entry->state == CH_LEDGER_RESIDENT) {
         return NULL;
     }
@@ -334,33 +342,33 @@
     return NULL;
 }
 
-/* Notes that sender will send the entry's unclosed order again, now under this
- * version's fence. */
+/* Records that sender will send the entry's open order again, with this
+ * version as its fencing token.  Fails when the item has no open order
+ * (CH_UNKNOWN_MODEL) or the memory is short (CH_QUEUE_FULL). */
 bool
 ch_ledger_resend(struct ch_ledger *ledger, const char *item,
                  const char *sender, struct ch_error *error)
 {
-    const char *unclosed = ch_ledger_unclosed(ledger, item);
-    struct ch_ledger_entry *entry = entry_of(ledger, item);
-    if (unclosed == NULL || entry == NULL) {
+    const char *open_order_id = ch_ledger_unclosed(ledger, item);
+    struct ch_ledger_entry *entry = find_entry(ledger, item);
+    if (open_order_id == NULL || entry == NULL) {
         ch_error_set(error, CH_UNKNOWN_MODEL, "%s: %s has no open order",
                      ledger->upstream, item);
         return false;
     }
     if (entry->state == CH_LEDGER_RESERVED) {
-        if (!may_send(ledger, item, entry->memory_mb, error)) {
+        if (!check_memory_for_send(ledger, item, entry->memory_mb, error)) {
             return false;
         }
-        g_strlcpy(entry->order, unclosed, sizeof(entry->order));
-        open_send(ledger, entry->order, item, entry->memory_mb, sender);
+        g_strlcpy(entry->order, open_order_id, sizeof(entry->order));
+        record_send(ledger, entry->order, item, entry->memory_mb, sender);
     }
     entry->fence = ledger->version;
     return true;
 }
 
-/* Takes the entry at index out. */
 static void
-drop_entry(struct ch_ledger *ledger, size_t index)
+remove_entry(struct ch_ledger *ledger, size_t index)
 {
     g_free(ledger->entries[index].item);
     ledger->count--;
@@ -368,69 +376,71 @@
             (ledger->count - index) * sizeof(ledger->entries[0]));
 }
 
-/* Takes the send at index out. */
 static void
-drop_send(struct ch_ledger *ledger, size_t index)
+remove_send(struct ch_ledger *ledger, size_t index)
 {
-    send_clear(&ledger->sends[index]);
+    clear_send(&ledger->sends[index]);
     ledger->send_count--;
     memmove(&ledger->sends[index], &ledger->sends[index + 1],
             (ledger->send_count - index) * sizeof(ledger->sends[0]));
 }
 
-/* True when this is the only copy of any order for its item ever sent, as far
- * as it could still matter. */
+/* True when no other copy of a load order for the same item can still be
+ * executed, and this send's only copy has not been. */
 static bool
-only_copy(const struct ch_ledger *ledger, const struct ch_ledger_send *only)
+is_only_copy(const struct ch_ledger *ledger,
+             const struct ch_ledger_send *candidate)
 {
     for (size_t i = 0; i < ledger->send_count; i++) {
         const struct ch_ledger_send *sending = &ledger->sends[i];
-        if (sending != only && strcmp(sending->item, only->item) == 0) {
+        if (sending != candidate &&
+            strcmp(sending->item, candidate->item) == 0) {
             return false;
         }
     }
-    return only->copies == 1 && !only->done;
+    return candidate->copies == 1 && !candidate->done;
 }
 
 /*
- * A sender tells that its copy has ended.  When the engine refused it and no
- * other copy was ever sent, the order is certain not to be carried out, and
- * the room is free at once.  Otherwise the copy may be with the boot that runs
- * now, so it stays until a later report tells which boot that is.
+ * Records that the sender's copy has ended.  When the copy was refused and no
+ * other was ever sent, the order can't be executed any more, and its memory is
+ * freed at once.  Otherwise the running engine process may still execute the
+ * copy, so the send stays until a later report tells which boot that is.
  */
 bool
-ch_ledger_end(struct ch_ledger *ledger, const char *order, const char *sender,
-              bool refused)
+ch_ledger_end(struct ch_ledger *ledger, const char *order_id,
+              const char *sender, bool refused)
 {
-    struct ch_ledger_send *sending = send_of(ledger, order, sender);
+    struct ch_ledger_send *sending = find_send(ledger, order_id, sender);
     if (sending == NULL || sending->delivery != CH_LEDGER_OPEN) {
         return false;
     }
-    if (!refused || !only_copy(ledger, sending)) {
+    if (!refused || !is_only_copy(ledger, sending)) {
         sending->delivery = CH_LEDGER_ENDED;
         return true;
     }
-    struct ch_ledger_entry *entry = entry_of(ledger, sending->item);
+    struct ch_ledger_entry *entry = find_entry(ledger, sending->item);
     if (entry != NULL && entry->state == CH_LEDGER_RESERVED) {
-        drop_entry(ledger, (size_t)(entry - ledger->entries));
+        remove_entry(ledger, (size_t)(entry - ledger->entries));
     }
-    drop_send(ledger, (size_t)(sending - ledger->sends));
+    remove_send(ledger, (size_t)(sending - ledger->sends));
     return true;
 }
 
-/* A process that bears the same node's name knows that earlier ones of that
- * name have ended, and with them all that they had on the way. */
+/* A node's process knows that the earlier processes of its node have ended,
+ * and so have the connections of their copies in flight. */
 bool
 ch_ledger_end_earlier(struct ch_ledger *ledger, const char *sender)
 {
-    const char *mark = strrchr(sender, '#');
-    size_t length = mark == NULL ? strlen(sender) : (size_t)(mark - sender);
+    const char *separator = strrchr(sender, '#');
+    size_t node_length =
+        separator == NULL ? strlen(sender) : (size_t)(separator - sender);
     bool changed = false;
     for (size_t i = 0; i < ledger->send_count; i++) {
         struct ch_ledger_send *sending = &ledger->sends[i];
         if (sending->delivery == CH_LEDGER_OPEN &&
-            strncmp(sending->sender, sender, length) == 0 &&
-            sending->sender[length] == '#' &&
+            strncmp(sending->sender, sender, node_length) == 0 &&
+            sending->sender[node_length] == '#' &&
             strcmp(sending->sender, sender) != 0) {
             sending->delivery = CH_LEDGER_ENDED;
             changed = true;
@@ -439,9 +449,8 @@
     return changed;
 }
 
-/* True when the list holds the text. */
 static bool
-holds(const char *const *list, size_t count, const char *text)
+list_contains(const char *const *list, size_t count, const char *text)
 {
     for (size_t i = 0; i < count; i++) {
         if (strcmp(list[i], text) == 0) {
@@ -452,48 +461,49 @@
 }
 
 /*
- * A new boot holds nothing, but copies that had not settled may reach it:
- * their items are reserved anew, each to be carried out once more so that it
- * is closed in this boot too.
+ * Starts the ledger over for a restarted engine.  Its memory is empty, but it
+ * may still receive copies that had not settled.  Their items are reserved
+ * again, and each order has to be executed once more, so that it is closed in
+ * the new boot too.
  */
 static void
-take_boot(struct ch_ledger *ledger, const char *boot)
+start_boot(struct ch_ledger *ledger, const char *boot_id)
 {
     g_free(ledger->boot);
-    ledger->boot = g_strdup(boot);
+    ledger->boot = g_strdup(boot_id);
     while (ledger->count > 0) {
-        drop_entry(ledger, ledger->count - 1);
+        remove_entry(ledger, ledger->count - 1);
     }
     for (size_t i = ledger->send_count; i-- > 0;) {
         if (ledger->sends[i].delivery == CH_LEDGER_SETTLED) {
-            drop_send(ledger, i);
+            remove_send(ledger, i);
         }
     }
     for (size_t i = 0; i < ledger->send_count; i++) {
         struct ch_ledger_send *sending = &ledger->sends[i];
         sending->done = false;
-        if (entry_of(ledger, sending->item) == NULL) {
+        if (find_entry(ledger, sending->item) == NULL) {
             add_entry(ledger, sending->item, sending->memory_mb,
                       CH_LEDGER_RESERVED, sending->order);
         }
     }
 }
 
-/* Settles what ended and closes what was carried out.  True: changed. */
+/* Settles sends that have ended and marks those executed that the report
+ * lists.  Returns true when something changed. */
 static bool
-observe_sends(struct ch_ledger *ledger,
-              const struct ch_ledger_evidence *evidence)
+update_sends(struct ch_ledger *ledger, const struct ch_ledger_evidence *report)
 {
     bool changed = false;
     for (size_t i = 0; i < ledger->send_count; i++) {
         struct ch_ledger_send *sending = &ledger->sends[i];
-        if (sending->delivery == CH_LEDGER_ENDED && evidence->after_ends) {
+        if (sending->delivery == CH_LEDGER_ENDED && report->after_ends) {
             sending->delivery = CH_LEDGER_SETTLED;
             changed = true;
         }
         if (!sending->done &&
-            holds(evidence->orders_done, evidence->orders_done_count,
-                  sending->order)) {
+            list_contains(report->orders_done, report->orders_done_count,
+                          sending->order)) {
             sending->done = true;
             changed = true;
         }
@@ -501,13 +511,14 @@
     return changed;
 }
 
-/* The state of an entry by the evidence; false: it is to be dropped. */
+/* Updates an entry's state from the report.  Returns false when the entry is
+ * to be removed. */
 static bool
-observe_entry(const struct ch_ledger *ledger, struct ch_ledger_entry *entry,
-              const struct ch_ledger_evidence *evidence)
+update_entry(const struct ch_ledger *ledger, struct ch_ledger_entry *entry,
+             const struct ch_ledger_evidence *report)
 {
     bool resident =
-        holds(evidence->resident, evidence->resident_count, entry->item);
+        list_contains(report->resident, report->resident_count, entry->item);
     switch (entry->state) {
     case CH_LEDGER_RESERVED:
         if (ch_ledger_unclosed(ledger, entry->item) != NULL) {
@@ -518,8 +529,8 @@
     case CH_LEDGER_RESIDENT:
         return resident;
     case CH_LEDGER_UNLOADING:
-        if (!holds(evidence->orders_done, evidence->orders_done_count,
-                   entry->order)) {
+        if (!list_contains(report->orders_done, report->orders_done_count,
+                           entry->order)) {
             return true;
         }
         entry->state = CH_LEDGER_RESIDENT;
@@ -528,43 +539,44 @@
     return true;
 }
 
-/* Applies the evidence to every entry.  True: changed. */
+/* Returns true when something changed. */
 static bool
-observe_entries(struct ch_ledger *ledger,
-                const struct ch_ledger_evidence *evidence)
+update_entries(struct ch_ledger *ledger,
+               const struct ch_ledger_evidence *report)
 {
     bool changed = false;
     for (size_t i = ledger->count; i-- > 0;) {
         struct ch_ledger_entry *entry = &ledger->entries[i];
-        enum ch_ledger_state before = entry->state;
-        if (!observe_entry(ledger, entry, evidence)) {
-            drop_entry(ledger, i);
+        enum ch_ledger_state old_state = entry->state;
+        if (!update_entry(ledger, entry, report)) {
+            remove_entry(ledger, i);
             changed = true;
         }
-        else if (entry->state != before) {
+        else if (entry->state != old_state) {
             changed = true;
         }
     }
     return changed;
 }
 
-/* Counts what the engine holds and the ledger does not know, as when the
- * system first meets an engine, or holds in a larger size than was thought. */
+/* Adds resident items that the ledger doesn't know, as at the first report of
+ * an engine, and raises the memory of those that are larger than recorded.
+ * Returns true when something changed. */
 static bool
-observe_resident(struct ch_ledger *ledger,
-                 const struct ch_ledger_evidence *evidence)
+merge_resident_items(struct ch_ledger *ledger,
+                     const struct ch_ledger_evidence *report)
 {
     bool changed = false;
-    for (size_t i = 0; i < evidence->resident_count; i++) {
+    for (size_t i = 0; i < report->resident_count; i++) {
         struct ch_ledger_entry *entry =
-            entry_of(ledger, evidence->resident[i]);
+            find_entry(ledger, report->resident[i]);
         if (entry == NULL) {
-            add_entry(ledger, evidence->resident[i], evidence->resident_mb[i],
+            add_entry(ledger, report->resident[i], report->resident_mb[i],
                       CH_LEDGER_RESIDENT, "");
             changed = true;
         }
-        else if (entry->memory_mb < evidence->resident_mb[i]) {
-            entry->memory_mb = evidence->resident_mb[i];
+        else if (entry->memory_mb < report->resident_mb[i]) {
+            entry->memory_mb = report->resident_mb[i];
             changed = true;
         }
     }
@@ -572,26 +584,26 @@
 }
 
 /*
- * Changes the ledger by a report, and gives room back where the report is
- * evidence that nothing can take it any more: an unload carried out and the
- * item gone, a load carried out and the item gone again, or a new boot.
+ * Updates the ledger from a report.  Memory is freed where the report proves
+ * that no order can use it any more: an executed unload whose item is gone, an
+ * executed load whose item is gone again, or a new boot ID.
  */
 bool
 ch_ledger_observe(struct ch_ledger *ledger,
-                  const struct ch_ledger_evidence *evidence)
+                  const struct ch_ledger_evidence *report)
 {
     bool changed = false;
-    if (g_strcmp0(ledger->boot, evidence->boot) != 0) {
-        take_boot(ledger, evidence->boot);
+    if (g_strcmp0(ledger->boot, report->boot) != 0) {
+        start_boot(ledger, report->boot);
         changed = true;
     }
-    changed |= observe_sends(ledger, evidence);
-    changed |= observe_entries(ledger, evidence);
-    changed |= observe_resident(ledger, evidence);
+    changed |= update_sends(ledger, report);
+    changed |= update_entries(ledger, report);
+    changed |= merge_resident_items(ledger, report);
     for (size_t i = ledger->send_count; i-- > 0;) {
         if (ledger->sends[i].done &&
             ledger->sends[i].delivery == CH_LEDGER_SETTLED) {
-            drop_send(ledger, i);
+            remove_send(ledger, i);
         }
     }
     return changed;
--- a/libchestnuthitch/decide/ledger.h
+++ b/libchestnuthitch/decide/ledger.h
@@ -2,46 +2,53 @@
 #define CH_DECIDE_LEDGER_H
 
 /*
- * The reservation ledger of one upstream: memory is never overcommitted.
+ * The reservation ledger of one upstream, which prevents overcommitment of the
+ * engine's memory.
  *
- * An order to load is written here by compare-and-swap before it is sent.
- * What is resident and what is reserved together never pass the capacity, and
- * the version is the fencing number of the orders that it covers.  Room is
- * given back on evidence alone, never after a time: a lost order may still
- * arrive.  Names follow tests/spec/ledger.pml.
+ * A load order is recorded in the ledger by compare-and-swap before it is sent
+ * to the engine.  Resident and reserved items together never exceed the
+ * capacity.  The ledger's version is the fencing token of the orders that it
+ * covers.  Memory is freed only when a report of the engine proves that no
+ * order can use it any more, never by a timeout, because a lost order may
+ * still arrive.  tests/spec/ledger.pml is the formal model of this protocol.
  *
- * An engine that starts anew forgets which orders it carried out and which
- * fencing numbers it saw, so a late copy of an old order could take memory
- * that was given to another model since.  Therefore the ledger also keeps
- * which copies may still be on the way (struct ch_ledger_send), counts their
- * models as reserved when it meets a new boot, and never lets them add up to
- * more than the capacity.  This holds with engines of both kinds; fencing at
- * the engine only refuses earlier.
+ * An engine that restarts forgets which orders it executed and which fencing
+ * tokens it saw, so a delayed copy of an old order could use memory that has
+ * been reserved for another model since.  The ledger therefore also records
+ * which copies may still be in flight (struct ch_ledger_send), counts their
+ * items as reserved when the engine's boot ID changes, and never lets them add
+ * up to more than the capacity.  This is safe with engines that check fencing
+ * tokens and with those that don't: a check at the engine only refuses stale
+ * orders earlier.
  */
 
 #include "base/base.h"
 
 enum ch_ledger_state {
-    CH_LEDGER_RESERVED,  /* a load was or may be ordered */
-    CH_LEDGER_RESIDENT,  /* the engine reported it; its load is closed */
-    CH_LEDGER_UNLOADING, /* an unload was or may be ordered; still counted */
+    CH_LEDGER_RESERVED,  /* a load order was sent or may be sent */
+    CH_LEDGER_RESIDENT,  /* reported by the engine; no load order is open */
+    CH_LEDGER_UNLOADING, /* an unload order was sent or may be sent; the item
+                            still counts as committed memory */
 };
 
 struct ch_ledger_entry {
     char *item; /* "model" or "model/adapter" */
     uint32_t memory_mb;
     enum ch_ledger_state state;
-    char order[40]; /* id of the latest order */
-    uint64_t fence; /* version at which it was written */
+    char order[40]; /* ID of the latest order */
+    uint64_t fence; /* ledger version at which the order was recorded or last
+                       resent */
 };
 
 enum ch_ledger_delivery {
-    CH_LEDGER_OPEN,    /* the sender may send it yet, or has just sent it */
-    CH_LEDGER_ENDED,   /* answered, or its connection is closed */
-    CH_LEDGER_SETTLED, /* ended before a report of the boot in force */
+    CH_LEDGER_OPEN,    /* about to be sent, or sent and not answered */
+    CH_LEDGER_ENDED,   /* answered, or its connection is closed; the engine
+                          process that received it may still execute it */
+    CH_LEDGER_SETTLED, /* ended before a report of the current boot was
+                          requested: no later boot can execute it */
 };
 
-/* The copies of one order to load that one process has sent or may send. */
+/* All copies of one load order that one process has sent or may send. */
 struct ch_ledger_send {
     char order[40];
     char *item;
@@ -49,22 +56,24 @@
     char *sender; /* "node#incarnation" */
     uint32_t copies;
     enum ch_ledger_delivery delivery;
-    bool done; /* carried out by the boot in force: more copies do nothing */
+    bool done; /* executed by the current boot: further copies do nothing */
 };
 
 struct ch_ledger {
     char *upstream;
-    uint64_t version; /* one more at each write */
+    uint64_t version; /* incremented by each write */
     uint32_t capacity_mb;
-    char *boot;   /* the engine's boot that the entries are of; NULL: none */
-    char *writer; /* mark of the latest write, to know one's own again */
+    char *boot;   /* boot ID of the engine process that the entries describe;
+                     NULL before the first report */
+    char *writer; /* unique ID of the latest write, by which a writer whose
+                     answer was lost recognises its own write */
     struct ch_ledger_entry *entries;
     size_t count;
     struct ch_ledger_send *sends;
     size_t send_count;
 };
 
-/* What an engine's report tells, as far as it is evidence here. */
+/* The parts of an engine's report that the ledger uses. */
 struct ch_ledger_evidence {
     const char *boot;
     const char *const *resident;
@@ -72,7 +81,8 @@
     size_t resident_count;
     const char *const *orders_done;
     size_t orders_done_count;
-    /* The report was asked for after every ENDED here was known. */
+    /* The report was requested after the ledger knew of every send that is
+       CH_LEDGER_ENDED in it. */
     bool after_ends;
 };
 
@@ -83,37 +93,43 @@
                                   struct ch_error *error);
 char *ch_ledger_print(const struct ch_ledger *ledger);
 uint32_t ch_ledger_committed(const struct ch_ledger *ledger);
-/* Memory that copies on the way could take in a new boot. */
+/* Memory, in MB, that load orders in flight could use after a restart of the
+   engine. */
 uint32_t ch_ledger_exposed(const struct ch_ledger *ledger);
 const struct ch_ledger_entry *ch_ledger_find(const struct ch_ledger *ledger,
                                              const char *item);
 
-/* The copy to make changes in: its version is one higher. */
+/* A copy to make changes in.  Its version is one higher. */
 struct ch_ledger *ch_ledger_next(const struct ch_ledger *ledger,
-                                 const char *writer);
+                                 const char *write_id);
 
-/* Each changes such a copy, which is then written by compare-and-swap; false:
-   the change is not allowed, and nothing changed. */
+/* The functions below change a copy made by ch_ledger_copy_next, which is then
+   written by compare-and-swap.  Those with an error parameter return false,
+   and change nothing, when the change is not allowed. */
 bool ch_ledger_reserve(struct ch_ledger *ledger, const char *item,
-                       uint32_t memory_mb, const char *order,
+                       uint32_t memory_mb, const char *order_id,
                        const char *sender, struct ch_error *error);
 bool ch_ledger_release(struct ch_ledger *ledger, const char *item,
-                       const char *order, struct ch_error *error);
-/* Before the order of an entry is sent once more. */
+                       const char *order_id, struct ch_error *error);
+/* Records that sender is about to send an entry's open order again. */
 bool ch_ledger_resend(struct ch_ledger *ledger, const char *item,
                       const char *sender, struct ch_error *error);
-/* The id to send for an entry now: its order, or an older one that the boot
-   in force has not carried out; NULL when there is nothing to send. */
+/* The ID of the order to send for an item now: the entry's order, or an older
+   one that the current boot has not executed.  NULL when there is nothing to
+   send.  Valid until the ledger changes. */
 const char *ch_ledger_unclosed(const struct ch_ledger *ledger,
                                const char *item);
-/* The sender's one copy of a load on the way has ended.  refused: the engine
-   or the connection certainly did not take it.  True: something changed. */
-bool ch_ledger_end(struct ch_ledger *ledger, const char *order,
+/* Records that the sender's copy of a load order has ended.  refused: the copy
+   certainly did not reach the engine or was rejected by it.  Returns true when
+   the ledger changed. */
+bool ch_ledger_end(struct ch_ledger *ledger, const char *order_id,
                    const char *sender, bool refused);
-/* Earlier processes of the sender's node have ended.  True: changed. */
+/* Records that earlier processes of the sender's node have ended.  Returns
+   true when the ledger changed. */
 bool ch_ledger_end_earlier(struct ch_ledger *ledger, const char *sender);
-/* A report that was asked for after this ledger was known.  True: changed. */
+/* Applies a report that was requested after this version of the ledger was
+   known.  Returns true when the ledger changed. */
 bool ch_ledger_observe(struct ch_ledger *ledger,
-                       const struct ch_ledger_evidence *evidence);
+                       const struct ch_ledger_evidence *report);
 
 #endif
--- a/libchestnuthitch/decide/ledger_json.c
+++ b/libchestnuthitch/decide/ledger_json.c
@@ -1,4 +1,4 @@
-/* The ledger as the JSON that the key-value service keeps. */
+/* The ledger's JSON form, as stored in the key-value service. */
 
 #include "decide/ledger.h"
 #include "base/json.h"
@@ -6,15 +6,14 @@
 #include <string.h>
 
 enum {
-    MOST_ENTRIES = 4096,
-    MOST_MEMORY_MB = 100000000,
+    MAX_ENTRIES = 4096,
+    MAX_MEMORY_MB = 100000000,
 };
 
 static const char *const state_names[] = {"reserved", "resident", "unloading",
                                           NULL};
 static const char *const delivery_names[] = {"open", "ended", "settled", NULL};
 
-/* Appends "name": value. */
 static void
 add_int(JsonBuilder *builder, const char *name, uint64_t value)
 {
@@ -22,9 +21,9 @@
     json_builder_add_int_value(builder, (int64_t)value);
 }
 
-/* Appends "name": "value", or nothing for NULL. */
+/* Adds nothing when value is NULL. */
 static void
-add_text(JsonBuilder *builder, const char *name, const char *value)
+add_string(JsonBuilder *builder, const char *name, const char *value)
 {
     if (value != NULL) {
         json_builder_set_member_name(builder, name);
@@ -32,45 +31,43 @@
     }
 }
 
-/* Appends an entry's object. */
 static void
 add_entry(JsonBuilder *builder, const struct ch_ledger_entry *entry)
 {
     json_builder_begin_object(builder);
-    add_text(builder, "item", entry->item);
+    add_string(builder, "item", entry->item);
     add_int(builder, "memory_mb", entry->memory_mb);
-    add_text(builder, "state", state_names[entry->state]);
-    add_text(builder, "order", entry->order);
+    add_string(builder, "state", state_names[entry->state]);
+    add_string(builder, "order", entry->order);
     add_int(builder, "fence", entry->fence);
     json_builder_end_object(builder);
 }
 
-/* Appends a send's object. */
 static void
 add_send(JsonBuilder *builder, const struct ch_ledger_send *sending)
 {
     json_builder_begin_object(builder);
-    add_text(builder, "order", sending->order);
-    add_text(builder, "item", sending->item);
+    add_string(builder, "order", sending->order);
+    add_string(builder, "item", sending->item);
     add_int(builder, "memory_mb", sending->memory_mb);
-    add_text(builder, "sender", sending->sender);
+    add_string(builder, "sender", sending->sender);
     add_int(builder, "copies", sending->copies);
-    add_text(builder, "delivery", delivery_names[sending->delivery]);
+    add_string(builder, "delivery", delivery_names[sending->delivery]);
     add_int(builder, "done", sending->done);
     json_builder_end_object(builder);
 }
 
-/* The ledger's JSON, a new string: what ch_ledger_parse reads. */
+/* The ledger as JSON for ch_ledger_parse.  Free the string with g_free. */
 char *
 ch_ledger_print(const struct ch_ledger *ledger)
 {
     JsonBuilder *builder = json_builder_new();
     json_builder_begin_object(builder);
-    add_text(builder, "upstream", ledger->upstream);
+    add_string(builder, "upstream", ledger->upstream);
     add_int(builder, "version", ledger->version);
     add_int(builder, "capacity_mb", ledger->capacity_mb);
-    add_text(builder, "boot", ledger->boot);
-    add_text(builder, "writer", ledger->writer);
+    add_string(builder, "boot", ledger->boot);
+    add_string(builder, "writer", ledger->writer);
     json_builder_set_member_name(builder, "entries");
     json_builder_begin_array(builder);
     for (size_t i = 0; i < ledger->count; i++) {
@@ -87,9 +84,9 @@
     return ch_json_print(builder);
 }
 
-/* A member's text; NULL with an error when it is none. */
+/* Returns NULL with an error when the member is not a string. */
 static const char *
-read_text(JsonObject *object, const char *name, struct ch_error *error)
+read_string(JsonObject *object, const char *name, struct ch_error *error)
 {
     const char *text = ch_json_text(object, name);
     if (text == NULL) {
@@ -98,9 +95,10 @@
     return text;
 }
 
-/* A member's number from 0 to most; false with an error. */
+/* Reads an integer from 0 to maximum.  Returns false with an error when the
+ * member is missing, no integer or out of range. */
 static bool
-read_int(JsonObject *object, const char *name, int64_t most, uint64_t *out,
+read_int(JsonObject *object, const char *name, int64_t maximum, uint64_t *out,
          struct ch_error *error)
 {
     JsonNode *node = json_object_get_member(object, name);
@@ -109,7 +107,7 @@
         json_node_get_value_type(node) == G_TYPE_INT64) {
         value = json_node_get_int(node);
     }
-    if (value < 0 || value > most) {
+    if (value < 0 || value > maximum) {
         ch_error_set(error, CH_BAD_JSON, "ledger: '%s' is out of range", name);
         return false;
     }
@@ -117,83 +115,91 @@
     return true;
 }
 
-/* A member's index among names; -1 with an error. */
+/* The index of the member's text in a NULL-terminated list of names, or -1
+ * with an error. */
 static int
-read_word(JsonObject *object, const char *name, const char *const *names,
+read_name(JsonObject *object, const char *name, const char *const *names,
           struct ch_error *error)
 {
-    const char *text = read_text(object, name, error);
+    const char *text = read_string(object, name, error);
     for (int i = 0; text != NULL && names[i] != NULL; i++) {
         if (strcmp(names[i], text) == 0) {
             return i;
         }
     }
-    ch_error_set(error, CH_BAD_JSON, "ledger: '%s' is unknown", name);
+    ch_error_set(error, CH_BAD_JSON, "ledger: '%s' has an unknown value",
+                 name);
     return -1;
 }
 
-/* An order's id into its field; false with an error when it is too long. */
+/* Copies the order ID to a buffer of the given size.  Returns false with an
+ * error when it is missing or too long. */
 static bool
-read_order(JsonObject *object, char *out, size_t size, struct ch_error *error)
+read_order_id(JsonObject *object, char *out, size_t size,
+              struct ch_error *error)
 {
-    const char *order = read_text(object, "order", error);
-    if (order == NULL) {
+    const char *order_id = read_string(object, "order", error);
+    if (order_id == NULL) {
         return false;
     }
-    if (g_strlcpy(out, order, size) >= size) {
+    if (g_strlcpy(out, order_id, size) >= size) {
         ch_error_set(error, CH_BAD_JSON, "ledger: 'order' is too long");
         return false;
     }
     return true;
 }
 
-/* Fills in the next entry; false with an error. */
+/* Appends an entry; the array has space for it.  Returns false with an error
+ * when the object is not valid. */
 static bool
 read_entry(JsonObject *object, struct ch_ledger *ledger,
            struct ch_error *error)
 {
     struct ch_ledger_entry *entry = &ledger->entries[ledger->count];
-    const char *item = read_text(object, "item", error);
-    uint64_t memory = 0;
-    int state = read_word(object, "state", state_names, error);
+    const char *item = read_string(object, "item", error);
+    uint64_t memory_mb = 0;
+    int state = read_name(object, "state", state_names, error);
     if (item == NULL || state < 0 ||
-        !read_int(object, "memory_mb", MOST_MEMORY_MB, &memory, error) ||
+        !read_int(object, "memory_mb", MAX_MEMORY_MB, &memory_mb, error) ||
         !read_int(object, "fence", INT64_MAX, &entry->fence, error) ||
-        !read_order(object, entry->order, sizeof(entry->order), error)) {
+        !read_order_id(object, entry->order, sizeof(entry->order), error)) {
         return false;
     }
     if (ch_ledger_find(ledger, item) != NULL) {
-        ch_error_set(error, CH_BAD_JSON, "ledger: '%s' stands twice", item);
+        ch_error_set(error, CH_BAD_JSON, "ledger: item '%s' has two entries",
+                     item);
         return false;
     }
     entry->item = g_strdup(item);
-    entry->memory_mb = (uint32_t)memory;
+    entry->memory_mb = (uint32_t)memory_mb;
     entry->state = (enum ch_ledger_state)state;
     ledger->count++;
     return true;
 }
 
-/* Fills in the next send; false with an error. */
+/* Appends a send; the array has space for it.  Returns false with an error
+ * when the object is not valid. */
 static bool
 read_send(JsonObject *object, struct ch_ledger *ledger, struct ch_error *error)
 {
     struct ch_ledger_send *sending = &ledger->sends[ledger->send_count];
-    const char *item = read_text(object, "item", error);
-    const char *sender = read_text(object, "sender", error);
-    uint64_t memory = 0;
+    const char *item = read_string(object, "item", error);
+    const char *sender = read_string(object, "sender", error);
+    uint64_t memory_mb = 0;
     uint64_t copies = 0;
     uint64_t done = 0;
-    int delivery = read_word(object, "delivery", delivery_names, error);
+    int delivery = read_name(object, "delivery", delivery_names, error);
     if (item == NULL || sender == NULL || delivery < 0 ||
-        !read_int(object, "memory_mb", MOST_MEMORY_MB, &memory, error) ||
+        !read_int(object, "memory_mb", MAX_MEMORY_MB, &memory_mb, error) ||
         !read_int(object, "copies", UINT32_MAX, &copies, error) ||
         !read_int(object, "done", 1, &done, error) ||
-        !read_order(object, sending->order, sizeof(sending->order), error)) {
+        !read_order_id(object, sending->order, sizeof(sending->order),
+                       error)) {
         return false;
     }
     sending->item = g_strdup(item);
     sending->sender = g_strdup(sender);
-    sending->memory_mb = (uint32_t)memory;
+    sending->memory_mb = (uint32_t)memory_mb;
     sending->copies = (uint32_t)copies;
     sending->delivery = (enum ch_ledger_delivery)delivery;
     sending->done = done == 1;
@@ -201,7 +207,8 @@
     return true;
 }
 
-/* An array member of objects; NULL with an error. */
+/* A member that is an array of at most MAX_ENTRIES objects, or NULL with an
+ * error. */
 static JsonArray *
 read_array(JsonObject *object, const char *name, struct ch_error *error)
 {
@@ -209,19 +216,19 @@
     JsonArray *array = node != NULL && JSON_NODE_HOLDS_ARRAY(node)
                            ? json_node_get_array(node)
                            : NULL;
-    bool right = array != NULL && json_array_get_length(array) <= MOST_ENTRIES;
-    for (guint i = 0; right && i < json_array_get_length(array); i++) {
-        right = JSON_NODE_HOLDS_OBJECT(json_array_get_element(array, i));
+    bool valid = array != NULL && json_array_get_length(array) <= MAX_ENTRIES;
+    for (guint i = 0; valid && i < json_array_get_length(array); i++) {
+        valid = JSON_NODE_HOLDS_OBJECT(json_array_get_element(array, i));
     }
-    if (!right) {
-        ch_error_set(error, CH_BAD_JSON, "ledger: '%s' is no list of objects",
-                     name);
+    if (!valid) {
+        ch_error_set(error, CH_BAD_JSON,
+                     "ledger: '%s' is not a list of objects", name);
         return NULL;
     }
     return array;
 }
 
-/* Fills in entries and sends; false with an error. */
+/* Reads the entries and sends.  Returns false with an error. */
 static bool
 read_lists(JsonObject *object, struct ch_ledger *ledger,
            struct ch_error *error)
@@ -250,45 +257,48 @@
     return true;
 }
 
-/* Fills in an empty ledger; false with an error. */
+/* Fills an empty ledger.  Returns false with an error, and the ledger may then
+ * be filled in part. */
 static bool
 read_ledger(JsonObject *object, struct ch_ledger *ledger,
             struct ch_error *error)
 {
-    const char *upstream = read_text(object, "upstream", error);
-    uint64_t capacity = 0;
+    const char *upstream = read_string(object, "upstream", error);
+    uint64_t capacity_mb = 0;
     if (upstream == NULL ||
         !read_int(object, "version", INT64_MAX, &ledger->version, error) ||
-        !read_int(object, "capacity_mb", MOST_MEMORY_MB, &capacity, error)) {
+        !read_int(object, "capacity_mb", MAX_MEMORY_MB, &capacity_mb, error)) {
         return false;
     }
     ledger->upstream = g_strdup(upstream);
-    ledger->capacity_mb = (uint32_t)capacity;
+    ledger->capacity_mb = (uint32_t)capacity_mb;
     if (json_object_has_member(object, "boot")) {
-        ledger->boot = g_strdup(read_text(object, "boot", error));
+        ledger->boot = g_strdup(read_string(object, "boot", error));
     }
     if (json_object_has_member(object, "writer")) {
-        ledger->writer = g_strdup(read_text(object, "writer", error));
+        ledger->writer = g_strdup(read_string(object, "writer", error));
     }
     return (error == NULL || error->code == CH_OK) &&
            read_lists(object, ledger, error);
 }
 
-/* The ledger in a value; NULL with an error when any part is damaged: a
- * reservation left out would let its room be given twice. */
+/* Parses a stored ledger, to be freed with ch_ledger_free.  Returns NULL with
+ * an error when any part is damaged: if one reservation were skipped, its
+ * memory could be reserved twice. */
 struct ch_ledger *
 ch_ledger_parse(const char *json, size_t length, struct ch_error *error)
 {
-    struct ch_error unseen = {0};
-    struct ch_error *to = error == NULL ? &unseen : error;
+    struct ch_error ignored = {0};
+    struct ch_error *parse_error = error == NULL ? &ignored : error;
     g_autoptr(JsonParser) parser = NULL;
     JsonObject *object = ch_json_object(json, length, &parser);
     if (object == NULL) {
-        ch_error_set(to, CH_BAD_JSON, "ledger: not one JSON object");
+        ch_error_set(parse_error, CH_BAD_JSON,
+                     "ledger: not a single JSON object");
         return NULL;
     }
     struct ch_ledger *ledger = g_new0(struct ch_ledger, 1);
-    if (!read_ledger(object, ledger, to)) {
+    if (!read_ledger(object, ledger, parse_error)) {
         ch_ledger_free(ledger);
         return NULL;
     }
