--- a/libchestnuthitch/decide/ledger_json.c
+++ b/libchestnuthitch/decide/ledger_json.c
@@ -95,10 +95,10 @@
     return text;
 }
 
-/* Reads an integer from 0 to maximum.  Returns false with an error when the
+/* Reads an integer from 0 to max_value.  Returns false with an error when the
  * member is missing, no integer or out of range. */
 static bool
-read_int(JsonObject *object, const char *name, int64_t maximum, uint64_t *out,
+read_int(JsonObject *object, const char *name, int64_t max_value, uint64_t *out,
          struct ch_error *error)
 {
     JsonNode *node = json_object_get_member(object, name);
@@ -107,7 +107,7 @@
         json_node_get_value_type(node) == G_TYPE_INT64) {
         value = json_node_get_int(node);
     }
-    if (value < 0 || value > maximum) {
+    if (value < 0 || value > max_value) {
         ch_error_set(error, CH_BAD_JSON, "ledger: '%s' is out of range", name);
         return false;
     }
--- a/libchestnuthitch/decide/member.c
+++ b/libchestnuthitch/decide/member.c
@@ -1,22 +1,23 @@
-/* Membership: who is listed, who answers, whom to probe next. */
+/* Membership: which nodes are listed, which are alive, which to probe next. */
 
 #include "decide/member.h"
 
 #include <string.h>
 
 enum {
-    /* A silent member is probed this often: soon enough to come back into
-     * use. */
-    SILENT_PROBE = 1000 * 1000,
-    /* All silent members together are probed no more often than this.  Load:
-     * regions that have lost each other, where 200 of 320 nodes are silent.
-     * Harm prevented: 200 tries a second from each node, which the link that
-     * is about to come back would carry.  Up to 20 silent members, and in any
-     * fleet of today, it changes nothing; 200 have their turn every 10 s, and
-     * whichever of two nodes tries first brings both back. */
-    SILENT_SHARE = 50 * 1000,
-    /* How long others are told: several rounds of gossip at 320 nodes. */
-    HINT_TIME = 4 * 1000 * 1000,
+    /* Time between probes of a silent member, so that it is soon in use again
+     * after it recovers. */
+    SILENT_PROBE_PERIOD_US = 1000 * 1000,
+    /* All silent members together are probed once in this time.  When regions
+     * are cut off from each other and 200 of 320 nodes are silent, each node
+     * would otherwise send 200 probes a second, a load on the link as soon as
+     * it recovers.  The limit changes nothing for up to 20 silent members, nor
+     * in present fleets.  200 silent members are each probed every 10 s; that
+     * is enough, because the first probe between two nodes restores both. */
+    SILENT_PROBE_SPACING_US = 50 * 1000,
+    /* Time for which other nodes are told that a member is silent: several
+     * gossip rounds with 320 nodes. */
+    HINT_DURATION_US = 4 * 1000 * 1000,
 };
 
 struct ch_members {
@@ -26,15 +27,14 @@
     uint64_t hash; /* of this node's name */
     uint64_t version;
     bool stopping;
-    bool unready;    /* this node knows no configuration */
-    GPtrArray *list; /* of struct ch_member, by name */
+    bool self_not_ready; /* not ready to be a home node */
+    GPtrArray *list;     /* struct ch_member, sorted by name */
     GRand *random;
-    int64_t silent_after;
-    int64_t next_probe;
-    GArray *order; /* uint32_t: what is left of this round's shuffle */
+    int64_t silent_after_us;
+    int64_t next_probe_us;
+    GArray *round; /* uint32_t: indexes still to be probed in this round */
 };
 
-/* Frees one member. */
 static void
 free_member(gpointer data)
 {
@@ -46,11 +46,10 @@
     g_free(member);
 }
 
-/* Members as seen by the node `self`, which is always live and not listed
- * among them.  The seed makes the order of probes repeatable. */
+/* This node always counts as alive. */
 struct ch_members *
 ch_members_new(const char *self, const char *region, const char *data_centre,
-               uint64_t seed, int64_t silent_after)
+               uint64_t seed, int64_t silent_after_us)
 {
     struct ch_members *members = g_new0(struct ch_members, 1);
     members->self = g_strdup(self);
@@ -60,12 +59,12 @@
     members->data_centre = g_strdup(data_centre);
     members->list = g_ptr_array_new_with_free_func(free_member);
     members->random = g_rand_new_with_seed((guint32)seed);
-    members->silent_after = silent_after;
-    members->order = g_array_new(FALSE, FALSE, sizeof(uint32_t));
+    members->silent_after_us = silent_after_us;
+    members->round = g_array_new(FALSE, FALSE, sizeof(uint32_t));
     return members;
 }
 
-/* Frees the members and every name that was given out. */
+/* Frees the members, which may be NULL, and all names that were returned. */
 void
 ch_members_free(struct ch_members *members)
 {
@@ -73,7 +72,7 @@
         return;
     }
     g_ptr_array_free(members->list, TRUE);
-    g_array_free(members->order, TRUE);
+    g_array_free(members->round, TRUE);
     g_rand_free(members->random);
     g_free(members->self);
     g_free(members->region);
@@ -81,9 +80,9 @@
     g_free(members);
 }
 
-/* The place of name in the list, or where it belongs. */
+/* The index of the name in the sorted list, or the index to insert it at. */
 static guint
-place_of(const struct ch_members *members, const char *name, bool *found)
+find_index(const struct ch_members *members, const char *name, bool *found)
 {
     guint low = 0;
     guint high = members->list->len;
@@ -107,24 +106,22 @@
     return low;
 }
 
-/* The member of that name, to be changed; NULL for this node or an unknown
- * one. */
 static struct ch_member *
 find_member(const struct ch_members *members, const char *name)
 {
     bool found = false;
-    guint at = place_of(members, name, &found);
-    return found ? g_ptr_array_index(members->list, at) : NULL;
+    guint index = find_index(members, name, &found);
+    return found ? g_ptr_array_index(members->list, index) : NULL;
 }
 
-/* The member of that name; NULL for this node or an unknown one. */
+/* Valid until the next update. */
 const struct ch_member *
 ch_members_find(const struct ch_members *members, const char *name)
 {
     return find_member(members, name);
 }
 
-/* Begins an update by the platform's list. */
+/* Marks all members as not listed. */
 void
 ch_members_begin_update(struct ch_members *members)
 {
@@ -134,19 +131,20 @@
     }
 }
 
-/* Replaces a string when it differs. */
+/* Replaces an allocated string when the value differs. */
 static void
-set_string(char **at, const char *value)
+replace_string(char **target, const char *value)
 {
-    if (g_strcmp0(*at, value) != 0) {
-        g_free(*at);
-        *at = g_strdup(value);
+    if (g_strcmp0(*target, value) != 0) {
+        g_free(*target);
+        *target = g_strdup(value);
     }
 }
 
-/* One line of the list.  A new member counts as live until it is found
- * silent: the list names hosts that the platform holds to be up, and the first
- * use of a home that is not costs one time-out. */
+/* Adds or updates the member of one entry of the host list.  A new member
+ * counts as alive until it is found silent: the list names hosts that the
+ * platform considers up, and if one is not, its first use as a home node
+ * costs one timeout. */
 void
 ch_members_listed(struct ch_members *members, const char *name,
                   const char *address, const char *region,
@@ -156,29 +154,29 @@
         return;
     }
     bool found = false;
-    guint at = place_of(members, name, &found);
+    guint index = find_index(members, name, &found);
     if (!found) {
-        struct ch_member *fresh = g_new0(struct ch_member, 1);
-        fresh->name = g_strdup(name);
-        fresh->hash = ch_hash_string(name);
+        struct ch_member *new_member = g_new0(struct ch_member, 1);
+        new_member->name = g_strdup(name);
+        new_member->hash = ch_hash_string(name);
         members->version++;
-        fresh->heard = now;
-        g_ptr_array_insert(members->list, (gint)at, fresh);
-        g_array_set_size(members->order, 0);
+        new_member->heard = now;
+        g_ptr_array_insert(members->list, (gint)index, new_member);
+        g_array_set_size(members->round, 0);
     }
-    struct ch_member *member = g_ptr_array_index(members->list, at);
-    set_string(&member->address, address);
+    struct ch_member *member = g_ptr_array_index(members->list, index);
+    replace_string(&member->address, address);
     if (g_strcmp0(member->data_centre, data_centre) != 0 ||
         g_strcmp0(member->region, region) != 0 || member->leaving != leaving) {
         members->version++;
     }
-    set_string(&member->region, region);
-    set_string(&member->data_centre, data_centre);
+    replace_string(&member->region, region);
+    replace_string(&member->data_centre, data_centre);
     member->leaving = leaving;
     member->listed = true;
 }
 
-/* See member.h. */
+/* Does nothing for an unknown member. */
 void
 ch_members_capacity(struct ch_members *members, const char *name,
                     uint32_t capacity)
@@ -189,9 +187,10 @@
     }
 }
 
-/* Ends the update: who was not listed is forgotten.  The round of probes goes
- * on unless the members are others: begun anew at each list, it would never
- * come to an end in a fleet whose list comes more often than a round takes. */
+/* Removes the members that were not listed.  The round of probes is restarted
+ * only when members were added or removed: if every list restarted it, no
+ * round would ever end in a fleet whose list comes more often than a round
+ * takes. */
 void
 ch_members_end_update(struct ch_members *members)
 {
@@ -201,12 +200,12 @@
         if (!member->listed) {
             members->version++;
             g_ptr_array_remove_index(members->list, i - 1);
-            g_array_set_size(members->order, 0);
+            g_array_set_size(members->round, 0);
         }
     }
 }
 
-/* Something came from it: it is alive. */
+/* Records a message from a member and marks the member alive. */
 void
 ch_members_heard(struct ch_members *members, const char *name, int64_t now)
 {
@@ -223,21 +222,23 @@
     member->probe_at = 0;
 }
 
-/* How long each silent member waits for its turn. */
+/* The time between two probes of the same silent member, in microseconds. */
 static int64_t
-silent_period(const struct ch_members *members)
+compute_silent_probe_period_us(const struct ch_members *members)
 {
-    int64_t silent = 0;
+    int64_t silent_count = 0;
     for (guint i = 0; i < members->list->len; i++) {
         const struct ch_member *member = g_ptr_array_index(members->list, i);
-        silent += member->status == CH_MEMBER_SILENT;
+        silent_count += member->status == CH_MEMBER_SILENT;
     }
-    return MAX((int64_t)SILENT_PROBE, silent * SILENT_SHARE);
+    return MAX((int64_t)SILENT_PROBE_PERIOD_US,
+               silent_count * SILENT_PROBE_SPACING_US);
 }
 
-/* One connection failed.  The member is silent only if nothing came from it
- * on any other for silent_after: a single connection that something on the way
- * has forgotten says nothing about the node. */
+/* Handles the loss of one connection.  The member is silent only if no message
+ * came from it over any other connection for silent_after_us: a device on the
+ * network path may have dropped the state of a single connection while the
+ * node is well. */
 bool
 ch_members_lost(struct ch_members *members, const char *name, int64_t now)
 {
@@ -245,25 +246,25 @@
     if (member == NULL) {
         return false;
     }
-    if (now - member->heard < members->silent_after) {
+    if (now - member->heard < members->silent_after_us) {
         member->probe_at = now;
         return false;
     }
     if (member->status == CH_MEMBER_ALIVE) {
         member->status = CH_MEMBER_SILENT;
         members->version++;
-        member->hint_until = now + HINT_TIME;
+        member->hint_until = now + HINT_DURATION_US;
     }
-    member->probe_at = now + silent_period(members);
+    member->probe_at = now + compute_silent_probe_period_us(members);
     return true;
 }
 
 /*
- * Its host refused a connection: the process is gone, and no time need pass
- * before that is believed.  Without this every request for its homes went back
- * to the dead node until silent_after had passed, and was refused.  A process
- * that has only begun to start is heard from at the next probe; what went
- * elsewhere until then cost nothing but a queue of its own.
+ * Marks a member silent whose host refused a connection: its process has
+ * ended, so there is no need to wait for silent_after_us.  During that wait
+ * every request for the member's keys would be sent to it and refused.  A
+ * process that is only just starting answers the next probe; until then its
+ * requests go to other nodes, at no more cost than a separate queue there.
  */
 void
 ch_members_refused(struct ch_members *members, const char *name, int64_t now)
@@ -275,25 +276,27 @@
     if (member->status == CH_MEMBER_ALIVE) {
         member->status = CH_MEMBER_SILENT;
         members->version++;
-        member->hint_until = now + HINT_TIME;
+        member->hint_until = now + HINT_DURATION_US;
     }
-    member->probe_at = now + silent_period(members);
+    member->probe_at = now + compute_silent_probe_period_us(members);
 }
 
-/* Another node finds it silent: probe it at once and judge by that. */
+/* Schedules an immediate probe of a member that another node found silent; the
+ * hint alone doesn't change the member's status. */
 void
 ch_members_hint(struct ch_members *members, const char *name, int64_t now)
 {
     struct ch_member *member = find_member(members, name);
     if (member == NULL || member->status == CH_MEMBER_SILENT ||
-        now - member->heard < members->silent_after) {
+        now - member->heard < members->silent_after_us) {
         return;
     }
     member->probe_at = now;
 }
 
-/* A node that stops says so, ahead of the lagging list: homes move away while
- * it still answers, and nobody waits for a time-out. */
+/* A stopping node announces its stop, because the host list lags behind.  Its
+ * keys move to other home nodes while it still answers, so that no request has
+ * to wait for a timeout. */
 void
 ch_members_leaves(struct ch_members *members, const char *name,
                   uint64_t incarnation)
@@ -305,8 +308,8 @@
     }
 }
 
-/* From now on the keys of this node have their homes elsewhere; where there is
- * nobody else, ch_members_home finds none. */
+/* From now on the keys of this node have other home nodes.  When there is no
+ * other node, ch_members_find_home returns NULL. */
 void
 ch_members_stop_self(struct ch_members *members)
 {
@@ -314,7 +317,8 @@
     members->version++;
 }
 
-/* The process behind the name: a new one has not said that it stops. */
+/* A changed incarnation clears the announcement of a stop, which came from the
+ * earlier process of that name. */
 void
 ch_members_incarnation(struct ch_members *members, const char *name,
                        uint64_t incarnation)
@@ -327,7 +331,7 @@
     }
 }
 
-/* A node says with each frame whether it is ready to be home. */
+/* Each frame from a node says whether it is ready to be a home node. */
 void
 ch_members_ready(struct ch_members *members, const char *name, bool ready)
 {
@@ -338,17 +342,17 @@
     }
 }
 
-/* The same of this node. */
 void
 ch_members_ready_self(struct ch_members *members, bool ready)
 {
-    if (members->unready == ready) {
-        members->unready = !ready;
+    if (members->self_not_ready == ready) {
+        members->self_not_ready = !ready;
         members->version++;
     }
 }
 
-/* Whether keys may have their home there. */
+/* A member may be a home node when it is alive, its host is not draining, and
+ * it has not announced its stop. */
 bool
 ch_member_serves(const struct ch_member *member)
 {
@@ -356,60 +360,62 @@
            member->leaves == 0;
 }
 
-/* After a pause of this process (stopped, or starved of processor time) every
- * member seems silent at once, though none was asked.  Without this the node
- * would call itself the home of everything until it had heard from each.  Who
- * was heard since gets nothing added: it would count as heard for as long as
- * the pause was, also if it died at once. */
+/* After a pause of this process (stopped, or starved of CPU time) every member
+ * seems silent at once, although none was probed.  Therefore the pause is
+ * added to the time of each member's last message; otherwise this node would
+ * consider itself the home node of all keys until it had heard from each
+ * member.  The result is never later than now: a member that was heard after
+ * the pause and died at once would otherwise count as alive for as long as the
+ * pause lasted. */
 void
-ch_members_paused(struct ch_members *members, int64_t gap, int64_t now)
+ch_members_paused(struct ch_members *members, int64_t gap_us, int64_t now)
 {
     for (guint i = 0; i < members->list->len; i++) {
         struct ch_member *member = g_ptr_array_index(members->list, i);
-        member->heard = MAX(member->heard, MIN(member->heard + gap, now));
+        member->heard = MAX(member->heard, MIN(member->heard + gap_us, now));
     }
 }
 
-/* Draws the next member of a shuffled round: every member is probed once a
- * round, so that the time to find a failure is bounded, as in SWIM (Das, Gupta
- * and Motivala, 2002). */
+/* Draws the next member in a shuffled round.  Every member is probed once per
+ * round, which bounds the time to detect a failure, as in SWIM (Das, Gupta and
+ * Motivala, 2002).  Returns NULL when there are no members. */
 static struct ch_member *
 draw_member(struct ch_members *members)
 {
     if (members->list->len == 0) {
         return NULL;
     }
-    if (members->order->len == 0) {
+    if (members->round->len == 0) {
         for (uint32_t i = 0; i < members->list->len; i++) {
-            g_array_append_val(members->order, i);
+            g_array_append_val(members->round, i);
         }
     }
     guint pick = (guint)g_rand_int_range(members->random, 0,
-                                         (gint32)members->order->len);
-    uint32_t index = g_array_index(members->order, uint32_t, pick);
-    g_array_remove_index_fast(members->order, pick);
+                                         (gint32)members->round->len);
+    uint32_t index = g_array_index(members->round, uint32_t, pick);
+    g_array_remove_index_fast(members->round, pick);
     return g_ptr_array_index(members->list, index);
 }
 
-/* Gives the names to probe now: those due after a loss or hint, and one of
- * the round when the period is over. */
+/* Selects the members whose probe after a loss or a hint is due, and the next
+ * member of the round when the probe period has passed. */
 size_t
 ch_members_probe(struct ch_members *members, int64_t now, const char **names,
-                 size_t most)
+                 size_t max_names)
 {
     size_t count = 0;
-    int64_t period = silent_period(members);
-    for (guint i = 0; i < members->list->len && count < most; i++) {
+    int64_t period_us = compute_silent_probe_period_us(members);
+    for (guint i = 0; i < members->list->len && count < max_names; i++) {
         struct ch_member *member = g_ptr_array_index(members->list, i);
         if (member->probe_at > 0 && member->probe_at <= now) {
-            member->probe_at = now + period;
+            member->probe_at = now + period_us;
             names[count++] = member->name;
         }
     }
-    if (now < members->next_probe || count == most) {
+    if (now < members->next_probe_us || count == max_names) {
         return count;
     }
-    members->next_probe = now + CH_MEMBER_PERIOD;
+    members->next_probe_us = now + CH_MEMBER_PERIOD;
     const struct ch_member *drawn = draw_member(members);
     if (drawn != NULL && drawn->status == CH_MEMBER_ALIVE) {
         names[count++] = drawn->name;
@@ -417,56 +423,60 @@
     return count;
 }
 
-/* A number that is the same for as long as no key can have moved.  With 1,900
- * upstreams and 320 nodes, finding every home takes 600,000 weights: too much
- * to do twice a second for nothing. */
+/* While the version is unchanged, no key has another home node.  With 1,900
+ * upstreams and 320 nodes, finding all home nodes takes 600,000 weights, too
+ * much to repeat twice a second without need. */
 uint64_t
 ch_members_version(const struct ch_members *members)
 {
     return members->version;
 }
 
-/* How many members there are besides this node. */
+/* The number of members, without this node. */
 size_t
 ch_members_count(const struct ch_members *members)
 {
     return members->list->len;
 }
 
-/* The member at a place in the order of names. */
+/* The member at an index in the order of names, valid until the next update.
+ */
 const struct ch_member *
 ch_members_at(const struct ch_members *members, size_t index)
 {
     return g_ptr_array_index(members->list, index);
 }
 
-/* Whether a node in that place serves the scope; NULL means any. */
+/* True when a node of that region and data centre is in the wanted ones; NULL
+ * means any. */
 static bool
-in_scope(const char *region, const char *data_centre, const char *want_region,
-         const char *want_data_centre)
+is_in_scope(const char *region, const char *data_centre,
+            const char *want_region, const char *want_data_centre)
 {
     return (want_region == NULL || strcmp(region, want_region) == 0) &&
            (want_data_centre == NULL ||
             strcmp(data_centre, want_data_centre) == 0);
 }
 
-/* The live node of the scope with the highest weight, or NULL. */
+/* The available node in the scope with the highest weight for the key, or
+ * NULL.  ready: only nodes that are ready to be home nodes. */
 static const char *
-best_in_scope(const struct ch_members *members, uint64_t key,
-              const char *region, const char *data_centre, bool ready)
+find_best_in_scope(const struct ch_members *members, uint64_t key,
+                   const char *region, const char *data_centre, bool ready)
 {
     const char *best = NULL;
     uint64_t best_weight = 0;
-    if (!members->stopping && !(ready && members->unready) &&
-        in_scope(members->region, members->data_centre, region, data_centre)) {
+    if (!members->stopping && !(ready && members->self_not_ready) &&
+        is_in_scope(members->region, members->data_centre, region,
+                    data_centre)) {
         best = members->self;
         best_weight = ch_hash_pair(key, members->hash);
     }
     for (guint i = 0; i < members->list->len; i++) {
         const struct ch_member *member = g_ptr_array_index(members->list, i);
         if (!ch_member_serves(member) || (ready && member->unready) ||
-            !in_scope(member->region, member->data_centre, region,
-                      data_centre)) {
+            !is_in_scope(member->region, member->data_centre, region,
+                         data_centre)) {
             continue;
         }
         uint64_t weight = ch_hash_pair(key, member->hash);
@@ -478,44 +488,47 @@
     return best;
 }
 
-/* The home of a key among all nodes or the ready ones, by scope. */
+/* The home node of a key in the narrowest scope that has an available node. */
 static const char *
-home_among(const struct ch_members *members, uint64_t key, const char *region,
-           const char *data_centre, bool ready)
+find_home_in_scopes(const struct ch_members *members, uint64_t key,
+                    const char *region, const char *data_centre, bool ready)
 {
-    const char *best = best_in_scope(members, key, region, data_centre, ready);
+    const char *best =
+        find_best_in_scope(members, key, region, data_centre, ready);
     if (best == NULL) {
-        best = best_in_scope(members, key, region, NULL, ready);
+        best = find_best_in_scope(members, key, region, NULL, ready);
     }
     if (best == NULL) {
-        best = best_in_scope(members, key, NULL, NULL, ready);
+        best = find_best_in_scope(members, key, NULL, NULL, ready);
     }
     return best;
 }
 
-/* The home of a key: in the data centre if a node lives there, so that the
- * exact counts are kept a millisecond from the upstream; else in its region;
- * else anywhere, so that losing every node of a data centre leaves its
- * upstreams in use. */
+/* The home node is in the data centre if a node is available there, so that
+ * the exact counts are kept within a millisecond of the upstream; else in the
+ * region; else anywhere, so that a data centre's upstreams stay in use when
+ * all of its nodes are lost. */
 const char *
 ch_members_home(const struct ch_members *members, uint64_t key,
                 const char *region, const char *data_centre)
 {
-    return home_among(members, key, region, data_centre, false);
+    return find_home_in_scopes(members, key, region, data_centre, false);
 }
 
 /*
- * A node that has just started answers probes before it knows configuration,
- * host list and what the homes before it knew, and refuses what it is asked to
- * queue.  Asked first, it would cost a request all its tries within a
- * millisecond, though the home of before still serves.  When none is ready
- * the fleet starts as a whole, and homes are found as ever.
+ * Requests go to home nodes that are ready.  A node that has just started
+ * answers probes before it knows the configuration, the host list and the
+ * state of the earlier home nodes, and refuses to queue requests.  A request
+ * sent there first would use up all its attempts within a millisecond,
+ * although the earlier home node still serves.  When no node is ready, the
+ * whole fleet is starting, and readiness is ignored.
  */
 const char *
 ch_members_ready_home(const struct ch_members *members, uint64_t key,
                       const char *region, const char *data_centre)
 {
-    const char *best = home_among(members, key, region, data_centre, true);
+    const char *best =
+        find_home_in_scopes(members, key, region, data_centre, true);
     if (best == NULL) {
         best = ch_members_home(members, key, region, data_centre);
     }
--- a/libchestnuthitch/decide/member.h
+++ b/libchestnuthitch/decide/member.h
@@ -2,11 +2,12 @@
 #define CH_DECIDE_MEMBER_H
 
 /*
- * Which nodes answer.  The platform's list says who may exist; who answers is
- * judged by each node from what it hears itself.  A silence that another node
- * reports is only a hint: it makes this node probe, and its own probe decides.
- * So no refutation and no agreement are needed, and a node that is cut off
- * from one other cannot talk the rest into dropping it.
+ * Membership and failure detection.  The platform's host list says which nodes
+ * may exist; each node decides from the messages that it receives itself which
+ * of them are alive.  Another node's message that a member is silent is only a
+ * hint: it makes this node probe the member, and its own probe decides.  So
+ * neither refutations nor an agreement are needed, and a node that is cut off
+ * from one other node cannot make the rest drop that node.
  */
 
 #include "base/base.h"
@@ -14,7 +15,7 @@
 enum ch_member_status {
     CH_MEMBER_ALIVE,
     CH_MEMBER_SILENT,
-    CH_MEMBER_STOPPING, /* in messages alone: its own word */
+    CH_MEMBER_STOPPING, /* only in messages: a node's own announcement */
 };
 
 struct ch_member {
@@ -23,94 +24,111 @@
     char *region;
     char *data_centre;
     enum ch_member_status status;
-    bool leaving;      /* by the list */
-    uint64_t leaves;   /* incarnation that said that it stops; 0: none */
-    uint32_t capacity; /* of its host; 0: not told */
-    bool unready;      /* it answers, but is not ready to be home */
-    bool listed;       /* found by the update that runs now */
+    bool leaving;      /* the host list marks its host as draining */
+    uint64_t leaves;   /* incarnation that announced its stop; 0: none */
+    uint32_t capacity; /* of its host, in any unit; 0: not known */
+    bool unready;      /* answers, but is not ready to be a home node */
+    bool listed;       /* found in the host list by the update in progress */
     uint64_t incarnation;
-    uint64_t hash;      /* of the name, for rendezvous */
-    int64_t heard;      /* last time that anything came from it */
-    int64_t probe_at;   /* next probe while it is silent, or after a hint */
-    int64_t hint_until; /* tell others of its silence until then */
+    uint64_t hash;      /* of the name, for rendezvous hashing */
+    int64_t heard;      /* time of the last message from it */
+    int64_t probe_at;   /* time of an extra probe, after a lost connection or a
+                           hint, or while the member is silent; 0: none */
+    int64_t hint_until; /* time until which other nodes are told that it is
+                           silent */
 };
 
 struct ch_members;
 
-/* silent_after: microseconds without an answer that make a member silent. */
+/* Members as seen by the node self, which is not listed among them.  A member
+   whose connection is lost is silent after silent_after_us without a message
+   from it.  The seed makes the order of probes repeatable. */
 struct ch_members *ch_members_new(const char *self, const char *region,
                                   const char *data_centre, uint64_t seed,
-                                  int64_t silent_after);
+                                  int64_t silent_after_us);
 void ch_members_free(struct ch_members *members);
 
-/* The platform's list, whole: who is not in it is forgotten. */
+/* An update takes a whole host list: ch_members_begin_update, one call of
+   ch_members_update_member for each node, ch_members_end_update, which removes
+   the members that are not in the list. */
 void ch_members_begin_update(struct ch_members *members);
 void ch_members_listed(struct ch_members *members, const char *name,
                        const char *address, const char *region,
                        const char *data_centre, bool leaving, int64_t now);
-/* What a listed one's host can do. */
+/* Sets the capacity of a listed member's host, in any unit; 0: not known. */
 void ch_members_capacity(struct ch_members *members, const char *name,
                          uint32_t capacity);
 void ch_members_end_update(struct ch_members *members);
 
+/* Records a message from a member, which is then alive. */
 void ch_members_heard(struct ch_members *members, const char *name,
                       int64_t now);
-/* A connection to it could not be made or went silent.  True: it is now held
-   to be silent, as nothing else was heard from it either. */
+/* Records that a connection to a member could not be made or went silent.
+   Returns true when the member now counts as silent, because no message came
+   over another connection either. */
 bool ch_members_lost(struct ch_members *members, const char *name,
                      int64_t now);
-/* Its host answered that nobody listens there. */
+/* Records that the member's host refused a connection: no process listens. */
 void ch_members_refused(struct ch_members *members, const char *name,
                         int64_t now);
+/* Records that another node found a member silent. */
 void ch_members_hint(struct ch_members *members, const char *name,
                      int64_t now);
-/* It says itself that it stops: no key has its home there any more. */
+/* Records a member's announcement that it stops: it is the home node of no key
+   any more. */
 void ch_members_leaves(struct ch_members *members, const char *name,
                        uint64_t incarnation);
-/* This node stops: it is no home any more, unless it is alone. */
+/* Records that this node stops: it is the home node of no key any more. */
 void ch_members_stop_self(struct ch_members *members);
+/* Sets the incarnation, which changes when a new process takes the name. */
 void ch_members_incarnation(struct ch_members *members, const char *name,
                             uint64_t incarnation);
-/* Whether it says that it knows what a home must know. */
+/* Sets whether a member says that it is ready to be a home node. */
 void ch_members_ready(struct ch_members *members, const char *name,
                       bool ready);
-/* The same of this node itself. */
+/* Sets whether this node is ready to be a home node. */
 void ch_members_ready_self(struct ch_members *members, bool ready);
+/* True when the member may be a home node, apart from its readiness. */
 bool ch_member_serves(const struct ch_member *member);
-/* This process did not run for `gap`, until `now`: what seems silent was not
-   asked. */
-void ch_members_paused(struct ch_members *members, int64_t gap, int64_t now);
+/* Records that this process did not run for gap_us, until now, and therefore
+   probed no member. */
+void ch_members_paused(struct ch_members *members, int64_t gap_us,
+                       int64_t now);
 
-/* Members to probe now, at most `most`; the names live until the next update.
-   Called every CH_MEMBER_PERIOD or more often. */
+/* Selects at most max_names members to probe now and returns their number.
+   The names are valid until the next update.  To be called at least once per
+   CH_MEMBER_PROBE_PERIOD_US. */
 size_t ch_members_probe(struct ch_members *members, int64_t now,
-                        const char **names, size_t most);
+                        const char **names, size_t max_names);
+/* Returns NULL for this node and for an unknown name. */
 const struct ch_member *ch_members_find(const struct ch_members *members,
                                         const char *name);
-/* Changes whenever some key may have another home than before. */
+/* A number that changes whenever a key may have another home node. */
 uint64_t ch_members_version(const struct ch_members *members);
 size_t ch_members_count(const struct ch_members *members);
-/* Members in order of name; this node is not among them. */
+/* Members are sorted by name; this node is not among them. */
 const struct ch_member *ch_members_at(const struct ch_members *members,
                                       size_t index);
 
 /*
- * The live node with the highest rendezvous weight for key in the data
- * centre; when none is live there, in the region; else anywhere.  NULL for
- * either means any.  The name lives until the next update.
+ * The key's home node: the available node with the highest rendezvous weight
+ * for the key in the data centre; when none is available there, in the region;
+ * else anywhere.  NULL for data centre or region means any.  Returns NULL when
+ * no node is available at all.  The name is valid until the next update.
  */
 const char *ch_members_home(const struct ch_members *members, uint64_t key,
                             const char *region, const char *data_centre);
-/* The same among the nodes that are ready, as long as any is. */
+/* The home node among the nodes that are ready; when none is ready, the same
+   as ch_members_find_home. */
 const char *ch_members_ready_home(const struct ch_members *members,
                                   uint64_t key, const char *region,
                                   const char *data_centre);
 
 enum {
     /*
-     * One probe each half second: with n nodes probing at random, each is
-     * probed twice a second on average whatever n is, at two messages a
-     * second for each node.
+     * Each node sends one probe per half second, that is two messages a
+     * second.  With probes in random order, each node is probed twice a second
+     * on average, whatever the number of nodes.
      */
     CH_MEMBER_PERIOD = 500 * 1000,
 };
