--- a/libchestnuthitch/decide/revision.c
+++ b/libchestnuthitch/decide/revision.c
@@ -1,36 +1,36 @@
-/* The configuration's revision: what is newer, and what became of a write. */
+/* The configuration's revision: which is newer, and the outcome of a write. */
 
 #include "decide/revision.h"
 
 #include <string.h>
 
 enum {
-    /* Calls of one write that may go without an answer, before the operator
-       is told that nobody knows. */
-    MOST_TRIES = 4,
+    /* Calls without an answer after which a write ends, and the operator is
+       told that it failed or that its outcome is unknown. */
+    MAX_UNANSWERED_CALLS = 4,
 };
 
-/* True when offered is higher.  A node that went back would undo what an
- * operator was told is in force: messages come late, twice and out of order,
- * and a node that starts hears old ones. */
+/* Messages arrive late, twice and out of order, and a starting node receives
+ * old ones.  A node that applied a lower revision would undo a change that an
+ * operator was told is in force. */
 bool
 ch_revision_newer(uint64_t known, uint64_t offered)
 {
     return offered > known;
 }
 
-/* Begins a write that is to replace base (0: none) and bears the token. */
+/* Starts a write that replaces the revision base (0: none). */
 void
 ch_revision_write_init(struct ch_revision_write *write, uint64_t base,
-                       const char *token)
+                       const char *write_id)
 {
     *write = (struct ch_revision_write){
         .base = base,
-        .token = g_strdup(token),
+        .token = g_strdup(write_id),
     };
 }
 
-/* Frees what the write holds. */
+/* Frees the contents, but not the struct itself. */
 void
 ch_revision_write_clear(struct ch_revision_write *write)
 {
@@ -38,39 +38,40 @@
     g_free(write->base_token);
 }
 
-/* The past entry of a token; NULL: none. */
+/* Returns NULL when the record's history doesn't list the write. */
 static const struct ch_revision_past *
-past_of(const struct ch_revision_record *record, const char *token)
+find_in_history(const struct ch_revision_record *record, const char *write_id)
 {
     for (size_t i = 0; i < record->past_count; i++) {
-        if (strcmp(record->past[i].token, token) == 0) {
+        if (strcmp(record->past[i].token, write_id) == 0) {
             return &record->past[i];
         }
     }
     return NULL;
 }
 
-/* True when the record tells of every write since base. */
+/* True when the record's history lists every write since base. */
 static bool
-tells_all_since_base(const struct ch_revision_write *write,
+lists_all_since_base(const struct ch_revision_write *write,
                      const struct ch_revision_record *record)
 {
     if (record->past_count < CH_REVISION_HISTORY) {
         return true;
     }
     return write->base_token != NULL &&
-           past_of(record, write->base_token) != NULL;
+           find_in_history(record, write->base_token) != NULL;
 }
 
 /*
- * What a read after the write was put on its way tells.  The token in force,
- * or among those that were in force, says that the write took effect; nothing
- * else does.  While base is still in force the write may yet arrive, so the
- * same is written again: either of the two succeeds, and not both.
+ * Decides from a read after the write was sent.  Only a record that has the
+ * write's ID, or lists it in its history, proves that the write took effect.
+ * While base is still in force, the write may still arrive, so the same record
+ * is written again: at most one of the two writes succeeds, since both expect
+ * base.
  */
 static enum ch_revision_step
-resolve(struct ch_revision_write *write,
-        const struct ch_revision_record *record, uint64_t revision)
+resolve_outcome(struct ch_revision_write *write,
+                const struct ch_revision_record *record, uint64_t revision)
 {
     if (record == NULL) {
         return write->base == 0 ? CH_REVISION_WRITE : CH_REVISION_CONFLICT;
@@ -79,48 +80,50 @@
         write->revision = revision;
         return CH_REVISION_ACCEPTED;
     }
-    const struct ch_revision_past *past = past_of(record, write->token);
-    if (past != NULL) {
-        write->revision = past->revision;
+    const struct ch_revision_past *entry =
+        find_in_history(record, write->token);
+    if (entry != NULL) {
+        write->revision = entry->revision;
         return CH_REVISION_ACCEPTED;
     }
     if (revision == write->base) {
         return CH_REVISION_WRITE;
     }
-    return tells_all_since_base(write, record) ? CH_REVISION_CONFLICT
+    return lists_all_since_base(write, record) ? CH_REVISION_CONFLICT
                                                : CH_REVISION_UNSURE;
 }
 
-/* The step that follows from a call without an answer. */
+/* The step after a call without an answer. */
 static enum ch_revision_step
-try_again(struct ch_revision_write *write)
+retry_or_stop(struct ch_revision_write *write)
 {
     write->tries++;
-    if (write->tries < MOST_TRIES) {
+    if (write->tries < MAX_UNANSWERED_CALLS) {
         return CH_REVISION_READ;
     }
     return write->writes > 0 ? CH_REVISION_UNSURE : CH_REVISION_FAILED;
 }
 
-/* Notes a write that is put on its way. */
+/* Counts the write when the step is one.  Returns the step. */
 static enum ch_revision_step
-note_write(struct ch_revision_write *write, enum ch_revision_step step)
+count_write(struct ch_revision_write *write, enum ch_revision_step step)
 {
     write->writes += step == CH_REVISION_WRITE;
     return step;
 }
 
-/* The answer to a READ. */
+/* Before the first write, the record must still be at base.  After a write,
+ * the read tells whether it took effect. */
 enum ch_revision_step
 ch_revision_write_read(struct ch_revision_write *write, enum ch_code code,
                        const struct ch_revision_record *record,
                        uint64_t revision)
 {
     if (code != CH_OK && code != CH_KV_MISSING) {
-        return try_again(write);
+        return retry_or_stop(write);
     }
     if (write->writes > 0) {
-        return note_write(write, resolve(write, record, revision));
+        return count_write(write, resolve_outcome(write, record, revision));
     }
     if ((record == NULL ? 0 : revision) != write->base) {
         return CH_REVISION_CONFLICT;
@@ -129,11 +132,12 @@
         g_free(write->base_token);
         write->base_token = g_strdup(record->token);
     }
-    return note_write(write, CH_REVISION_WRITE);
+    return count_write(write, CH_REVISION_WRITE);
 }
 
-/* The answer to a WRITE.  A conflict is one for certain only if no earlier
- * write of the same is in doubt: it may be what this one ran into. */
+/* A conflict is certain only when no earlier write of the same record has an
+ * unknown outcome, because that earlier write may be what caused the conflict.
+ * An unreachable store did not receive the write. */
 enum ch_revision_step
 ch_revision_write_written(struct ch_revision_write *write, enum ch_code code,
                           uint64_t revision)
@@ -149,8 +153,8 @@
         if (write->writes == 1) {
             write->writes = 0;
         }
-        return try_again(write);
+        return retry_or_stop(write);
     default:
-        return try_again(write);
+        return retry_or_stop(write);
     }
 }
