--- a/tests/unit/test_ledger.c
+++ b/tests/unit/test_ledger.c
@@ -1,5 +1,5 @@
-/* The reservation ledger: what gives room back, and every order of events up
- * to a bound against a small model of an engine. */
+/* The reservation ledger: when memory is freed, and every order of events up
+ * to a bound with a small model of an engine. */
 
 #include "decide/ledger.h"
 
@@ -7,203 +7,211 @@
 
 #include <string.h>
 
-#define OLD "n1#1"
-#define NEW "n1#2"
-#define OTHER "n2#1"
+#define OLD_SENDER "n1#1"
+#define NEW_SENDER "n1#2"
+#define OTHER_SENDER "n2#1"
 
-/* ---- cases: one line a step ---- */
+/* ---- scenarios: one line per step ---- */
 
+/* A report step gives the report's boot ID as order, its resident items as
+ * item and its executed orders as sender, such as "l1 u1". */
 struct step {
-    const char *what; /* reserve, release, resend, end, refused, earlier or
-                         report (then order: boot, item: resident) */
+    const char *action; /* reserve, release, resend, end, refused, earlier or
+                           report */
     const char *item;
     const char *order;
-    const char *sender; /* of a report: the orders done, "l1 u1" */
+    const char *sender;
     bool expect;
-    const char *after; /* "item:state ..." with state r, R or u, and exposed */
+    const char *after; /* "item:state ..." with state r (reserved), R
+                          (resident) or u (unloading), and the MB in flight */
 };
 
-/* Carries out a report step. */
+/* Applies the report of a step. */
 static bool
-step_report(struct ch_ledger *ledger, const struct step *step)
+run_report_step(struct ch_ledger *ledger, const struct step *step)
 {
     g_auto(GStrv) done = g_strsplit(step->sender, " ", -1);
     g_auto(GStrv) resident = g_strsplit(step->item, " ", -1);
-    const uint32_t memory[] = {1, 1, 1, 1};
-    const struct ch_ledger_evidence evidence = {
+    const uint32_t memory_mb[] = {1, 1, 1, 1};
+    const struct ch_ledger_evidence report = {
         .boot = step->order,
         .resident = (const char *const *)resident,
-        .resident_mb = memory,
+        .resident_mb = memory_mb,
         .resident_count = step->item[0] == '\0' ? 0 : g_strv_length(resident),
         .orders_done = (const char *const *)done,
         .orders_done_count = g_strv_length(done),
         .after_ends = true,
     };
-    return ch_ledger_observe(ledger, &evidence);
+    return ch_ledger_observe(ledger, &report);
 }
 
-/* Carries out a step; its result. */
+/* Runs a step and returns the result of its call. */
 static bool
-step_run(struct ch_ledger *ledger, const struct step *step)
+run_step(struct ch_ledger *ledger, const struct step *step)
 {
-    if (strcmp(step->what, "reserve") == 0) {
+    if (strcmp(step->action, "reserve") == 0) {
         return ch_ledger_reserve(ledger, step->item, 1, step->order,
                                  step->sender, NULL);
     }
-    if (strcmp(step->what, "release") == 0) {
+    if (strcmp(step->action, "release") == 0) {
         return ch_ledger_release(ledger, step->item, step->order, NULL);
     }
-    if (strcmp(step->what, "resend") == 0) {
+    if (strcmp(step->action, "resend") == 0) {
         return ch_ledger_resend(ledger, step->item, step->sender, NULL);
     }
-    if (strcmp(step->what, "earlier") == 0) {
+    if (strcmp(step->action, "earlier") == 0) {
         return ch_ledger_end_earlier(ledger, step->sender);
     }
-    if (strcmp(step->what, "report") == 0) {
-        return step_report(ledger, step);
+    if (strcmp(step->action, "report") == 0) {
+        return run_report_step(ledger, step);
     }
     return ch_ledger_end(ledger, step->order, step->sender,
-                         strcmp(step->what, "refused") == 0);
+                         strcmp(step->action, "refused") == 0);
 }
 
-/* The ledger in the words of the cases. */
+/* The ledger in the form of step.after. */
 static char *
 describe(const struct ch_ledger *ledger)
 {
-    GString *text = g_string_new(NULL);
+    GString *description = g_string_new(NULL);
     for (size_t i = 0; i < ledger->count; i++) {
-        g_string_append_printf(text, "%s:%c ", ledger->entries[i].item,
+        g_string_append_printf(description, "%s:%c ", ledger->entries[i].item,
                                "rRu"[ledger->entries[i].state]);
     }
-    g_string_append_printf(text, "%u", ch_ledger_exposed(ledger));
-    return g_string_free(text, FALSE);
+    g_string_append_printf(description, "%u", ch_ledger_exposed(ledger));
+    return g_string_free(description, FALSE);
 }
 
-#define FIRST                                                                 \
+#define FIRST_REPORT                                                          \
     {                                                                         \
         "report", "", "b1", "", true, "0"                                     \
     }
 
-static const struct step course[] = {
-    {"reserve", "m1", "l1", OLD, false, "0"},
-    FIRST,
-    {"reserve", "m1", "l1", OLD, true, "m1:r 1"},
-    {"reserve", "m1", "l2", OLD, false, "m1:r 1"},
-    {"release", "m1", "u1", OLD, false, "m1:r 1"},
-    /* Resident alone is no evidence that l1 will not arrive. */
+static const struct step normal_course[] = {
+    {"reserve", "m1", "l1", OLD_SENDER, false, "0"},
+    FIRST_REPORT,
+    {"reserve", "m1", "l1", OLD_SENDER, true, "m1:r 1"},
+    {"reserve", "m1", "l2", OLD_SENDER, false, "m1:r 1"},
+    {"release", "m1", "u1", OLD_SENDER, false, "m1:r 1"},
+    /* A resident m1 alone doesn't prove that l1 can't arrive later. */
     {"report", "m1", "b1", "", false, "m1:r 1"},
-    {"end", "", "l1", OLD, true, "m1:r 1"},
+    {"end", "", "l1", OLD_SENDER, true, "m1:r 1"},
     {"report", "m1", "b1", "l1", true, "m1:R 0"},
-    {"release", "m1", "u1", OLD, true, "m1:u 0"},
+    {"release", "m1", "u1", OLD_SENDER, true, "m1:u 0"},
     {"report", "", "b1", "l1", false, "m1:u 0"},
     {"report", "", "b1", "l1 u1", true, "0"},
 };
 
-static const struct step full[] = {
-    FIRST,
-    {"reserve", "m1", "l1", OLD, true, "m1:r 1"},
-    {"reserve", "m2", "l2", OLD, true, "m1:r m2:r 2"},
-    {"reserve", "m3", "l3", OLD, false, "m1:r m2:r 2"},
-    {"refused", "", "l2", OLD, true, "m1:r 1"},
-    {"reserve", "m3", "l3", OLD, true, "m1:r m3:r 2"},
+static const struct step full_memory[] = {
+    FIRST_REPORT,
+    {"reserve", "m1", "l1", OLD_SENDER, true, "m1:r 1"},
+    {"reserve", "m2", "l2", OLD_SENDER, true, "m1:r m2:r 2"},
+    {"reserve", "m3", "l3", OLD_SENDER, false, "m1:r m2:r 2"},
+    {"refused", "", "l2", OLD_SENDER, true, "m1:r 1"},
+    {"reserve", "m3", "l3", OLD_SENDER, true, "m1:r m3:r 2"},
 };
 
-/* MUTATION_REFUSED_FREES: two copies went out, one was refused; the other may
- * yet be carried out. */
+/* One of two copies was refused, but the other may still be executed, so m1's
+ * memory stays reserved.  Fails with the mutation MUTATION_REFUSED_FREES of
+ * tests/spec/ledger.pml. */
 static const struct step refused_once[] = {
-    FIRST,
-    {"reserve", "m1", "l1", OLD, true, "m1:r 1"},
-    {"end", "", "l1", OLD, true, "m1:r 1"},
-    {"resend", "m1", "", OLD, true, "m1:r 1"},
-    {"refused", "", "l1", OLD, true, "m1:r 1"},
+    FIRST_REPORT,
+    {"reserve", "m1", "l1", OLD_SENDER, true, "m1:r 1"},
+    {"end", "", "l1", OLD_SENDER, true, "m1:r 1"},
+    {"resend", "m1", "", OLD_SENDER, true, "m1:r 1"},
+    {"refused", "", "l1", OLD_SENDER, true, "m1:r 1"},
     {"report", "", "b1", "", true, "m1:r 0"},
-    {"reserve", "m2", "l2", OLD, true, "m1:r m2:r 1"},
-    {"reserve", "m3", "l3", OLD, false, "m1:r m2:r 1"},
+    {"reserve", "m2", "l2", OLD_SENDER, true, "m1:r m2:r 1"},
+    {"reserve", "m3", "l3", OLD_SENDER, false, "m1:r m2:r 1"},
 };
 
-/* MUTATION_DROP_AT_BOOT: a copy that never settled is counted in the new boot,
- * also when its model was unloaded in the old one; one that settled is not. */
+/* After a restart of the engine, a copy that never settled counts as reserved,
+ * even if its model was unloaded before the restart; a settled copy doesn't.
+ * Fails with the mutation MUTATION_DROP_AT_BOOT of tests/spec/ledger.pml. */
 static const struct step new_boot[] = {
-    FIRST,
-    {"reserve", "m1", "l1", OLD, true, "m1:r 1"},
-    {"reserve", "m2", "l2", OLD, true, "m1:r m2:r 2"},
-    {"end", "", "l2", OLD, true, "m1:r m2:r 2"},
+    FIRST_REPORT,
+    {"reserve", "m1", "l1", OLD_SENDER, true, "m1:r 1"},
+    {"reserve", "m2", "l2", OLD_SENDER, true, "m1:r m2:r 2"},
+    {"end", "", "l2", OLD_SENDER, true, "m1:r m2:r 2"},
     {"report", "m1 m2", "b1", "l1 l2", true, "m1:R m2:R 1"},
-    {"release", "m1", "u1", OLD, true, "m1:u m2:R 1"},
+    {"release", "m1", "u1", OLD_SENDER, true, "m1:u m2:R 1"},
     {"report", "m2", "b1", "l1 l2 u1", true, "m2:R 1"},
     {"report", "", "b2", "", true, "m1:r 1"},
-    {"resend", "m1", "", OTHER, true, "m1:r 1"},
+    {"resend", "m1", "", OTHER_SENDER, true, "m1:r 1"},
     {"report", "m1", "b2", "l1", true, "m1:R 1"},
 };
 
-/* MUTATION_NO_EXPOSURE: m1's order never settled, so a new boot may meet it;
- * beside it there is room for one more order on its way, though the boot of
- * now has room for two. */
+/* m1's order never settled, so a restarted engine may execute it.  Only one
+ * more order may be in flight besides, although the current boot has free
+ * memory for two.  Fails with the mutation MUTATION_NO_EXPOSURE of
+ * tests/spec/ledger.pml. */
 static const struct step exposure[] = {
-    FIRST,
-    {"reserve", "m1", "l1", OLD, true, "m1:r 1"},
+    FIRST_REPORT,
+    {"reserve", "m1", "l1", OLD_SENDER, true, "m1:r 1"},
     {"report", "m1", "b1", "l1", true, "m1:R 1"},
-    {"release", "m1", "u1", OLD, true, "m1:u 1"},
+    {"release", "m1", "u1", OLD_SENDER, true, "m1:u 1"},
     {"report", "", "b1", "l1 u1", true, "1"},
-    {"reserve", "m2", "l2", OLD, true, "m2:r 2"},
-    {"reserve", "m3", "l3", OLD, false, "m2:r 2"},
-    {"earlier", "", "", NEW, true, "m2:r 2"},
+    {"reserve", "m2", "l2", OLD_SENDER, true, "m2:r 2"},
+    {"reserve", "m3", "l3", OLD_SENDER, false, "m2:r 2"},
+    {"earlier", "", "", NEW_SENDER, true, "m2:r 2"},
     {"report", "", "b1", "l1 u1", true, "m2:r 0"},
-    {"reserve", "m3", "l3", NEW, true, "m2:r m3:r 1"},
+    {"reserve", "m3", "l3", NEW_SENDER, true, "m2:r m3:r 1"},
 };
 
-/* An unload that arrives after a later load of the same model: it is not taken
- * for the model's absence before it was seen carried out, and when the model
- * goes all the same, the ledger follows the engine. */
+/* An unload that arrives after a later load of the same model.  An absent
+ * model doesn't count as unloaded before a report shows that the unload was
+ * executed, and when the delayed unload does remove the model, the ledger
+ * follows the engine. */
 static const struct step late_unload[] = {
-    FIRST,
+    FIRST_REPORT,
     {"report", "m1", "b1", "", true, "m1:R 0"},
-    {"release", "m1", "u1", OLD, true, "m1:u 0"},
-    {"reserve", "m1", "l1", OLD, false, "m1:u 0"},
+    {"release", "m1", "u1", OLD_SENDER, true, "m1:u 0"},
+    {"reserve", "m1", "l1", OLD_SENDER, false, "m1:u 0"},
     {"report", "", "b2", "", true, "0"},
-    {"reserve", "m1", "l1", OLD, true, "m1:r 1"},
-    {"end", "", "l1", OLD, true, "m1:r 1"},
+    {"reserve", "m1", "l1", OLD_SENDER, true, "m1:r 1"},
+    {"end", "", "l1", OLD_SENDER, true, "m1:r 1"},
     {"report", "m1", "b2", "l1", true, "m1:R 0"},
     {"report", "", "b2", "l1 u1", true, "0"},
 };
 
-#undef FIRST
+#undef FIRST_REPORT
 
 static const struct {
     const char *name;
     const struct step *steps;
     size_t count;
-} courses[] = {
-    {"course", course, G_N_ELEMENTS(course)},
-    {"full", full, G_N_ELEMENTS(full)},
+} scenarios[] = {
+    {"course", normal_course, G_N_ELEMENTS(normal_course)},
+    {"full", full_memory, G_N_ELEMENTS(full_memory)},
     {"refused-once", refused_once, G_N_ELEMENTS(refused_once)},
     {"new-boot", new_boot, G_N_ELEMENTS(new_boot)},
     {"exposure", exposure, G_N_ELEMENTS(exposure)},
     {"late-unload", late_unload, G_N_ELEMENTS(late_unload)},
 };
 
-/* Runs a course; after each step also through the JSON and back. */
+/* Runs a scenario.  After each step the ledger is printed as JSON and parsed
+ * again. */
 static void
-test_course(const void *data)
+test_scenario(const void *data)
 {
     size_t index = GPOINTER_TO_SIZE(data);
     struct ch_ledger *ledger = ch_ledger_new("w01", 2);
-    for (size_t i = 0; i < courses[index].count; i++) {
-        const struct step *step = &courses[index].steps[i];
+    for (size_t i = 0; i < scenarios[index].count; i++) {
+        const struct step *step = &scenarios[index].steps[i];
         struct ch_ledger *next = ch_ledger_next(ledger, "w");
-        bool result = step_run(next, step);
-        g_autofree char *text = describe(next);
-        g_test_message("%zu: %s %s", i, step->what, text);
+        bool result = run_step(next, step);
+        g_autofree char *description = describe(next);
+        g_test_message("%zu: %s %s", i, step->action, description);
         g_assert_cmpint(result, ==, step->expect);
-        g_assert_cmpstr(text, ==, step->after);
+        g_assert_cmpstr(description, ==, step->after);
         g_autofree char *json = ch_ledger_print(next);
-        struct ch_ledger *back = ch_ledger_parse(json, strlen(json), NULL);
-        g_assert_nonnull(back);
-        g_autofree char *again = ch_ledger_print(back);
-        g_assert_cmpstr(json, ==, again);
+        struct ch_ledger *parsed = ch_ledger_parse(json, strlen(json), NULL);
+        g_assert_nonnull(parsed);
+        g_autofree char *printed_again = ch_ledger_print(parsed);
+        g_assert_cmpstr(json, ==, printed_again);
         ch_ledger_free(next);
         ch_ledger_free(ledger);
-        ledger = back;
+        ledger = parsed;
     }
     ch_ledger_free(ledger);
 }
@@ -211,34 +219,35 @@
 /* ---- every order of events ---- */
 
 enum {
-    HOLDERS = 2,
+    NODES = 2,
     ORDERS = 4,
     ITEMS = 2,
 };
 
 static const char *const items[] = {"m1", "m2"};
 static const char *const orders[] = {"l0", "l1", "l2", "l3"};
-static const char *const senders[] = {OLD, OTHER};
+static const char *const senders[] = {OLD_SENDER, OTHER_SENDER};
 
-/* One engine of room for one item, and two nodes that believe to be its home.
- */
+/* An engine with memory for one item, and two nodes that both consider
+ * themselves its home node. */
 struct model {
     struct ch_ledger *kv;
-    struct ch_ledger *known[HOLDERS];
-    int sending[HOLDERS];     /* an order written and not yet sent; -1: none */
-    bool on_way[ORDERS];      /* sent and not answered */
-    unsigned held_by[ORDERS]; /* boot + 1 that may read it late; 0: none */
+    struct ch_ledger *known[NODES];
+    int sending[NODES];         /* order recorded and not yet sent; -1: none */
+    bool in_flight[ORDERS];     /* sent and not answered */
+    unsigned late_boot[ORDERS]; /* 1 + boot that may still execute the order
+                                   after its sender gave up; 0: none */
     unsigned sender[ORDERS];
     unsigned item[ORDERS];
-    int given;
+    int order_count;
     unsigned boot;
     bool resident[ITEMS];
     bool done[ORDERS];
 };
 
-/* The engine reads an order. */
+/* The engine receives an order.  Asserts that its memory is not exceeded. */
 static void
-model_arrives(struct model *model, int order)
+execute_order(struct model *model, int order)
 {
     if (model->done[order]) {
         return;
@@ -248,81 +257,83 @@
     g_assert_false(model->resident[0] && model->resident[1]);
 }
 
-/* Applies the engine's present report. */
+/* Applies the engine's current report. */
 static bool
-model_observe(const struct model *model, struct ch_ledger *ledger)
+apply_report(const struct model *model, struct ch_ledger *ledger)
 {
     char boot[8];
     const char *resident[ITEMS];
     const char *done[ORDERS];
-    const uint32_t memory[] = {1, 1};
-    struct ch_ledger_evidence evidence = {
+    const uint32_t memory_mb[] = {1, 1};
+    struct ch_ledger_evidence report = {
         .boot = boot,
         .resident = resident,
-        .resident_mb = memory,
+        .resident_mb = memory_mb,
         .orders_done = done,
         .after_ends = true,
     };
     (void)g_snprintf(boot, sizeof(boot), "b%u", model->boot);
     for (int i = 0; i < ITEMS; i++) {
         if (model->resident[i]) {
-            resident[evidence.resident_count++] = items[i];
+            resident[report.resident_count++] = items[i];
         }
     }
     for (int i = 0; i < ORDERS; i++) {
         if (model->done[i]) {
-            done[evidence.orders_done_count++] = orders[i];
+            done[report.orders_done_count++] = orders[i];
         }
     }
-    return ch_ledger_observe(ledger, &evidence);
+    return ch_ledger_observe(ledger, &report);
 }
 
-/* A holder writes a change; true when the compare-and-swap succeeded. */
+/* A node writes a change.  Returns true when the compare-and-swap succeeded.
+ * Takes ownership of next. */
 static bool
-model_write(struct model *model, unsigned holder, struct ch_ledger *next)
+write_ledger(struct model *model, unsigned node, struct ch_ledger *next)
 {
-    struct ch_ledger *known = model->known[holder];
+    struct ch_ledger *known = model->known[node];
     if (known->version != model->kv->version) {
         ch_ledger_free(next);
         ch_ledger_free(known);
-        model->known[holder] = ch_ledger_copy(model->kv);
+        model->known[node] = ch_ledger_copy(model->kv);
         return false;
     }
     ch_ledger_free(model->kv);
     model->kv = ch_ledger_copy(next);
     ch_ledger_free(known);
-    model->known[holder] = next;
+    model->known[node] = next;
     return true;
 }
 
-/* A holder reserves an item; the order is sent in a later move. */
+/* A node reserves an item; the order is sent in a later move. */
 static void
-model_reserve(struct model *model, unsigned holder, unsigned item)
+reserve_item(struct model *model, unsigned node, unsigned item)
 {
-    struct ch_ledger *next = ch_ledger_next(model->known[holder], "w");
-    int order = model->given;
+    struct ch_ledger *next = ch_ledger_next(model->known[node], "w");
+    int order = model->order_count;
     if (order == ORDERS ||
-        !ch_ledger_reserve(next, items[item], 1, orders[order],
-                           senders[holder], NULL)) {
+        !ch_ledger_reserve(next, items[item], 1, orders[order], senders[node],
+                           NULL)) {
         ch_ledger_free(next);
         return;
     }
-    model->given++;
+    model->order_count++;
     model->item[order] = item;
-    model->sender[order] = holder;
-    if (model_write(model, holder, next)) {
-        model->sending[holder] = order;
+    model->sender[order] = node;
+    if (write_ledger(model, node, next)) {
+        model->sending[node] = order;
     }
 }
 
-/* A holder takes a report, and releases what is resident. */
+/* A node applies a report and unloads all resident items if release is set. */
 static void
-model_report(struct model *model, unsigned holder, bool release)
+handle_report(struct model *model, unsigned node, bool release)
 {
-    struct ch_ledger *next = ch_ledger_next(model->known[holder], "w");
-    bool changed = model_observe(model, next);
+    struct ch_ledger *next = ch_ledger_next(model->known[node], "w");
+    bool changed = apply_report(model, next);
     for (unsigned i = 0; release && i < ITEMS; i++) {
-        /* The unload is carried out at once; a late one only makes room. */
+        /* The unload is executed at once; a late one would only free memory.
+         */
         if (ch_ledger_release(next, items[i], "u", NULL)) {
             changed = true;
         }
@@ -330,24 +341,25 @@
     if (!changed) {
         ch_ledger_free(next);
     }
-    else if (model_write(model, holder, next) && release) {
+    else if (write_ledger(model, node, next) && release) {
         model->resident[0] = false;
         model->resident[1] = false;
     }
 }
 
-/* The sender notes that its copy has ended. */
+/* The sender records that its copy has ended, and tries again once after a
+ * conflict. */
 static void
-model_end(struct model *model, int order)
+end_order(struct model *model, int order)
 {
-    unsigned holder = model->sender[order];
-    model->on_way[order] = false;
+    unsigned node = model->sender[order];
+    model->in_flight[order] = false;
     for (int i = 0; i < 2; i++) {
-        struct ch_ledger *next = ch_ledger_next(model->known[holder], "w");
-        if (!ch_ledger_end(next, orders[order], senders[holder], false)) {
+        struct ch_ledger *next = ch_ledger_next(model->known[node], "w");
+        if (!ch_ledger_end(next, orders[order], senders[node], false)) {
             ch_ledger_free(next);
         }
-        else if (model_write(model, holder, next)) {
+        else if (write_ledger(model, node, next)) {
             return;
         }
     }
@@ -358,118 +370,116 @@
     MOVE_RESERVE,
     MOVE_REPORT,
     MOVE_RELEASE,
-    MOVE_BOOT,
-    MOVE_ARRIVE,
+    MOVE_RESTART,
+    MOVE_EXECUTE,
     MOVE_GIVE_UP,
-    MOVE_ARRIVE_LATE,
+    MOVE_EXECUTE_LATE,
 };
 
 struct move {
     enum move_kind kind;
-    unsigned holder;
-    unsigned which; /* item or order */
+    unsigned node;
+    unsigned index; /* item or order */
 };
 
-/* Adds a move to those that are possible. */
 static void
-add_move(GArray *moves, enum move_kind kind, unsigned holder, unsigned which)
+add_move(GArray *moves, enum move_kind kind, unsigned node, unsigned index)
 {
-    const struct move move = {kind, holder, which};
+    const struct move move = {kind, node, index};
     g_array_append_val(moves, move);
 }
 
-/* What a holder can do. */
+/* Adds the possible moves of a node. */
 static void
-holder_moves(const struct model *model, unsigned holder, GArray *moves)
+add_node_moves(const struct model *model, unsigned node, GArray *moves)
 {
-    if (model->sending[holder] >= 0) {
-        add_move(moves, MOVE_SEND, holder, 0);
+    if (model->sending[node] >= 0) {
+        add_move(moves, MOVE_SEND, node, 0);
         return;
     }
-    for (unsigned i = 0; i < ITEMS && model->given < ORDERS; i++) {
-        if (ch_ledger_find(model->known[holder], items[i]) == NULL) {
-            add_move(moves, MOVE_RESERVE, holder, i);
+    for (unsigned i = 0; i < ITEMS && model->order_count < ORDERS; i++) {
+        if (ch_ledger_find(model->known[node], items[i]) == NULL) {
+            add_move(moves, MOVE_RESERVE, node, i);
         }
     }
-    add_move(moves, MOVE_REPORT, holder, 0);
+    add_move(moves, MOVE_REPORT, node, 0);
     if (model->resident[0] || model->resident[1]) {
-        add_move(moves, MOVE_RELEASE, holder, 0);
+        add_move(moves, MOVE_RELEASE, node, 0);
     }
 }
 
-/* What can happen to the orders and the engine. */
+/* Adds the possible moves of the orders and the engine. */
 static void
-world_moves(const struct model *model, GArray *moves)
+add_engine_moves(const struct model *model, GArray *moves)
 {
     for (unsigned i = 0; i < ORDERS; i++) {
-        if (model->on_way[i]) {
-            add_move(moves, MOVE_ARRIVE, 0, i);
+        if (model->in_flight[i]) {
+            add_move(moves, MOVE_EXECUTE, 0, i);
             add_move(moves, MOVE_GIVE_UP, 0, i);
         }
-        if (model->held_by[i] == model->boot + 1) {
-            add_move(moves, MOVE_ARRIVE_LATE, 0, i);
+        if (model->late_boot[i] == model->boot + 1) {
+            add_move(moves, MOVE_EXECUTE_LATE, 0, i);
         }
     }
-    if (model->given > 0 && model->boot == 0) {
-        add_move(moves, MOVE_BOOT, 0, 0);
+    if (model->order_count > 0 && model->boot == 0) {
+        add_move(moves, MOVE_RESTART, 0, 0);
     }
 }
 
-/* Makes a move. */
 static void
 make_move(struct model *model, const struct move *move)
 {
-    int order = (int)move->which;
+    int order = (int)move->index;
     switch (move->kind) {
     case MOVE_SEND:
-        model->on_way[model->sending[move->holder]] = true;
-        model->sending[move->holder] = -1;
+        model->in_flight[model->sending[move->node]] = true;
+        model->sending[move->node] = -1;
         break;
     case MOVE_RESERVE:
-        model_reserve(model, move->holder, move->which);
+        reserve_item(model, move->node, move->index);
         break;
     case MOVE_REPORT:
     case MOVE_RELEASE:
-        model_report(model, move->holder, move->kind == MOVE_RELEASE);
+        handle_report(model, move->node, move->kind == MOVE_RELEASE);
         break;
-    case MOVE_BOOT:
+    case MOVE_RESTART:
         model->boot++;
         memset(model->resident, 0, sizeof(model->resident));
         memset(model->done, 0, sizeof(model->done));
         break;
-    case MOVE_ARRIVE:
-        model_arrives(model, order);
-        model_end(model, order);
+    case MOVE_EXECUTE:
+        execute_order(model, order);
+        end_order(model, order);
         break;
     case MOVE_GIVE_UP:
-        model->held_by[order] = model->boot + 1;
-        model_end(model, order);
+        model->late_boot[order] = model->boot + 1;
+        end_order(model, order);
         break;
-    case MOVE_ARRIVE_LATE:
-        model->held_by[order] = 0;
-        model_arrives(model, order);
+    case MOVE_EXECUTE_LATE:
+        model->late_boot[order] = 0;
+        execute_order(model, order);
         break;
     }
 }
 
-/* One move of the world. */
+/* Makes one chosen move. */
 static void
-explore_move(struct model *model, struct explore *explore)
+make_chosen_move(struct model *model, struct explore *explore)
 {
     GArray *moves = g_array_new(FALSE, FALSE, sizeof(struct move));
-    for (unsigned holder = 0; holder < HOLDERS; holder++) {
-        holder_moves(model, holder, moves);
+    for (unsigned node = 0; node < NODES; node++) {
+        add_node_moves(model, node, moves);
     }
-    world_moves(model, moves);
+    add_engine_moves(model, moves);
     unsigned chosen = explore_choose(explore, moves->len);
     make_move(model, &g_array_index(moves, struct move, chosen));
     g_array_free(moves, TRUE);
 }
 
 /*
- * An operator would see an engine killed for want of memory, some time after a
- * node was paused between its write and its order, or after the engine was
- * started anew while an order was under way.
+ * Guards against an engine that is killed because its memory is exceeded, some
+ * time after a node was paused between its write and its order, or after the
+ * engine was restarted while an order was in flight.
  */
 static void
 test_every_order(void)
@@ -478,15 +488,15 @@
     do {
         struct model model = {.sending = {-1, -1}};
         model.kv = ch_ledger_new("w01", 1);
-        (void)model_observe(&model, model.kv);
-        for (unsigned i = 0; i < HOLDERS; i++) {
+        (void)apply_report(&model, model.kv);
+        for (unsigned i = 0; i < NODES; i++) {
             model.known[i] = ch_ledger_copy(model.kv);
         }
         while (explore.depth < explore.bound) {
-            explore_move(&model, &explore);
+            make_chosen_move(&model, &explore);
         }
         ch_ledger_free(model.kv);
-        for (unsigned i = 0; i < HOLDERS; i++) {
+        for (unsigned i = 0; i < NODES; i++) {
             ch_ledger_free(model.known[i]);
         }
     } while (explore_next(&explore));
@@ -494,7 +504,7 @@
             explore.runs);
 }
 
-/* Damaged records are refused whole. */
+/* A damaged record is refused as a whole. */
 static void
 test_damaged(void)
 {
@@ -524,9 +534,10 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    for (size_t i = 0; i < G_N_ELEMENTS(courses); i++) {
-        g_autofree char *path = g_strconcat("/ledger/", courses[i].name, NULL);
-        g_test_add_data_func(path, GSIZE_TO_POINTER(i), test_course);
+    for (size_t i = 0; i < G_N_ELEMENTS(scenarios); i++) {
+        g_autofree char *path =
+            g_strconcat("/ledger/", scenarios[i].name, NULL);
+        g_test_add_data_func(path, GSIZE_TO_POINTER(i), test_scenario);
     }
     g_test_add_func("/ledger/every-order", test_every_order);
     g_test_add_func("/ledger/damaged", test_damaged);
--- a/tests/unit/test_member.c
+++ b/tests/unit/test_member.c
@@ -1,17 +1,18 @@
-/* Membership and homes, in virtual time. */
+/* Membership and home nodes, in virtual time. */
 
 #include "decide/gossip.h"
 #include "decide/member.h"
 
 #include <string.h>
 
-static const int64_t MS = 1000;
-static const int64_t SILENT_AFTER = 600000;
+static const int64_t US_PER_MS = 1000;
+static const int64_t SILENT_AFTER_US = 600000;
 
-/* The platform lists members named by their data centre's letter. */
+/* Updates the members from a host list.  The first letter of a node's name is
+ * its data centre; data centre c is in region r2, the others are in r1. */
 static void
-list_members(struct ch_members *members, const char *const *names,
-             size_t count)
+update_members(struct ch_members *members, const char *const *names,
+               size_t count)
 {
     ch_members_begin_update(members);
     for (size_t i = 0; i < count; i++) {
@@ -23,27 +24,27 @@
     ch_members_end_update(members);
 }
 
-/* A members table of this node a1 (region r1, data centre a) and others. */
+/* Members as seen by node a1 (region r1, data centre a). */
 static struct ch_members *
-make_members(const char *const *names, size_t count)
+new_members(const char *const *names, size_t count)
 {
     struct ch_members *members =
-        ch_members_new("a1", "r1", "a", 1, SILENT_AFTER);
-    list_members(members, names, count);
+        ch_members_new("a1", "r1", "a", 1, SILENT_AFTER_US);
+    update_members(members, names, count);
     return members;
 }
 
-static const char *const seven[] = {"a2", "a3", "b1", "b2", "c1", "c2"};
+static const char *const other_nodes[] = {"a2", "a3", "b1", "b2", "c1", "c2"};
 
-/* Who is home: of one scope when anybody lives there, else of the wider. */
+/* The home node is in the narrowest scope that has an available node. */
 static void
 test_home_scope(void)
 {
     const struct {
         const char *region;
         const char *data_centre;
-        const char *silent; /* first letter of the nodes that are lost */
-        const char *expect; /* first letters that may be home */
+        const char *silent;   /* data centre whose nodes are lost */
+        const char *expected; /* data centres that may have the home node */
     } cases[] = {
         {"r1", "a", "", "a"},   {"r1", "b", "", "b"},
         {"r2", "c", "", "c"},   {"r1", "b", "b", "a"},
@@ -51,87 +52,92 @@
         {"r9", "z", "", "abc"},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-        struct ch_members *members = make_members(seven, G_N_ELEMENTS(seven));
-        for (size_t k = 0; k < G_N_ELEMENTS(seven); k++) {
-            if (seven[k][0] == cases[i].silent[0]) {
-                g_assert_true(
-                    ch_members_lost(members, seven[k], 2 * SILENT_AFTER));
+        struct ch_members *members =
+            new_members(other_nodes, G_N_ELEMENTS(other_nodes));
+        for (size_t k = 0; k < G_N_ELEMENTS(other_nodes); k++) {
+            if (other_nodes[k][0] == cases[i].silent[0]) {
+                g_assert_true(ch_members_lost(members, other_nodes[k],
+                                              2 * SILENT_AFTER_US));
             }
         }
         for (uint64_t key = 0; key < 200; key++) {
             const char *home = ch_members_home(members, key, cases[i].region,
                                                cases[i].data_centre);
-            g_assert_nonnull(strchr(cases[i].expect, home[0]));
+            g_assert_nonnull(strchr(cases[i].expected, home[0]));
         }
         ch_members_free(members);
     }
 }
 
-/* A node that goes moves the keys that it was home of, and no others. */
+/* When a node is lost, its keys get other home nodes, and no other keys do. */
 static void
-test_home_moves_little(void)
+test_lost_node_moves_own_keys(void)
 {
-    struct ch_members *members = make_members(seven, G_N_ELEMENTS(seven));
+    struct ch_members *members =
+        new_members(other_nodes, G_N_ELEMENTS(other_nodes));
     char *before[500];
-    int held = 0;
+    int b1_key_count = 0;
     for (uint64_t key = 0; key < 500; key++) {
         before[key] = g_strdup(ch_members_home(members, key, NULL, NULL));
-        held += strcmp(before[key], "b1") == 0;
+        b1_key_count += strcmp(before[key], "b1") == 0;
     }
-    ch_members_lost(members, "b1", 2 * SILENT_AFTER);
-    int moved = 0;
+    ch_members_lost(members, "b1", 2 * SILENT_AFTER_US);
+    int moved_count = 0;
     for (uint64_t key = 0; key < 500; key++) {
         const char *home = ch_members_home(members, key, NULL, NULL);
-        moved += strcmp(before[key], home) != 0;
+        moved_count += strcmp(before[key], home) != 0;
         g_free(before[key]);
     }
-    g_assert_cmpint(moved, ==, held);
-    g_assert_cmpint(held, >, 40);
-    g_assert_cmpint(held, <, 110);
+    g_assert_cmpint(moved_count, ==, b1_key_count);
+    g_assert_cmpint(b1_key_count, >, 40);
+    g_assert_cmpint(b1_key_count, <, 110);
     ch_members_free(members);
 }
 
 /*
- * What the caller sees: one connection went silent, its request goes to a new
- * one.  Something on the way has forgotten the connection while the node is
- * well, so that the node must stay in use: only a silence of all that comes
- * from it makes it silent, and one word from it brings it back.
+ * Guards against a healthy node that is taken out of use because one
+ * connection went silent, as when a device on the network path drops the
+ * connection's state; the caller's request then uses a new connection.  A
+ * member is silent only when no message comes over any connection, and alive
+ * again with the first message.
  */
 static void
-test_silence(void)
+test_lost_connection(void)
 {
     const struct {
-        int64_t heard;
-        int64_t lost;
+        int64_t heard_us;
+        int64_t lost_us;
         bool silent;
     } cases[] = {
-        {1000 * MS, 1100 * MS, false},
-        {1000 * MS, 1599 * MS, false},
-        {1000 * MS, 1600 * MS, true},
-        {1000 * MS, 9000 * MS, true},
+        {1000 * US_PER_MS, 1100 * US_PER_MS, false},
+        {1000 * US_PER_MS, 1599 * US_PER_MS, false},
+        {1000 * US_PER_MS, 1600 * US_PER_MS, true},
+        {1000 * US_PER_MS, 9000 * US_PER_MS, true},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-        struct ch_members *members = make_members(seven, G_N_ELEMENTS(seven));
-        ch_members_heard(members, "b1", cases[i].heard);
-        g_assert_cmpint(ch_members_lost(members, "b1", cases[i].lost), ==,
+        struct ch_members *members =
+            new_members(other_nodes, G_N_ELEMENTS(other_nodes));
+        ch_members_heard(members, "b1", cases[i].heard_us);
+        g_assert_cmpint(ch_members_lost(members, "b1", cases[i].lost_us), ==,
                         cases[i].silent);
         g_assert_cmpint(ch_members_find(members, "b1")->status, ==,
                         cases[i].silent ? CH_MEMBER_SILENT : CH_MEMBER_ALIVE);
-        ch_members_heard(members, "b1", cases[i].lost + 1);
+        ch_members_heard(members, "b1", cases[i].lost_us + 1);
         g_assert_cmpint(ch_members_find(members, "b1")->status, ==,
                         CH_MEMBER_ALIVE);
         ch_members_free(members);
     }
 }
 
-/* A hint makes this node probe and changes nothing by itself. */
+/* A hint makes this node probe the member and doesn't change its status. */
 static void
-test_hint(void)
+test_silence_hint(void)
 {
-    struct ch_members *members = make_members(seven, G_N_ELEMENTS(seven));
+    struct ch_members *members =
+        new_members(other_nodes, G_N_ELEMENTS(other_nodes));
     const char *names[8];
-    int64_t now = 10 * SILENT_AFTER;
-    ch_members_probe(members, now, names, 8); /* takes this period's draw */
+    int64_t now = 10 * SILENT_AFTER_US;
+    ch_members_probe(members, now, names, 8); /* uses up this period's probe */
     ch_members_hint(members, "c1", now);
     g_assert_cmpint(ch_members_find(members, "c1")->status, ==,
                     CH_MEMBER_ALIVE);
@@ -140,68 +146,74 @@
     ch_members_free(members);
 }
 
-/* Every member is probed once a round, at one probe a period, also when the
- * same list comes at each of them. */
+/* Every member is probed once per round, with one probe per period, also when
+ * the same host list arrives in each period. */
 static void
 test_probe_round(void)
 {
-    struct ch_members *members = make_members(seven, G_N_ELEMENTS(seven));
-    int probes[G_N_ELEMENTS(seven)] = {0};
-    for (size_t round = 0; round < 3 * G_N_ELEMENTS(seven); round++) {
+    struct ch_members *members =
+        new_members(other_nodes, G_N_ELEMENTS(other_nodes));
+    int probes[G_N_ELEMENTS(other_nodes)] = {0};
+    for (size_t round = 0; round < 3 * G_N_ELEMENTS(other_nodes); round++) {
         const char *names[8];
-        list_members(members, seven, G_N_ELEMENTS(seven));
+        update_members(members, other_nodes, G_N_ELEMENTS(other_nodes));
         size_t count = ch_members_probe(
             members, (int64_t)(round + 1) * CH_MEMBER_PERIOD, names, 8);
         g_assert_cmpuint(count, ==, 1);
-        for (size_t k = 0; k < G_N_ELEMENTS(seven); k++) {
-            probes[k] += strcmp(seven[k], names[0]) == 0;
+        for (size_t k = 0; k < G_N_ELEMENTS(other_nodes); k++) {
+            probes[k] += strcmp(other_nodes[k], names[0]) == 0;
         }
     }
-    for (size_t k = 0; k < G_N_ELEMENTS(seven); k++) {
+    for (size_t k = 0; k < G_N_ELEMENTS(other_nodes); k++) {
         g_assert_cmpint(probes[k], ==, 3);
     }
     ch_members_free(members);
 }
 
 /*
- * What the caller sees: nothing.  This process was stopped for a minute; when
- * it goes on, every other node seems silent for that long.  Taking the pause
- * off their silences keeps the node from calling itself home of everything.
+ * Guards against a node that considers itself the home node of all keys after
+ * its process was stopped for a minute, because every other node seems silent
+ * for that long.  The pause doesn't count as silence, so callers notice
+ * nothing.
  */
 static void
 test_pause(void)
 {
-    struct ch_members *members = make_members(seven, G_N_ELEMENTS(seven));
-    int64_t minute = 60000 * MS;
-    ch_members_heard(members, "b1", 1000 * MS);
-    ch_members_paused(members, minute, minute + 1050 * MS);
-    g_assert_false(ch_members_lost(members, "b1", minute + 1100 * MS));
+    struct ch_members *members =
+        new_members(other_nodes, G_N_ELEMENTS(other_nodes));
+    int64_t minute_us = 60000 * US_PER_MS;
+    ch_members_heard(members, "b1", 1000 * US_PER_MS);
+    ch_members_paused(members, minute_us, minute_us + 1050 * US_PER_MS);
+    g_assert_false(
+        ch_members_lost(members, "b1", minute_us + 1100 * US_PER_MS));
     ch_members_free(members);
 }
 
 /*
- * Guards against a member that dies just after this process paused, and counts
- * as alive for as long as the pause was: it was heard before the pause was
- * taken off.
+ * Guards against a member that dies just after a pause of this process and
+ * counts as alive for the length of the pause: its message was handled before
+ * the pause was added to the time of its last message.
  */
 static void
 test_heard_after_pause(void)
 {
-    struct ch_members *members = make_members(seven, G_N_ELEMENTS(seven));
-    int64_t minute = 60000 * MS;
-    ch_members_heard(members, "b1", minute);
-    ch_members_paused(members, minute, minute);
-    g_assert_false(ch_members_lost(members, "b1", minute + SILENT_AFTER - 1));
-    g_assert_true(ch_members_lost(members, "b1", minute + SILENT_AFTER));
+    struct ch_members *members =
+        new_members(other_nodes, G_N_ELEMENTS(other_nodes));
+    int64_t minute_us = 60000 * US_PER_MS;
+    ch_members_heard(members, "b1", minute_us);
+    ch_members_paused(members, minute_us, minute_us);
+    g_assert_false(
+        ch_members_lost(members, "b1", minute_us + SILENT_AFTER_US - 1));
+    g_assert_true(ch_members_lost(members, "b1", minute_us + SILENT_AFTER_US));
     ch_members_free(members);
 }
 
-/* A stopping node is no home, its successor by the same name is. */
+/* A stopping node is no home node, but a new process with its name is. */
 static void
-test_stopping(void)
+test_stopping_node(void)
 {
     const char *const other[] = {"a2"};
-    struct ch_members *members = make_members(other, 1);
+    struct ch_members *members = new_members(other, 1);
     ch_members_incarnation(members, "a2", 5);
     ch_members_leaves(members, "a2", 5);
     for (uint64_t key = 0; key < 50; key++) {
@@ -215,20 +227,20 @@
 }
 
 /*
- * What the caller sees: its request is served by the home that was there
- * before. A node that has just started answers, and is to be home, but knows
- * too little and would refuse; until it is ready, the others are asked. When
- * none is ready, the fleet starts, and homes are as ever.
+ * Guards against requests refused by a home node that has just started and
+ * knows too little to serve them.  Until it is ready, requests go to the
+ * earlier home node.  When no node is ready, the whole fleet is starting, and
+ * the home node is chosen as usual.
  */
 static void
-test_unready(void)
+test_node_not_ready(void)
 {
     const char *const other[] = {"a2"};
-    struct ch_members *members = make_members(other, 1);
+    struct ch_members *members = new_members(other, 1);
     static const struct {
-        bool self;
-        bool other;
-        const char *asked; /* NULL: the owner, whoever it is */
+        bool self_ready;
+        bool other_ready;
+        const char *asked; /* NULL: the home node by weight alone */
     } cases[] = {
         {true, false, "a1"},
         {false, true, "a2"},
@@ -236,13 +248,13 @@
         {false, false, NULL},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-        ch_members_ready_self(members, cases[i].self);
-        ch_members_ready(members, "a2", cases[i].other);
+        ch_members_ready_self(members, cases[i].self_ready);
+        ch_members_ready(members, "a2", cases[i].other_ready);
         for (uint64_t key = 0; key < 50; key++) {
-            const char *owner = ch_members_home(members, key, "r1", "a");
+            const char *home = ch_members_home(members, key, "r1", "a");
             const char *asked = ch_members_ready_home(members, key, "r1", "a");
             g_assert_cmpstr(asked, ==,
-                            cases[i].asked != NULL ? cases[i].asked : owner);
+                            cases[i].asked != NULL ? cases[i].asked : home);
         }
     }
     uint64_t version = ch_members_version(members);
@@ -253,14 +265,14 @@
     ch_members_free(members);
 }
 
-/* Messages a round do not grow with the fleet; both kinds of nodes get some.
- */
+/* The number of gossip messages per round doesn't grow with the fleet, and
+ * nodes of the own and of other data centres both get some. */
 static void
 test_fanout(void)
 {
     const struct {
-        unsigned near;
-        unsigned far;
+        unsigned local;
+        unsigned remote;
         struct ch_gossip_share share;
     } cases[] = {
         {0, 0, {0, 0}},    {2, 4, {2, 4}},   {11, 0, {11, 0}}, {12, 0, {6, 0}},
@@ -269,53 +281,55 @@
     };
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         struct ch_gossip_share share =
-            ch_gossip_share(cases[i].near, cases[i].far);
+            ch_gossip_share(cases[i].local, cases[i].remote);
         g_assert_cmpuint(share.near, ==, cases[i].share.near);
         g_assert_cmpuint(share.far, ==, cases[i].share.far);
-        bool all = share.near + share.far == cases[i].near + cases[i].far;
-        g_assert_cmpint(ch_gossip_direct(cases[i].near + cases[i].far + 1), ==,
-                        all);
+        bool all = share.near + share.far == cases[i].local + cases[i].remote;
+        g_assert_cmpint(ch_gossip_direct(cases[i].local + cases[i].remote + 1),
+                        ==, all);
     }
 }
 
-/* A refused connection is believed at once, and what is heard after it too.
- * Homes move by the version alone, so it must change with that belief. */
+/* A refused connection makes a member unavailable at once, and a later message
+ * makes it available again.  Home nodes are recomputed only when the version
+ * changes, so the version must change each time. */
 static void
-test_refused(void)
+test_refused_connection(void)
 {
-    struct ch_members *members = make_members(seven, G_N_ELEMENTS(seven));
-    ch_members_heard(members, "b1", 10 * MS);
+    struct ch_members *members =
+        new_members(other_nodes, G_N_ELEMENTS(other_nodes));
+    ch_members_heard(members, "b1", 10 * US_PER_MS);
     uint64_t before = ch_members_version(members);
-    ch_members_refused(members, "b1", 11 * MS);
+    ch_members_refused(members, "b1", 11 * US_PER_MS);
     const struct ch_member *member = ch_members_find(members, "b1");
     g_assert_false(ch_member_serves(member));
-    g_assert_cmpint(member->hint_until, >, 11 * MS);
+    g_assert_cmpint(member->hint_until, >, 11 * US_PER_MS);
     uint64_t version = ch_members_version(members);
     g_assert_cmpuint(version, !=, before);
-    ch_members_refused(members, "b1", 11 * MS);
+    ch_members_refused(members, "b1", 11 * US_PER_MS);
     g_assert_cmpuint(ch_members_version(members), ==, version);
-    ch_members_heard(members, "b1", 12 * MS);
+    ch_members_heard(members, "b1", 12 * US_PER_MS);
     g_assert_true(ch_member_serves(member));
-    ch_members_refused(members, "nobody", 13 * MS);
+    ch_members_refused(members, "nobody", 13 * US_PER_MS);
     ch_members_free(members);
 }
 
-/* Silent members are probed each second, or, when they are many, in turn at
- * no more than 20 a second; none is forgotten. */
+/* Each silent member is probed once a second.  Many silent members are probed
+ * in turn, at most 20 a second in total, and none is left out. */
 static void
 test_silent_probes(void)
 {
     const struct {
         unsigned silent;
-        unsigned most; /* probes of them in 20 s */
-        unsigned least_each;
+        unsigned max_probes; /* in 20 s, of all silent members */
+        unsigned min_probes_each;
     } cases[] = {{2, 42, 19}, {20, 420, 19}, {200, 420, 1}};
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         struct ch_members *members =
-            ch_members_new("a1", "r1", "a", 1, SILENT_AFTER);
+            ch_members_new("a1", "r1", "a", 1, SILENT_AFTER_US);
         unsigned *probes = g_new0(unsigned, cases[i].silent);
         size_t total = 0;
-        int64_t begun = 2 * SILENT_AFTER;
+        int64_t start = 2 * SILENT_AFTER_US;
         char name[16];
         ch_members_begin_update(members);
         for (unsigned k = 0; k < cases[i].silent; k++) {
@@ -326,9 +340,10 @@
         ch_members_end_update(members);
         for (unsigned k = 0; k < cases[i].silent; k++) {
             g_snprintf(name, sizeof(name), "b%03u", k);
-            g_assert_true(ch_members_lost(members, name, begun));
+            g_assert_true(ch_members_lost(members, name, start));
         }
-        for (int64_t now = begun; now < begun + 20000 * MS; now += 50 * MS) {
+        for (int64_t now = start; now < start + 20000 * US_PER_MS;
+             now += 50 * US_PER_MS) {
             const char *names[16];
             size_t count = ch_members_probe(members, now, names, 16);
             total += count;
@@ -337,9 +352,9 @@
                 ch_members_lost(members, names[k], now);
             }
         }
-        g_assert_cmpuint(total, <=, cases[i].most);
+        g_assert_cmpuint(total, <=, cases[i].max_probes);
         for (unsigned k = 0; k < cases[i].silent; k++) {
-            g_assert_cmpuint(probes[k], >=, cases[i].least_each);
+            g_assert_cmpuint(probes[k], >=, cases[i].min_probes_each);
         }
         g_free(probes);
         ch_members_free(members);
@@ -351,16 +366,17 @@
 {
     g_test_init(&argc, &argv, NULL);
     g_test_add_func("/member/home-scope", test_home_scope);
-    g_test_add_func("/member/home-moves-little", test_home_moves_little);
-    g_test_add_func("/member/silence", test_silence);
-    g_test_add_func("/member/hint", test_hint);
+    g_test_add_func("/member/home-moves-little",
+                    test_lost_node_moves_own_keys);
+    g_test_add_func("/member/silence", test_lost_connection);
+    g_test_add_func("/member/hint", test_silence_hint);
     g_test_add_func("/member/probe-round", test_probe_round);
     g_test_add_func("/member/pause", test_pause);
     g_test_add_func("/member/heard-after-pause", test_heard_after_pause);
-    g_test_add_func("/member/stopping", test_stopping);
-    g_test_add_func("/member/unready", test_unready);
+    g_test_add_func("/member/stopping", test_stopping_node);
+    g_test_add_func("/member/unready", test_node_not_ready);
     g_test_add_func("/member/fanout", test_fanout);
-    g_test_add_func("/member/refused", test_refused);
+    g_test_add_func("/member/refused", test_refused_connection);
     g_test_add_func("/member/silent-probes", test_silent_probes);
     return g_test_run();
 }
--- a/tests/unit/test_revision.c
+++ b/tests/unit/test_revision.c
@@ -1,4 +1,4 @@
-/* The configuration's revision: what became of a write, in every order of
+/* The configuration's revision: the outcome of a write, in every order of
  * events up to a bound. */
 
 #include "decide/revision.h"
@@ -11,14 +11,14 @@
     OPERATORS = 2,
 };
 
-static const char *const tokens[] = {"t0", "t1", "t2"};
+static const char *const write_ids[] = {"t0", "t1", "t2"};
 
 struct operator
 {
     struct ch_revision_write write;
-    struct ch_revision_record *base; /* what was read at base */
+    struct ch_revision_record *base; /* the record read at base */
     enum ch_revision_step step;
-    bool late; /* a write is under way without its sender */
+    bool late_write; /* an unanswered write may still take effect */
 };
 
 struct model {
@@ -27,43 +27,45 @@
     struct operator operators[OPERATORS];
 };
 
-/* The compare-and-swap. */
+/* Applies the operator's compare-and-swap to the stored record. */
 static enum ch_code
-model_put(struct model *model, unsigned o)
+apply_write(struct model *model, unsigned index)
 {
-    struct operator* operator= & model->operators[o];
+    struct operator* operator= & model->operators[index];
     if (operator->write.base != model->revision) {
         return CH_KV_CONFLICT;
     }
     struct ch_revision_record *record = ch_revision_record_new(
-        tokens[o], "a", "text", model->record, model->revision);
+        write_ids[index], "a", "text", model->record, model->revision);
     ch_revision_record_free(model->record);
     model->record = record;
     model->revision++;
     return CH_OK;
 }
 
-/* One call of an operator's write. */
+/* Makes the next call of an operator's write.  result of a read: 0 answered, 1
+ * store not reachable.  Of a write: 0 answered, 1 takes effect and the answer
+ * is lost, 2 may take effect later, 3 store not reachable. */
 static void
-model_step(struct model *model, unsigned o, unsigned fate)
+make_call(struct model *model, unsigned index, unsigned result)
 {
-    struct operator* operator= & model->operators[o];
+    struct operator* operator= & model->operators[index];
     if (operator->step == CH_REVISION_READ) {
         enum ch_code code = model->record == NULL ? CH_KV_MISSING : CH_OK;
         operator->step = ch_revision_write_read(
-            &operator->write, fate == 0 ? code : CH_KV_UNREACHABLE,
-            fate == 0 ? model->record : NULL, model->revision);
+            &operator->write, result == 0 ? code : CH_KV_UNREACHABLE,
+            result == 0 ? model->record : NULL, model->revision);
         return;
     }
     enum ch_code code = CH_KV_AMBIGUOUS;
-    if (fate == 0) {
-        code = model_put(model, o);
+    if (result == 0) {
+        code = apply_write(model, index);
     }
-    else if (fate == 1) {
-        (void)model_put(model, o);
+    else if (result == 1) {
+        (void)apply_write(model, index);
     }
-    else if (fate == 2) {
-        operator->late = true;
+    else if (result == 2) {
+        operator->late_write = true;
     }
     else {
         code = CH_KV_UNREACHABLE;
@@ -72,47 +74,48 @@
         ch_revision_write_written(&operator->write, code, model->revision);
 }
 
-/* Whether a token is, or was, in force. */
+/* True when the operator's write is in force or was earlier. */
 static bool
-in_line(const struct model *model, unsigned o)
+is_in_history(const struct model *model, unsigned index)
 {
     const struct ch_revision_record *record = model->record;
     if (record == NULL) {
         return false;
     }
-    bool there = strcmp(record->token, tokens[o]) == 0;
+    bool found = strcmp(record->token, write_ids[index]) == 0;
     for (size_t i = 0; i < record->past_count; i++) {
-        there |= strcmp(record->past[i].token, tokens[o]) == 0;
+        found |= strcmp(record->past[i].token, write_ids[index]) == 0;
     }
-    return there;
+    return found;
 }
 
-/* What operators were told holds. */
+/* Asserts that what the operators were told is still true. */
 static void
-check_told(const struct model *model)
+check_outcomes(const struct model *model)
 {
-    for (unsigned o = 0; o < OPERATORS; o++) {
-        enum ch_revision_step step = model->operators[o].step;
-        g_assert_true(step != CH_REVISION_ACCEPTED || in_line(model, o));
+    for (unsigned index = 0; index < OPERATORS; index++) {
+        enum ch_revision_step step = model->operators[index].step;
+        g_assert_true(step != CH_REVISION_ACCEPTED ||
+                      is_in_history(model, index));
         g_assert_true(
             (step != CH_REVISION_CONFLICT && step != CH_REVISION_FAILED) ||
-            !in_line(model, o));
+            !is_in_history(model, index));
     }
 }
 
-/* One move of the world; false when nothing can move. */
+/* Makes one chosen move.  Returns false when no move is possible. */
 static bool
-explore_move(struct model *model, struct explore *explore)
+make_move(struct model *model, struct explore *explore)
 {
     unsigned moves[2 * OPERATORS];
     unsigned count = 0;
-    for (unsigned o = 0; o < OPERATORS; o++) {
-        enum ch_revision_step step = model->operators[o].step;
+    for (unsigned index = 0; index < OPERATORS; index++) {
+        enum ch_revision_step step = model->operators[index].step;
         if (step == CH_REVISION_READ || step == CH_REVISION_WRITE) {
-            moves[count++] = o;
+            moves[count++] = index;
         }
-        if (model->operators[o].late) {
-            moves[count++] = OPERATORS + o;
+        if (model->operators[index].late_write) {
+            moves[count++] = OPERATORS + index;
         }
     }
     if (count == 0) {
@@ -120,20 +123,21 @@
     }
     unsigned move = moves[explore_choose(explore, count)];
     if (move >= OPERATORS) {
-        model->operators[move - OPERATORS].late = false;
-        (void)model_put(model, move - OPERATORS);
+        model->operators[move - OPERATORS].late_write = false;
+        (void)apply_write(model, move - OPERATORS);
         return true;
     }
     bool read = model->operators[move].step == CH_REVISION_READ;
-    model_step(model, move, explore_choose(explore, read ? 2 : 4));
+    make_call(model, move, explore_choose(explore, read ? 2 : 4));
     return true;
 }
 
 /*
- * Two operators apply a change made from the same revision, and answers of the
- * service are lost or its writes late.  An operator who was told "conflict"
- * while the change is in force would make it twice; one who was told
- * "accepted" while it is not would go home.
+ * Guards against wrong outcomes.  Two operators write a change of the same
+ * revision, while answers of the key-value store are lost or its writes take
+ * effect late.  An operator who is told of a conflict although the change is
+ * in force would make it twice; one who is told that it was accepted although
+ * it is not in force would not make it again.
  */
 static void
 test_every_order(void)
@@ -141,14 +145,15 @@
     struct explore explore = {.bound = 13};
     do {
         struct model model = {0};
-        for (unsigned o = 0; o < OPERATORS; o++) {
-            ch_revision_write_init(&model.operators[o].write, 0, tokens[o]);
+        for (unsigned index = 0; index < OPERATORS; index++) {
+            ch_revision_write_init(&model.operators[index].write, 0,
+                                   write_ids[index]);
         }
-        for (int i = 0; i < 60 && explore_move(&model, &explore); i++) {
-            check_told(&model);
+        for (int i = 0; i < 60 && make_move(&model, &explore); i++) {
+            check_outcomes(&model);
         }
-        for (unsigned o = 0; o < OPERATORS; o++) {
-            ch_revision_write_clear(&model.operators[o].write);
+        for (unsigned index = 0; index < OPERATORS; index++) {
+            ch_revision_write_clear(&model.operators[index].write);
         }
         ch_revision_record_free(model.record);
     } while (explore_next(&explore));
@@ -156,13 +161,13 @@
             explore.runs);
 }
 
-/* A lost answer is resolved by the tokens: in force, in the past, not there,
- * and past remembering. */
+/* After a lost answer, the write IDs decide the outcome: the write is in
+ * force, in the history, in neither, or older than the history. */
 static void
-test_resolve(void)
+test_lost_answer(void)
 {
     const struct {
-        unsigned writes_after; /* by others, since */
+        unsigned writes_after; /* by others, since the write */
         bool took_effect;
         enum ch_revision_step expect;
     } cases[] = {
@@ -183,11 +188,11 @@
                         CH_REVISION_WRITE);
         g_assert_cmpint(ch_revision_write_written(&write, CH_KV_AMBIGUOUS, 0),
                         ==, CH_REVISION_READ);
-        unsigned all = cases[i].writes_after + cases[i].took_effect;
-        for (unsigned k = 0; k < all; k++) {
-            bool mine = k == 0 && cases[i].took_effect;
+        unsigned write_count = cases[i].writes_after + cases[i].took_effect;
+        for (unsigned k = 0; k < write_count; k++) {
+            bool is_own = k == 0 && cases[i].took_effect;
             struct ch_revision_record *next = ch_revision_record_new(
-                mine ? "mine" : "theirs", "b", "y", record, revision++);
+                is_own ? "mine" : "theirs", "b", "y", record, revision++);
             ch_revision_record_free(record);
             record = next;
         }
@@ -202,9 +207,9 @@
     }
 }
 
-/* Older and equal revisions change nothing. */
+/* Older and equal revisions are not applied. */
 static void
-test_newer(void)
+test_older_revision(void)
 {
     g_assert_true(ch_revision_newer(0, 1));
     g_assert_false(ch_revision_newer(1, 1));
@@ -212,27 +217,28 @@
     g_assert_false(ch_revision_newer(0, 0));
 }
 
-/* The record as JSON and back; what is damaged is refused. */
+/* A record printed as JSON and parsed again is the same; a truncated one is
+ * refused. */
 static void
-test_record(void)
+test_record_json(void)
 {
     struct ch_revision_record *first =
         ch_revision_record_new("t1", "eira", "[class a]\n", NULL, 0);
     struct ch_revision_record *second =
         ch_revision_record_new("t2", "bob", "[class \"b\"]\n", first, 7);
     g_autofree char *json = ch_revision_record_print(second);
-    struct ch_revision_record *back =
+    struct ch_revision_record *parsed =
         ch_revision_record_parse(json, strlen(json), NULL);
-    g_assert_nonnull(back);
-    g_autofree char *again = ch_revision_record_print(back);
-    g_assert_cmpstr(json, ==, again);
-    g_assert_cmpuint(back->past[0].revision, ==, 7);
+    g_assert_nonnull(parsed);
+    g_autofree char *printed_again = ch_revision_record_print(parsed);
+    g_assert_cmpstr(json, ==, printed_again);
+    g_assert_cmpuint(parsed->past[0].revision, ==, 7);
     for (size_t cut = 0; cut < strlen(json); cut++) {
         g_assert_null(ch_revision_record_parse(json, cut, NULL));
     }
     ch_revision_record_free(first);
     ch_revision_record_free(second);
-    ch_revision_record_free(back);
+    ch_revision_record_free(parsed);
 }
 
 int
@@ -240,8 +246,8 @@
 {
     g_test_init(&argc, &argv, NULL);
     g_test_add_func("/revision/every-order", test_every_order);
-    g_test_add_func("/revision/resolve", test_resolve);
-    g_test_add_func("/revision/newer", test_newer);
-    g_test_add_func("/revision/record", test_record);
+    g_test_add_func("/revision/resolve", test_lost_answer);
+    g_test_add_func("/revision/newer", test_older_revision);
+    g_test_add_func("/revision/record", test_record_json);
     return g_test_run();
 }
