--- a/libchestnuthitch/decide/ledger_json.c
+++ b/libchestnuthitch/decide/ledger_json.c
@@ -98,8 +98,8 @@
 /* Reads an integer from 0 to max_value.  Returns false with an error when the
  * member is missing, no integer or out of range. */
 static bool
-read_int(JsonObject *object, const char *name, int64_t max_value, uint64_t *out,
-         struct ch_error *error)
+read_int(JsonObject *object, const char *name, int64_t max_value,
+         uint64_t *out, struct ch_error *error)
 {
     JsonNode *node = json_object_get_member(object, name);
     int64_t value = -1;
