--- a/cli/replay.c
+++ b/cli/replay.c
@@ -77,7 +77,7 @@
 {
     const struct ch_policy *policy = ch_policy_find(name);
     if (policy == NULL) {
-        char *names = g_strjoinv(", ", (char **)ch_policy_names());
+        char *names = g_strjoinv(", ", (char **)ch_policy_list_names());
         (void)fprintf(stderr, "chestnuthitch: no policy '%s'; there are: %s\n",
                       name, names);
         g_free(names);
--- a/libchestnuthitch/crash/crash.h
+++ b/libchestnuthitch/crash/crash.h
@@ -12,7 +12,7 @@
 
 enum {
     CH_DIGEST_BYTES = 16,
-    CH_DIGEST_TEXT = 2 * CH_DIGEST_BYTES + 1,
+    CH_DIGEST_TEXT_SIZE = 2 * CH_DIGEST_BYTES + 1,
 };
 
 /* ---- digests: whether two requests are the same (digest.c) ---- */
@@ -28,47 +28,47 @@
     size_t length;
 };
 
-struct ch_digest ch_digest_of(const struct ch_digest_part *parts,
-                              size_t count);
+struct ch_digest ch_digest_compute(const struct ch_digest_part *parts,
+                                   size_t count);
 bool ch_digest_equal(const struct ch_digest *a, const struct ch_digest *b);
-void ch_digest_print(const struct ch_digest *digest,
-                     char text[CH_DIGEST_TEXT]);
+void ch_digest_format(const struct ch_digest *digest,
+                      char text[CH_DIGEST_TEXT_SIZE]);
 /* False: the text is not a digest. */
 bool ch_digest_parse(const char *text, struct ch_digest *digest);
 
 /* ---- crash observations (table.c) ---- */
 
 /* A request was running on an upstream when the upstream's process ended. */
-struct ch_crash_run {
+struct ch_crash_observation {
     struct ch_digest digest;
     /* A hash that costs less than the digest and is known of every request. */
     uint64_t fingerprint;
     GQuark upstream;
-    uint64_t boot;
-    int64_t at; /* when the process ended */
-    bool fresh; /* no part of the response had arrived */
+    uint64_t boot_id;
+    int64_t ended_at;     /* when the process ended */
+    bool before_response; /* no part of the response had arrived */
 };
 
 struct ch_crash_limits {
-    unsigned crashes; /* a request is barred from this many on */
-    size_t requests;  /* table size; the oldest evidence is dropped first */
-    int64_t keep;     /* older evidence is dropped */
+    unsigned crashes_to_bar; /* a request is barred from this many on */
+    size_t max_requests; /* table size; the oldest evidence is dropped first */
+    int64_t retention;   /* older evidence is dropped */
 };
 
 enum ch_crash_state {
     CH_CRASH_UNKNOWN,   /* no evidence against it */
     CH_CRASH_SUSPECTED, /* it was running on an upstream that crashed */
     CH_CRASH_BARRED,    /* it is no longer sent to any upstream */
-    CH_CRASH_SOUND,     /* got a complete response: not the cause */
+    CH_CRASH_HARMLESS,  /* got a complete response: not the cause */
 };
 
-struct ch_crash_view {
+struct ch_crash_assessment {
     struct ch_digest digest;
     uint64_t fingerprint;
     enum ch_crash_state state;
-    unsigned crashes; /* upstreams that crashed while running it */
-    unsigned sure;    /* crashes that nothing else explains */
-    int64_t last;
+    unsigned crashes;             /* upstreams that crashed while running it */
+    unsigned unexplained_crashes; /* crashes that nothing else explains */
+    int64_t last_evidence_at;
 };
 
 struct ch_crash_table;
@@ -79,84 +79,90 @@
 /* Adds one observation; true when it is new.  The same observation may come
    any number of times, from any node and in any order. */
 bool ch_crash_table_add(struct ch_crash_table *table,
-                        const struct ch_crash_run *observation);
+                        const struct ch_crash_observation *observation);
 /* Marks a request as harmless, since an upstream sent a complete response to
    it; true when that is new. */
-bool ch_crash_table_sound(struct ch_crash_table *table,
-                          const struct ch_digest *digest);
+bool ch_crash_table_mark_harmless(struct ch_crash_table *table,
+                                  const struct ch_digest *digest);
 /* Adds a request that was barred before this node knew of it. */
-void ch_crash_table_record(struct ch_crash_table *table,
-                           const struct ch_digest *digest,
-                           uint64_t fingerprint, int64_t now);
+void ch_crash_table_restore_barred(struct ch_crash_table *table,
+                                   const struct ch_digest *digest,
+                                   uint64_t fingerprint, int64_t now);
 /* Releases a request: evidence up to `at` no longer counts.  True when that is
    new. */
 bool ch_crash_table_release(struct ch_crash_table *table,
                             const struct ch_digest *digest, int64_t at);
 /* Whether the table has a request with that fingerprint. */
-bool ch_crash_table_knows(const struct ch_crash_table *table,
-                          uint64_t fingerprint);
-bool ch_crash_table_ended(const struct ch_crash_table *table, GQuark upstream,
-                          uint64_t boot);
+bool ch_crash_table_has_fingerprint(const struct ch_crash_table *table,
+                                    uint64_t fingerprint);
+bool ch_crash_table_has_crash(const struct ch_crash_table *table,
+                              GQuark upstream, uint64_t boot);
 /* Counts the upstreams that crashed under a request, whether it was released
    or not.  Cheaper than ch_crash_table_assess(), and enough to decide whether
    that is worth a call. */
-unsigned ch_crash_table_crashes(const struct ch_crash_table *table,
-                                const struct ch_digest *digest);
+unsigned ch_crash_table_count_crashes(const struct ch_crash_table *table,
+                                      const struct ch_digest *digest);
 bool ch_crash_table_is_empty(const struct ch_crash_table *table);
 /* Drops requests whose evidence is too old. */
 void ch_crash_table_expire(struct ch_crash_table *table, int64_t now);
 /* Equal on two nodes whose tables hold the same. */
-uint64_t ch_crash_table_sum(const struct ch_crash_table *table);
-void ch_crash_table_each_run(
+uint64_t ch_crash_table_checksum(const struct ch_crash_table *table);
+void ch_crash_table_foreach_observation(
     const struct ch_crash_table *table,
-    void (*callback)(void *data, const struct ch_crash_run *observation),
+    void (*callback)(void *data,
+                     const struct ch_crash_observation *observation),
     void *data);
-void ch_crash_table_each(
+void ch_crash_table_foreach(
     const struct ch_crash_table *table,
-    void (*callback)(void *data, const struct ch_crash_view *assessment),
+    void (*callback)(void *data, const struct ch_crash_assessment *assessment),
     void *data);
 /* Whether a request was released; sets `at` to the last release. */
-bool ch_crash_table_released(const struct ch_crash_table *table,
-                             const struct ch_digest *digest, int64_t *at);
+bool ch_crash_table_find_release(const struct ch_crash_table *table,
+                                 const struct ch_digest *digest, int64_t *at);
 
 /* ---- assessment of a request (assess.c) ---- */
 
-struct ch_crash_view ch_crash_table_view(const struct ch_crash_table *table,
-                                         const struct ch_digest *digest);
+struct ch_crash_assessment
+ch_crash_table_assess(const struct ch_crash_table *table,
+                      const struct ch_digest *digest);
 
 /* ---- interrupted calls: did their upstream crash? (interrupted.c) ---- */
 
-struct ch_crash_cuts;
+struct ch_interrupted_calls;
 
 /* An upstream as the current host list has it. */
-struct ch_crash_listed {
+struct ch_crash_listed_upstream {
     GQuark upstream;
-    uint64_t boot;
-    bool leaving;
+    uint64_t boot_id;
+    bool draining;
 };
 
-struct ch_crash_cuts *ch_crash_cuts_new(void);
-void ch_crash_cuts_free(struct ch_crash_cuts *calls);
+struct ch_interrupted_calls *ch_interrupted_calls_new(void);
+void ch_interrupted_calls_free(struct ch_interrupted_calls *calls);
 /* observation->ended_at: when the call was interrupted. */
-void ch_crash_cuts_add(struct ch_crash_cuts *calls,
-                       const struct ch_crash_run *observation);
+void ch_interrupted_calls_add(struct ch_interrupted_calls *calls,
+                              const struct ch_crash_observation *observation);
 /* Moves to `ended` (of struct ch_crash_observation) the calls that a crash of
    their upstream interrupted: it refuses connections now. */
-void ch_crash_cuts_refused(struct ch_crash_cuts *calls, GQuark upstream,
-                           int64_t now, GArray *ended);
+void ch_interrupted_calls_note_refused(struct ch_interrupted_calls *calls,
+                                       GQuark upstream, int64_t now,
+                                       GArray *ended);
 /* The same, because another node found that the upstream crashed. */
-void ch_crash_cuts_ended(struct ch_crash_cuts *calls, GQuark upstream,
-                         uint64_t boot, GArray *ended);
+void ch_interrupted_calls_note_crash(struct ch_interrupted_calls *calls,
+                                     GQuark upstream, uint64_t boot,
+                                     GArray *ended);
 /* The same for each upstream that has left the host list or has restarted. */
-void ch_crash_cuts_listed(struct ch_crash_cuts *calls,
-                          const struct ch_crash_listed *listed, size_t count,
-                          GArray *ended);
+void
+ch_interrupted_calls_note_list(struct ch_interrupted_calls *calls,
+                               const struct ch_crash_listed_upstream *listed,
+                               size_t count, GArray *ended);
 /* The upstream answers a call that was sent at sent_at: drops the calls that
    were interrupted before, since a crash was not the cause. */
-void ch_crash_cuts_answered(struct ch_crash_cuts *calls, GQuark upstream,
-                            int64_t sent_at);
+void ch_interrupted_calls_note_response(struct ch_interrupted_calls *calls,
+                                        GQuark upstream, int64_t sent_at);
 /* Drops calls whose cause did not become known in time. */
-void ch_crash_cuts_expire(struct ch_crash_cuts *calls, int64_t now);
-size_t ch_crash_cuts_count(const struct ch_crash_cuts *calls);
+void ch_interrupted_calls_expire(struct ch_interrupted_calls *calls,
+                                 int64_t now);
+size_t ch_interrupted_calls_count(const struct ch_interrupted_calls *calls);
 
 #endif
--- a/libchestnuthitch/crash/cuts.c
+++ b/libchestnuthitch/crash/cuts.c
@@ -17,23 +17,24 @@
     MAX_CALLS = 1024,
 };
 
-struct ch_crash_cuts {
+struct ch_interrupted_calls {
     GArray *observations; /* struct ch_crash_observation, ordered by time */
 };
 
 /* See crash.h. */
-struct ch_crash_cuts *
-ch_crash_cuts_new(void)
+struct ch_interrupted_calls *
+ch_interrupted_calls_new(void)
 {
-    struct ch_crash_cuts *calls = g_new0(struct ch_crash_cuts, 1);
+    struct ch_interrupted_calls *calls =
+        g_new0(struct ch_interrupted_calls, 1);
     calls->observations =
-        g_array_new(FALSE, FALSE, sizeof(struct ch_crash_run));
+        g_array_new(FALSE, FALSE, sizeof(struct ch_crash_observation));
     return calls;
 }
 
 /* See crash.h. */
 void
-ch_crash_cuts_free(struct ch_crash_cuts *calls)
+ch_interrupted_calls_free(struct ch_interrupted_calls *calls)
 {
     if (calls != NULL) {
         g_array_free(calls->observations, TRUE);
@@ -43,8 +44,8 @@
 
 /* See crash.h. */
 void
-ch_crash_cuts_add(struct ch_crash_cuts *calls,
-                  const struct ch_crash_run *observation)
+ch_interrupted_calls_add(struct ch_interrupted_calls *calls,
+                         const struct ch_crash_observation *observation)
 {
     if (calls->observations->len >= MAX_CALLS) {
         g_array_remove_index(calls->observations, 0);
@@ -62,18 +63,19 @@
 /* Keeps, drops or moves to `ended` each call, as decide() says; `ended` may be
  * NULL if decide() moves none. */
 static void
-apply_verdicts(struct ch_crash_cuts *calls,
-               enum verdict (*decide)(const void *data,
-                                      const struct ch_crash_run *observation),
-               const void *data, GArray *ended)
+apply_verdicts(
+    struct ch_interrupted_calls *calls,
+    enum verdict (*decide)(const void *data,
+                           const struct ch_crash_observation *observation),
+    const void *data, GArray *ended)
 {
     guint kept_count = 0;
     for (guint i = 0; i < calls->observations->len; i++) {
-        const struct ch_crash_run observation =
-            g_array_index(calls->observations, struct ch_crash_run, i);
+        const struct ch_crash_observation observation =
+            g_array_index(calls->observations, struct ch_crash_observation, i);
         enum verdict verdict = decide(data, &observation);
         if (verdict == VERDICT_UNDECIDED) {
-            g_array_index(calls->observations, struct ch_crash_run,
+            g_array_index(calls->observations, struct ch_crash_observation,
                           kept_count++) = observation;
         }
         else if (verdict == VERDICT_CRASHED) {
@@ -92,19 +94,20 @@
 
 /* The upstream refuses connections. */
 static enum verdict
-decide_refused(const void *data, const struct ch_crash_run *observation)
+decide_refused(const void *data,
+               const struct ch_crash_observation *observation)
 {
     const struct upstream_event *event = data;
     return observation->upstream == event->upstream &&
-                   event->at - observation->at <= MAX_REFUSAL_DELAY_US
+                   event->at - observation->ended_at <= MAX_REFUSAL_DELAY_US
                ? VERDICT_CRASHED
                : VERDICT_UNDECIDED;
 }
 
 /* See crash.h. */
 void
-ch_crash_cuts_refused(struct ch_crash_cuts *calls, GQuark upstream,
-                      int64_t now, GArray *ended)
+ch_interrupted_calls_note_refused(struct ch_interrupted_calls *calls,
+                                  GQuark upstream, int64_t now, GArray *ended)
 {
     const struct upstream_event event = {upstream, 0, now};
     apply_verdicts(calls, decide_refused, &event, ended);
@@ -112,40 +115,41 @@
 
 /* Another node found that the upstream crashed. */
 static enum verdict
-decide_crashed(const void *data, const struct ch_crash_run *observation)
+decide_crashed(const void *data,
+               const struct ch_crash_observation *observation)
 {
     const struct upstream_event *event = data;
     return observation->upstream == event->upstream &&
-                   observation->boot == event->boot
+                   observation->boot_id == event->boot
                ? VERDICT_CRASHED
                : VERDICT_UNDECIDED;
 }
 
 /* See crash.h. */
 void
-ch_crash_cuts_ended(struct ch_crash_cuts *calls, GQuark upstream,
-                    uint64_t boot, GArray *ended)
+ch_interrupted_calls_note_crash(struct ch_interrupted_calls *calls,
+                                GQuark upstream, uint64_t boot, GArray *ended)
 {
     const struct upstream_event event = {upstream, boot, 0};
     apply_verdicts(calls, decide_crashed, &event, ended);
 }
 
 struct host_list {
-    const struct ch_crash_listed *rows;
+    const struct ch_crash_listed_upstream *rows;
     size_t count;
 };
 
 /* Compares a call with the host list.  An upstream that is listed as draining
  * ends as planned: that is no crash. */
 static enum verdict
-decide_listed(const void *data, const struct ch_crash_run *observation)
+decide_listed(const void *data, const struct ch_crash_observation *observation)
 {
     const struct host_list *list = data;
     for (size_t i = 0; i < list->count; i++) {
-        const struct ch_crash_listed *row = &list->rows[i];
+        const struct ch_crash_listed_upstream *row = &list->rows[i];
         if (row->upstream == observation->upstream &&
-            row->boot == observation->boot) {
-            return row->leaving ? VERDICT_DROPPED : VERDICT_UNDECIDED;
+            row->boot_id == observation->boot_id) {
+            return row->draining ? VERDICT_DROPPED : VERDICT_UNDECIDED;
         }
     }
     return VERDICT_CRASHED;
@@ -153,9 +157,9 @@
 
 /* See crash.h. */
 void
-ch_crash_cuts_listed(struct ch_crash_cuts *calls,
-                     const struct ch_crash_listed *listed, size_t count,
-                     GArray *ended)
+ch_interrupted_calls_note_list(struct ch_interrupted_calls *calls,
+                               const struct ch_crash_listed_upstream *listed,
+                               size_t count, GArray *ended)
 {
     const struct host_list list = {listed, count};
     apply_verdicts(calls, decide_listed, &list, ended);
@@ -163,19 +167,20 @@
 
 /* The upstream answers a call that was sent after the interruption. */
 static enum verdict
-decide_responding(const void *data, const struct ch_crash_run *observation)
+decide_responding(const void *data,
+                  const struct ch_crash_observation *observation)
 {
     const struct upstream_event *event = data;
     return observation->upstream == event->upstream &&
-                   observation->at < event->at
+                   observation->ended_at < event->at
                ? VERDICT_DROPPED
                : VERDICT_UNDECIDED;
 }
 
 /* See crash.h. */
 void
-ch_crash_cuts_answered(struct ch_crash_cuts *calls, GQuark upstream,
-                       int64_t sent_at)
+ch_interrupted_calls_note_response(struct ch_interrupted_calls *calls,
+                                   GQuark upstream, int64_t sent_at)
 {
     const struct upstream_event event = {upstream, 0, sent_at};
     apply_verdicts(calls, decide_responding, &event, NULL);
@@ -183,16 +188,18 @@
 
 /* The cause did not become known in time. */
 static enum verdict
-decide_expired(const void *data, const struct ch_crash_run *observation)
+decide_expired(const void *data,
+               const struct ch_crash_observation *observation)
 {
     const struct upstream_event *event = data;
-    return event->at - observation->at > MAX_CALL_AGE_US ? VERDICT_DROPPED
-                                                         : VERDICT_UNDECIDED;
+    return event->at - observation->ended_at > MAX_CALL_AGE_US
+               ? VERDICT_DROPPED
+               : VERDICT_UNDECIDED;
 }
 
 /* See crash.h. */
 void
-ch_crash_cuts_expire(struct ch_crash_cuts *calls, int64_t now)
+ch_interrupted_calls_expire(struct ch_interrupted_calls *calls, int64_t now)
 {
     const struct upstream_event event = {0, 0, now};
     apply_verdicts(calls, decide_expired, &event, NULL);
@@ -200,7 +207,7 @@
 
 /* See crash.h. */
 size_t
-ch_crash_cuts_count(const struct ch_crash_cuts *calls)
+ch_interrupted_calls_count(const struct ch_interrupted_calls *calls)
 {
     return calls->observations->len;
 }
--- a/libchestnuthitch/crash/digest.c
+++ b/libchestnuthitch/crash/digest.c
@@ -19,7 +19,7 @@
 
 /* The first half of a SHA-256 hash over the parts in order. */
 struct ch_digest
-ch_digest_of(const struct ch_digest_part *parts, size_t count)
+ch_digest_compute(const struct ch_digest_part *parts, size_t count)
 {
     struct ch_digest digest;
     guint8 hash[32];
@@ -43,7 +43,8 @@
 
 /* Writes a digest in hexadecimal. */
 void
-ch_digest_print(const struct ch_digest *digest, char text[CH_DIGEST_TEXT])
+ch_digest_format(const struct ch_digest *digest,
+                 char text[CH_DIGEST_TEXT_SIZE])
 {
     for (size_t i = 0; i < CH_DIGEST_BYTES; i++) {
         (void)snprintf(text + 2 * i, 3, "%02x", digest->bytes[i]);
@@ -54,7 +55,7 @@
 bool
 ch_digest_parse(const char *text, struct ch_digest *digest)
 {
-    if (strlen(text) != CH_DIGEST_TEXT - 1) {
+    if (strlen(text) != CH_DIGEST_TEXT_SIZE - 1) {
         return false;
     }
     for (size_t i = 0; i < CH_DIGEST_BYTES; i++) {
--- a/libchestnuthitch/crash/judge.c
+++ b/libchestnuthitch/crash/judge.c
@@ -30,18 +30,19 @@
 
 /* Whether a crash counts as evidence against a suspect. */
 static bool
-is_evidence(const struct crash_suspect *suspect, const struct crash_end *crash)
+is_evidence(const struct crash_suspect *suspect,
+            const struct upstream_crash *crash)
 {
-    return !suspect->sound &&
-           (!suspect->released || crash->at > suspect->released_at);
+    return !suspect->harmless &&
+           (!suspect->released || crash->crashed_at > suspect->released_at);
 }
 
 /* Whether a suspect is stored as barred and was not released since. */
 static bool
 is_restored_barred(const struct crash_suspect *suspect)
 {
-    return suspect->recorded &&
-           (!suspect->released || suspect->recorded_at > suspect->released_at);
+    return suspect->restored &&
+           (!suspect->released || suspect->restored_at > suspect->released_at);
 }
 
 /* Counts the upstreams that crashed under a suspect. */
@@ -49,9 +50,11 @@
 count_crashes(const struct crash_suspect *suspect)
 {
     unsigned crashes = 0;
-    for (guint i = 0; i < suspect->ends->len; i++) {
-        crashes += is_evidence(
-            suspect, g_array_index(suspect->ends, struct crash_on, i).end);
+    for (guint i = 0; i < suspect->involvements->len; i++) {
+        crashes +=
+            is_evidence(suspect, g_array_index(suspect->involvements,
+                                               struct crash_involvement, i)
+                                     .crash);
     }
     return crashes;
 }
@@ -59,7 +62,7 @@
 /* Whether a request other than the suspect, with at least `crashes` crashes,
  * was running on the upstream. */
 static bool
-is_explained(const struct crash_end *crash,
+is_explained(const struct upstream_crash *crash,
              const struct crash_suspect *suspect, unsigned crashes)
 {
     for (guint i = 0; i < crash->suspects->len; i++) {
@@ -75,7 +78,7 @@
 /* Whether the suspect was running on the upstream that crashed. */
 static bool
 was_running_on(const struct crash_suspect *suspect,
-               const struct crash_end *crash)
+               const struct upstream_crash *crash)
 {
     for (guint i = 0; i < crash->suspects->len; i++) {
         if (g_ptr_array_index(crash->suspects, i) == suspect) {
@@ -90,13 +93,14 @@
  * stay up, so such a request may be the cause of both. */
 static bool
 is_on_concurrent_crash(const struct crash_suspect *suspect,
-                       const struct crash_end *crash)
+                       const struct upstream_crash *crash)
 {
-    for (guint i = 0; i < suspect->ends->len; i++) {
-        const struct crash_end *other =
-            g_array_index(suspect->ends, struct crash_on, i).end;
+    for (guint i = 0; i < suspect->involvements->len; i++) {
+        const struct upstream_crash *other =
+            g_array_index(suspect->involvements, struct crash_involvement, i)
+                .crash;
         if (other != crash && is_evidence(suspect, other) &&
-            ABS(other->at - crash->at) <= WAVE_WINDOW_US) {
+            ABS(other->crashed_at - crash->crashed_at) <= WAVE_WINDOW_US) {
             return true;
         }
     }
@@ -106,7 +110,7 @@
 /* Whether one of the requests on the upstream was on several that crashed at
  * about the same time. */
 static bool
-has_suspect_on_concurrent_crash(const struct crash_end *crash)
+has_suspect_on_concurrent_crash(const struct upstream_crash *crash)
 {
     for (guint i = 0; i < crash->suspects->len; i++) {
         if (is_on_concurrent_crash(g_ptr_array_index(crash->suspects, i),
@@ -120,16 +124,18 @@
 /* Whether the crash is part of a wave: several upstreams crashed together, and
  * neither the suspect nor any other request is the reason. */
 static bool
-is_wave(const struct ch_crash_table *table, const struct crash_end *crash,
+is_wave(const struct ch_crash_table *table, const struct upstream_crash *crash,
         const struct crash_suspect *suspect)
 {
     unsigned others = 0;
-    for (guint i = 0; i < table->ends->len; i++) {
-        const struct crash_end *other = g_ptr_array_index(table->ends, i);
-        others += other != crash &&
-                  ABS(other->at - crash->at) <= WAVE_WINDOW_US &&
-                  !was_running_on(suspect, other) &&
-                  !has_suspect_on_concurrent_crash(other);
+    for (guint i = 0; i < table->crashes->len; i++) {
+        const struct upstream_crash *other =
+            g_ptr_array_index(table->crashes, i);
+        others +=
+            other != crash &&
+            ABS(other->crashed_at - crash->crashed_at) <= WAVE_WINDOW_US &&
+            !was_running_on(suspect, other) &&
+            !has_suspect_on_concurrent_crash(other);
     }
     return others >= WAVE_MIN_OTHERS;
 }
@@ -140,39 +146,40 @@
                   const struct crash_suspect *suspect, unsigned crashes)
 {
     unsigned unexplained = 0;
-    for (guint i = 0; i < suspect->ends->len; i++) {
-        const struct crash_on *involvement =
-            &g_array_index(suspect->ends, struct crash_on, i);
-        unexplained += involvement->fresh &&
-                       is_evidence(suspect, involvement->end) &&
-                       !is_explained(involvement->end, suspect, crashes) &&
-                       !is_wave(table, involvement->end, suspect);
+    for (guint i = 0; i < suspect->involvements->len; i++) {
+        const struct crash_involvement *involvement =
+            &g_array_index(suspect->involvements, struct crash_involvement, i);
+        unexplained += involvement->before_response &&
+                       is_evidence(suspect, involvement->crash) &&
+                       !is_explained(involvement->crash, suspect, crashes) &&
+                       !is_wave(table, involvement->crash, suspect);
     }
     return unexplained;
 }
 
 /* See crash.h. */
-struct ch_crash_view
-ch_crash_table_view(const struct ch_crash_table *table,
-                    const struct ch_digest *digest)
+struct ch_crash_assessment
+ch_crash_table_assess(const struct ch_crash_table *table,
+                      const struct ch_digest *digest)
 {
-    struct ch_crash_view assessment = {.digest = *digest};
+    struct ch_crash_assessment assessment = {.digest = *digest};
     const struct crash_suspect *suspect =
         g_hash_table_lookup(table->suspects, digest);
     if (suspect == NULL) {
         return assessment;
     }
     assessment.fingerprint = suspect->fingerprint;
-    assessment.last = suspect->last;
+    assessment.last_evidence_at = suspect->last_evidence_at;
     assessment.crashes = count_crashes(suspect);
-    assessment.sure = count_unexplained(table, suspect, assessment.crashes);
-    if (suspect->sound) {
-        assessment.state = CH_CRASH_SOUND;
+    assessment.unexplained_crashes =
+        count_unexplained(table, suspect, assessment.crashes);
+    if (suspect->harmless) {
+        assessment.state = CH_CRASH_HARMLESS;
     }
     else if (is_restored_barred(suspect) ||
-             assessment.sure >= table->limits.crashes ||
+             assessment.unexplained_crashes >= table->limits.crashes_to_bar ||
              assessment.crashes >=
-                 table->limits.crashes + CRASHES_RULING_OUT_CHANCE) {
+                 table->limits.crashes_to_bar + CRASHES_RULING_OUT_CHANCE) {
         assessment.state = CH_CRASH_BARRED;
     }
     else if (assessment.crashes > 0) {
--- a/libchestnuthitch/crash/table.c
+++ b/libchestnuthitch/crash/table.c
@@ -32,7 +32,7 @@
 free_suspect(void *data)
 {
     struct crash_suspect *suspect = data;
-    g_array_free(suspect->ends, TRUE);
+    g_array_free(suspect->involvements, TRUE);
     g_free(suspect);
 }
 
@@ -40,7 +40,7 @@
 static void
 free_crash(void *data)
 {
-    struct crash_end *crash = data;
+    struct upstream_crash *crash = data;
     g_ptr_array_free(crash->suspects, TRUE);
     g_free(crash);
 }
@@ -53,9 +53,9 @@
     table->limits = *limits;
     table->suspects =
         g_hash_table_new_full(hash_digest, digests_equal, NULL, free_suspect);
-    table->fingerprints =
+    table->fingerprint_counts =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
-    table->ends = g_ptr_array_new_with_free_func(free_crash);
+    table->crashes = g_ptr_array_new_with_free_func(free_crash);
     return table;
 }
 
@@ -65,8 +65,8 @@
 {
     if (table != NULL) {
         g_hash_table_destroy(table->suspects);
-        g_hash_table_destroy(table->fingerprints);
-        g_ptr_array_free(table->ends, TRUE);
+        g_hash_table_destroy(table->fingerprint_counts);
+        g_ptr_array_free(table->crashes, TRUE);
         g_free(table);
     }
 }
@@ -77,24 +77,24 @@
                   int change)
 {
     int count = GPOINTER_TO_INT(
-        g_hash_table_lookup(table->fingerprints, &fingerprint));
+        g_hash_table_lookup(table->fingerprint_counts, &fingerprint));
     count += change;
     if (count == 0) {
-        g_hash_table_remove(table->fingerprints, &fingerprint);
+        g_hash_table_remove(table->fingerprint_counts, &fingerprint);
         return;
     }
-    g_hash_table_replace(table->fingerprints,
+    g_hash_table_replace(table->fingerprint_counts,
                          g_memdup2(&fingerprint, sizeof(fingerprint)),
                          GINT_TO_POINTER(count));
 }
 
 /* The crash of an upstream's process; NULL: none is known. */
-static struct crash_end *
+static struct upstream_crash *
 find_crash(const struct ch_crash_table *table, GQuark upstream, uint64_t boot)
 {
-    for (guint i = 0; i < table->ends->len; i++) {
-        struct crash_end *crash = g_ptr_array_index(table->ends, i);
-        if (crash->upstream == upstream && crash->boot == boot) {
+    for (guint i = 0; i < table->crashes->len; i++) {
+        struct upstream_crash *crash = g_ptr_array_index(table->crashes, i);
+        if (crash->upstream == upstream && crash->boot_id == boot) {
             return crash;
         }
     }
@@ -105,12 +105,13 @@
 static void
 drop_suspect(struct ch_crash_table *table, struct crash_suspect *suspect)
 {
-    for (guint i = 0; i < suspect->ends->len; i++) {
-        struct crash_end *crash =
-            g_array_index(suspect->ends, struct crash_on, i).end;
+    for (guint i = 0; i < suspect->involvements->len; i++) {
+        struct upstream_crash *crash =
+            g_array_index(suspect->involvements, struct crash_involvement, i)
+                .crash;
         g_ptr_array_remove_fast(crash->suspects, suspect);
         if (crash->suspects->len == 0) {
-            g_ptr_array_remove_fast(table->ends, crash);
+            g_ptr_array_remove_fast(table->crashes, crash);
         }
     }
     count_fingerprint(table, suspect->fingerprint, -1);
@@ -127,7 +128,8 @@
     g_hash_table_iter_init(&iterator, table->suspects);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct crash_suspect *suspect = value;
-        if (oldest == NULL || suspect->last < oldest->last) {
+        if (oldest == NULL ||
+            suspect->last_evidence_at < oldest->last_evidence_at) {
             oldest = suspect;
         }
     }
@@ -145,8 +147,9 @@
         suspect = g_new0(struct crash_suspect, 1);
         suspect->digest = *digest;
         suspect->fingerprint = fingerprint;
-        suspect->last = now;
-        suspect->ends = g_array_new(FALSE, FALSE, sizeof(struct crash_on));
+        suspect->last_evidence_at = now;
+        suspect->involvements =
+            g_array_new(FALSE, FALSE, sizeof(struct crash_involvement));
         g_hash_table_insert(table->suspects, &suspect->digest, suspect);
         count_fingerprint(table, fingerprint, 1);
     }
@@ -155,41 +158,42 @@
 
 /* Finds or adds the crash of an observation, and keeps the earliest time that
  * was reported for it. */
-static struct crash_end *
+static struct upstream_crash *
 find_or_add_crash(struct ch_crash_table *table,
-                  const struct ch_crash_run *observation)
+                  const struct ch_crash_observation *observation)
 {
-    struct crash_end *crash =
-        find_crash(table, observation->upstream, observation->boot);
+    struct upstream_crash *crash =
+        find_crash(table, observation->upstream, observation->boot_id);
     if (crash == NULL) {
-        crash = g_new0(struct crash_end, 1);
+        crash = g_new0(struct upstream_crash, 1);
         crash->upstream = observation->upstream;
-        crash->boot = observation->boot;
-        crash->at = observation->at;
+        crash->boot_id = observation->boot_id;
+        crash->crashed_at = observation->ended_at;
         crash->suspects = g_ptr_array_new();
-        g_ptr_array_add(table->ends, crash);
+        g_ptr_array_add(table->crashes, crash);
     }
-    crash->at = MIN(crash->at, observation->at);
+    crash->crashed_at = MIN(crash->crashed_at, observation->ended_at);
     return crash;
 }
 
 /* Records that a suspect was running on the crashed upstream; true when that
  * is new. */
 static bool
-add_involvement(struct crash_suspect *suspect, struct crash_end *crash,
+add_involvement(struct crash_suspect *suspect, struct upstream_crash *crash,
                 bool before_response)
 {
-    for (guint i = 0; i < suspect->ends->len; i++) {
-        struct crash_on *involvement =
-            &g_array_index(suspect->ends, struct crash_on, i);
-        if (involvement->end == crash) {
-            bool is_new = before_response && !involvement->fresh;
-            involvement->fresh = involvement->fresh || before_response;
+    for (guint i = 0; i < suspect->involvements->len; i++) {
+        struct crash_involvement *involvement =
+            &g_array_index(suspect->involvements, struct crash_involvement, i);
+        if (involvement->crash == crash) {
+            bool is_new = before_response && !involvement->before_response;
+            involvement->before_response =
+                involvement->before_response || before_response;
             return is_new;
         }
     }
-    const struct crash_on involvement = {crash, before_response};
-    g_array_append_val(suspect->ends, involvement);
+    const struct crash_involvement involvement = {crash, before_response};
+    g_array_append_val(suspect->involvements, involvement);
     g_ptr_array_add(crash->suspects, suspect);
     return true;
 }
@@ -200,7 +204,8 @@
 {
     const struct crash_suspect *first = *(struct crash_suspect *const *)a;
     const struct crash_suspect *second = *(struct crash_suspect *const *)b;
-    return (first->last > second->last) - (first->last < second->last);
+    return (first->last_evidence_at > second->last_evidence_at) -
+           (first->last_evidence_at < second->last_evidence_at);
 }
 
 /* Makes room after a suspect was added, by dropping those with the oldest
@@ -211,7 +216,7 @@
 make_room(struct ch_crash_table *table, struct crash_suspect *added)
 {
     guint size = g_hash_table_size(table->suspects);
-    if (size <= table->limits.requests) {
+    if (size <= table->limits.max_requests) {
         return;
     }
     GPtrArray *suspects = g_ptr_array_sized_new(size);
@@ -232,44 +237,46 @@
 
 /* See crash.h. */
 void
-ch_crash_table_record(struct ch_crash_table *table,
-                      const struct ch_digest *digest, uint64_t fingerprint,
-                      int64_t now)
+ch_crash_table_restore_barred(struct ch_crash_table *table,
+                              const struct ch_digest *digest,
+                              uint64_t fingerprint, int64_t now)
 {
     struct crash_suspect *suspect =
         find_or_add_suspect(table, digest, fingerprint, now);
-    suspect->recorded = true;
-    suspect->recorded_at = now;
-    suspect->last = MAX(suspect->last, now);
+    suspect->restored = true;
+    suspect->restored_at = now;
+    suspect->last_evidence_at = MAX(suspect->last_evidence_at, now);
     make_room(table, suspect);
 }
 
 /* See crash.h. */
 bool
 ch_crash_table_add(struct ch_crash_table *table,
-                   const struct ch_crash_run *observation)
+                   const struct ch_crash_observation *observation)
 {
     struct crash_suspect *suspect =
         find_or_add_suspect(table, &observation->digest,
-                            observation->fingerprint, observation->at);
-    bool is_new = add_involvement(
-        suspect, find_or_add_crash(table, observation), observation->fresh);
-    suspect->last = MAX(suspect->last, observation->at);
+                            observation->fingerprint, observation->ended_at);
+    bool is_new =
+        add_involvement(suspect, find_or_add_crash(table, observation),
+                        observation->before_response);
+    suspect->last_evidence_at =
+        MAX(suspect->last_evidence_at, observation->ended_at);
     make_room(table, suspect);
     return is_new;
 }
 
 /* See crash.h. */
 bool
-ch_crash_table_sound(struct ch_crash_table *table,
-                     const struct ch_digest *digest)
+ch_crash_table_mark_harmless(struct ch_crash_table *table,
+                             const struct ch_digest *digest)
 {
     struct crash_suspect *suspect =
         g_hash_table_lookup(table->suspects, digest);
-    if (suspect == NULL || suspect->sound) {
+    if (suspect == NULL || suspect->harmless) {
         return false;
     }
-    suspect->sound = true;
+    suspect->harmless = true;
     return true;
 }
 
@@ -290,27 +297,28 @@
 
 /* See crash.h. */
 bool
-ch_crash_table_knows(const struct ch_crash_table *table, uint64_t fingerprint)
+ch_crash_table_has_fingerprint(const struct ch_crash_table *table,
+                               uint64_t fingerprint)
 {
-    return g_hash_table_contains(table->fingerprints, &fingerprint);
+    return g_hash_table_contains(table->fingerprint_counts, &fingerprint);
 }
 
 /* See crash.h. */
 bool
-ch_crash_table_ended(const struct ch_crash_table *table, GQuark upstream,
-                     uint64_t boot)
+ch_crash_table_has_crash(const struct ch_crash_table *table, GQuark upstream,
+                         uint64_t boot)
 {
     return find_crash(table, upstream, boot) != NULL;
 }
 
 /* See crash.h. */
 unsigned
-ch_crash_table_crashes(const struct ch_crash_table *table,
-                       const struct ch_digest *digest)
+ch_crash_table_count_crashes(const struct ch_crash_table *table,
+                             const struct ch_digest *digest)
 {
     const struct crash_suspect *suspect =
         g_hash_table_lookup(table->suspects, digest);
-    return suspect == NULL ? 0 : suspect->ends->len;
+    return suspect == NULL ? 0 : suspect->involvements->len;
 }
 
 /* See crash.h. */
@@ -325,7 +333,8 @@
 ch_crash_table_expire(struct ch_crash_table *table, int64_t now)
 {
     struct crash_suspect *oldest = find_oldest(table);
-    while (oldest != NULL && oldest->last + table->limits.keep < now) {
+    while (oldest != NULL &&
+           oldest->last_evidence_at + table->limits.retention < now) {
         drop_suspect(table, oldest);
         oldest = find_oldest(table);
     }
@@ -334,18 +343,18 @@
 /* A checksum of one observation. */
 static uint64_t
 checksum_observation(const struct crash_suspect *suspect,
-                     const struct crash_on *involvement)
+                     const struct crash_involvement *involvement)
 {
     uint64_t checksum = ch_hash(suspect->digest.bytes, CH_DIGEST_BYTES);
     checksum = ch_hash_pair(checksum, ch_hash_string(g_quark_to_string(
-                                          involvement->end->upstream)));
-    return ch_hash_pair(checksum,
-                        involvement->end->boot * 2 + involvement->fresh);
+                                          involvement->crash->upstream)));
+    return ch_hash_pair(checksum, involvement->crash->boot_id * 2 +
+                                      involvement->before_response);
 }
 
 /* See crash.h.  The sum does not depend on the order of the observations. */
 uint64_t
-ch_crash_table_sum(const struct ch_crash_table *table)
+ch_crash_table_checksum(const struct ch_crash_table *table)
 {
     uint64_t checksum = 0;
     GHashTableIter iterator;
@@ -353,12 +362,13 @@
     g_hash_table_iter_init(&iterator, table->suspects);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const struct crash_suspect *suspect = value;
-        for (guint i = 0; i < suspect->ends->len; i++) {
+        for (guint i = 0; i < suspect->involvements->len; i++) {
             checksum += checksum_observation(
-                suspect, &g_array_index(suspect->ends, struct crash_on, i));
+                suspect, &g_array_index(suspect->involvements,
+                                        struct crash_involvement, i));
         }
         uint64_t own = ch_hash(suspect->digest.bytes, CH_DIGEST_BYTES);
-        checksum += suspect->sound ? ch_hash_pair(own, 1) : 0;
+        checksum += suspect->harmless ? ch_hash_pair(own, 1) : 0;
         checksum += suspect->released ? ch_hash_pair(own, 2) : 0;
     }
     return checksum;
@@ -366,9 +376,10 @@
 
 /* See crash.h. */
 void
-ch_crash_table_each_run(
+ch_crash_table_foreach_observation(
     const struct ch_crash_table *table,
-    void (*callback)(void *data, const struct ch_crash_run *observation),
+    void (*callback)(void *data,
+                     const struct ch_crash_observation *observation),
     void *data)
 {
     GHashTableIter iterator;
@@ -376,16 +387,16 @@
     g_hash_table_iter_init(&iterator, table->suspects);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const struct crash_suspect *suspect = value;
-        for (guint i = 0; i < suspect->ends->len; i++) {
-            const struct crash_on *involvement =
-                &g_array_index(suspect->ends, struct crash_on, i);
-            const struct ch_crash_run observation = {
+        for (guint i = 0; i < suspect->involvements->len; i++) {
+            const struct crash_involvement *involvement = &g_array_index(
+                suspect->involvements, struct crash_involvement, i);
+            const struct ch_crash_observation observation = {
                 .digest = suspect->digest,
                 .fingerprint = suspect->fingerprint,
-                .upstream = involvement->end->upstream,
-                .boot = involvement->end->boot,
-                .at = involvement->end->at,
-                .fresh = involvement->fresh,
+                .upstream = involvement->crash->upstream,
+                .boot_id = involvement->crash->boot_id,
+                .ended_at = involvement->crash->crashed_at,
+                .before_response = involvement->before_response,
             };
             callback(data, &observation);
         }
@@ -394,25 +405,25 @@
 
 /* See crash.h. */
 void
-ch_crash_table_each(const struct ch_crash_table *table,
-                    void (*callback)(void *data,
-                                     const struct ch_crash_view *assessment),
-                    void *data)
+ch_crash_table_foreach(
+    const struct ch_crash_table *table,
+    void (*callback)(void *data, const struct ch_crash_assessment *assessment),
+    void *data)
 {
     GHashTableIter iterator;
     gpointer key = NULL;
     g_hash_table_iter_init(&iterator, table->suspects);
     while (g_hash_table_iter_next(&iterator, &key, NULL)) {
-        const struct ch_crash_view assessment =
-            ch_crash_table_view(table, key);
+        const struct ch_crash_assessment assessment =
+            ch_crash_table_assess(table, key);
         callback(data, &assessment);
     }
 }
 
 /* See crash.h. */
 bool
-ch_crash_table_released(const struct ch_crash_table *table,
-                        const struct ch_digest *digest, int64_t *at)
+ch_crash_table_find_release(const struct ch_crash_table *table,
+                            const struct ch_digest *digest, int64_t *at)
 {
     const struct crash_suspect *suspect =
         g_hash_table_lookup(table->suspects, digest);
--- a/libchestnuthitch/decide/admit.c
+++ b/libchestnuthitch/decide/admit.c
@@ -26,25 +26,26 @@
 static int64_t
 time_to_free_slot(const struct ch_home *home, guint nth, int64_t now)
 {
-    guint count = home->granted->len;
+    guint count = home->running->len;
     if (count == 0) {
         return 0;
     }
     GArray *remaining =
         g_array_sized_new(FALSE, FALSE, sizeof(int64_t), count);
     for (guint i = 0; i < count; i++) {
-        const struct ch_granted *granted =
-            &g_array_index(home->granted, struct ch_granted, i);
-        int64_t time_left = granted->at + granted->expected - now;
+        const struct ch_running_request *granted =
+            &g_array_index(home->running, struct ch_running_request, i);
+        int64_t time_left =
+            granted->granted_at + granted->predicted_time - now;
         /* An overdue request is assumed to need another tenth of its predicted
          * time. */
-        time_left = MAX(time_left, granted->expected / 10);
+        time_left = MAX(time_left, granted->predicted_time / 10);
         g_array_append_val(remaining, time_left);
     }
     g_array_sort(remaining, ch_compare_int64);
     int64_t rounds = nth / count;
     int64_t wait = g_array_index(remaining, int64_t, nth % count) +
-                   (int64_t)(home->rates.hold * (double)rounds);
+                   (int64_t)(home->service_times.slot_time * (double)rounds);
     g_array_unref(remaining);
     return wait;
 }
@@ -53,17 +54,17 @@
  * its model were loaded, given the requests of equal or lower rank ahead of
  * it. */
 int64_t
-ch_home_wait(const struct ch_home *home, int64_t rank, int64_t now)
+ch_home_predict_wait(const struct ch_home *home, int64_t rank, int64_t now)
 {
     guint ahead_count = 0;
     for (guint i = 0; i < home->queue.entries->len; i++) {
-        if (ch_queue_at(&home->queue, i)->rank > rank) {
+        if (ch_queue_get(&home->queue, i)->rank > rank) {
             break;
         }
         ahead_count++;
     }
-    uint32_t limit = ch_home_limit(home);
-    guint running = home->granted->len;
+    uint32_t limit = ch_home_get_limit(home);
+    guint running = home->running->len;
     /* A policy without a concurrency limit may have granted more; the excess
      * requests wait at the upstream. */
     if (running + ahead_count < limit) {
@@ -76,23 +77,23 @@
  * or -1 if they are not going to be.  Marks an absent model that may be loaded
  * as wanted. */
 static int64_t
-time_to_load_items(struct ch_home *home, const struct ch_work *request,
+time_to_load_items(struct ch_home *home, const struct ch_request_info *request,
                    const struct ch_fleet *fleet, int64_t now)
 {
-    if (request->service) {
+    if (request->is_service) {
         return 0;
     }
-    struct ch_held *model = ch_home_item(home, request->model);
-    int64_t load_time = ch_place_load_time(model);
+    struct ch_item_record *model = ch_home_find_item(home, request->model);
+    int64_t load_time = ch_place_predict_load_time(model);
     int64_t adapter_time = 0;
-    if (request->adapter != 0 && !ch_home_has(home, request->adapter)) {
+    if (request->adapter != 0 && !ch_home_has_item(home, request->adapter)) {
         adapter_time = ADAPTER_LOAD_US;
     }
-    if (model->state == CH_ITEM_RESIDENT && !model->leaving) {
+    if (model->state == CH_ITEM_RESIDENT && !model->evicting) {
         return adapter_time;
     }
     if (model->state == CH_ITEM_LOADING) {
-        int64_t remaining = model->changed + load_time - now;
+        int64_t remaining = model->state_changed_at + load_time - now;
         return MAX(remaining, load_time / 10) + adapter_time;
     }
     if (!ch_place_may_load(home, request, fleet, now)) {
@@ -107,13 +108,14 @@
 count_tenant_requests(const struct ch_home *home, uint64_t tenant)
 {
     guint count = 0;
-    for (guint i = 0; i < home->granted->len; i++) {
-        const struct ch_granted *granted =
-            &g_array_index(home->granted, struct ch_granted, i);
+    for (guint i = 0; i < home->running->len; i++) {
+        const struct ch_running_request *granted =
+            &g_array_index(home->running, struct ch_running_request, i);
         count += granted->tenant == tenant ? 1 : 0;
     }
     for (guint i = 0; i < home->queue.entries->len; i++) {
-        count += ch_queue_at(&home->queue, i)->work.tenant == tenant ? 1 : 0;
+        count +=
+            ch_queue_get(&home->queue, i)->request.tenant == tenant ? 1 : 0;
     }
     return count;
 }
@@ -129,14 +131,14 @@
  * in turn.
  */
 static bool
-preempt(struct ch_home *home, const struct ch_work *request,
+preempt(struct ch_home *home, const struct ch_request_info *request,
         struct ch_actions *out)
 {
     guint own_count = count_tenant_requests(home, request->tenant);
     guint max = own_count + 1;
     int victim = -1;
     for (guint index = home->queue.entries->len; index-- > 0;) {
-        uint64_t tenant = ch_queue_at(&home->queue, index)->work.tenant;
+        uint64_t tenant = ch_queue_get(&home->queue, index)->request.tenant;
         guint count = tenant == request->tenant
                           ? 0
                           : count_tenant_requests(home, tenant);
@@ -148,22 +150,24 @@
     if (victim < 0) {
         return false;
     }
-    ch_home_refuse(home, (guint)victim, CH_SHARE_FULL, G_USEC_PER_SEC,
-                   "other callers have fewer requests on this upstream", out);
+    ch_home_refuse_entry(home, (guint)victim, CH_SHARE_FULL, G_USEC_PER_SEC,
+                         "other callers have fewer requests on this upstream",
+                         out);
     return true;
 }
 
 /* Whether recent measurements show that the upstream, even when it runs a
  * single request, is slower than the request's target between tokens. */
 static bool
-is_too_slow(const struct ch_home *home, const struct ch_work *request,
+is_too_slow(const struct ch_home *home, const struct ch_request_info *request,
             int64_t now)
 {
-    if (request->between == 0 || home->rates.weight < 1 ||
-        now - home->rates.sampled > MEASUREMENT_MAX_AGE_US) {
+    if (request->token_target == 0 || home->service_times.weight < 1 ||
+        now - home->service_times.last_sample_at > MEASUREMENT_MAX_AGE_US) {
         return false;
     }
-    return ch_rates_token(&home->rates, 1.0) > (double)request->between;
+    return ch_service_times_predict_token(&home->service_times, 1.0) >
+           (double)request->token_target;
 }
 
 static struct ch_admission
@@ -180,11 +184,11 @@
  * requests (see retry.c), and are queued behind those that can still be on
  * time. */
 static struct ch_admission
-refuse_late_unless_retry(const struct ch_work *request, int64_t retry_after,
-                         const char *reason)
+refuse_late_unless_retry(const struct ch_request_info *request,
+                         int64_t retry_after, const char *reason)
 {
     if (request->attempt > 0) {
-        return (struct ch_admission){.code = CH_OK, .late_ok = true};
+        return (struct ch_admission){.code = CH_OK, .serve_late = true};
     }
     return refuse(CH_LATE, retry_after, reason);
 }
@@ -205,9 +209,9 @@
  * model unreachable.
  */
 struct ch_admission
-ch_admit_predicting(struct ch_home *home, const struct ch_work *request,
-                    const struct ch_fleet *fleet, int64_t now,
-                    struct ch_actions *out)
+ch_admit_predicted(struct ch_home *home, const struct ch_request_info *request,
+                   const struct ch_fleet *fleet, int64_t now,
+                   struct ch_actions *out)
 {
     if (is_too_slow(home, request, now)) {
         return refuse(
@@ -219,27 +223,29 @@
         return refuse(CH_LATE, G_USEC_PER_SEC,
                       "the model is not loaded on this upstream");
     }
-    if (request->first_by == 0) {
+    if (request->first_token_deadline == 0) {
         return (struct ch_admission){.code = CH_OK};
     }
-    int64_t first_byte_time = (int64_t)home->rates.first;
-    if (now + load_time + first_byte_time > request->first_by) {
+    int64_t first_byte_time = (int64_t)home->service_times.first_byte_time;
+    if (now + load_time + first_byte_time > request->first_token_deadline) {
         if (load_time > ADAPTER_LOAD_US &&
             !ch_place_is_served(home, request, fleet)) {
-            return (struct ch_admission){.code = CH_OK, .late_ok = true};
+            return (struct ch_admission){.code = CH_OK, .serve_late = true};
         }
         return refuse_late_unless_retry(
             request, load_time, "loading the model would take too long");
     }
     int64_t rank = home->policy->ordering->rank(home, request, now);
     for (int preempted = 0; preempted <= MAX_PREEMPTIONS; preempted++) {
-        int64_t wait = ch_home_wait(home, rank, now) * WAIT_MARGIN_TENTHS / 10;
+        int64_t wait =
+            ch_home_predict_wait(home, rank, now) * WAIT_MARGIN_TENTHS / 10;
         wait = MAX(load_time, wait);
-        int64_t late_by = now + wait + first_byte_time - request->first_by;
+        int64_t late_by =
+            now + wait + first_byte_time - request->first_token_deadline;
         if (late_by <= 0) {
             return (struct ch_admission){.code = CH_OK};
         }
-        if (!home->policy->admitting->fair || !preempt(home, request, out)) {
+        if (!home->policy->admission->fair || !preempt(home, request, out)) {
             return refuse_late_unless_retry(request, late_by,
                                             "the queue is too long");
         }
@@ -251,7 +257,7 @@
 /* Admits every request for which the queue has room; used by the baseline
  * policies. */
 struct ch_admission
-ch_admit_all(struct ch_home *home, const struct ch_work *request,
+ch_admit_all(struct ch_home *home, const struct ch_request_info *request,
              const struct ch_fleet *fleet, int64_t now, struct ch_actions *out)
 {
     (void)out;
@@ -260,26 +266,26 @@
         return refuse(CH_NO_UPSTREAM, G_USEC_PER_SEC,
                       "the model is not loaded on this upstream");
     }
-    return (struct ch_admission){.code = CH_OK, .late_ok = load_time > 0};
+    return (struct ch_admission){.code = CH_OK, .serve_late = load_time > 0};
 }
 
 /* Decides whether to admit a new request.  Queued requests that give way to it
  * are refused through `out`. */
 struct ch_admission
-ch_admit(struct ch_home *home, const struct ch_work *request,
+ch_admit(struct ch_home *home, const struct ch_request_info *request,
          const struct ch_fleet *fleet, int64_t now, struct ch_actions *out)
 {
-    if (home->leaving || home->down) {
+    if (home->draining || home->down) {
         return refuse(CH_NO_UPSTREAM, G_USEC_PER_SEC,
-                      home->leaving ? "the upstream is leaving"
-                                    : "the upstream does not answer");
+                      home->draining ? "the upstream is leaving"
+                                     : "the upstream does not answer");
     }
-    uint32_t max =
-        home->facts.max_queue > 0 ? home->facts.max_queue : DEFAULT_MAX_QUEUE;
+    uint32_t max = home->config.max_queue > 0 ? home->config.max_queue
+                                              : DEFAULT_MAX_QUEUE;
     if (home->queue.entries->len >= max) {
-        if (!home->policy->admitting->fair || !preempt(home, request, out)) {
+        if (!home->policy->admission->fair || !preempt(home, request, out)) {
             return refuse(CH_QUEUE_FULL, G_USEC_PER_SEC, "the queue is full");
         }
     }
-    return home->policy->admitting->admit(home, request, fleet, now, out);
+    return home->policy->admission->admit(home, request, fleet, now, out);
 }
--- a/libchestnuthitch/decide/arrange.c
+++ b/libchestnuthitch/decide/arrange.c
@@ -49,49 +49,52 @@
  * decision.
  */
 static void
-add_order(struct ch_round *round, const struct ch_arrange_engine *engine,
-          GQuark victim, GQuark model, const char *reason)
+add_order(struct ch_placement_round *round,
+          const struct ch_placement_engine *engine, GQuark victim,
+          GQuark model, const char *reason)
 {
-    ch_round_count_order(round, engine, victim, model);
-    if (!engine->mine) {
+    ch_placement_count_order(round, engine, victim, model);
+    if (!engine->controlled) {
         return;
     }
-    bool reserves = victim != 0 && !round->state->without.pledges;
-    const struct ch_arrange_action action = {
+    bool reserves = victim != 0 && !round->state->disabled.pledges;
+    const struct ch_placement_action action = {
         .kind = victim == 0 ? CH_ACTION_LOAD : CH_ACTION_UNLOAD,
         .engine = engine->name,
         .model = victim == 0 ? model : victim,
-        .pledged = reserves ? model : 0,
-        .from_store = (victim == 0 || reserves) && engine->pledged != model &&
-                      !ch_round_has_copy(engine, model),
+        .reserved_for = reserves ? model : 0,
+        .from_store = (victim == 0 || reserves) &&
+                      engine->reserved_for != model &&
+                      !ch_placement_has_local_copy(engine, model),
         .reason = reason,
     };
     if (action.from_store) {
-        round->loads_left--;
+        round->store_loads_left--;
     }
-    round->changing++;
-    g_array_append_val(round->out, action);
+    round->changing_engines++;
+    g_array_append_val(round->actions, action);
 }
 
 /* Whether memory of the engine is reserved for another model. */
 static bool
-is_reserved_for_other(const struct ch_arrange_engine *engine, GQuark model)
+is_reserved_for_other(const struct ch_placement_engine *engine, GQuark model)
 {
-    return engine->pledged != 0 && engine->pledged != model;
+    return engine->reserved_for != 0 && engine->reserved_for != model;
 }
 
 /* The cost of a change on the engine for requests that need adapters
  * meanwhile: it applies to models with adapters that only this engine
  * holds. */
 static double
-adapter_blocking_cost(const struct ch_round *round,
-                      const struct ch_arrange_engine *engine)
+adapter_blocking_cost(const struct ch_placement_round *round,
+                      const struct ch_placement_engine *engine)
 {
     double cost = 0;
     for (size_t i = 0; i < engine->item_count; i++) {
-        const struct ch_tally *count =
-            ch_round_tally(round, engine->items[i].model);
-        if (count != NULL && count->model->adapters && count->replicas < 2) {
+        const struct ch_replica_count *count =
+            ch_placement_find_count(round, engine->items[i].model);
+        if (count != NULL && count->model->has_adapters &&
+            count->replicas < 2) {
             cost += BLOCKED_ADAPTERS_COST;
         }
     }
@@ -101,25 +104,25 @@
 /* The cost of loading the model on the engine: store_cost without a local
  * copy, else 0. */
 static double
-compute_load_cost(const struct ch_round *round,
-                  const struct ch_arrange_engine *engine, GQuark model,
+compute_load_cost(const struct ch_placement_round *round,
+                  const struct ch_placement_engine *engine, GQuark model,
                   double store_cost)
 {
-    bool is_local =
-        round->state->without.near_copies || ch_round_has_copy(engine, model);
+    bool is_local = round->state->disabled.near_copies ||
+                    ch_placement_has_local_copy(engine, model);
     return is_local ? 0 : store_cost;
 }
 
 /* The best engine found so far for a model. */
 struct candidate_engine {
-    const struct ch_arrange_engine *engine; /* NULL: none */
+    const struct ch_placement_engine *engine; /* NULL: none */
     GQuark victim;
     double cost;
 };
 
 static void
 keep_cheaper(struct candidate_engine *best,
-             const struct ch_arrange_engine *engine, GQuark victim,
+             const struct ch_placement_engine *engine, GQuark victim,
              double cost)
 {
     if (best->engine == NULL || cost < best->cost) {
@@ -129,14 +132,15 @@
 
 /* Whether the engine may get an order to load the model now. */
 static bool
-can_take_load(const struct ch_round *round,
-              const struct ch_arrange_engine *engine,
-              const struct ch_arrange_model *model)
+can_take_load(const struct ch_placement_round *round,
+              const struct ch_placement_engine *engine,
+              const struct ch_placement_model *model)
 {
-    return ch_round_is_open(engine) && !ch_round_is_ordered(round, engine) &&
-           ch_round_may_hold(engine, model) &&
-           ch_round_item(engine, model->name) == NULL &&
-           ch_round_may_load(round, engine, model->name);
+    return ch_placement_accepts_order(engine) &&
+           !ch_placement_has_order(round, engine) &&
+           ch_placement_is_eligible(engine, model) &&
+           ch_placement_find_item(engine, model->name) == NULL &&
+           ch_placement_may_start_load(round, engine, model->name);
 }
 
 /* ---- restoring models without replicas ---- */
@@ -145,17 +149,17 @@
  * holds.  It is chosen by rendezvous hashing among the data centres with
  * eligible engines, so that every node finds the same. */
 static bool
-restores_model(const struct ch_round *round,
-               const struct ch_arrange_model *model)
+restores_model(const struct ch_placement_round *round,
+               const struct ch_placement_model *model)
 {
     GQuark best = 0;
     uint64_t best_weight = 0;
     for (size_t i = 0; i < round->state->engine_count; i++) {
-        const struct ch_arrange_engine *engine = &round->state->engines[i];
+        const struct ch_placement_engine *engine = &round->state->engines[i];
         uint64_t weight = ch_hash_pair(
             ch_hash_string(g_quark_to_string(model->name)),
             ch_hash_string(g_quark_to_string(engine->data_centre)));
-        if (!engine->leaving && ch_round_may_hold(engine, model) &&
+        if (!engine->draining && ch_placement_is_eligible(engine, model) &&
             (best == 0 || weight > best_weight)) {
             best = engine->data_centre;
             best_weight = weight;
@@ -172,28 +176,29 @@
  * an idle engine.
  */
 static void
-restore_model(struct ch_round *round, const struct ch_arrange_model *model)
+restore_model(struct ch_placement_round *round,
+              const struct ch_placement_model *model)
 {
     struct candidate_engine best = {NULL, 0, 0};
     for (size_t i = 0; i < round->state->engine_count; i++) {
-        const struct ch_arrange_engine *engine = &round->state->engines[i];
+        const struct ch_placement_engine *engine = &round->state->engines[i];
         struct ch_eviction eviction;
-        if (!engine->mine || !can_take_load(round, engine, model) ||
+        if (!engine->controlled || !can_take_load(round, engine, model) ||
             is_reserved_for_other(engine, model->name) ||
-            !ch_round_find_room(round, engine, model->memory_mb, G_MAXDOUBLE,
-                                &eviction)) {
+            !ch_placement_find_evictions(round, engine, model->memory_mb,
+                                         G_MAXDOUBLE, &eviction)) {
             continue;
         }
-        bool fills_engine = ch_round_flexible(round, engine) <
-                            model->memory_mb + round->largest_mb;
+        bool fills_engine = ch_placement_reclaimable_mb(round, engine) <
+                            model->memory_mb + round->largest_model_mb;
         double cost =
             compute_load_cost(round, engine, model->name, RESTORE_STORE_COST) +
-            eviction.count * RESTORE_EVICTION_COST +
+            eviction.victim_count * RESTORE_EVICTION_COST +
             eviction.cost * RESTORE_EVICTED_LOAD_COST +
             (fills_engine ? RESTORE_FILLED_ENGINE_COST : 0) +
-            ch_round_busy(round, engine, eviction.first) +
+            ch_placement_engine_load(round, engine, eviction.first_victim) +
             adapter_blocking_cost(round, engine);
-        keep_cheaper(&best, engine, eviction.first, cost);
+        keep_cheaper(&best, engine, eviction.first_victim, cost);
     }
     if (best.engine != NULL) {
         add_order(round, best.engine, best.victim, model->name,
@@ -218,26 +223,30 @@
  * engine can take the model.
  */
 static bool
-add_replica(struct ch_round *round, const struct ch_tally *count)
+add_replica(struct ch_placement_round *round,
+            const struct ch_replica_count *count)
 {
-    const struct ch_arrange_model *model = count->model;
-    double load_per_replica = ch_round_pressure(model, count->replicas);
+    const struct ch_placement_model *model = count->model;
+    double load_per_replica =
+        ch_placement_load_per_replica(model, count->replicas);
     struct candidate_engine best = {NULL, 0, 0};
     for (size_t i = 0; i < round->state->engine_count; i++) {
-        const struct ch_arrange_engine *engine = &round->state->engines[i];
+        const struct ch_placement_engine *engine = &round->state->engines[i];
         struct ch_eviction eviction;
-        if (!can_take_load(round, engine, model) || engine->pledged != 0 ||
-            (round->state->without.whole_fleet && !engine->mine) ||
-            !ch_round_find_room(round, engine, model->memory_mb,
-                                load_per_replica / CH_CLEAR_GAIN, &eviction)) {
+        if (!can_take_load(round, engine, model) ||
+            engine->reserved_for != 0 ||
+            (round->state->disabled.whole_fleet && !engine->controlled) ||
+            !ch_placement_find_evictions(
+                round, engine, model->memory_mb,
+                load_per_replica / CH_MIN_EVICTION_GAIN, &eviction)) {
             continue;
         }
         double cost =
             compute_load_cost(round, engine, model->name, STORE_LOAD_COST) +
-            eviction.cost + eviction.count * EVICTION_COST +
-            ch_round_busy(round, engine, eviction.first) +
+            eviction.cost + eviction.victim_count * EVICTION_COST +
+            ch_placement_engine_load(round, engine, eviction.first_victim) +
             adapter_blocking_cost(round, engine);
-        keep_cheaper(&best, engine, eviction.first, cost);
+        keep_cheaper(&best, engine, eviction.first_victim, cost);
     }
     if (best.engine != NULL) {
         add_order(round, best.engine, best.victim, model->name,
@@ -257,19 +266,21 @@
  * engine holds the new one, whatever the demand.
  */
 static void
-evict_more(struct ch_round *round, const struct ch_arrange_engine *engine,
-           const struct ch_tally *count)
+evict_more(struct ch_placement_round *round,
+           const struct ch_placement_engine *engine,
+           const struct ch_replica_count *count)
 {
-    const struct ch_arrange_model *model = count->model;
+    const struct ch_placement_model *model = count->model;
     double max_load =
         count->replicas < 2
             ? G_MAXDOUBLE
-            : ch_round_pressure(model, count->replicas - 1) / CH_CLEAR_GAIN;
+            : ch_placement_load_per_replica(model, count->replicas - 1) /
+                  CH_MIN_EVICTION_GAIN;
     struct ch_eviction eviction;
-    if (ch_round_find_room(round, engine, model->memory_mb, max_load,
-                           &eviction) &&
-        eviction.first != 0) {
-        add_order(round, engine, eviction.first, model->name,
+    if (ch_placement_find_evictions(round, engine, model->memory_mb, max_load,
+                                    &eviction) &&
+        eviction.first_victim != 0) {
+        add_order(round, engine, eviction.first_victim, model->name,
                   "next eviction for the reservation");
     }
 }
@@ -278,16 +289,18 @@
 
 /* The controlled engine with the least reclaimable memory, among those with
  * too little for the largest model; NULL: none. */
-static const struct ch_arrange_engine *
-find_fullest_engine(const struct ch_round *round)
+static const struct ch_placement_engine *
+find_fullest_engine(const struct ch_placement_round *round)
 {
-    const struct ch_arrange_engine *fullest = NULL;
-    uint32_t least_mb = round->largest_mb;
+    const struct ch_placement_engine *fullest = NULL;
+    uint32_t least_mb = round->largest_model_mb;
     for (size_t i = 0; i < round->state->engine_count; i++) {
-        const struct ch_arrange_engine *engine = &round->state->engines[i];
-        uint32_t reclaimable_mb = ch_round_flexible(round, engine);
-        if (engine->mine && !engine->leaving && reclaimable_mb < least_mb &&
-            engine->memory_mb > engine->reserve_mb + round->largest_mb) {
+        const struct ch_placement_engine *engine = &round->state->engines[i];
+        uint32_t reclaimable_mb = ch_placement_reclaimable_mb(round, engine);
+        if (engine->controlled && !engine->draining &&
+            reclaimable_mb < least_mb &&
+            engine->memory_mb >
+                engine->adapter_reserve_mb + round->largest_model_mb) {
             fullest = engine;
             least_mb = reclaimable_mb;
         }
@@ -298,29 +311,29 @@
 /* Looks for an engine that can take the model and still keeps reclaimable
  * memory for the largest model. */
 static void
-find_move_target(const struct ch_round *round,
-                 const struct ch_arrange_model *model,
+find_move_target(const struct ch_placement_round *round,
+                 const struct ch_placement_model *model,
                  struct candidate_engine *best)
 {
     for (size_t i = 0; i < round->state->engine_count; i++) {
-        const struct ch_arrange_engine *engine = &round->state->engines[i];
+        const struct ch_placement_engine *engine = &round->state->engines[i];
         struct ch_eviction eviction;
-        bool from_store = !ch_round_has_copy(engine, model->name);
-        if (!engine->mine || !can_take_load(round, engine, model) ||
-            engine->pledged != 0 ||
-            (from_store && round->loads_left <= RESERVED_STORE_LOADS) ||
-            ch_round_flexible(round, engine) <
-                model->memory_mb + round->largest_mb ||
-            !ch_round_find_room(round, engine, model->memory_mb, MAX_IDLE_LOAD,
-                                &eviction)) {
+        bool from_store = !ch_placement_has_local_copy(engine, model->name);
+        if (!engine->controlled || !can_take_load(round, engine, model) ||
+            engine->reserved_for != 0 ||
+            (from_store && round->store_loads_left <= RESERVED_STORE_LOADS) ||
+            ch_placement_reclaimable_mb(round, engine) <
+                model->memory_mb + round->largest_model_mb ||
+            !ch_placement_find_evictions(round, engine, model->memory_mb,
+                                         MAX_IDLE_LOAD, &eviction)) {
             continue;
         }
         double cost =
             compute_load_cost(round, engine, model->name, STORE_LOAD_COST) +
-            eviction.cost + eviction.count * EVICTION_COST +
-            ch_round_busy(round, engine, eviction.first) +
+            eviction.cost + eviction.victim_count * EVICTION_COST +
+            ch_placement_engine_load(round, engine, eviction.first_victim) +
             adapter_blocking_cost(round, engine);
-        keep_cheaper(best, engine, eviction.first, cost);
+        keep_cheaper(best, engine, eviction.first_victim, cost);
     }
 }
 
@@ -332,20 +345,21 @@
  * time; after that its first replica can be evicted like any other.
  */
 static void
-move_last_replica(struct ch_round *round)
+move_last_replica(struct ch_placement_round *round)
 {
-    const struct ch_arrange_engine *fullest = find_fullest_engine(round);
+    const struct ch_placement_engine *fullest = find_fullest_engine(round);
     struct candidate_engine best = {NULL, 0, 0};
     GQuark model = 0;
     for (size_t i = 0; fullest != NULL && i < fullest->item_count; i++) {
-        const struct ch_arrange_item *item = &fullest->items[i];
-        const struct ch_tally *count = ch_round_tally(round, item->model);
+        const struct ch_placement_item *item = &fullest->items[i];
+        const struct ch_replica_count *count =
+            ch_placement_find_count(round, item->model);
         if (item->state != CH_ITEM_RESIDENT || count == NULL ||
             count->replicas != 1 ||
-            ch_round_pressure(count->model, 1) > MAX_IDLE_LOAD) {
+            ch_placement_load_per_replica(count->model, 1) > MAX_IDLE_LOAD) {
             continue;
         }
-        const struct ch_arrange_engine *previous_engine = best.engine;
+        const struct ch_placement_engine *previous_engine = best.engine;
         double cost = best.cost;
         find_move_target(round, count->model, &best);
         if (best.engine != previous_engine || best.cost != cost) {
@@ -362,13 +376,13 @@
 
 /* The benefit of a further replica of the model on this engine. */
 static double
-compute_benefit(const struct ch_arrange_engine *engine,
-                const struct ch_tally *count)
+compute_benefit(const struct ch_placement_engine *engine,
+                const struct ch_replica_count *count)
 {
-    const struct ch_arrange_model *model = count->model;
-    double benefit =
-        ch_round_pressure(model, count->replicas) / CH_BUSY_REPLICA +
-        1.0 / (count->replicas + 1);
+    const struct ch_placement_model *model = count->model;
+    double benefit = ch_placement_load_per_replica(model, count->replicas) /
+                         CH_SCALE_UP_LOAD +
+                     1.0 / (count->replicas + 1);
     /* Breaks ties in a different order on each engine, so that idle models
      * spread. */
     uint64_t tie_breaker = ch_hash_pair(model->name, engine->name);
@@ -382,17 +396,17 @@
  * first; the loads from the weight store are left for models in demand.
  */
 static void
-fill_free_memory(struct ch_round *round,
-                 const struct ch_arrange_engine *engine)
+fill_free_memory(struct ch_placement_round *round,
+                 const struct ch_placement_engine *engine)
 {
     GQuark best = 0;
     double best_benefit = 0;
-    uint32_t free_mb = ch_round_free(round, engine);
+    uint32_t free_mb = ch_placement_free_mb(round, engine);
     for (size_t i = 0; i < round->state->model_count; i++) {
-        const struct ch_tally *count = &round->tallies[i];
-        const struct ch_arrange_model *model = count->model;
+        const struct ch_replica_count *count = &round->replica_counts[i];
+        const struct ch_placement_model *model = count->model;
         if (model->memory_mb > free_mb ||
-            !ch_round_has_copy(engine, model->name) ||
+            !ch_placement_has_local_copy(engine, model->name) ||
             !can_take_load(round, engine, model)) {
             continue;
         }
@@ -410,15 +424,16 @@
 
 /* Loads the model that memory is reserved for, or evicts more for it. */
 static void
-fulfil_reservation(struct ch_round *round,
-                   const struct ch_arrange_engine *engine)
+fulfil_reservation(struct ch_placement_round *round,
+                   const struct ch_placement_engine *engine)
 {
-    const struct ch_tally *count = ch_round_tally(round, engine->pledged);
+    const struct ch_replica_count *count =
+        ch_placement_find_count(round, engine->reserved_for);
     if (count == NULL || !can_take_load(round, engine, count->model)) {
         return;
     }
-    if (count->model->memory_mb <= ch_round_free(round, engine)) {
-        add_order(round, engine, 0, engine->pledged,
+    if (count->model->memory_mb <= ch_placement_free_mb(round, engine)) {
+        add_order(round, engine, 0, engine->reserved_for,
                   "memory was reserved for the model");
     }
     else {
@@ -429,16 +444,16 @@
 /* Calls a function for each controlled engine that accepts an order and has a
  * reservation, or has none. */
 static void
-for_each_available(struct ch_round *round,
-                   void (*action)(struct ch_round *round,
-                                  const struct ch_arrange_engine *engine),
+for_each_available(struct ch_placement_round *round,
+                   void (*action)(struct ch_placement_round *round,
+                                  const struct ch_placement_engine *engine),
                    bool reserved)
 {
     for (size_t i = 0; i < round->state->engine_count; i++) {
-        const struct ch_arrange_engine *engine = &round->state->engines[i];
-        if (engine->mine && ch_round_is_open(engine) &&
-            !ch_round_is_ordered(round, engine) &&
-            (engine->pledged != 0) == reserved) {
+        const struct ch_placement_engine *engine = &round->state->engines[i];
+        if (engine->controlled && ch_placement_accepts_order(engine) &&
+            !ch_placement_has_order(round, engine) &&
+            (engine->reserved_for != 0) == reserved) {
             action(round, engine);
         }
     }
@@ -449,15 +464,16 @@
 /* The model with the highest load per replica that is above CH_SCALE_UP_LOAD,
  * not counting those in `finished`, for which nothing more can be done; NULL:
  * none. */
-static const struct ch_tally *
-find_next_in_demand(const struct ch_round *round, GHashTable *finished)
+static const struct ch_replica_count *
+find_next_in_demand(const struct ch_placement_round *round,
+                    GHashTable *finished)
 {
-    const struct ch_tally *best = NULL;
-    double max_load = CH_BUSY_REPLICA;
+    const struct ch_replica_count *best = NULL;
+    double max_load = CH_SCALE_UP_LOAD;
     for (size_t i = 0; i < round->state->model_count; i++) {
-        const struct ch_tally *count = &round->tallies[i];
+        const struct ch_replica_count *count = &round->replica_counts[i];
         double load_per_replica =
-            ch_round_pressure(count->model, count->replicas);
+            ch_placement_load_per_replica(count->model, count->replicas);
         if (load_per_replica > max_load &&
             !g_hash_table_contains(finished, count)) {
             best = count;
@@ -475,13 +491,15 @@
  * round goes on with the rest.
  */
 static void
-scale_up(struct ch_round *round)
+scale_up(struct ch_placement_round *round)
 {
     GHashTable *finished = g_hash_table_new(NULL, NULL);
-    for (int i = 0; i < MAX_ENGINE_SEARCHES &&
-                    round->changing < round->state->most_changes;
+    for (int i = 0;
+         i < MAX_ENGINE_SEARCHES &&
+         round->changing_engines < round->state->max_changing_engines;
          i++) {
-        const struct ch_tally *count = find_next_in_demand(round, finished);
+        const struct ch_replica_count *count =
+            find_next_in_demand(round, finished);
         if (count == NULL) {
             break;
         }
@@ -495,23 +513,24 @@
 /* See arrange.h.  Models without replicas go first, then reservations, then
  * the models with the highest demand, then spare replicas. */
 void
-ch_arrange(const struct ch_arrange_state *state, GArray *out)
+ch_placement_plan(const struct ch_placement_state *state, GArray *out)
 {
-    struct ch_round round;
-    ch_round_init(&round, state, out);
+    struct ch_placement_round round;
+    ch_placement_round_init(&round, state, out);
     for (size_t i = 0; i < state->model_count; i++) {
-        if (round.tallies[i].replicas == 0 &&
+        if (round.replica_counts[i].replicas == 0 &&
             restores_model(&round, &state->models[i])) {
             restore_model(&round, &state->models[i]);
         }
     }
     for_each_available(&round, fulfil_reservation, true);
     scale_up(&round);
-    if (!state->without.near_copies) {
+    if (!state->disabled.near_copies) {
         for_each_available(&round, fill_free_memory, false);
     }
-    if (!state->without.move_apart && round.changing < state->most_changes) {
+    if (!state->disabled.move_apart &&
+        round.changing_engines < state->max_changing_engines) {
         move_last_replica(&round);
     }
-    ch_round_clear(&round);
+    ch_placement_round_clear(&round);
 }
--- a/libchestnuthitch/decide/arrange.h
+++ b/libchestnuthitch/decide/arrange.h
@@ -10,56 +10,57 @@
 #include "decide/policy.h"
 
 /* A model in an engine's memory, or being loaded or unloaded. */
-struct ch_arrange_item {
+struct ch_placement_item {
     GQuark model;
     enum ch_item_state state;
 };
 
-struct ch_arrange_engine {
+struct ch_placement_engine {
     GQuark name;
     GQuark service;
     GQuark data_centre;
-    bool mine; /* the deciding node may order it */
-    bool open; /* accepts an order now */
-    bool leaving;
+    bool controlled;     /* the deciding node may order it */
+    bool accepts_orders; /* accepts an order now */
+    bool draining;
     uint32_t memory_mb;
-    uint32_t reserve_mb; /* part of memory_mb kept for adapters */
-    const struct ch_arrange_item *items;
+    uint32_t adapter_reserve_mb; /* part of memory_mb kept for adapters */
+    const struct ch_placement_item *items;
     size_t item_count;
-    const GQuark *copies; /* models whose weights load quickly here */
-    size_t copy_count;
-    GQuark pledged; /* model that memory was freed for; 0: none */
+    const GQuark *local_copies; /* models whose weights load quickly here */
+    size_t local_copy_count;
+    GQuark reserved_for; /* model that memory was freed for; 0: none */
 };
 
-struct ch_arrange_model {
+struct ch_placement_model {
     GQuark name;
     uint32_t memory_mb;
-    double work;    /* smoothed demand of the fleet, in engines: 1 keeps one
-                       engine fully busy */
-    double backlog; /* seconds of work that has not started */
-    bool adapters;  /* has adapters; an engine that loads a model can't load
-                       adapters meanwhile */
+    double demand;     /* smoothed demand of the fleet, in engines: 1 keeps one
+                        engine fully busy */
+    double backlog_s;  /* seconds of work that has not started */
+    bool has_adapters; /* has adapters; an engine that loads a model can't load
+                      adapters meanwhile */
     const GQuark *services; /* whose engines may hold the model */
     size_t service_count;
 };
 
-struct ch_arrange_state {
-    const struct ch_arrange_engine *engines;
+struct ch_placement_state {
+    const struct ch_placement_engine *engines;
     size_t engine_count;
-    const struct ch_arrange_model *models;
+    const struct ch_placement_model *models;
     size_t model_count;
-    GQuark data_centre;    /* controlled by the deciding node */
-    uint32_t loads_left;   /* loads from the weight store that may start now */
-    uint32_t most_changes; /* limit on engines of this data centre that change
-                              their models at a time */
-    struct ch_without without;
+    GQuark data_centre; /* controlled by the deciding node */
+    uint32_t
+        store_loads_left; /* loads from the weight store that may start now */
+    uint32_t max_changing_engines; /* limit on engines of this data centre that
+                              change their models at a time */
+    struct ch_without disabled;
 };
 
-struct ch_arrange_action {
+struct ch_placement_action {
     enum ch_action_kind kind; /* LOAD or UNLOAD */
     GQuark engine;
     GQuark model;
-    GQuark pledged;  /* for UNLOAD: the model to load afterwards */
+    GQuark reserved_for; /* for UNLOAD: the model to load afterwards */
     bool from_store; /* whether the load, now or after the unload, reads from
                         the weight store */
     const char *reason;
@@ -68,9 +69,9 @@
 /* A model whose demand exceeds the time of its replicas and for which this
  * round gives no order.  The counts say how many engines of this data centre
  * hold the model, and what prevents a load on the others. */
-struct ch_arrange_short {
+struct ch_placement_shortage {
     GQuark model;
-    double asked; /* in engines */
+    double demand; /* in engines */
     unsigned replicas;
     unsigned holding;  /* hold the model or are about to */
     unsigned changing; /* busy with another change */
@@ -79,10 +80,10 @@
 };
 
 /* Appends the orders to give now: struct ch_placement_action. */
-void ch_arrange(const struct ch_arrange_state *state, GArray *out);
+void ch_placement_plan(const struct ch_placement_state *state, GArray *out);
 /* Appends the shortages that remain after the given actions: struct
  * ch_placement_shortage. */
-void ch_arrange_find_short(const struct ch_arrange_state *state,
-                           GArray *actions, GArray *out);
+void ch_placement_find_shortages(const struct ch_placement_state *state,
+                                 GArray *actions, GArray *out);
 
 #endif
--- a/libchestnuthitch/decide/arrange_view.c
+++ b/libchestnuthitch/decide/arrange_view.c
@@ -12,29 +12,32 @@
 /* ---- counting ---- */
 
 static guint
-centre_index(const struct ch_round *round,
-             const struct ch_arrange_engine *engine)
+centre_index(const struct ch_placement_round *round,
+             const struct ch_placement_engine *engine)
 {
     return GPOINTER_TO_UINT(g_hash_table_lookup(
-        round->centres, GUINT_TO_POINTER(engine->data_centre)));
+        round->centre_indices, GUINT_TO_POINTER(engine->data_centre)));
 }
 
 /* Numbers the data centres and allocates the counts for each. */
 static void
-number_centres(struct ch_round *round)
+number_centres(struct ch_placement_round *round)
 {
-    const struct ch_arrange_state *state = round->state;
+    const struct ch_placement_state *state = round->state;
     for (size_t i = 0; i < state->engine_count; i++) {
         gpointer key = GUINT_TO_POINTER(state->engines[i].data_centre);
-        if (!g_hash_table_contains(round->centres, key)) {
-            guint number = g_hash_table_size(round->centres);
-            g_hash_table_insert(round->centres, key, GUINT_TO_POINTER(number));
+        if (!g_hash_table_contains(round->centre_indices, key)) {
+            guint number = g_hash_table_size(round->centre_indices);
+            g_hash_table_insert(round->centre_indices, key,
+                                GUINT_TO_POINTER(number));
         }
     }
-    guint centre_count = g_hash_table_size(round->centres);
-    round->counts = g_new0(unsigned, state->model_count *centre_count + 1);
+    guint centre_count = g_hash_table_size(round->centre_indices);
+    round->centre_counts =
+        g_new0(unsigned, state->model_count *centre_count + 1);
     for (size_t i = 0; i < state->model_count; i++) {
-        round->tallies[i].own = &round->counts[i * centre_count];
+        round->replica_counts[i].resident_by_centre =
+            &round->centre_counts[i * centre_count];
     }
 }
 
@@ -46,12 +49,12 @@
  * model.
  */
 static void
-count_item(const struct ch_round *round,
-           const struct ch_arrange_engine *engine,
-           const struct ch_arrange_item *item)
+count_item(const struct ch_placement_round *round,
+           const struct ch_placement_engine *engine,
+           const struct ch_placement_item *item)
 {
-    struct ch_tally *count =
-        g_hash_table_lookup(round->by_name, GUINT_TO_POINTER(item->model));
+    struct ch_replica_count *count = g_hash_table_lookup(
+        round->count_by_model, GUINT_TO_POINTER(item->model));
     if (count == NULL || item->state == CH_ITEM_UNLOADING) {
         return;
     }
@@ -59,28 +62,29 @@
     if (item->state != CH_ITEM_RESIDENT) {
         return;
     }
-    count->own[centre_index(round, engine)]++;
+    count->resident_by_centre[centre_index(round, engine)]++;
     uint64_t weight =
         ch_hash_pair(ch_hash_string(g_quark_to_string(item->model)),
                      ch_hash_string(g_quark_to_string(engine->data_centre)));
-    if (count->keeper == 0 || weight > count->keeper_weight) {
-        count->keeper = engine->data_centre;
-        count->keeper_weight = weight;
+    if (count->last_replica_centre == 0 ||
+        weight > count->last_replica_weight) {
+        count->last_replica_centre = engine->data_centre;
+        count->last_replica_weight = weight;
     }
 }
 
 /* Counts the models of an engine that is not draining, and its reservation. */
 static void
-count_engine(const struct ch_round *round,
-             const struct ch_arrange_engine *engine)
+count_engine(const struct ch_placement_round *round,
+             const struct ch_placement_engine *engine)
 {
     for (size_t i = 0; i < engine->item_count; i++) {
         count_item(round, engine, &engine->items[i]);
     }
-    struct ch_tally *reserved =
-        g_hash_table_lookup(round->by_name, GUINT_TO_POINTER(engine->pledged));
-    const struct ch_arrange_item *held =
-        ch_round_item(engine, engine->pledged);
+    struct ch_replica_count *reserved = g_hash_table_lookup(
+        round->count_by_model, GUINT_TO_POINTER(engine->reserved_for));
+    const struct ch_placement_item *held =
+        ch_placement_find_item(engine, engine->reserved_for);
     if (reserved != NULL &&
         (held == NULL || held->state == CH_ITEM_UNLOADING)) {
         reserved->replicas++;
@@ -90,31 +94,35 @@
 /* Initialises a round and counts all replicas; out: where orders are
  * appended. */
 void
-ch_round_init(struct ch_round *round, const struct ch_arrange_state *state,
-              GArray *out)
+ch_placement_round_init(struct ch_placement_round *round,
+                        const struct ch_placement_state *state, GArray *out)
 {
-    *round = (struct ch_round){
+    *round = (struct ch_placement_round){
         .state = state,
-        .tallies = g_new0(struct ch_tally, state->model_count + 1),
-        .by_name = g_hash_table_new(NULL, NULL),
-        .centres = g_hash_table_new(NULL, NULL),
-        .ordered = g_hash_table_new(NULL, NULL),
-        .loads_left = state->loads_left,
-        .out = out,
+        .replica_counts =
+            g_new0(struct ch_replica_count, state->model_count + 1),
+        .count_by_model = g_hash_table_new(NULL, NULL),
+        .centre_indices = g_hash_table_new(NULL, NULL),
+        .ordered_engines = g_hash_table_new(NULL, NULL),
+        .store_loads_left = state->store_loads_left,
+        .actions = out,
     };
     for (size_t i = 0; i < state->model_count; i++) {
-        const struct ch_arrange_model *model = &state->models[i];
-        round->tallies[i].model = model;
-        round->largest_mb = MAX(round->largest_mb, model->memory_mb);
-        g_hash_table_insert(round->by_name, GUINT_TO_POINTER(model->name),
-                            &round->tallies[i]);
+        const struct ch_placement_model *model = &state->models[i];
+        round->replica_counts[i].model = model;
+        round->largest_model_mb =
+            MAX(round->largest_model_mb, model->memory_mb);
+        g_hash_table_insert(round->count_by_model,
+                            GUINT_TO_POINTER(model->name),
+                            &round->replica_counts[i]);
     }
     number_centres(round);
     for (size_t i = 0; i < state->engine_count; i++) {
-        const struct ch_arrange_engine *engine = &state->engines[i];
-        if (!engine->leaving) {
+        const struct ch_placement_engine *engine = &state->engines[i];
+        if (!engine->draining) {
             count_engine(round, engine);
-            round->changing += engine->mine && !engine->open ? 1 : 0;
+            round->changing_engines +=
+                engine->controlled && !engine->accepts_orders ? 1 : 0;
         }
     }
 }
@@ -126,40 +134,40 @@
  * would be evicted in one round, each because the other exists.
  */
 void
-ch_round_count_order(struct ch_round *round,
-                     const struct ch_arrange_engine *engine, GQuark victim,
-                     GQuark model)
+ch_placement_count_order(struct ch_placement_round *round,
+                         const struct ch_placement_engine *engine,
+                         GQuark victim, GQuark model)
 {
-    struct ch_tally *loaded =
-        g_hash_table_lookup(round->by_name, GUINT_TO_POINTER(model));
-    struct ch_tally *evicted =
-        g_hash_table_lookup(round->by_name, GUINT_TO_POINTER(victim));
-    if (loaded != NULL && engine->pledged != model) {
+    struct ch_replica_count *loaded =
+        g_hash_table_lookup(round->count_by_model, GUINT_TO_POINTER(model));
+    struct ch_replica_count *evicted =
+        g_hash_table_lookup(round->count_by_model, GUINT_TO_POINTER(victim));
+    if (loaded != NULL && engine->reserved_for != model) {
         loaded->replicas++;
     }
     if (evicted != NULL) {
         evicted->replicas--;
-        evicted->own[centre_index(round, engine)]--;
+        evicted->resident_by_centre[centre_index(round, engine)]--;
     }
-    g_hash_table_add(round->ordered, GUINT_TO_POINTER(engine->name));
+    g_hash_table_add(round->ordered_engines, GUINT_TO_POINTER(engine->name));
 }
 
 /* Frees what the round owns; not the state and the array of orders. */
 void
-ch_round_clear(struct ch_round *round)
+ch_placement_round_clear(struct ch_placement_round *round)
 {
-    g_hash_table_destroy(round->by_name);
-    g_hash_table_destroy(round->centres);
-    g_hash_table_destroy(round->ordered);
-    g_free(round->counts);
-    g_free(round->tallies);
+    g_hash_table_destroy(round->count_by_model);
+    g_hash_table_destroy(round->centre_indices);
+    g_hash_table_destroy(round->ordered_engines);
+    g_free(round->centre_counts);
+    g_free(round->replica_counts);
 }
 
 /* ---- queries ---- */
 
 /* See arrange_internal.h. */
-const struct ch_arrange_item *
-ch_round_item(const struct ch_arrange_engine *engine, GQuark model)
+const struct ch_placement_item *
+ch_placement_find_item(const struct ch_placement_engine *engine, GQuark model)
 {
     for (size_t i = 0; i < engine->item_count; i++) {
         if (engine->items[i].model == model) {
@@ -171,10 +179,11 @@
 
 /* See arrange_internal.h. */
 bool
-ch_round_has_copy(const struct ch_arrange_engine *engine, GQuark model)
+ch_placement_has_local_copy(const struct ch_placement_engine *engine,
+                            GQuark model)
 {
-    for (size_t i = 0; i < engine->copy_count; i++) {
-        if (engine->copies[i] == model) {
+    for (size_t i = 0; i < engine->local_copy_count; i++) {
+        if (engine->local_copies[i] == model) {
             return true;
         }
     }
@@ -183,8 +192,8 @@
 
 /* See arrange_internal.h. */
 bool
-ch_round_may_hold(const struct ch_arrange_engine *engine,
-                  const struct ch_arrange_model *model)
+ch_placement_is_eligible(const struct ch_placement_engine *engine,
+                         const struct ch_placement_model *model)
 {
     for (size_t i = 0; i < model->service_count; i++) {
         if (model->services[i] == engine->service) {
@@ -195,39 +204,45 @@
 }
 
 /* See arrange_internal.h. */
-const struct ch_tally *
-ch_round_tally(const struct ch_round *round, GQuark name)
+const struct ch_replica_count *
+ch_placement_find_count(const struct ch_placement_round *round, GQuark name)
 {
-    return g_hash_table_lookup(round->by_name, GUINT_TO_POINTER(name));
+    return g_hash_table_lookup(round->count_by_model, GUINT_TO_POINTER(name));
 }
 
 /* See arrange_internal.h. */
 unsigned
-ch_round_replicas(const struct ch_round *round, GQuark model)
+ch_placement_count_replicas(const struct ch_placement_round *round,
+                            GQuark model)
 {
-    const struct ch_tally *count = ch_round_tally(round, model);
+    const struct ch_replica_count *count =
+        ch_placement_find_count(round, model);
     return count == NULL ? 0 : count->replicas;
 }
 
 /* See arrange_internal.h. */
 double
-ch_round_pressure(const struct ch_arrange_model *model, unsigned replicas)
+ch_placement_load_per_replica(const struct ch_placement_model *model,
+                              unsigned replicas)
 {
-    return (model->work + model->backlog / BACKLOG_TARGET_S) /
+    return (model->demand + model->backlog_s / BACKLOG_TARGET_S) /
            MAX(replicas, 1);
 }
 
 /* See arrange_internal.h. */
 double
-ch_round_busy(const struct ch_round *round,
-              const struct ch_arrange_engine *engine, GQuark except)
+ch_placement_engine_load(const struct ch_placement_round *round,
+                         const struct ch_placement_engine *engine,
+                         GQuark except)
 {
     double load = 0;
     for (size_t i = 0; i < engine->item_count; i++) {
         GQuark name = engine->items[i].model;
-        const struct ch_tally *count = ch_round_tally(round, name);
+        const struct ch_replica_count *count =
+            ch_placement_find_count(round, name);
         if (count != NULL && name != except) {
-            load += ch_round_pressure(count->model, count->replicas);
+            load +=
+                ch_placement_load_per_replica(count->model, count->replicas);
         }
     }
     return load;
@@ -235,7 +250,7 @@
 
 /* The memory of the engine that is left with used_mb in use. */
 static uint32_t
-remaining_mb(const struct ch_arrange_engine *engine, uint64_t used_mb)
+remaining_mb(const struct ch_placement_engine *engine, uint64_t used_mb)
 {
     return used_mb < engine->memory_mb ? engine->memory_mb - (uint32_t)used_mb
                                        : 0;
@@ -243,13 +258,13 @@
 
 /* See arrange_internal.h. */
 uint32_t
-ch_round_free(const struct ch_round *round,
-              const struct ch_arrange_engine *engine)
+ch_placement_free_mb(const struct ch_placement_round *round,
+                     const struct ch_placement_engine *engine)
 {
-    uint64_t used_mb = engine->reserve_mb;
+    uint64_t used_mb = engine->adapter_reserve_mb;
     for (size_t i = 0; i < engine->item_count; i++) {
-        const struct ch_tally *count =
-            ch_round_tally(round, engine->items[i].model);
+        const struct ch_replica_count *count =
+            ch_placement_find_count(round, engine->items[i].model);
         used_mb += count == NULL ? 0 : count->model->memory_mb;
     }
     return remaining_mb(engine, used_mb);
@@ -257,13 +272,13 @@
 
 /* See arrange_internal.h. */
 uint32_t
-ch_round_flexible(const struct ch_round *round,
-                  const struct ch_arrange_engine *engine)
+ch_placement_reclaimable_mb(const struct ch_placement_round *round,
+                            const struct ch_placement_engine *engine)
 {
-    uint64_t used_mb = engine->reserve_mb;
+    uint64_t used_mb = engine->adapter_reserve_mb;
     for (size_t i = 0; i < engine->item_count; i++) {
-        const struct ch_tally *count =
-            ch_round_tally(round, engine->items[i].model);
+        const struct ch_replica_count *count =
+            ch_placement_find_count(round, engine->items[i].model);
         bool is_last_replica = count != NULL && count->replicas < 2 &&
                                engine->items[i].state != CH_ITEM_UNLOADING;
         used_mb += is_last_replica ? count->model->memory_mb : 0;
@@ -273,27 +288,29 @@
 
 /* See arrange_internal.h. */
 bool
-ch_round_is_open(const struct ch_arrange_engine *engine)
+ch_placement_accepts_order(const struct ch_placement_engine *engine)
 {
-    return engine->open && !engine->leaving;
+    return engine->accepts_orders && !engine->draining;
 }
 
 /* See arrange_internal.h. */
 bool
-ch_round_is_ordered(const struct ch_round *round,
-                    const struct ch_arrange_engine *engine)
+ch_placement_has_order(const struct ch_placement_round *round,
+                       const struct ch_placement_engine *engine)
 {
-    return g_hash_table_contains(round->ordered,
+    return g_hash_table_contains(round->ordered_engines,
                                  GUINT_TO_POINTER(engine->name));
 }
 
 /* See arrange_internal.h. */
 bool
-ch_round_may_load(const struct ch_round *round,
-                  const struct ch_arrange_engine *engine, GQuark model)
+ch_placement_may_start_load(const struct ch_placement_round *round,
+                            const struct ch_placement_engine *engine,
+                            GQuark model)
 {
-    return engine->pledged == model || ch_round_has_copy(engine, model) ||
-           !engine->mine || round->loads_left > 0;
+    return engine->reserved_for == model ||
+           ch_placement_has_local_copy(engine, model) || !engine->controlled ||
+           round->store_loads_left > 0;
 }
 
 /* ---- evictions ---- */
@@ -311,28 +328,29 @@
 /* Whether the model's replica on the engine may be evicted: it is neither the
  * last one nor the one that this data centre must keep. */
 static bool
-may_evict(const struct ch_round *round, const struct ch_arrange_engine *engine,
-          const struct ch_tally *count)
+may_evict(const struct ch_placement_round *round,
+          const struct ch_placement_engine *engine,
+          const struct ch_replica_count *count)
 {
     return count->replicas >= 2 &&
-           (count->own[centre_index(round, engine)] >= 2 ||
-            count->keeper != engine->data_centre);
+           (count->resident_by_centre[centre_index(round, engine)] >= 2 ||
+            count->last_replica_centre != engine->data_centre);
 }
 
 /* Whether the eviction would leave the model's last replica on an engine that
  * then has no reclaimable memory for the largest model. */
 static bool
-strands_last_replica(const struct ch_round *round,
-                     const struct ch_arrange_engine *from,
-                     const struct ch_tally *count)
+strands_last_replica(const struct ch_placement_round *round,
+                     const struct ch_placement_engine *from,
+                     const struct ch_replica_count *count)
 {
     for (size_t i = 0; count->replicas == 2 && i < round->state->engine_count;
          i++) {
-        const struct ch_arrange_engine *engine = &round->state->engines[i];
-        if (engine != from && !engine->leaving &&
-            ch_round_item(engine, count->model->name) != NULL) {
-            return ch_round_flexible(round, engine) <
-                   count->model->memory_mb + round->largest_mb;
+        const struct ch_placement_engine *engine = &round->state->engines[i];
+        if (engine != from && !engine->draining &&
+            ch_placement_find_item(engine, count->model->name) != NULL) {
+            return ch_placement_reclaimable_mb(round, engine) <
+                   count->model->memory_mb + round->largest_model_mb;
         }
     }
     return false;
@@ -350,19 +368,20 @@
 /* The models that may be evicted from the engine, cheapest first; free with
  * g_array_free(). */
 static GArray *
-list_candidates(const struct ch_round *round,
-                const struct ch_arrange_engine *engine, double max_load)
+list_candidates(const struct ch_placement_round *round,
+                const struct ch_placement_engine *engine, double max_load)
 {
     GArray *out = g_array_new(FALSE, FALSE, sizeof(struct candidate));
     for (size_t i = 0; i < engine->item_count; i++) {
-        const struct ch_arrange_item *item = &engine->items[i];
-        const struct ch_tally *count = ch_round_tally(round, item->model);
+        const struct ch_placement_item *item = &engine->items[i];
+        const struct ch_replica_count *count =
+            ch_placement_find_count(round, item->model);
         if (item->state != CH_ITEM_RESIDENT || count == NULL ||
             !may_evict(round, engine, count)) {
             continue;
         }
         double remaining_load =
-            ch_round_pressure(count->model, count->replicas - 1);
+            ch_placement_load_per_replica(count->model, count->replicas - 1);
         const struct candidate candidate = {
             .model = item->model,
             .memory_mb = count->model->memory_mb,
@@ -415,17 +434,18 @@
  * queue.
  */
 bool
-ch_round_find_room(const struct ch_round *round,
-                   const struct ch_arrange_engine *engine, uint32_t memory_mb,
-                   double max_load, struct ch_eviction *out)
+ch_placement_find_evictions(const struct ch_placement_round *round,
+                            const struct ch_placement_engine *engine,
+                            uint32_t memory_mb, double max_load,
+                            struct ch_eviction *out)
 {
-    *out = (struct ch_eviction){.first = 0};
-    uint64_t free_mb = ch_round_free(round, engine);
+    *out = (struct ch_eviction){.first_victim = 0};
+    uint64_t free_mb = ch_placement_free_mb(round, engine);
     if (free_mb >= memory_mb) {
         return true;
     }
     GArray *victims = list_candidates(round, engine, max_load);
-    if (round->state->without.several_victims) {
+    if (round->state->disabled.several_victims) {
         drop_insufficient(victims, free_mb, memory_mb);
     }
     guint victim_count = 0;
@@ -440,9 +460,9 @@
         drop_unneeded(victims, free_mb, memory_mb);
         const struct candidate *last =
             &g_array_index(victims, struct candidate, victims->len - 1);
-        out->first = g_array_index(victims, struct candidate, 0).model;
-        out->count = victims->len;
-        out->left = last->remaining_load;
+        out->first_victim = g_array_index(victims, struct candidate, 0).model;
+        out->victim_count = victims->len;
+        out->remaining_load = last->remaining_load;
         out->cost = last->cost;
     }
     g_array_free(victims, TRUE);
--- a/libchestnuthitch/decide/balance.c
+++ b/libchestnuthitch/decide/balance.c
@@ -102,7 +102,7 @@
 };
 
 struct upstream_state {
-    struct ch_seat_facts facts;
+    struct ch_upstream_info facts;
     bool listed;
     bool busy;        /* accepts no orders now */
     GArray *models;   /* GQuark */
@@ -198,8 +198,8 @@
 
 /* See balance.h. */
 void
-ch_balance_do_without(struct ch_balance *balance,
-                      const struct ch_without *without)
+ch_balance_disable_features(struct ch_balance *balance,
+                            const struct ch_without *without)
 {
     balance->without = *without;
 }
@@ -282,20 +282,21 @@
 
 /* Adds or updates one upstream of the new list. */
 void
-ch_balance_listed(struct ch_balance *balance,
-                  const struct ch_seat_facts *facts)
+ch_balance_update_upstream(struct ch_balance *balance,
+                           const struct ch_upstream_info *facts)
 {
     struct upstream_state *state = find_state(balance, facts->name);
     if (state == NULL) {
         state = add_state(balance, facts->name);
     }
-    else if (state->facts.boot != facts->boot) {
+    else if (state->facts.boot_id != facts->boot_id) {
         reset_after_restart(state);
     }
     state->facts = *facts;
-    state->facts.resident = NULL;
+    state->facts.resident_models = NULL;
     state->listed = true;
-    replace_names(state->models, facts->resident, facts->resident_count);
+    replace_names(state->models, facts->resident_models,
+                  facts->resident_model_count);
     g_hash_table_insert(balance->slots_by_service,
                         GUINT_TO_POINTER(facts->service),
                         GUINT_TO_POINTER(facts->slots));
@@ -319,8 +320,8 @@
 
 /* See balance.h. */
 void
-ch_balance_models(struct ch_balance *balance, GQuark upstream,
-                  const GQuark *models, size_t count)
+ch_balance_set_models(struct ch_balance *balance, GQuark upstream,
+                      const GQuark *models, size_t count)
 {
     struct upstream_state *state = find_state(balance, upstream);
     if (state != NULL) {
@@ -330,8 +331,8 @@
 
 /* See balance.h. */
 void
-ch_balance_adapters(struct ch_balance *balance, GQuark upstream,
-                    const GQuark *adapters, size_t count)
+ch_balance_set_adapters(struct ch_balance *balance, GQuark upstream,
+                        const GQuark *adapters, size_t count)
 {
     struct upstream_state *state = find_state(balance, upstream);
     if (state != NULL) {
@@ -341,8 +342,8 @@
 
 /* See balance.h. */
 void
-ch_balance_adapter(struct ch_balance *balance, GQuark upstream, GQuark adapter,
-                   bool resident)
+ch_balance_set_adapter_resident(struct ch_balance *balance, GQuark upstream,
+                                GQuark adapter, bool resident)
 {
     struct upstream_state *state = find_state(balance, upstream);
     if (state == NULL) {
@@ -356,7 +357,7 @@
 
 /* See balance.h. */
 void
-ch_balance_busy(struct ch_balance *balance, GQuark upstream, bool busy)
+ch_balance_set_busy(struct ch_balance *balance, GQuark upstream, bool busy)
 {
     struct upstream_state *state = find_state(balance, upstream);
     if (state != NULL) {
@@ -366,8 +367,8 @@
 
 /* See balance.h. */
 void
-ch_balance_model_gone(struct ch_balance *balance, GQuark upstream,
-                      GQuark model)
+ch_balance_remove_model(struct ch_balance *balance, GQuark upstream,
+                        GQuark model)
 {
     struct upstream_state *state = find_state(balance, upstream);
     if (state != NULL) {
@@ -377,8 +378,9 @@
 
 /* See balance.h. */
 void
-ch_balance_all(struct ch_balance *balance, GQuark upstream, uint32_t running,
-               int64_t prefill_backlog, int64_t now)
+ch_balance_set_total_load(struct ch_balance *balance, GQuark upstream,
+                          uint32_t running, int64_t prefill_backlog,
+                          int64_t now)
 {
     struct upstream_state *state = find_state(balance, upstream);
     if (state == NULL) {
@@ -394,10 +396,11 @@
 
 /* See balance.h. */
 void
-ch_balance_tell(struct ch_balance *balance,
-                void (*report)(void *data, GQuark upstream, GQuark data_centre,
-                               uint32_t running, int64_t prefill_backlog),
-                void *data)
+ch_balance_report_load(struct ch_balance *balance,
+                       void (*report)(void *data, GQuark upstream,
+                                      GQuark data_centre, uint32_t running,
+                                      int64_t prefill_backlog),
+                       void *data)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
@@ -416,7 +419,7 @@
 
 /* See balance.h. */
 uint32_t
-ch_balance_running(const struct ch_balance *balance, GQuark upstream)
+ch_balance_count_running(const struct ch_balance *balance, GQuark upstream)
 {
     const struct upstream_state *state = find_state(balance, upstream);
     return state == NULL ? 0 : state->running;
@@ -424,7 +427,7 @@
 
 /* Upstreams of the current list. */
 size_t
-ch_balance_count(const struct ch_balance *balance)
+ch_balance_count_upstreams(const struct ch_balance *balance)
 {
     return g_hash_table_size(balance->upstreams);
 }
@@ -434,13 +437,13 @@
 /* Hash of a prompt up to and with this part. A part is cached only together
  * with all parts before it, and for the same model and adapter. */
 static uint64_t
-extend_prefix_hash(uint64_t prefix_hash, const struct ch_part *part)
+extend_prefix_hash(uint64_t prefix_hash, const struct ch_prompt_part *part)
 {
     return ch_hash_pair(prefix_hash, part->id);
 }
 
 static uint64_t
-start_prefix_hash(const struct ch_work *request)
+start_prefix_hash(const struct ch_request_info *request)
 {
     return ch_hash_pair(request->model, request->adapter);
 }
@@ -462,7 +465,7 @@
 /* Prompt tokens that the upstream has to prefill. */
 static uint32_t
 count_uncached_tokens(const struct upstream_state *state,
-                      const struct ch_work *request)
+                      const struct ch_request_info *request)
 {
     uint64_t prefix_hash = start_prefix_hash(request);
     uint32_t cached = 0;
@@ -498,7 +501,7 @@
  * least recently used ones beyond its context memory. */
 static void
 record_cached_parts(struct upstream_state *state,
-                    const struct ch_work *request, int64_t now)
+                    const struct ch_request_info *request, int64_t now)
 {
     uint64_t prefix_hash = start_prefix_hash(request);
     for (size_t i = 0; i < request->part_count; i++) {
@@ -622,8 +625,8 @@
 /* See balance.h. On average a part of the prompt is cached at any upstream, so
  * that only default_uncached_share is counted. */
 int64_t
-ch_balance_reading(const struct ch_balance *balance,
-                   const struct ch_work *request)
+ch_balance_estimate_prefill(const struct ch_balance *balance,
+                            const struct ch_request_info *request)
 {
     return (int64_t)(request->prompt_tokens * default_uncached_share *
                      get_prefill_per_token(balance, request->model));
@@ -633,17 +636,19 @@
  * as long as it is decoded. */
 static int64_t
 estimate_decode(const struct ch_balance *balance,
-                const struct ch_work *request)
+                const struct ch_request_info *request)
 {
     const struct model_stats *model =
         g_hash_table_lookup(balance->models, GUINT_TO_POINTER(request->model));
-    guint slots = GPOINTER_TO_UINT(g_hash_table_lookup(
-        balance->slots_by_service, GUINT_TO_POINTER(request->pool)));
+    guint slots = GPOINTER_TO_UINT(
+        g_hash_table_lookup(balance->slots_by_service,
+                            GUINT_TO_POINTER(request->required_service)));
     double time_per_token =
         model == NULL || !is_measurement_used(balance, &model->time_per_event)
             ? DEFAULT_DECODE_US_PER_TOKEN
             : model->time_per_event.value * model->events_per_token;
-    return (int64_t)(request->output_tokens * time_per_token / MAX(slots, 1));
+    return (int64_t)(request->max_output_tokens * time_per_token /
+                     MAX(slots, 1));
 }
 
 /* Demand decayed until now: an average over about DEMAND_WINDOW_US. */
@@ -656,11 +661,11 @@
 
 /* See balance.h. */
 void
-ch_balance_asked(struct ch_balance *balance, const struct ch_work *request,
-                 int64_t now)
+ch_balance_record_demand(struct ch_balance *balance,
+                         const struct ch_request_info *request, int64_t now)
 {
     struct model_stats *model = ensure_model_stats(balance, request->model);
-    int64_t time = ch_balance_reading(balance, request) +
+    int64_t time = ch_balance_estimate_prefill(balance, request) +
                    estimate_decode(balance, request);
     model->demand =
         estimate_demand(model, now) + (double)time / DEMAND_WINDOW_US;
@@ -669,9 +674,10 @@
 
 /* See balance.h. */
 void
-ch_balance_each_asked(struct ch_balance *balance, int64_t now,
-                      void (*visit)(void *data, GQuark model, double demand),
-                      void *data)
+ch_balance_foreach_demand(struct ch_balance *balance, int64_t now,
+                          void (*visit)(void *data, GQuark model,
+                                        double demand),
+                          void *data)
 {
     GHashTableIter iterator;
     gpointer key = NULL;
@@ -708,8 +714,8 @@
 /* Expected time until an engine's first token. */
 static int64_t
 estimate_first_token(const struct upstream_state *state,
-                     const struct ch_work *request, int64_t prefill_time,
-                     int64_t now)
+                     const struct ch_request_info *request,
+                     int64_t prefill_time, int64_t now)
 {
     int64_t prefill_backlog =
         state->prefill_backlog + estimate_others_backlog(state, now);
@@ -718,7 +724,8 @@
     cost = (int64_t)((double)cost * state->slowdown);
     cost += estimate_slot_wait(state, now, SLOT_WAIT_US);
     uint64_t needed_tokens = state->used_context_tokens +
-                             request->prompt_tokens + request->output_tokens;
+                             request->prompt_tokens +
+                             request->max_output_tokens;
     if (state->facts.context_tokens > 0 &&
         (double)needed_tokens >
             memory_full_share * state->facts.context_tokens) {
@@ -729,8 +736,8 @@
         cost += ADAPTER_LOAD_US +
                 order_adapter_places(state, request->adapter) +
                 (state->busy ? BUSY_ENGINE_COST_US : 0);
-        if (state->facts.adapter_places > 0 &&
-            state->adapters->len >= state->facts.adapter_places) {
+        if (state->facts.adapter_slots > 0 &&
+            state->adapters->len >= state->facts.adapter_slots) {
             cost += ADAPTER_LOAD_US; /* one has to be unloaded first */
         }
     }
@@ -770,23 +777,26 @@
 
 /* Whether the request may go to the upstream at all. */
 static bool
-is_candidate(const struct upstream_state *state, const struct ch_work *request,
-             const GArray *excluded, bool adapter_ready)
+is_candidate(const struct upstream_state *state,
+             const struct ch_request_info *request, const GArray *excluded,
+             bool adapter_ready)
 {
     if (adapter_ready && request->adapter != 0 &&
         !contains_name(state->adapters, request->adapter)) {
         return false;
     }
-    if (state->facts.leaving || state->facts.service != request->pool) {
+    if (state->facts.draining ||
+        state->facts.service != request->required_service) {
         return false;
     }
-    if (request->only != 0 && state->facts.name != request->only) {
+    if (request->required_upstream != 0 &&
+        state->facts.name != request->required_upstream) {
         return false;
     }
     if (excluded != NULL && contains_name(excluded, state->facts.name)) {
         return false;
     }
-    return request->service || contains_name(state->models, request->model);
+    return request->is_service || contains_name(state->models, request->model);
 }
 
 /* An upstream that may take the request, with its estimates. */
@@ -801,19 +811,21 @@
  * tie_spread per request, so that requests choose differently between equal
  * upstreams. */
 static double
-estimate_cost(const struct ch_balance *balance, const struct ch_work *request,
+estimate_cost(const struct ch_balance *balance,
+              const struct ch_request_info *request,
               struct candidate *candidate, int64_t now)
 {
     const struct upstream_state *state = candidate->state;
     candidate->tokens =
-        request->service ? 0 : count_uncached_tokens(state, request);
+        request->is_service ? 0 : count_uncached_tokens(state, request);
     candidate->prefill_time =
         (int64_t)(candidate->tokens *
                   get_prefill_per_token(balance, request->model));
     candidate->expected_latency =
-        request->service ? estimate_service_response(state, now)
-                         : estimate_first_token(state, request,
-                                                candidate->prefill_time, now);
+        request->is_service
+            ? estimate_service_response(state, now)
+            : estimate_first_token(state, request, candidate->prefill_time,
+                                   now);
     double cost = (double)(candidate->expected_latency +
                            estimate_network_cost(balance, state)) +
                   estimate_failure_rate(state, now) * FAILURE_COST_US;
@@ -829,13 +841,14 @@
  */
 static double
 estimate_others_arrivals(const struct ch_balance *balance,
-                         const struct ch_work *request,
+                         const struct ch_request_info *request,
                          const GArray *candidates, int64_t now)
 {
-    guint slots = GPOINTER_TO_UINT(g_hash_table_lookup(
-        balance->slots_by_service, GUINT_TO_POINTER(request->pool)));
+    guint slots = GPOINTER_TO_UINT(
+        g_hash_table_lookup(balance->slots_by_service,
+                            GUINT_TO_POINTER(request->required_service)));
     double duration =
-        (double)(ch_balance_reading(balance, request) +
+        (double)(ch_balance_estimate_prefill(balance, request) +
                  estimate_decode(balance, request) * MAX(slots, 1));
     double arrivals = 0;
     for (guint i = 0; i < candidates->len; i++) {
@@ -856,15 +869,16 @@
  * and each of its attempts. */
 static size_t
 choose_candidate(const struct ch_balance *balance,
-                 const struct ch_work *request, const GArray *candidates,
-                 const GArray *costs, int64_t now)
+                 const struct ch_request_info *request,
+                 const GArray *candidates, const GArray *costs, int64_t now)
 {
     double arrivals =
-        request->service
+        request->is_service
             ? 0
             : estimate_others_arrivals(balance, request, candidates, now);
     double cost_per_request =
-        (double)(ch_balance_reading(balance, request) + BATCH_NEIGHBOUR_US);
+        (double)(ch_balance_estimate_prefill(balance, request) +
+                 BATCH_NEIGHBOUR_US);
     double random = (double)(ch_hash_pair(request->id, request->attempt +
                                                            request->refusals) %
                              65536) /
@@ -873,24 +887,26 @@
                           cost_per_request, arrivals, random);
 }
 
-static struct ch_choice
-make_choice(const struct ch_balance *balance, const struct ch_work *request,
+static struct ch_upstream_choice
+make_choice(const struct ch_balance *balance,
+            const struct ch_request_info *request,
             const struct candidate *candidate, int64_t now)
 {
     const struct upstream_state *state = candidate->state;
-    return (struct ch_choice){
+    return (struct ch_upstream_choice){
         .code = CH_OK,
         .upstream = state->facts.name,
-        .boot = state->facts.boot,
+        .boot_id = state->facts.boot_id,
         .data_centre = state->facts.data_centre,
         .other_region = state->facts.region != balance->region,
         .adapter_missing = request->adapter != 0 &&
                            !contains_name(state->adapters, request->adapter),
-        .tokens = candidate->tokens,
-        .reading = candidate->prefill_time,
-        .too_dense = !request->service && !balance->without.pace_prompts &&
-                     is_burst_too_long(state, candidate->prefill_time, now),
-        .expected = candidate->expected_latency,
+        .prefill_tokens = candidate->tokens,
+        .prefill_time = candidate->prefill_time,
+        .should_defer = !request->is_service &&
+                        !balance->without.pace_prompts &&
+                        is_burst_too_long(state, candidate->prefill_time, now),
+        .expected_latency = candidate->expected_latency,
     };
 }
 
@@ -906,11 +922,12 @@
  * that are some hundred milliseconds old; so where many other nodes send too,
  * requests are spread over the engines that they fill together (fill.h).
  */
-struct ch_choice
-ch_balance_choose(struct ch_balance *balance, const struct ch_work *request,
+struct ch_upstream_choice
+ch_balance_choose(struct ch_balance *balance,
+                  const struct ch_request_info *request,
                   const GArray *excluded, bool adapter_ready, int64_t now)
 {
-    struct ch_choice choice = {
+    struct ch_upstream_choice choice = {
         .code = CH_NO_UPSTREAM,
         .retry_after = NO_UPSTREAM_RETRY_AFTER_US,
         .message = "no upstream can take this now",
@@ -944,8 +961,9 @@
 
 /* See balance.h. */
 void
-ch_balance_sent(struct ch_balance *balance, const struct ch_work *request,
-                const struct ch_choice *choice, int64_t now)
+ch_balance_record_sent(struct ch_balance *balance,
+                       const struct ch_request_info *request,
+                       const struct ch_upstream_choice *choice, int64_t now)
 {
     struct upstream_state *state = find_state(balance, choice->upstream);
     if (state == NULL) {
@@ -955,11 +973,11 @@
     if (estimate_burst(state, now) == estimate_others_backlog(state, now)) {
         state->prefill_burst = 0;
     }
-    state->prefill_burst += choice->reading;
-    state->prefill_backlog += choice->reading;
+    state->prefill_burst += choice->prefill_time;
+    state->prefill_backlog += choice->prefill_time;
     state->used_context_tokens +=
-        request->prompt_tokens + request->output_tokens;
-    if (!request->service) {
+        request->prompt_tokens + request->max_output_tokens;
+    if (!request->is_service) {
         record_cached_parts(state, request, now);
     }
 }
@@ -993,42 +1011,46 @@
 
 /* See balance.h. */
 void
-ch_balance_first(struct ch_balance *balance, const struct ch_work *request,
-                 const struct ch_choice *choice, int64_t elapsed, int64_t now)
+ch_balance_record_first_byte(struct ch_balance *balance,
+                             const struct ch_request_info *request,
+                             const struct ch_upstream_choice *choice,
+                             int64_t elapsed, int64_t now)
 {
     struct upstream_state *state = find_state(balance, choice->upstream);
     if (state == NULL) {
         return;
     }
-    state->prefill_backlog -= MIN(state->prefill_backlog, choice->reading);
+    state->prefill_backlog -=
+        MIN(state->prefill_backlog, choice->prefill_time);
     state->prefill_ended_at = now;
     state->response_time = update_mean(state->response_time, (double)elapsed);
-    double ratio = (double)elapsed / (double)MAX(choice->expected, 1);
+    double ratio = (double)elapsed / (double)MAX(choice->expected_latency, 1);
     state->slowdown =
         CLAMP(update_mean(state->slowdown, state->slowdown * ratio),
               MIN_SLOWDOWN, MAX_SLOWDOWN);
-    if (choice->tokens >= MIN_MEASURED_TOKENS) {
+    if (choice->prefill_tokens >= MIN_MEASURED_TOKENS) {
         struct model_stats *model =
             ensure_model_stats(balance, request->model);
         update_near_fastest(&model->prefill_per_token,
-                            (double)elapsed / choice->tokens);
+                            (double)elapsed / choice->prefill_tokens);
     }
 }
 
 /* Learns the number of events and the time per event from a whole response. */
 static void
-learn_response(struct ch_balance *balance, const struct ch_work *request,
-               const struct ch_sample *sample)
+learn_response(struct ch_balance *balance,
+               const struct ch_request_info *request,
+               const struct ch_timing_sample *sample)
 {
-    if (request->service || sample->token <= 0 ||
-        request->output_tokens == 0) {
+    if (request->is_service || sample->token_time <= 0 ||
+        request->max_output_tokens == 0) {
         return;
     }
     struct model_stats *model = ensure_model_stats(balance, request->model);
-    update_near_fastest(&model->time_per_event, (double)sample->token);
+    update_near_fastest(&model->time_per_event, (double)sample->token_time);
     model->events_per_token =
         update_mean(model->events_per_token,
-                    (double)sample->tokens / request->output_tokens);
+                    (double)sample->token_count / request->max_output_tokens);
 }
 
 /* Whether a result says anything about the upstream; sets *failed if so. */
@@ -1054,9 +1076,11 @@
 
 /* See balance.h. */
 void
-ch_balance_ended(struct ch_balance *balance, const struct ch_work *request,
-                 const struct ch_choice *choice, bool response_started,
-                 const struct ch_sample *sample, int64_t now)
+ch_balance_record_end(struct ch_balance *balance,
+                      const struct ch_request_info *request,
+                      const struct ch_upstream_choice *choice,
+                      bool response_started,
+                      const struct ch_timing_sample *sample, int64_t now)
 {
     struct upstream_state *state = find_state(balance, choice->upstream);
     enum ch_code code = sample->code;
@@ -1070,10 +1094,11 @@
     state->running -= MIN(state->running, 1);
     state->used_context_tokens -=
         MIN(state->used_context_tokens,
-            request->prompt_tokens + request->output_tokens);
+            request->prompt_tokens + request->max_output_tokens);
     if (!response_started) {
         state->prefill_ended_at = now;
-        state->prefill_backlog -= MIN(state->prefill_backlog, choice->reading);
+        state->prefill_backlog -=
+            MIN(state->prefill_backlog, choice->prefill_time);
     }
     if (!is_about_upstream(code, &failed)) {
         return;
--- a/libchestnuthitch/decide/balance.h
+++ b/libchestnuthitch/decide/balance.h
@@ -11,37 +11,38 @@
 #include "decide/policy.h"
 
 /* An upstream as the list of upstreams describes it. */
-struct ch_seat_facts {
+struct ch_upstream_info {
     GQuark name;
     GQuark service;
     GQuark region;
     GQuark data_centre;
     bool engine;
-    bool leaving;
-    uint64_t boot;
+    bool draining;
+    uint64_t boot_id;
     uint32_t slots;          /* max. requests at once */
     uint32_t context_tokens; /* memory for prompts and responses; 0: unknown */
-    uint32_t adapter_places;
-    const GQuark *resident;
-    size_t resident_count;
+    uint32_t adapter_slots;
+    const GQuark *resident_models;
+    size_t resident_model_count;
 };
 
 /* The upstream chosen for a request, or the refusal. */
-struct ch_choice {
+struct ch_upstream_choice {
     enum ch_code code; /* CH_OK: an upstream was chosen; else the request is
                           refused with this code */
     GQuark upstream;
-    uint64_t boot; /* boot ID of the upstream */
+    uint64_t boot_id; /* boot ID of the upstream */
     GQuark data_centre;
     bool other_region;
     bool adapter_missing; /* load the adapter before the request is sent */
-    uint32_t tokens;      /* prompt tokens that the upstream has not cached */
-    int64_t reading;      /* to prefill these tokens */
-    int64_t expected;     /* until the first token, or until a plain service's
-                             response */
+    uint32_t
+        prefill_tokens;   /* prompt tokens that the upstream has not cached */
+    int64_t prefill_time; /* to prefill these tokens */
+    int64_t expected_latency; /* until the first token, or until a plain
+                         service's response */
     /* Sending now would make the streams at the engine pause for too long: the
      * request is better sent a little later. */
-    bool too_dense;
+    bool should_defer;
     int64_t retry_after; /* of a refusal */
     const char *message;
 };
@@ -52,87 +53,96 @@
 void ch_balance_free(struct ch_balance *balance);
 /* Switches off parts of the policy from now on; at first nothing is disabled.
  */
-void ch_balance_do_without(struct ch_balance *balance,
-                           const struct ch_without *without);
+void ch_balance_disable_features(struct ch_balance *balance,
+                                 const struct ch_without *without);
 
 /* Replaces the list of upstreams: call begin, then
  * ch_balance_update_upstream() for each upstream, then end. An upstream that
  * was not updated in between is forgotten. */
 void ch_balance_begin_update(struct ch_balance *balance);
-void ch_balance_listed(struct ch_balance *balance,
-                       const struct ch_seat_facts *facts);
+void ch_balance_update_upstream(struct ch_balance *balance,
+                                const struct ch_upstream_info *facts);
 void ch_balance_end_update(struct ch_balance *balance);
 
 /* Replace the known models or adapters of an upstream. */
-void ch_balance_models(struct ch_balance *balance, GQuark upstream,
-                       const GQuark *models, size_t count);
-void ch_balance_adapters(struct ch_balance *balance, GQuark upstream,
-                         const GQuark *adapters, size_t count);
+void ch_balance_set_models(struct ch_balance *balance, GQuark upstream,
+                           const GQuark *models, size_t count);
+void ch_balance_set_adapters(struct ch_balance *balance, GQuark upstream,
+                             const GQuark *adapters, size_t count);
 /* Records that one adapter was loaded or unloaded. */
-void ch_balance_adapter(struct ch_balance *balance, GQuark upstream,
-                        GQuark adapter, bool resident);
+void ch_balance_set_adapter_resident(struct ch_balance *balance,
+                                     GQuark upstream, GQuark adapter,
+                                     bool resident);
 /* busy: the upstream accepts no orders now, such as one to load an adapter. */
-void ch_balance_busy(struct ch_balance *balance, GQuark upstream, bool busy);
+void ch_balance_set_busy(struct ch_balance *balance, GQuark upstream,
+                         bool busy);
 /* Records that the upstream no longer has the model, or never had it; holds
  * until the next update of its models. */
-void ch_balance_model_gone(struct ch_balance *balance, GQuark upstream,
-                           GQuark model);
+void ch_balance_remove_model(struct ch_balance *balance, GQuark upstream,
+                             GQuark model);
 /*
  * Sets the load of all nodes together on an upstream as of now.
  * prefill_backlog: time to prefill the prompts whose prefill has not begun.
  * Both totals include this node's own load as last reported by
  * ch_balance_report_load().
  */
-void ch_balance_all(struct ch_balance *balance, GQuark upstream,
-                    uint32_t running, int64_t prefill_backlog, int64_t now);
+void ch_balance_set_total_load(struct ch_balance *balance, GQuark upstream,
+                               uint32_t running, int64_t prefill_backlog,
+                               int64_t now);
 /* Calls `report` with this node's own load for each engine that has some, or
  * had some at the last call. */
-void ch_balance_tell(struct ch_balance *balance,
-                     void (*report)(void *data, GQuark upstream,
-                                    GQuark data_centre, uint32_t running,
-                                    int64_t prefill_backlog),
-                     void *data);
+void ch_balance_report_load(struct ch_balance *balance,
+                            void (*report)(void *data, GQuark upstream,
+                                           GQuark data_centre,
+                                           uint32_t running,
+                                           int64_t prefill_backlog),
+                            void *data);
 
 /* Chooses an upstream by the expected latency. excluded: GQuarks of upstreams
  * that this request must not go to; NULL: none. adapter_ready: consider only
  * upstreams that already have the request's adapter. */
-struct ch_choice ch_balance_choose(struct ch_balance *balance,
-                                   const struct ch_work *request,
-                                   const GArray *excluded, bool adapter_ready,
-                                   int64_t now);
+struct ch_upstream_choice
+ch_balance_choose(struct ch_balance *balance,
+                  const struct ch_request_info *request,
+                  const GArray *excluded, bool adapter_ready, int64_t now);
 /* Records that the request is sent as chosen. Each call is followed by one of
  * ch_balance_record_end(). */
-void ch_balance_sent(struct ch_balance *balance, const struct ch_work *request,
-                     const struct ch_choice *choice, int64_t now);
+void ch_balance_record_sent(struct ch_balance *balance,
+                            const struct ch_request_info *request,
+                            const struct ch_upstream_choice *choice,
+                            int64_t now);
 /* Records that the first byte of the response came `elapsed` after the request
  * was sent. */
-void ch_balance_first(struct ch_balance *balance,
-                      const struct ch_work *request,
-                      const struct ch_choice *choice, int64_t elapsed,
-                      int64_t now);
+void ch_balance_record_first_byte(struct ch_balance *balance,
+                                  const struct ch_request_info *request,
+                                  const struct ch_upstream_choice *choice,
+                                  int64_t elapsed, int64_t now);
 /* response_started: ch_balance_record_first_byte() was called for the request.
  */
-void ch_balance_ended(struct ch_balance *balance,
-                      const struct ch_work *request,
-                      const struct ch_choice *choice, bool response_started,
-                      const struct ch_sample *sample, int64_t now);
+void ch_balance_record_end(struct ch_balance *balance,
+                           const struct ch_request_info *request,
+                           const struct ch_upstream_choice *choice,
+                           bool response_started,
+                           const struct ch_timing_sample *sample, int64_t now);
 
 /* Adds the engine time that a request needs to the demand for its model. Call
  * this for every request, whether or not an upstream takes it. */
-void ch_balance_asked(struct ch_balance *balance,
-                      const struct ch_work *request, int64_t now);
+void ch_balance_record_demand(struct ch_balance *balance,
+                              const struct ch_request_info *request,
+                              int64_t now);
 /* Calls `visit` with the demand for each model, in seconds of engine time per
  * second. */
-void ch_balance_each_asked(struct ch_balance *balance, int64_t now,
-                           void (*visit)(void *data, GQuark model,
-                                         double demand),
-                           void *data);
+void ch_balance_foreach_demand(struct ch_balance *balance, int64_t now,
+                               void (*visit)(void *data, GQuark model,
+                                             double demand),
+                               void *data);
 /* Time that an engine is likely to take for the prefill of the request's
  * prompt. */
-int64_t ch_balance_reading(const struct ch_balance *balance,
-                           const struct ch_work *request);
+int64_t ch_balance_estimate_prefill(const struct ch_balance *balance,
+                                    const struct ch_request_info *request);
 /* Requests that this node has running on the upstream. */
-uint32_t ch_balance_running(const struct ch_balance *balance, GQuark upstream);
-size_t ch_balance_count(const struct ch_balance *balance);
+uint32_t ch_balance_count_running(const struct ch_balance *balance,
+                                  GQuark upstream);
+size_t ch_balance_count_upstreams(const struct ch_balance *balance);
 
 #endif
--- a/libchestnuthitch/decide/bucket.c
+++ b/libchestnuthitch/decide/bucket.c
@@ -4,34 +4,37 @@
 
 /* Initialises a full bucket: rate in tokens per second, up to capacity. */
 void
-ch_bucket_init(struct ch_bucket *bucket, double rate, double capacity,
-               int64_t now)
+ch_token_bucket_init(struct ch_token_bucket *bucket, double rate,
+                     double capacity, int64_t now)
 {
-    *bucket = (struct ch_bucket){
-        .level = capacity, .rate = rate, .most = capacity, .at = now};
+    *bucket = (struct ch_token_bucket){.tokens = capacity,
+                                       .rate_per_s = rate,
+                                       .capacity = capacity,
+                                       .updated_at = now};
 }
 
 /* The tokens available now.  A clock that runs backwards adds none. */
 double
-ch_bucket_level(struct ch_bucket *bucket, int64_t now)
+ch_token_bucket_level(struct ch_token_bucket *bucket, int64_t now)
 {
-    if (now > bucket->at) {
-        double elapsed_s = (double)(now - bucket->at) / G_USEC_PER_SEC;
-        bucket->level =
-            MIN(bucket->most, bucket->level + elapsed_s * bucket->rate);
-        bucket->at = now;
+    if (now > bucket->updated_at) {
+        double elapsed_s = (double)(now - bucket->updated_at) / G_USEC_PER_SEC;
+        bucket->tokens = MIN(bucket->capacity,
+                             bucket->tokens + elapsed_s * bucket->rate_per_s);
+        bucket->updated_at = now;
     }
-    return bucket->level;
+    return bucket->tokens;
 }
 
 /* Takes the amount; if too few tokens are left, takes none and returns
  * false. */
 bool
-ch_bucket_take(struct ch_bucket *bucket, double amount, int64_t now)
+ch_token_bucket_take(struct ch_token_bucket *bucket, double amount,
+                     int64_t now)
 {
-    if (ch_bucket_level(bucket, now) < amount) {
+    if (ch_token_bucket_level(bucket, now) < amount) {
         return false;
     }
-    bucket->level -= amount;
+    bucket->tokens -= amount;
     return true;
 }
--- a/libchestnuthitch/decide/fleet.c
+++ b/libchestnuthitch/decide/fleet.c
@@ -20,21 +20,21 @@
 /* Whether the item is resident in the upstream's memory, by the last
  * report. */
 bool
-ch_upstream_view_has(const struct ch_upstream_view *view, GQuark item)
+ch_upstream_view_has_item(const struct ch_upstream_view *view, GQuark item)
 {
     return list_has(view->resident, item);
 }
 
 /* Whether the upstream is loading the item, by the last report. */
 bool
-ch_upstream_view_loads(const struct ch_upstream_view *view, GQuark item)
+ch_upstream_view_is_loading(const struct ch_upstream_view *view, GQuark item)
 {
     return list_has(view->loading, item);
 }
 
 /* The view of an upstream, owned by the fleet; NULL if the fleet has none. */
 struct ch_upstream_view *
-ch_fleet_find(struct ch_fleet *fleet, GQuark name)
+ch_fleet_find_upstream(struct ch_fleet *fleet, GQuark name)
 {
     for (size_t i = 0; i < fleet->count; i++) {
         if (fleet->upstreams[i].name == name) {
--- a/libchestnuthitch/decide/gossip.c
+++ b/libchestnuthitch/decide/gossip.c
@@ -23,24 +23,24 @@
  * data centre, from which most requests come, are reached every 8 s, the
  * others every 46 s.
  */
-struct ch_gossip_share
-ch_gossip_share(unsigned local_nodes, unsigned remote_nodes)
+struct ch_gossip_fanout
+ch_gossip_fanout(unsigned local_nodes, unsigned remote_nodes)
 {
-    struct ch_gossip_share fanout = {local_nodes, remote_nodes};
+    struct ch_gossip_fanout fanout = {local_nodes, remote_nodes};
     if (local_nodes + remote_nodes < MAX_DIRECT_NODES) {
         return fanout;
     }
-    fanout.near =
+    fanout.local =
         MIN(local_nodes, (unsigned)(NODES_PER_ROUND - REMOTE_NODES_PER_ROUND));
-    fanout.far = MIN(remote_nodes, NODES_PER_ROUND - fanout.near);
-    fanout.near = MIN(local_nodes, NODES_PER_ROUND - fanout.far);
+    fanout.remote = MIN(remote_nodes, NODES_PER_ROUND - fanout.local);
+    fanout.local = MIN(local_nodes, NODES_PER_ROUND - fanout.remote);
     return fanout;
 }
 
 /* Whether a round reaches every other node, so that only changed states have
  * to be sent. */
 bool
-ch_gossip_direct(unsigned live)
+ch_gossip_reaches_all(unsigned live)
 {
     return live <= MAX_DIRECT_NODES;
 }
--- a/libchestnuthitch/decide/home.c
+++ b/libchestnuthitch/decide/home.c
@@ -19,18 +19,19 @@
 
 /* Returns a scheduler with an empty queue and no resident items. */
 struct ch_home *
-ch_home_new(const struct ch_policy *policy, const struct ch_home_facts *facts,
-            int64_t now)
+ch_home_new(const struct ch_policy *policy,
+            const struct ch_upstream_config *facts, int64_t now)
 {
     (void)now;
     struct ch_home *home = g_new0(struct ch_home, 1);
     home->policy = policy;
-    home->facts = *facts;
-    home->leaving = facts->leaving;
+    home->config = *facts;
+    home->draining = facts->draining;
     ch_queue_init(&home->queue);
-    home->granted = g_array_new(FALSE, FALSE, sizeof(struct ch_granted));
-    home->items = g_array_new(FALSE, FALSE, sizeof(struct ch_held));
-    ch_rates_init(&home->rates, facts->service == 0);
+    home->running =
+        g_array_new(FALSE, FALSE, sizeof(struct ch_running_request));
+    home->items = g_array_new(FALSE, FALSE, sizeof(struct ch_item_record));
+    ch_service_times_init(&home->service_times, facts->service == 0);
     return home;
 }
 
@@ -42,7 +43,7 @@
         return;
     }
     ch_queue_clear(&home->queue);
-    g_array_unref(home->granted);
+    g_array_unref(home->running);
     g_array_unref(home->items);
     g_free(home);
 }
@@ -50,21 +51,23 @@
 /* Takes over the host list's current entry.  Running requests continue; a
  * lower limit is reached as they end. */
 void
-ch_home_set_facts(struct ch_home *home, const struct ch_home_facts *facts)
+ch_home_set_config(struct ch_home *home,
+                   const struct ch_upstream_config *facts)
 {
-    if (facts->leaving != home->facts.leaving) {
-        home->leaving = facts->leaving;
+    if (facts->draining != home->config.draining) {
+        home->draining = facts->draining;
     }
-    home->facts = *facts;
+    home->config = *facts;
 }
 
 /* Returns the item's record, or NULL if the item was never seen.  The pointer
  * is valid until another item is added. */
-struct ch_held *
-ch_home_item(struct ch_home *home, GQuark name)
+struct ch_item_record *
+ch_home_find_item(struct ch_home *home, GQuark name)
 {
     for (guint i = 0; i < home->items->len; i++) {
-        struct ch_held *item = &g_array_index(home->items, struct ch_held, i);
+        struct ch_item_record *item =
+            &g_array_index(home->items, struct ch_item_record, i);
         if (item->name == name) {
             return item;
         }
@@ -74,33 +77,33 @@
 
 /* Returns the item's record, after adding it as absent if it was never seen.
  */
-struct ch_held *
-ch_home_item_need(struct ch_home *home, GQuark name, GQuark model,
-                  uint32_t memory_mb)
+struct ch_item_record *
+ch_home_get_item(struct ch_home *home, GQuark name, GQuark model,
+                 uint32_t memory_mb)
 {
-    struct ch_held *item = ch_home_item(home, name);
+    struct ch_item_record *item = ch_home_find_item(home, name);
     if (item != NULL) {
         if (item->state == CH_ITEM_ABSENT && memory_mb > 0) {
             item->memory_mb = memory_mb;
         }
         return item;
     }
-    struct ch_held added = {
+    struct ch_item_record added = {
         .name = name, .model = model, .memory_mb = memory_mb};
     g_array_append_val(home->items, added);
-    return ch_home_item(home, name);
+    return ch_home_find_item(home, name);
 }
 
 /* Whether requests for the item may be granted: it is resident and not being
  * evicted. */
 bool
-ch_home_has(const struct ch_home *home, GQuark item)
+ch_home_has_item(const struct ch_home *home, GQuark item)
 {
     for (guint i = 0; i < home->items->len; i++) {
-        const struct ch_held *record =
-            &g_array_index(home->items, struct ch_held, i);
+        const struct ch_item_record *record =
+            &g_array_index(home->items, struct ch_item_record, i);
         if (record->name == item) {
-            return record->state == CH_ITEM_RESIDENT && !record->leaving;
+            return record->state == CH_ITEM_RESIDENT && !record->evicting;
         }
     }
     return false;
@@ -111,9 +114,10 @@
 static int64_t
 min_token_target(const struct ch_home *home, int64_t token_target)
 {
-    for (guint i = 0; i < home->granted->len; i++) {
+    for (guint i = 0; i < home->running->len; i++) {
         int64_t target =
-            g_array_index(home->granted, struct ch_granted, i).between;
+            g_array_index(home->running, struct ch_running_request, i)
+                .token_target;
         if (target > 0 && (token_target == 0 || target < token_target)) {
             token_target = target;
         }
@@ -126,26 +130,26 @@
 static uint32_t
 limit_with_target(const struct ch_home *home, int64_t token_target)
 {
-    bool service = home->facts.service != 0;
-    uint32_t max = home->facts.batch;
+    bool service = home->config.service != 0;
+    uint32_t max = home->config.batch;
     if (max == 0) {
         max = service ? MAX_RUNNING_SERVICE : MAX_RUNNING_ENGINE;
     }
-    if (service || !home->policy->admitting->find_batch) {
+    if (service || !home->policy->admission->measured_limit) {
         return max;
     }
-    return ch_rates_batch(&home->rates, min_token_target(home, token_target),
-                          max);
+    return ch_service_times_limit_batch(
+        &home->service_times, min_token_target(home, token_target), max);
 }
 
 /* Returns how many requests may run at once, given the running and queued
  * requests. */
 uint32_t
-ch_home_limit(const struct ch_home *home)
+ch_home_get_limit(const struct ch_home *home)
 {
     int64_t token_target = 0;
     for (guint i = 0; i < home->queue.entries->len; i++) {
-        int64_t target = ch_queue_at(&home->queue, i)->work.between;
+        int64_t target = ch_queue_get(&home->queue, i)->request.token_target;
         if (target > 0 && (token_target == 0 || target < token_target)) {
             token_target = target;
         }
@@ -161,37 +165,38 @@
 
 /* Adds `change` to the queued counts of the request's model and adapter. */
 static void
-adjust_queued_counts(struct ch_home *home, const struct ch_work *request,
-                     int change)
+adjust_queued_counts(struct ch_home *home,
+                     const struct ch_request_info *request, int change)
 {
     GQuark names[] = {request->model, request->adapter};
     for (size_t i = 0; i < G_N_ELEMENTS(names); i++) {
-        struct ch_held *item =
-            names[i] == 0 ? NULL : ch_home_item(home, names[i]);
+        struct ch_item_record *item =
+            names[i] == 0 ? NULL : ch_home_find_item(home, names[i]);
         if (item != NULL) {
             item->queued = (uint32_t)((int)item->queued + change);
         }
     }
 }
 
-static struct ch_entry
+static struct ch_queue_entry
 remove_entry(struct ch_home *home, guint index)
 {
-    struct ch_entry entry = *ch_queue_at(&home->queue, index);
+    struct ch_queue_entry entry = *ch_queue_get(&home->queue, index);
     ch_queue_remove(&home->queue, index);
-    adjust_queued_counts(home, &entry.work, -1);
+    adjust_queued_counts(home, &entry.request, -1);
     return entry;
 }
 
 /* Removes the queue entry and refuses its request for good. retry_after:
  * microseconds until the caller may usefully retry. */
 void
-ch_home_refuse(struct ch_home *home, guint index, enum ch_code code,
-               int64_t retry_after, const char *reason, struct ch_actions *out)
+ch_home_refuse_entry(struct ch_home *home, guint index, enum ch_code code,
+                     int64_t retry_after, const char *reason,
+                     struct ch_actions *out)
 {
     struct ch_action action = {
         .kind = CH_ACTION_REFUSE,
-        .work = remove_entry(home, index).work.id,
+        .request_id = remove_entry(home, index).request.id,
         .code = code,
         .retry_after = retry_after,
     };
@@ -206,8 +211,8 @@
 {
     GQuark names[] = {model, adapter};
     for (size_t i = 0; i < G_N_ELEMENTS(names); i++) {
-        struct ch_held *item =
-            names[i] == 0 ? NULL : ch_home_item(home, names[i]);
+        struct ch_item_record *item =
+            names[i] == 0 ? NULL : ch_home_find_item(home, names[i]);
         if (item != NULL) {
             item->running = (uint32_t)((int)item->running + change);
         }
@@ -219,40 +224,42 @@
 grant_entry(struct ch_home *home, guint index, int64_t now,
             struct ch_actions *out)
 {
-    struct ch_work request = remove_entry(home, index).work;
-    uint32_t running = home->granted->len + 1;
-    struct ch_granted granted = {
-        .work = request.id,
+    struct ch_request_info request = remove_entry(home, index).request;
+    uint32_t running = home->running->len + 1;
+    struct ch_running_request granted = {
+        .request_id = request.id,
         .model = request.model,
         .adapter = request.adapter,
         .tenant = request.tenant,
-        .between = request.between,
-        .at = now,
-        .expected = ch_rates_hold(&home->rates, &request, running),
-        .running_then = running,
+        .token_target = request.token_target,
+        .granted_at = now,
+        .predicted_time = ch_service_times_predict_slot(&home->service_times,
+                                                        &request, running),
+        .running_at_grant = running,
     };
-    g_array_append_val(home->granted, granted);
+    g_array_append_val(home->running, granted);
     adjust_running_counts(home, request.model, request.adapter, 1);
     struct ch_action action = {
         .kind = CH_ACTION_GRANT,
-        .work = request.id,
+        .request_id = request.id,
         .code = CH_OK,
-        .priority = request.first_by - now < URGENT_TIME_LEFT_US ? 0 : 1,
+        .priority =
+            request.first_token_deadline - now < URGENT_TIME_LEFT_US ? 0 : 1,
     };
     append_action(out, &action);
 }
 
 /* Whether the model and adapter that the request needs are in memory. */
 static bool
-can_run(const struct ch_home *home, const struct ch_work *request)
+can_run(const struct ch_home *home, const struct ch_request_info *request)
 {
-    if (request->service) {
+    if (request->is_service) {
         return true;
     }
-    if (!ch_home_has(home, request->model)) {
+    if (!ch_home_has_item(home, request->model)) {
         return false;
     }
-    return request->adapter == 0 || ch_home_has(home, request->adapter);
+    return request->adapter == 0 || ch_home_has_item(home, request->adapter);
 }
 
 /* Grants queued requests, lowest rank first, up to the concurrency limit.
@@ -262,18 +269,18 @@
 grant_runnable(struct ch_home *home, int64_t now, struct ch_actions *out)
 {
     guint index = 0;
-    uint32_t max = home->policy->admitting->unlimited
+    uint32_t max = home->policy->admission->unlimited
                        ? G_MAXUINT32
                        : limit_with_target(home, 0);
-    while (index < home->queue.entries->len && home->granted->len < max) {
-        struct ch_entry *entry = ch_queue_at(&home->queue, index);
-        if (!can_run(home, &entry->work)) {
+    while (index < home->queue.entries->len && home->running->len < max) {
+        struct ch_queue_entry *entry = ch_queue_get(&home->queue, index);
+        if (!can_run(home, &entry->request)) {
             index++;
             continue;
         }
-        if (!home->policy->admitting->unlimited &&
-            home->granted->len >=
-                limit_with_target(home, entry->work.between)) {
+        if (!home->policy->admission->unlimited &&
+            home->running->len >=
+                limit_with_target(home, entry->request.token_target)) {
             return;
         }
         grant_entry(home, index, now, out);
@@ -288,17 +295,18 @@
 static void
 refuse_late(struct ch_home *home, int64_t now, struct ch_actions *out)
 {
-    int64_t min_remaining =
-        home->policy->admitting->predict ? (int64_t)home->rates.first : 0;
+    int64_t min_remaining = home->policy->admission->predict
+                                ? (int64_t)home->service_times.first_byte_time
+                                : 0;
     for (guint index = home->queue.entries->len; index-- > 0;) {
-        const struct ch_entry *entry = ch_queue_at(&home->queue, index);
-        if (entry->late_ok || entry->work.first_by == 0 ||
-            now + min_remaining <= entry->work.first_by) {
+        const struct ch_queue_entry *entry = ch_queue_get(&home->queue, index);
+        if (entry->serve_late || entry->request.first_token_deadline == 0 ||
+            now + min_remaining <= entry->request.first_token_deadline) {
             continue;
         }
-        int64_t wait = ch_home_wait(home, entry->rank, now);
-        ch_home_refuse(home, index, CH_LATE, wait,
-                       "the queue took longer than predicted", out);
+        int64_t wait = ch_home_predict_wait(home, entry->rank, now);
+        ch_home_refuse_entry(home, index, CH_LATE, wait,
+                             "the queue took longer than predicted", out);
     }
 }
 
@@ -306,8 +314,8 @@
 refuse_queued(struct ch_home *home, const char *reason, struct ch_actions *out)
 {
     while (home->queue.entries->len > 0) {
-        ch_home_refuse(home, home->queue.entries->len - 1, CH_NO_UPSTREAM,
-                       G_USEC_PER_SEC, reason, out);
+        ch_home_refuse_entry(home, home->queue.entries->len - 1,
+                             CH_NO_UPSTREAM, G_USEC_PER_SEC, reason, out);
     }
 }
 
@@ -317,40 +325,41 @@
 apply_pending(struct ch_home *home, const struct ch_fleet *fleet, int64_t now,
               struct ch_actions *out)
 {
-    if (home->leaving || home->down) {
+    if (home->draining || home->down) {
         refuse_queued(home,
-                      home->leaving ? "the upstream is leaving"
-                                    : "the upstream does not answer",
+                      home->draining ? "the upstream is leaving"
+                                     : "the upstream does not answer",
                       out);
     }
     if (fleet != NULL) {
-        home->loads_left = fleet->loads_left;
+        home->loads_left = fleet->store_loads_left;
     }
     grant_runnable(home, now, out);
     refuse_late(home, now, out);
-    if (home->facts.service == 0 && !home->policy->placing->fixed &&
+    if (home->config.service == 0 && !home->policy->placement->fixed &&
         !home->down) {
-        ch_place_pump(home, fleet, now, out);
+        ch_place_apply_pending(home, fleet, now, out);
     }
 }
 
 /* Counts the request in the demand for its model and adapter, whether or not
  * it is admitted. */
 static void
-record_demand(struct ch_home *home, const struct ch_work *request, int64_t now)
+record_demand(struct ch_home *home, const struct ch_request_info *request,
+              int64_t now)
 {
-    if (request->service) {
+    if (request->is_service) {
         return;
     }
-    struct ch_held *model =
-        ch_home_item_need(home, request->model, 0, request->model_mb);
-    ch_demand_add(&model->demand, now);
-    model->used = now;
+    struct ch_item_record *model =
+        ch_home_get_item(home, request->model, 0, request->model_mb);
+    ch_demand_add_request(&model->demand, now);
+    model->last_request_at = now;
     if (request->adapter != 0) {
-        struct ch_held *adapter = ch_home_item_need(
+        struct ch_item_record *adapter = ch_home_get_item(
             home, request->adapter, request->model, request->adapter_mb);
-        ch_demand_add(&adapter->demand, now);
-        adapter->used = now;
+        ch_demand_add_request(&adapter->demand, now);
+        adapter->last_request_at = now;
     }
 }
 
@@ -358,19 +367,19 @@
  * Exactly one grant or refusal is issued for each request, unless it is
  * withdrawn. */
 void
-ch_home_offer(struct ch_home *home, const struct ch_work *request,
-              const struct ch_fleet *fleet, int64_t now,
-              struct ch_actions *out)
+ch_home_enqueue(struct ch_home *home, const struct ch_request_info *request,
+                const struct ch_fleet *fleet, int64_t now,
+                struct ch_actions *out)
 {
     if (fleet != NULL) {
-        home->loads_left = fleet->loads_left;
+        home->loads_left = fleet->store_loads_left;
     }
     record_demand(home, request, now);
     struct ch_admission admission = ch_admit(home, request, fleet, now, out);
     if (admission.code != CH_OK) {
         struct ch_action action = {
             .kind = CH_ACTION_REFUSE,
-            .work = request->id,
+            .request_id = request->id,
             .code = admission.code,
             .retry_after = admission.retry_after,
         };
@@ -378,13 +387,14 @@
         append_action(out, &action);
     }
     else {
-        struct ch_entry entry = {
-            .work = *request,
+        struct ch_queue_entry entry = {
+            .request = *request,
             .rank = home->policy->ordering->rank(home, request, now),
-            .late_ok = admission.late_ok,
+            .serve_late = admission.serve_late,
         };
-        if (entry.late_ok) {
-            entry.rank = MAX(entry.rank, request->arrived + CH_LATE_RANK);
+        if (entry.serve_late) {
+            entry.rank =
+                MAX(entry.rank, request->arrived_at + CH_LATE_TARGET_US);
         }
         ch_queue_add(&home->queue, &entry);
         adjust_queued_counts(home, request, 1);
@@ -409,19 +419,20 @@
  * for a lost node and later by that node too, only one slot is freed. */
 void
 ch_home_release(struct ch_home *home, uint64_t request_id,
-                const struct ch_sample *sample, int64_t now,
+                const struct ch_timing_sample *sample, int64_t now,
                 struct ch_actions *out)
 {
-    for (guint i = 0; i < home->granted->len; i++) {
-        struct ch_granted granted =
-            g_array_index(home->granted, struct ch_granted, i);
-        if (granted.work != request_id) {
+    for (guint i = 0; i < home->running->len; i++) {
+        struct ch_running_request granted =
+            g_array_index(home->running, struct ch_running_request, i);
+        if (granted.request_id != request_id) {
             continue;
         }
-        double running = (granted.running_then + home->granted->len) / 2.0;
-        ch_rates_add(&home->rates, sample, running, now - granted.at, now);
+        double running = (granted.running_at_grant + home->running->len) / 2.0;
+        ch_service_times_add_sample(&home->service_times, sample, running,
+                                    now - granted.granted_at, now);
         adjust_running_counts(home, granted.model, granted.adapter, -1);
-        g_array_remove_index_fast(home->granted, i);
+        g_array_remove_index_fast(home->running, i);
         break;
     }
     /* A refused connection shows earlier than any report that nothing runs on
@@ -446,10 +457,11 @@
         model = g_quark_from_string(name);
         g_free(name);
     }
-    struct ch_held *record = ch_home_item_need(home, item, model, memory_mb);
+    struct ch_item_record *record =
+        ch_home_get_item(home, item, model, memory_mb);
     if (record->state != state) {
-        record->changed = now;
-        record->leaving = false;
+        record->state_changed_at = now;
+        record->evicting = false;
     }
     record->state = state;
     if (memory_mb > 0) {
@@ -466,11 +478,11 @@
  * upstreams the store can still serve these requests, as only upstreams with a
  * pending order cause them. */
 void
-ch_home_order_failed(struct ch_home *home, GQuark item,
-                     enum ch_action_kind kind, enum ch_code code, int64_t now,
-                     struct ch_actions *out)
+ch_home_handle_failed_order(struct ch_home *home, GQuark item,
+                            enum ch_action_kind kind, enum ch_code code,
+                            int64_t now, struct ch_actions *out)
 {
-    struct ch_held *record = ch_home_item(home, item);
+    struct ch_item_record *record = ch_home_find_item(home, item);
     if (record != NULL && kind == CH_ACTION_LOAD &&
         record->state == CH_ITEM_LOADING) {
         record->state = CH_ITEM_ABSENT;
@@ -483,17 +495,17 @@
      * has just taken over the upstream waits for the engine's first report. */
     if (code == CH_KV_CONFLICT || code == CH_NOT_READY) {
         if (record != NULL) {
-            record->not_before = now + CH_HOME_TICK;
+            record->next_order_at = now + CH_HOME_TICK_US;
         }
         apply_pending(home, NULL, now, out);
         return;
     }
-    home->blocked_until = now + G_USEC_PER_SEC;
+    home->orders_blocked_until = now + G_USEC_PER_SEC;
     for (guint index = home->queue.entries->len; index-- > 0;) {
-        if (!can_run(home, &ch_queue_at(&home->queue, index)->work)) {
-            ch_home_refuse(home, index, CH_NO_UPSTREAM, G_USEC_PER_SEC,
-                           "the model cannot be loaded on this upstream now",
-                           out);
+        if (!can_run(home, &ch_queue_get(&home->queue, index)->request)) {
+            ch_home_refuse_entry(
+                home, index, CH_NO_UPSTREAM, G_USEC_PER_SEC,
+                "the model cannot be loaded on this upstream now", out);
         }
     }
     apply_pending(home, NULL, now, out);
@@ -503,12 +515,13 @@
  * ignored: the counts kept here are exact, and adding the requests that the
  * engine runs beyond them brought no gain (docs/DECISIONS.md). */
 void
-ch_home_report(struct ch_home *home, uint32_t running, uint32_t waiting,
-               bool draining, bool down, int64_t now, struct ch_actions *out)
+ch_home_update_engine_state(struct ch_home *home, uint32_t running,
+                            uint32_t waiting, bool draining, bool down,
+                            int64_t now, struct ch_actions *out)
 {
     (void)running;
     (void)waiting;
-    home->leaving = draining || home->facts.leaving;
+    home->draining = draining || home->config.draining;
     home->down = down;
     apply_pending(home, NULL, now, out);
 }
@@ -528,26 +541,26 @@
 max_overrun(const struct ch_home *home, int64_t now)
 {
     double max_ratio = 1.0;
-    for (guint i = 0; i < home->granted->len; i++) {
-        const struct ch_granted *granted =
-            &g_array_index(home->granted, struct ch_granted, i);
-        int64_t expected = MAX(granted->expected, 1);
-        max_ratio =
-            MAX(max_ratio, (double)(now - granted->at) / (double)expected);
+    for (guint i = 0; i < home->running->len; i++) {
+        const struct ch_running_request *granted =
+            &g_array_index(home->running, struct ch_running_request, i);
+        int64_t expected = MAX(granted->predicted_time, 1);
+        max_ratio = MAX(max_ratio, (double)(now - granted->granted_at) /
+                                       (double)expected);
     }
     return max_ratio < 2.0 ? 1.0 : max_ratio;
 }
 
 /* Appends the item to the list for its state, if there is one. */
 static void
-append_item_view(const struct ch_held *record, int64_t now,
+append_item_view(const struct ch_item_record *record, int64_t now,
                  struct ch_upstream_view *out)
 {
     struct ch_item item = {
         .name = record->name,
-        .rate = (uint32_t)(ch_demand_most(&record->demand, now) * 1000.0),
+        .rate = (uint32_t)(ch_demand_get_upper(&record->demand, now) * 1000.0),
     };
-    if (record->state == CH_ITEM_RESIDENT && !record->leaving) {
+    if (record->state == CH_ITEM_RESIDENT && !record->evicting) {
         g_array_append_val(out->resident, item);
     }
     else if (record->state == CH_ITEM_LOADING) {
@@ -558,35 +571,36 @@
 /* Fills in what other nodes are told, except for region and data centre.  The
  * caller must unref the two new arrays. */
 void
-ch_home_view(const struct ch_home *home, int64_t now,
-             struct ch_upstream_view *out)
+ch_home_get_view(const struct ch_home *home, int64_t now,
+                 struct ch_upstream_view *out)
 {
     *out = (struct ch_upstream_view){
-        .name = home->facts.name,
-        .service = home->facts.service,
-        .leaving = home->leaving,
+        .name = home->config.name,
+        .service = home->config.service,
+        .draining = home->draining,
         .down = home->down,
-        .accelerators = home->facts.accelerators,
-        .capacity_mb = home->facts.capacity_mb,
-        .batch = ch_home_limit(home),
-        .running = home->granted->len,
+        .accelerators = home->config.accelerators,
+        .capacity_mb = home->config.capacity_mb,
+        .max_batch = ch_home_get_limit(home),
+        .running = home->running->len,
         .queued = home->queue.entries->len,
-        .wait = ch_home_wait(home, G_MAXINT64, now),
-        .seen = now,
+        .predicted_wait = ch_home_predict_wait(home, G_MAXINT64, now),
+        .reported_at = now,
         .resident = g_array_new(FALSE, FALSE, sizeof(struct ch_item)),
         .loading = g_array_new(FALSE, FALSE, sizeof(struct ch_item)),
     };
     uint32_t committed = 0;
     for (guint i = 0; i < home->items->len; i++) {
-        const struct ch_held *record =
-            &g_array_index(home->items, struct ch_held, i);
+        const struct ch_item_record *record =
+            &g_array_index(home->items, struct ch_item_record, i);
         if (record->state != CH_ITEM_ABSENT) {
             committed += record->memory_mb;
         }
         append_item_view(record, now, out);
     }
-    uint32_t capacity = home->facts.capacity_mb;
+    uint32_t capacity = home->config.capacity_mb;
     out->free_mb = committed < capacity ? capacity - committed : 0;
-    double token = ch_rates_token(&home->rates, home->granted->len + 1.0);
-    out->token = (int64_t)(token * max_overrun(home, now));
+    double token = ch_service_times_predict_token(&home->service_times,
+                                                  home->running->len + 1.0);
+    out->token_time = (int64_t)(token * max_overrun(home, now));
 }
--- a/libchestnuthitch/decide/late.c
+++ b/libchestnuthitch/decide/late.c
@@ -32,17 +32,17 @@
     int64_t reported_at;
 };
 
-struct ch_coming {
+struct ch_pending_loads {
     GArray *loads;         /* struct pending_load */
     double mean_load_time; /* from the first report of a load until the model
                               is there */
 };
 
 /* Starts without loads. */
-struct ch_coming *
-ch_coming_new(void)
+struct ch_pending_loads *
+ch_pending_loads_new(void)
 {
-    struct ch_coming *pending = g_new0(struct ch_coming, 1);
+    struct ch_pending_loads *pending = g_new0(struct ch_pending_loads, 1);
     pending->loads = g_array_new(FALSE, FALSE, sizeof(struct pending_load));
     pending->mean_load_time = DEFAULT_LOAD_US;
     return pending;
@@ -50,7 +50,7 @@
 
 /* Frees the loads; NULL is allowed. */
 void
-ch_coming_free(struct ch_coming *pending)
+ch_pending_loads_free(struct ch_pending_loads *pending)
 {
     if (pending != NULL) {
         g_array_free(pending->loads, TRUE);
@@ -72,7 +72,7 @@
 /* Records that an engine is loading a model. `started_at` stays as it is if
  * the load is known. */
 static void
-record_loading(struct ch_coming *pending, GQuark upstream, GQuark model,
+record_loading(struct ch_pending_loads *pending, GQuark upstream, GQuark model,
                int64_t now)
 {
     for (guint i = 0; i < pending->loads->len; i++) {
@@ -89,9 +89,10 @@
 
 /* See late.h. */
 void
-ch_coming_told(struct ch_coming *pending, GQuark upstream,
-               const GQuark *models, size_t model_count, const GQuark *loading,
-               size_t loading_count, int64_t now)
+ch_pending_loads_update(struct ch_pending_loads *pending, GQuark upstream,
+                        const GQuark *models, size_t model_count,
+                        const GQuark *loading, size_t loading_count,
+                        int64_t now)
 {
     for (guint i = pending->loads->len; i > 0; i--) {
         const struct pending_load *load =
@@ -114,7 +115,8 @@
 
 /* See late.h. */
 int64_t
-ch_coming_at(const struct ch_coming *pending, GQuark model, int64_t now)
+ch_pending_loads_estimate_ready(const struct ch_pending_loads *pending,
+                                GQuark model, int64_t now)
 {
     int64_t first_ready_at = 0;
     for (guint i = 0; i < pending->loads->len; i++) {
@@ -135,18 +137,19 @@
 
 /* The latest time at which starting the request is still of use. */
 static int64_t
-get_latest_start(const struct ch_work *request)
+get_latest_start(const struct ch_request_info *request)
 {
-    int64_t target = request->first_by - request->arrived;
-    return MIN(request->arrived + MAX_START_TARGETS * target,
-               request->whole_by);
+    int64_t target = request->first_token_deadline - request->arrived_at;
+    return MIN(request->arrived_at + MAX_START_TARGETS * target,
+               request->answer_deadline);
 }
 
 /* See late.h. */
 bool
-ch_late_is(const struct ch_work *request, int64_t expected, int64_t now)
+ch_late_is_expected(const struct ch_request_info *request, int64_t expected,
+                    int64_t now)
 {
-    return !request->service && !request->begun &&
+    return !request->is_service && !request->answer_started &&
            now + expected > get_latest_start(request);
 }
 
@@ -163,16 +166,18 @@
  * at the same moment. Held beyond the target, most would be refused late, or
  * given up at the new engine.
  */
-struct ch_late
-ch_late_decide(const struct ch_work *request, int64_t expected,
+struct ch_late_decision
+ch_late_decide(const struct ch_request_info *request, int64_t expected,
                int64_t ready_at, int64_t now)
 {
-    if (ready_at != 0 && ready_at < request->first_by &&
-        now < request->first_by) {
-        return (struct ch_late){.waits = true, .until = request->first_by};
+    if (ready_at != 0 && ready_at < request->first_token_deadline &&
+        now < request->first_token_deadline) {
+        return (struct ch_late_decision){
+            .should_wait = true, .wait_until = request->first_token_deadline};
     }
     int64_t retry_after =
         ready_at == 0 ? expected / 2 : MIN(expected / 2, ready_at - now);
-    return (struct ch_late){
-        .back = CLAMP(retry_after, MIN_RETRY_AFTER_US, MAX_RETRY_AFTER_US)};
+    return (struct ch_late_decision){
+        .retry_after =
+            CLAMP(retry_after, MIN_RETRY_AFTER_US, MAX_RETRY_AFTER_US)};
 }
--- a/libchestnuthitch/decide/late.h
+++ b/libchestnuthitch/decide/late.h
@@ -10,33 +10,36 @@
 
 #include "decide/fleet.h"
 
-struct ch_coming;
+struct ch_pending_loads;
 
-struct ch_coming *ch_coming_new(void);
-void ch_coming_free(struct ch_coming *pending);
+struct ch_pending_loads *ch_pending_loads_new(void);
+void ch_pending_loads_free(struct ch_pending_loads *pending);
 
 /* Updates what an engine has, and what it is loading or frees memory for. Call
  * this without models for an engine that is gone. */
-void ch_coming_told(struct ch_coming *pending, GQuark upstream,
-                    const GQuark *models, size_t model_count,
-                    const GQuark *loading, size_t loading_count, int64_t now);
+void ch_pending_loads_update(struct ch_pending_loads *pending, GQuark upstream,
+                             const GQuark *models, size_t model_count,
+                             const GQuark *loading, size_t loading_count,
+                             int64_t now);
 /* Returns when the first engine that is loading the model is likely to have
  * it; 0: no engine is loading it. */
-int64_t ch_coming_at(const struct ch_coming *pending, GQuark model,
-                     int64_t now);
+int64_t ch_pending_loads_estimate_ready(const struct ch_pending_loads *pending,
+                                        GQuark model, int64_t now);
 
 /* The decision on a request that would start too late. */
-struct ch_late {
-    bool waits;    /* else it is refused at once */
-    int64_t until; /* when the wait ends at the latest */
-    int64_t back;  /* of a refusal, relative to now */
+struct ch_late_decision {
+    bool should_wait;    /* else it is refused at once */
+    int64_t wait_until;  /* when the wait ends at the latest */
+    int64_t retry_after; /* of a refusal, relative to now */
 };
 
 /* Whether the caller is likely to have given up by the time when an engine
  * that needs `expected` until the first token would start the request. */
-bool ch_late_is(const struct ch_work *request, int64_t expected, int64_t now);
+bool ch_late_is_expected(const struct ch_request_info *request,
+                         int64_t expected, int64_t now);
 /* ready_at: as ch_pending_loads_estimate_ready() returns it. */
-struct ch_late ch_late_decide(const struct ch_work *request, int64_t expected,
-                              int64_t ready_at, int64_t now);
+struct ch_late_decision ch_late_decide(const struct ch_request_info *request,
+                                       int64_t expected, int64_t ready_at,
+                                       int64_t now);
 
 #endif
--- a/libchestnuthitch/decide/ledger.c
+++ b/libchestnuthitch/decide/ledger.c
@@ -39,7 +39,7 @@
     if (ledger == NULL) {
         return;
     }
-    for (size_t i = 0; i < ledger->count; i++) {
+    for (size_t i = 0; i < ledger->entry_count; i++) {
         g_free(ledger->entries[i].item);
     }
     for (size_t i = 0; i < ledger->send_count; i++) {
@@ -48,8 +48,8 @@
     g_free(ledger->entries);
     g_free(ledger->sends);
     g_free(ledger->upstream);
-    g_free(ledger->boot);
-    g_free(ledger->writer);
+    g_free(ledger->boot_id);
+    g_free(ledger->write_id);
     g_free(ledger);
 }
 
@@ -60,11 +60,11 @@
     struct ch_ledger *copy = g_new0(struct ch_ledger, 1);
     *copy = *ledger;
     copy->upstream = g_strdup(ledger->upstream);
-    copy->boot = g_strdup(ledger->boot);
-    copy->writer = g_strdup(ledger->writer);
-    copy->entries = g_new0(struct ch_ledger_entry, ledger->count + 1);
+    copy->boot_id = g_strdup(ledger->boot_id);
+    copy->write_id = g_strdup(ledger->write_id);
+    copy->entries = g_new0(struct ch_ledger_entry, ledger->entry_count + 1);
     copy->sends = g_new0(struct ch_ledger_send, ledger->send_count + 1);
-    for (size_t i = 0; i < ledger->count; i++) {
+    for (size_t i = 0; i < ledger->entry_count; i++) {
         copy->entries[i] = ledger->entries[i];
         copy->entries[i].item = g_strdup(ledger->entries[i].item);
     }
@@ -78,12 +78,12 @@
 
 /* A deep copy with the next version number and the given write ID. */
 struct ch_ledger *
-ch_ledger_next(const struct ch_ledger *ledger, const char *write_id)
+ch_ledger_copy_next(const struct ch_ledger *ledger, const char *write_id)
 {
     struct ch_ledger *next = ch_ledger_copy(ledger);
     next->version++;
-    g_free(next->writer);
-    next->writer = g_strdup(write_id);
+    g_free(next->write_id);
+    next->write_id = g_strdup(write_id);
     return next;
 }
 
@@ -91,7 +91,7 @@
 static struct ch_ledger_entry *
 find_entry(const struct ch_ledger *ledger, const char *item)
 {
-    for (size_t i = 0; i < ledger->count; i++) {
+    for (size_t i = 0; i < ledger->entry_count; i++) {
         if (strcmp(ledger->entries[i].item, item) == 0) {
             return &ledger->entries[i];
         }
@@ -101,7 +101,7 @@
 
 /* The entry of an item, valid until the ledger changes, or NULL. */
 const struct ch_ledger_entry *
-ch_ledger_find(const struct ch_ledger *ledger, const char *item)
+ch_ledger_find_entry(const struct ch_ledger *ledger, const char *item)
 {
     return find_entry(ledger, item);
 }
@@ -113,7 +113,7 @@
 {
     for (size_t i = 0; i < ledger->send_count; i++) {
         struct ch_ledger_send *sending = &ledger->sends[i];
-        if (strcmp(sending->order, order_id) == 0 &&
+        if (strcmp(sending->order_id, order_id) == 0 &&
             strcmp(sending->sender, sender) == 0) {
             return sending;
         }
@@ -123,10 +123,10 @@
 
 /* Memory of all entries in MB, at most UINT32_MAX. */
 uint32_t
-ch_ledger_committed(const struct ch_ledger *ledger)
+ch_ledger_get_committed_mb(const struct ch_ledger *ledger)
 {
     uint64_t sum_mb = 0;
-    for (size_t i = 0; i < ledger->count; i++) {
+    for (size_t i = 0; i < ledger->entry_count; i++) {
         sum_mb += ledger->entries[i].memory_mb;
     }
     return (uint32_t)MIN(sum_mb, UINT32_MAX);
@@ -168,7 +168,7 @@
 /* Memory in MB of the items whose load orders a restarted engine may execute,
  * at most UINT32_MAX. */
 uint32_t
-ch_ledger_exposed(const struct ch_ledger *ledger)
+ch_ledger_get_in_flight_mb(const struct ch_ledger *ledger)
 {
     return (uint32_t)MIN(sum_in_flight_mb_without(ledger, NULL), UINT32_MAX);
 }
@@ -199,7 +199,7 @@
 {
     size_t open_count = 0;
     for (size_t i = 0; i < ledger->send_count; i++) {
-        open_count += !ledger->sends[i].done;
+        open_count += !ledger->sends[i].executed;
     }
     return open_count;
 }
@@ -209,7 +209,7 @@
 count_open_unloads(const struct ch_ledger *ledger)
 {
     size_t open_count = 0;
-    for (size_t i = 0; i < ledger->count; i++) {
+    for (size_t i = 0; i < ledger->entry_count; i++) {
         open_count += ledger->entries[i].state == CH_LEDGER_UNLOADING;
     }
     return open_count;
@@ -230,7 +230,7 @@
             .memory_mb = memory_mb,
             .sender = g_strdup(sender),
         };
-        g_strlcpy(sending->order, order_id, sizeof(sending->order));
+        g_strlcpy(sending->order_id, order_id, sizeof(sending->order_id));
     }
     sending->copies++;
     sending->delivery = CH_LEDGER_OPEN;
@@ -241,16 +241,16 @@
 add_entry(struct ch_ledger *ledger, const char *item, uint32_t memory_mb,
           enum ch_ledger_state state, const char *order_id)
 {
-    ledger->entries =
-        g_renew(struct ch_ledger_entry, ledger->entries, ledger->count + 1);
-    struct ch_ledger_entry *entry = &ledger->entries[ledger->count++];
+    ledger->entries = g_renew(struct ch_ledger_entry, ledger->entries,
+                              ledger->entry_count + 1);
+    struct ch_ledger_entry *entry = &ledger->entries[ledger->entry_count++];
     *entry = (struct ch_ledger_entry){
         .item = g_strdup(item),
         .memory_mb = memory_mb,
         .state = state,
-        .fence = ledger->version,
+        .fencing_token = ledger->version,
     };
-    g_strlcpy(entry->order, order_id, sizeof(entry->order));
+    g_strlcpy(entry->order_id, order_id, sizeof(entry->order_id));
     return entry;
 }
 
@@ -263,7 +263,7 @@
                   uint32_t memory_mb, const char *order_id, const char *sender,
                   struct ch_error *error)
 {
-    if (ledger->boot == NULL) {
+    if (ledger->boot_id == NULL) {
         ch_error_set(error, CH_NOT_READY,
                      "%s: no report received from the engine yet",
                      ledger->upstream);
@@ -274,7 +274,7 @@
                      ledger->upstream, item);
         return false;
     }
-    if ((uint64_t)ch_ledger_committed(ledger) + memory_mb >
+    if ((uint64_t)ch_ledger_get_committed_mb(ledger) + memory_mb >
         ledger->capacity_mb) {
         ch_error_set(error, CH_QUEUE_FULL, "%s: not enough free memory for %s",
                      ledger->upstream, item);
@@ -312,8 +312,8 @@
         return false;
     }
     entry->state = CH_LEDGER_UNLOADING;
-    entry->fence = ledger->version;
-    g_strlcpy(entry->order, order_id, sizeof(entry->order));
+    entry->fencing_token = ledger->version;
+    g_strlcpy(entry->order_id, order_id, sizeof(entry->order_id));
     return true;
 }
 
@@ -324,19 +324,19 @@
  * after it was unloaded.
  */
 const char *
-ch_ledger_unclosed(const struct ch_ledger *ledger, const char *item)
+ch_ledger_find_open_order(const struct ch_ledger *ledger, const char *item)
 {
     const struct ch_ledger_entry *entry = find_entry(ledger, item);
     if (entry == NULL || entry->state == CH_LEDGER_RESIDENT) {
         return NULL;
     }
     if (entry->state == CH_LEDGER_UNLOADING) {
-        return entry->order;
+        return entry->order_id;
     }
     for (size_t i = 0; i < ledger->send_count; i++) {
         const struct ch_ledger_send *sending = &ledger->sends[i];
-        if (!sending->done && strcmp(sending->item, item) == 0) {
-            return sending->order;
+        if (!sending->executed && strcmp(sending->item, item) == 0) {
+            return sending->order_id;
         }
     }
     return NULL;
@@ -349,7 +349,7 @@
 ch_ledger_resend(struct ch_ledger *ledger, const char *item,
                  const char *sender, struct ch_error *error)
 {
-    const char *open_order_id = ch_ledger_unclosed(ledger, item);
+    const char *open_order_id = ch_ledger_find_open_order(ledger, item);
     struct ch_ledger_entry *entry = find_entry(ledger, item);
     if (open_order_id == NULL || entry == NULL) {
         ch_error_set(error, CH_UNKNOWN_MODEL, "%s: %s has no open order",
@@ -360,10 +360,10 @@
         if (!check_memory_for_send(ledger, item, entry->memory_mb, error)) {
             return false;
         }
-        g_strlcpy(entry->order, open_order_id, sizeof(entry->order));
-        record_send(ledger, entry->order, item, entry->memory_mb, sender);
+        g_strlcpy(entry->order_id, open_order_id, sizeof(entry->order_id));
+        record_send(ledger, entry->order_id, item, entry->memory_mb, sender);
     }
-    entry->fence = ledger->version;
+    entry->fencing_token = ledger->version;
     return true;
 }
 
@@ -371,9 +371,9 @@
 remove_entry(struct ch_ledger *ledger, size_t index)
 {
     g_free(ledger->entries[index].item);
-    ledger->count--;
+    ledger->entry_count--;
     memmove(&ledger->entries[index], &ledger->entries[index + 1],
-            (ledger->count - index) * sizeof(ledger->entries[0]));
+            (ledger->entry_count - index) * sizeof(ledger->entries[0]));
 }
 
 static void
@@ -398,7 +398,7 @@
             return false;
         }
     }
-    return candidate->copies == 1 && !candidate->done;
+    return candidate->copies == 1 && !candidate->executed;
 }
 
 /*
@@ -408,8 +408,8 @@
  * copy, so the send stays until a later report tells which boot that is.
  */
 bool
-ch_ledger_end(struct ch_ledger *ledger, const char *order_id,
-              const char *sender, bool refused)
+ch_ledger_end_send(struct ch_ledger *ledger, const char *order_id,
+                   const char *sender, bool refused)
 {
     struct ch_ledger_send *sending = find_send(ledger, order_id, sender);
     if (sending == NULL || sending->delivery != CH_LEDGER_OPEN) {
@@ -430,7 +430,7 @@
 /* A node's process knows that the earlier processes of its node have ended,
  * and so have the connections of their copies in flight. */
 bool
-ch_ledger_end_earlier(struct ch_ledger *ledger, const char *sender)
+ch_ledger_end_earlier_sends(struct ch_ledger *ledger, const char *sender)
 {
     const char *separator = strrchr(sender, '#');
     size_t node_length =
@@ -469,10 +469,10 @@
 static void
 start_boot(struct ch_ledger *ledger, const char *boot_id)
 {
-    g_free(ledger->boot);
-    ledger->boot = g_strdup(boot_id);
-    while (ledger->count > 0) {
-        remove_entry(ledger, ledger->count - 1);
+    g_free(ledger->boot_id);
+    ledger->boot_id = g_strdup(boot_id);
+    while (ledger->entry_count > 0) {
+        remove_entry(ledger, ledger->entry_count - 1);
     }
     for (size_t i = ledger->send_count; i-- > 0;) {
         if (ledger->sends[i].delivery == CH_LEDGER_SETTLED) {
@@ -481,10 +481,10 @@
     }
     for (size_t i = 0; i < ledger->send_count; i++) {
         struct ch_ledger_send *sending = &ledger->sends[i];
-        sending->done = false;
+        sending->executed = false;
         if (find_entry(ledger, sending->item) == NULL) {
             add_entry(ledger, sending->item, sending->memory_mb,
-                      CH_LEDGER_RESERVED, sending->order);
+                      CH_LEDGER_RESERVED, sending->order_id);
         }
     }
 }
@@ -492,19 +492,20 @@
 /* Settles sends that have ended and marks those executed that the report
  * lists.  Returns true when something changed. */
 static bool
-update_sends(struct ch_ledger *ledger, const struct ch_ledger_evidence *report)
+update_sends(struct ch_ledger *ledger, const struct ch_ledger_report *report)
 {
     bool changed = false;
     for (size_t i = 0; i < ledger->send_count; i++) {
         struct ch_ledger_send *sending = &ledger->sends[i];
-        if (sending->delivery == CH_LEDGER_ENDED && report->after_ends) {
+        if (sending->delivery == CH_LEDGER_ENDED &&
+            report->requested_after_ends) {
             sending->delivery = CH_LEDGER_SETTLED;
             changed = true;
         }
-        if (!sending->done &&
-            list_contains(report->orders_done, report->orders_done_count,
-                          sending->order)) {
-            sending->done = true;
+        if (!sending->executed &&
+            list_contains(report->done_order_ids, report->done_order_count,
+                          sending->order_id)) {
+            sending->executed = true;
             changed = true;
         }
     }
@@ -515,13 +516,13 @@
  * to be removed. */
 static bool
 update_entry(const struct ch_ledger *ledger, struct ch_ledger_entry *entry,
-             const struct ch_ledger_evidence *report)
+             const struct ch_ledger_report *report)
 {
-    bool resident =
-        list_contains(report->resident, report->resident_count, entry->item);
+    bool resident = list_contains(report->resident_items,
+                                  report->resident_count, entry->item);
     switch (entry->state) {
     case CH_LEDGER_RESERVED:
-        if (ch_ledger_unclosed(ledger, entry->item) != NULL) {
+        if (ch_ledger_find_open_order(ledger, entry->item) != NULL) {
             return true;
         }
         entry->state = CH_LEDGER_RESIDENT;
@@ -529,8 +530,8 @@
     case CH_LEDGER_RESIDENT:
         return resident;
     case CH_LEDGER_UNLOADING:
-        if (!list_contains(report->orders_done, report->orders_done_count,
-                           entry->order)) {
+        if (!list_contains(report->done_order_ids, report->done_order_count,
+                           entry->order_id)) {
             return true;
         }
         entry->state = CH_LEDGER_RESIDENT;
@@ -541,11 +542,10 @@
 
 /* Returns true when something changed. */
 static bool
-update_entries(struct ch_ledger *ledger,
-               const struct ch_ledger_evidence *report)
+update_entries(struct ch_ledger *ledger, const struct ch_ledger_report *report)
 {
     bool changed = false;
-    for (size_t i = ledger->count; i-- > 0;) {
+    for (size_t i = ledger->entry_count; i-- > 0;) {
         struct ch_ledger_entry *entry = &ledger->entries[i];
         enum ch_ledger_state old_state = entry->state;
         if (!update_entry(ledger, entry, report)) {
@@ -564,15 +564,15 @@
  * Returns true when something changed. */
 static bool
 merge_resident_items(struct ch_ledger *ledger,
-                     const struct ch_ledger_evidence *report)
+                     const struct ch_ledger_report *report)
 {
     bool changed = false;
     for (size_t i = 0; i < report->resident_count; i++) {
         struct ch_ledger_entry *entry =
-            find_entry(ledger, report->resident[i]);
+            find_entry(ledger, report->resident_items[i]);
         if (entry == NULL) {
-            add_entry(ledger, report->resident[i], report->resident_mb[i],
-                      CH_LEDGER_RESIDENT, "");
+            add_entry(ledger, report->resident_items[i],
+                      report->resident_mb[i], CH_LEDGER_RESIDENT, "");
             changed = true;
         }
         else if (entry->memory_mb < report->resident_mb[i]) {
@@ -589,19 +589,19 @@
  * executed load whose item is gone again, or a new boot ID.
  */
 bool
-ch_ledger_observe(struct ch_ledger *ledger,
-                  const struct ch_ledger_evidence *report)
+ch_ledger_apply_report(struct ch_ledger *ledger,
+                       const struct ch_ledger_report *report)
 {
     bool changed = false;
-    if (g_strcmp0(ledger->boot, report->boot) != 0) {
-        start_boot(ledger, report->boot);
+    if (g_strcmp0(ledger->boot_id, report->boot_id) != 0) {
+        start_boot(ledger, report->boot_id);
         changed = true;
     }
     changed |= update_sends(ledger, report);
     changed |= update_entries(ledger, report);
     changed |= merge_resident_items(ledger, report);
     for (size_t i = ledger->send_count; i-- > 0;) {
-        if (ledger->sends[i].done &&
+        if (ledger->sends[i].executed &&
             ledger->sends[i].delivery == CH_LEDGER_SETTLED) {
             remove_send(ledger, i);
         }
--- a/libchestnuthitch/decide/ledger.h
+++ b/libchestnuthitch/decide/ledger.h
@@ -35,9 +35,9 @@
     char *item; /* "model" or "model/adapter" */
     uint32_t memory_mb;
     enum ch_ledger_state state;
-    char order[40]; /* ID of the latest order */
-    uint64_t fence; /* ledger version at which the order was recorded or last
-                       resent */
+    char order_id[40];      /* ID of the latest order */
+    uint64_t fencing_token; /* ledger version at which the order was recorded
+                       or last resent */
 };
 
 enum ch_ledger_delivery {
@@ -50,40 +50,41 @@
 
 /* All copies of one load order that one process has sent or may send. */
 struct ch_ledger_send {
-    char order[40];
+    char order_id[40];
     char *item;
     uint32_t memory_mb;
     char *sender; /* "node#incarnation" */
     uint32_t copies;
     enum ch_ledger_delivery delivery;
-    bool done; /* executed by the current boot: further copies do nothing */
+    bool
+        executed; /* executed by the current boot: further copies do nothing */
 };
 
 struct ch_ledger {
     char *upstream;
     uint64_t version; /* incremented by each write */
     uint32_t capacity_mb;
-    char *boot;   /* boot ID of the engine process that the entries describe;
-                     NULL before the first report */
-    char *writer; /* unique ID of the latest write, by which a writer whose
+    char *boot_id;  /* boot ID of the engine process that the entries describe;
+                    NULL before the first report */
+    char *write_id; /* unique ID of the latest write, by which a writer whose
                      answer was lost recognises its own write */
     struct ch_ledger_entry *entries;
-    size_t count;
+    size_t entry_count;
     struct ch_ledger_send *sends;
     size_t send_count;
 };
 
 /* The parts of an engine's report that the ledger uses. */
-struct ch_ledger_evidence {
-    const char *boot;
-    const char *const *resident;
+struct ch_ledger_report {
+    const char *boot_id;
+    const char *const *resident_items;
     const uint32_t *resident_mb;
     size_t resident_count;
-    const char *const *orders_done;
-    size_t orders_done_count;
+    const char *const *done_order_ids;
+    size_t done_order_count;
     /* The report was requested after the ledger knew of every send that is
        CH_LEDGER_ENDED in it. */
-    bool after_ends;
+    bool requested_after_ends;
 };
 
 struct ch_ledger *ch_ledger_new(const char *upstream, uint32_t capacity_mb);
@@ -92,16 +93,16 @@
 struct ch_ledger *ch_ledger_parse(const char *json, size_t length,
                                   struct ch_error *error);
 char *ch_ledger_print(const struct ch_ledger *ledger);
-uint32_t ch_ledger_committed(const struct ch_ledger *ledger);
+uint32_t ch_ledger_get_committed_mb(const struct ch_ledger *ledger);
 /* Memory, in MB, that load orders in flight could use after a restart of the
    engine. */
-uint32_t ch_ledger_exposed(const struct ch_ledger *ledger);
-const struct ch_ledger_entry *ch_ledger_find(const struct ch_ledger *ledger,
-                                             const char *item);
+uint32_t ch_ledger_get_in_flight_mb(const struct ch_ledger *ledger);
+const struct ch_ledger_entry *
+ch_ledger_find_entry(const struct ch_ledger *ledger, const char *item);
 
 /* A copy to make changes in.  Its version is one higher. */
-struct ch_ledger *ch_ledger_next(const struct ch_ledger *ledger,
-                                 const char *write_id);
+struct ch_ledger *ch_ledger_copy_next(const struct ch_ledger *ledger,
+                                      const char *write_id);
 
 /* The functions below change a copy made by ch_ledger_copy_next, which is then
    written by compare-and-swap.  Those with an error parameter return false,
@@ -117,19 +118,19 @@
 /* The ID of the order to send for an item now: the entry's order, or an older
    one that the current boot has not executed.  NULL when there is nothing to
    send.  Valid until the ledger changes. */
-const char *ch_ledger_unclosed(const struct ch_ledger *ledger,
-                               const char *item);
+const char *ch_ledger_find_open_order(const struct ch_ledger *ledger,
+                                      const char *item);
 /* Records that the sender's copy of a load order has ended.  refused: the copy
    certainly did not reach the engine or was rejected by it.  Returns true when
    the ledger changed. */
-bool ch_ledger_end(struct ch_ledger *ledger, const char *order_id,
-                   const char *sender, bool refused);
+bool ch_ledger_end_send(struct ch_ledger *ledger, const char *order_id,
+                        const char *sender, bool refused);
 /* Records that earlier processes of the sender's node have ended.  Returns
    true when the ledger changed. */
-bool ch_ledger_end_earlier(struct ch_ledger *ledger, const char *sender);
+bool ch_ledger_end_earlier_sends(struct ch_ledger *ledger, const char *sender);
 /* Applies a report that was requested after this version of the ledger was
    known.  Returns true when the ledger changed. */
-bool ch_ledger_observe(struct ch_ledger *ledger,
-                       const struct ch_ledger_evidence *report);
+bool ch_ledger_apply_report(struct ch_ledger *ledger,
+                            const struct ch_ledger_report *report);
 
 #endif
