--- a/libchestnuthitch/decide/ledger_json.c
+++ b/libchestnuthitch/decide/ledger_json.c
@@ -38,8 +38,8 @@
     add_string(builder, "item", entry->item);
     add_int(builder, "memory_mb", entry->memory_mb);
     add_string(builder, "state", state_names[entry->state]);
-    add_string(builder, "order", entry->order);
-    add_int(builder, "fence", entry->fence);
+    add_string(builder, "order", entry->order_id);
+    add_int(builder, "fence", entry->fencing_token);
     json_builder_end_object(builder);
 }
 
@@ -47,13 +47,13 @@
 add_send(JsonBuilder *builder, const struct ch_ledger_send *sending)
 {
     json_builder_begin_object(builder);
-    add_string(builder, "order", sending->order);
+    add_string(builder, "order", sending->order_id);
     add_string(builder, "item", sending->item);
     add_int(builder, "memory_mb", sending->memory_mb);
     add_string(builder, "sender", sending->sender);
     add_int(builder, "copies", sending->copies);
     add_string(builder, "delivery", delivery_names[sending->delivery]);
-    add_int(builder, "done", sending->done);
+    add_int(builder, "done", sending->executed);
     json_builder_end_object(builder);
 }
 
@@ -66,11 +66,11 @@
     add_string(builder, "upstream", ledger->upstream);
     add_int(builder, "version", ledger->version);
     add_int(builder, "capacity_mb", ledger->capacity_mb);
-    add_string(builder, "boot", ledger->boot);
-    add_string(builder, "writer", ledger->writer);
+    add_string(builder, "boot", ledger->boot_id);
+    add_string(builder, "writer", ledger->write_id);
     json_builder_set_member_name(builder, "entries");
     json_builder_begin_array(builder);
-    for (size_t i = 0; i < ledger->count; i++) {
+    for (size_t i = 0; i < ledger->entry_count; i++) {
         add_entry(builder, &ledger->entries[i]);
     }
     json_builder_end_array(builder);
@@ -155,17 +155,18 @@
 read_entry(JsonObject *object, struct ch_ledger *ledger,
            struct ch_error *error)
 {
-    struct ch_ledger_entry *entry = &ledger->entries[ledger->count];
+    struct ch_ledger_entry *entry = &ledger->entries[ledger->entry_count];
     const char *item = read_string(object, "item", error);
     uint64_t memory_mb = 0;
     int state = read_name(object, "state", state_names, error);
     if (item == NULL || state < 0 ||
         !read_int(object, "memory_mb", MAX_MEMORY_MB, &memory_mb, error) ||
-        !read_int(object, "fence", INT64_MAX, &entry->fence, error) ||
-        !read_order_id(object, entry->order, sizeof(entry->order), error)) {
+        !read_int(object, "fence", INT64_MAX, &entry->fencing_token, error) ||
+        !read_order_id(object, entry->order_id, sizeof(entry->order_id),
+                       error)) {
         return false;
     }
-    if (ch_ledger_find(ledger, item) != NULL) {
+    if (ch_ledger_find_entry(ledger, item) != NULL) {
         ch_error_set(error, CH_BAD_JSON, "ledger: item '%s' has two entries",
                      item);
         return false;
@@ -173,7 +174,7 @@
     entry->item = g_strdup(item);
     entry->memory_mb = (uint32_t)memory_mb;
     entry->state = (enum ch_ledger_state)state;
-    ledger->count++;
+    ledger->entry_count++;
     return true;
 }
 
@@ -193,7 +194,7 @@
         !read_int(object, "memory_mb", MAX_MEMORY_MB, &memory_mb, error) ||
         !read_int(object, "copies", UINT32_MAX, &copies, error) ||
         !read_int(object, "done", 1, &done, error) ||
-        !read_order_id(object, sending->order, sizeof(sending->order),
+        !read_order_id(object, sending->order_id, sizeof(sending->order_id),
                        error)) {
         return false;
     }
@@ -202,7 +203,7 @@
     sending->memory_mb = (uint32_t)memory_mb;
     sending->copies = (uint32_t)copies;
     sending->delivery = (enum ch_ledger_delivery)delivery;
-    sending->done = done == 1;
+    sending->executed = done == 1;
     ledger->send_count++;
     return true;
 }
@@ -273,10 +274,10 @@
     ledger->upstream = g_strdup(upstream);
     ledger->capacity_mb = (uint32_t)capacity_mb;
     if (json_object_has_member(object, "boot")) {
-        ledger->boot = g_strdup(read_string(object, "boot", error));
+        ledger->boot_id = g_strdup(read_string(object, "boot", error));
     }
     if (json_object_has_member(object, "writer")) {
-        ledger->writer = g_strdup(read_string(object, "writer", error));
+        ledger->write_id = g_strdup(read_string(object, "writer", error));
     }
     return (error == NULL || error->code == CH_OK) &&
            read_lists(object, ledger, error);
--- a/libchestnuthitch/decide/member.c
+++ b/libchestnuthitch/decide/member.c
@@ -146,9 +146,9 @@
  * platform considers up, and if one is not, its first use as a home node
  * costs one timeout. */
 void
-ch_members_listed(struct ch_members *members, const char *name,
-                  const char *address, const char *region,
-                  const char *data_centre, bool leaving, int64_t now)
+ch_members_update_member(struct ch_members *members, const char *name,
+                         const char *address, const char *region,
+                         const char *data_centre, bool leaving, int64_t now)
 {
     if (strcmp(name, members->self) == 0) {
         return;
@@ -158,28 +158,29 @@
     if (!found) {
         struct ch_member *new_member = g_new0(struct ch_member, 1);
         new_member->name = g_strdup(name);
-        new_member->hash = ch_hash_string(name);
+        new_member->name_hash = ch_hash_string(name);
         members->version++;
-        new_member->heard = now;
+        new_member->last_heard_us = now;
         g_ptr_array_insert(members->list, (gint)index, new_member);
         g_array_set_size(members->round, 0);
     }
     struct ch_member *member = g_ptr_array_index(members->list, index);
     replace_string(&member->address, address);
     if (g_strcmp0(member->data_centre, data_centre) != 0 ||
-        g_strcmp0(member->region, region) != 0 || member->leaving != leaving) {
+        g_strcmp0(member->region, region) != 0 ||
+        member->draining != leaving) {
         members->version++;
     }
     replace_string(&member->region, region);
     replace_string(&member->data_centre, data_centre);
-    member->leaving = leaving;
+    member->draining = leaving;
     member->listed = true;
 }
 
 /* Does nothing for an unknown member. */
 void
-ch_members_capacity(struct ch_members *members, const char *name,
-                    uint32_t capacity)
+ch_members_set_capacity(struct ch_members *members, const char *name,
+                        uint32_t capacity)
 {
     struct ch_member *member = find_member(members, name);
     if (member != NULL) {
@@ -207,19 +208,20 @@
 
 /* Records a message from a member and marks the member alive. */
 void
-ch_members_heard(struct ch_members *members, const char *name, int64_t now)
+ch_members_record_message(struct ch_members *members, const char *name,
+                          int64_t now)
 {
     struct ch_member *member = find_member(members, name);
     if (member == NULL) {
         return;
     }
-    member->heard = MAX(member->heard, now);
+    member->last_heard_us = MAX(member->last_heard_us, now);
     if (member->status != CH_MEMBER_ALIVE) {
         members->version++;
     }
     member->status = CH_MEMBER_ALIVE;
-    member->hint_until = 0;
-    member->probe_at = 0;
+    member->hint_until_us = 0;
+    member->next_probe_us = 0;
 }
 
 /* The time between two probes of the same silent member, in microseconds. */
@@ -240,22 +242,23 @@
  * network path may have dropped the state of a single connection while the
  * node is well. */
 bool
-ch_members_lost(struct ch_members *members, const char *name, int64_t now)
+ch_members_record_lost_connection(struct ch_members *members, const char *name,
+                                  int64_t now)
 {
     struct ch_member *member = find_member(members, name);
     if (member == NULL) {
         return false;
     }
-    if (now - member->heard < members->silent_after_us) {
-        member->probe_at = now;
+    if (now - member->last_heard_us < members->silent_after_us) {
+        member->next_probe_us = now;
         return false;
     }
     if (member->status == CH_MEMBER_ALIVE) {
         member->status = CH_MEMBER_SILENT;
         members->version++;
-        member->hint_until = now + HINT_DURATION_US;
+        member->hint_until_us = now + HINT_DURATION_US;
     }
-    member->probe_at = now + compute_silent_probe_period_us(members);
+    member->next_probe_us = now + compute_silent_probe_period_us(members);
     return true;
 }
 
@@ -267,7 +270,8 @@
  * requests go to other nodes, at no more cost than a separate queue there.
  */
 void
-ch_members_refused(struct ch_members *members, const char *name, int64_t now)
+ch_members_record_refused_connection(struct ch_members *members,
+                                     const char *name, int64_t now)
 {
     struct ch_member *member = find_member(members, name);
     if (member == NULL) {
@@ -276,34 +280,35 @@
     if (member->status == CH_MEMBER_ALIVE) {
         member->status = CH_MEMBER_SILENT;
         members->version++;
-        member->hint_until = now + HINT_DURATION_US;
+        member->hint_until_us = now + HINT_DURATION_US;
     }
-    member->probe_at = now + compute_silent_probe_period_us(members);
+    member->next_probe_us = now + compute_silent_probe_period_us(members);
 }
 
 /* Schedules an immediate probe of a member that another node found silent; the
  * hint alone doesn't change the member's status. */
 void
-ch_members_hint(struct ch_members *members, const char *name, int64_t now)
+ch_members_record_silence_hint(struct ch_members *members, const char *name,
+                               int64_t now)
 {
     struct ch_member *member = find_member(members, name);
     if (member == NULL || member->status == CH_MEMBER_SILENT ||
-        now - member->heard < members->silent_after_us) {
+        now - member->last_heard_us < members->silent_after_us) {
         return;
     }
-    member->probe_at = now;
+    member->next_probe_us = now;
 }
 
 /* A stopping node announces its stop, because the host list lags behind.  Its
  * keys move to other home nodes while it still answers, so that no request has
  * to wait for a timeout. */
 void
-ch_members_leaves(struct ch_members *members, const char *name,
-                  uint64_t incarnation)
+ch_members_record_stopping(struct ch_members *members, const char *name,
+                           uint64_t incarnation)
 {
     struct ch_member *member = find_member(members, name);
-    if (member != NULL && member->leaves != incarnation) {
-        member->leaves = incarnation;
+    if (member != NULL && member->stopping_incarnation != incarnation) {
+        member->stopping_incarnation = incarnation;
         members->version++;
     }
 }
@@ -320,30 +325,30 @@
 /* A changed incarnation clears the announcement of a stop, which came from the
  * earlier process of that name. */
 void
-ch_members_incarnation(struct ch_members *members, const char *name,
-                       uint64_t incarnation)
+ch_members_set_incarnation(struct ch_members *members, const char *name,
+                           uint64_t incarnation)
 {
     struct ch_member *member = find_member(members, name);
     if (member != NULL && member->incarnation != incarnation) {
         member->incarnation = incarnation;
-        members->version += member->leaves != 0;
-        member->leaves = 0;
+        members->version += member->stopping_incarnation != 0;
+        member->stopping_incarnation = 0;
     }
 }
 
 /* Each frame from a node says whether it is ready to be a home node. */
 void
-ch_members_ready(struct ch_members *members, const char *name, bool ready)
+ch_members_set_ready(struct ch_members *members, const char *name, bool ready)
 {
     struct ch_member *member = find_member(members, name);
-    if (member != NULL && member->unready == ready) {
-        member->unready = !ready;
+    if (member != NULL && member->not_ready == ready) {
+        member->not_ready = !ready;
         members->version++;
     }
 }
 
 void
-ch_members_ready_self(struct ch_members *members, bool ready)
+ch_members_set_self_ready(struct ch_members *members, bool ready)
 {
     if (members->self_not_ready == ready) {
         members->self_not_ready = !ready;
@@ -354,10 +359,10 @@
 /* A member may be a home node when it is alive, its host is not draining, and
  * it has not announced its stop. */
 bool
-ch_member_serves(const struct ch_member *member)
+ch_member_is_available(const struct ch_member *member)
 {
-    return member->status == CH_MEMBER_ALIVE && !member->leaving &&
-           member->leaves == 0;
+    return member->status == CH_MEMBER_ALIVE && !member->draining &&
+           member->stopping_incarnation == 0;
 }
 
 /* After a pause of this process (stopped, or starved of CPU time) every member
@@ -368,11 +373,13 @@
  * the pause and died at once would otherwise count as alive for as long as the
  * pause lasted. */
 void
-ch_members_paused(struct ch_members *members, int64_t gap_us, int64_t now)
+ch_members_record_pause(struct ch_members *members, int64_t gap_us,
+                        int64_t now)
 {
     for (guint i = 0; i < members->list->len; i++) {
         struct ch_member *member = g_ptr_array_index(members->list, i);
-        member->heard = MAX(member->heard, MIN(member->heard + gap_us, now));
+        member->last_heard_us = MAX(member->last_heard_us,
+                                    MIN(member->last_heard_us + gap_us, now));
     }
 }
 
@@ -400,22 +407,22 @@
 /* Selects the members whose probe after a loss or a hint is due, and the next
  * member of the round when the probe period has passed. */
 size_t
-ch_members_probe(struct ch_members *members, int64_t now, const char **names,
-                 size_t max_names)
+ch_members_select_probes(struct ch_members *members, int64_t now,
+                         const char **names, size_t max_names)
 {
     size_t count = 0;
     int64_t period_us = compute_silent_probe_period_us(members);
     for (guint i = 0; i < members->list->len && count < max_names; i++) {
         struct ch_member *member = g_ptr_array_index(members->list, i);
-        if (member->probe_at > 0 && member->probe_at <= now) {
-            member->probe_at = now + period_us;
+        if (member->next_probe_us > 0 && member->next_probe_us <= now) {
+            member->next_probe_us = now + period_us;
             names[count++] = member->name;
         }
     }
     if (now < members->next_probe_us || count == max_names) {
         return count;
     }
-    members->next_probe_us = now + CH_MEMBER_PERIOD;
+    members->next_probe_us = now + CH_MEMBER_PROBE_PERIOD_US;
     const struct ch_member *drawn = draw_member(members);
     if (drawn != NULL && drawn->status == CH_MEMBER_ALIVE) {
         names[count++] = drawn->name;
@@ -427,14 +434,14 @@
  * upstreams and 320 nodes, finding all home nodes takes 600,000 weights, too
  * much to repeat twice a second without need. */
 uint64_t
-ch_members_version(const struct ch_members *members)
+ch_members_get_version(const struct ch_members *members)
 {
     return members->version;
 }
 
 /* The number of members, without this node. */
 size_t
-ch_members_count(const struct ch_members *members)
+ch_members_get_count(const struct ch_members *members)
 {
     return members->list->len;
 }
@@ -442,7 +449,7 @@
 /* The member at an index in the order of names, valid until the next update.
  */
 const struct ch_member *
-ch_members_at(const struct ch_members *members, size_t index)
+ch_members_get(const struct ch_members *members, size_t index)
 {
     return g_ptr_array_index(members->list, index);
 }
@@ -474,12 +481,12 @@
     }
     for (guint i = 0; i < members->list->len; i++) {
         const struct ch_member *member = g_ptr_array_index(members->list, i);
-        if (!ch_member_serves(member) || (ready && member->unready) ||
+        if (!ch_member_is_available(member) || (ready && member->not_ready) ||
             !is_in_scope(member->region, member->data_centre, region,
                          data_centre)) {
             continue;
         }
-        uint64_t weight = ch_hash_pair(key, member->hash);
+        uint64_t weight = ch_hash_pair(key, member->name_hash);
         if (best == NULL || weight > best_weight) {
             best = member->name;
             best_weight = weight;
@@ -509,8 +516,8 @@
  * region; else anywhere, so that a data centre's upstreams stay in use when
  * all of its nodes are lost. */
 const char *
-ch_members_home(const struct ch_members *members, uint64_t key,
-                const char *region, const char *data_centre)
+ch_members_find_home(const struct ch_members *members, uint64_t key,
+                     const char *region, const char *data_centre)
 {
     return find_home_in_scopes(members, key, region, data_centre, false);
 }
@@ -524,13 +531,13 @@
  * whole fleet is starting, and readiness is ignored.
  */
 const char *
-ch_members_ready_home(const struct ch_members *members, uint64_t key,
-                      const char *region, const char *data_centre)
+ch_members_find_ready_home(const struct ch_members *members, uint64_t key,
+                           const char *region, const char *data_centre)
 {
     const char *best =
         find_home_in_scopes(members, key, region, data_centre, true);
     if (best == NULL) {
-        best = ch_members_home(members, key, region, data_centre);
+        best = ch_members_find_home(members, key, region, data_centre);
     }
     return best;
 }
--- a/libchestnuthitch/decide/once.h
+++ b/libchestnuthitch/decide/once.h
@@ -34,26 +34,27 @@
     char *key;
     uint64_t attempt;
     uint64_t fingerprint; /* CREATE only */
-    bool kept;            /* COMPLETE only: body is the whole response */
+    bool response_stored; /* COMPLETE only: body is the whole response */
     int status;
     char *content_type;
     void *body;
-    size_t length;
+    size_t body_length;
 };
 
 struct ch_once_batch {
-    uint64_t previous; /* link: revision of the batch before; 0: none */
-    char *writer;      /* write ID: tells this write from those of others */
+    uint64_t
+        previous_revision; /* link: revision of the batch before; 0: none */
+    char *write_id;    /* write ID: tells this write from those of others */
     GPtrArray *events; /* of struct ch_once_event */
 };
 
 enum {
     /* Largest response that is stored: enough for the confirmation of a
        booking or an order, too small for a report. */
-    CH_ONCE_MOST_BODY = 16 * 1024,
+    CH_ONCE_MAX_BODY_BYTES = 16 * 1024,
     /* Size limit of an encoded batch, well below the 1 MB that the key-value
        store accepts. */
-    CH_ONCE_MOST_BATCH = 256 * 1024,
+    CH_ONCE_MAX_BATCH_BYTES = 256 * 1024,
 };
 
 void ch_once_event_free(void *event);
@@ -65,21 +66,23 @@
                                            struct ch_error *error);
 /* The completion of an attempt, valid as long as the batch; NULL: none. */
 const struct ch_once_event *
-ch_once_batch_completion(const struct ch_once_batch *batch, const char *caller,
-                         const char *key, uint64_t attempt);
+ch_once_batch_find_completion(const struct ch_once_batch *batch,
+                              const char *caller, const char *key,
+                              uint64_t attempt);
 
 /* ---- a node's copy of the log (once_log.c) ---- */
 
 struct ch_once_record {
     uint64_t attempt;
     uint64_t fingerprint;
-    uint64_t created;   /* sequence of the batch that created it */
-    uint64_t completed; /* sequence of its completion; 0: not completed */
-    bool kept;
+    uint64_t created_sequence; /* sequence of the batch that created it */
+    uint64_t
+        completed_sequence; /* sequence of its completion; 0: not completed */
+    bool response_stored;
 };
 
 /* A batch as the key-value store lists it. */
-struct ch_once_listed {
+struct ch_once_batch_entry {
     uint64_t sequence;
     uint64_t revision;
     const char *bytes;
@@ -93,7 +96,7 @@
 /* Replaces the contents of log; `listed` is in order of sequence.  False: a
    batch that counts is damaged, and log must not be used for a decision. */
 bool ch_once_log_load(struct ch_once_log *log,
-                      const struct ch_once_listed *listed, size_t count,
+                      const struct ch_once_batch_entry *listed, size_t count,
                       int64_t now, struct ch_error *error);
 /* Adds the next batch, which was written at revision. */
 void ch_once_log_append(struct ch_once_log *log,
@@ -102,16 +105,17 @@
 const struct ch_once_record *ch_once_log_find(const struct ch_once_log *log,
                                               const char *caller,
                                               const char *key);
-uint64_t ch_once_log_last(const struct ch_once_log *log);
+uint64_t ch_once_log_last_sequence(const struct ch_once_log *log);
 uint64_t ch_once_log_last_revision(const struct ch_once_log *log);
 /* Whether the batch is in the log at that revision and linked to the last
    batch. */
-bool ch_once_log_holds(const struct ch_once_log *log, uint64_t sequence,
-                       uint64_t revision);
+bool ch_once_log_contains(const struct ch_once_log *log, uint64_t sequence,
+                          uint64_t revision);
 /* Finds the first batch, if this node saw it before `seen_before` and it is
    not the last.  Otherwise false. */
-bool ch_once_log_expired(const struct ch_once_log *log, int64_t seen_before,
-                         uint64_t *sequence, uint64_t *revision);
+bool ch_once_log_find_expired(const struct ch_once_log *log,
+                              int64_t seen_before, uint64_t *sequence,
+                              uint64_t *revision);
 void ch_once_log_remove_first(struct ch_once_log *log);
 
 /* ---- the state of a record for one attempt ---- */
@@ -119,13 +123,14 @@
 enum ch_once_state {
     CH_ONCE_CREATED, /* this attempt owns the key and may be dispatched once */
     CH_ONCE_DONE,    /* ran before; the response is returned if stored */
-    CH_ONCE_RUNNING, /* another attempt may be running or have run */
-    CH_ONCE_MISMATCH, /* the key was used with another request body */
-    CH_ONCE_REFUSED,  /* the record was not created for this attempt */
+    CH_ONCE_IN_PROGRESS, /* another attempt may be running or have run */
+    CH_ONCE_MISMATCH,    /* the key was used with another request body */
+    CH_ONCE_REFUSED,     /* the record was not created for this attempt */
 };
 
-enum ch_once_state ch_once_state_of(const struct ch_once_record *record,
-                                    uint64_t attempt, uint64_t fingerprint);
+enum ch_once_state
+ch_once_record_get_state(const struct ch_once_record *record, uint64_t attempt,
+                         uint64_t fingerprint);
 
 /* ---- a slot at its owner node (once_slot.c) ---- */
 
@@ -134,7 +139,7 @@
     CH_ONCE_PUT,    /* create bytes at sequence if absent; _handle_put */
     CH_ONCE_GET,    /* read sequence; _handle_get */
     CH_ONCE_REMOVE, /* delete sequence at revision; _handle_remove */
-    CH_ONCE_ANSWER, /* send state to waiter */
+    CH_ONCE_REPLY,  /* send state to waiter */
 };
 
 struct ch_once_action {
@@ -146,8 +151,9 @@
     enum ch_once_state state;
     enum ch_code
         code; /* reason for REFUSED; KV_UNREACHABLE: surely not written */
-    uint64_t completed;  /* DONE: batch with the stored response; 0: none */
-    uint64_t by_attempt; /* DONE: the attempt that ran */
+    uint64_t
+        completed_sequence; /* DONE: batch with the stored response; 0: none */
+    uint64_t completed_by_attempt; /* DONE: the attempt that ran */
 };
 
 /* Actions (struct ch_once_action) to carry out in order.  At most one of the
@@ -165,26 +171,28 @@
                                       int64_t retention);
 void ch_once_slot_free(struct ch_once_slot *slot);
 /* waiter 0: no reply is wanted.  The slot takes ownership of the event. */
-void ch_once_slot_add(struct ch_once_slot *slot, struct ch_once_event *event,
-                      uint64_t waiter, int64_t now,
-                      struct ch_once_actions *out);
-void ch_once_slot_listed(struct ch_once_slot *slot, enum ch_code code,
-                         const struct ch_once_listed *listed, size_t count,
-                         int64_t now, struct ch_once_actions *out);
-void ch_once_slot_written(struct ch_once_slot *slot, enum ch_code code,
-                          uint64_t revision, int64_t now,
-                          struct ch_once_actions *out);
-void ch_once_slot_got(struct ch_once_slot *slot, enum ch_code code,
-                      const char *bytes, size_t length, uint64_t revision,
-                      int64_t now, struct ch_once_actions *out);
-void ch_once_slot_removed(struct ch_once_slot *slot, enum ch_code code,
-                          int64_t now, struct ch_once_actions *out);
+void ch_once_slot_add_event(struct ch_once_slot *slot,
+                            struct ch_once_event *event, uint64_t waiter,
+                            int64_t now, struct ch_once_actions *out);
+void ch_once_slot_handle_list(struct ch_once_slot *slot, enum ch_code code,
+                              const struct ch_once_batch_entry *listed,
+                              size_t count, int64_t now,
+                              struct ch_once_actions *out);
+void ch_once_slot_handle_put(struct ch_once_slot *slot, enum ch_code code,
+                             uint64_t revision, int64_t now,
+                             struct ch_once_actions *out);
+void ch_once_slot_handle_get(struct ch_once_slot *slot, enum ch_code code,
+                             const char *bytes, size_t length,
+                             uint64_t revision, int64_t now,
+                             struct ch_once_actions *out);
+void ch_once_slot_handle_remove(struct ch_once_slot *slot, enum ch_code code,
+                                int64_t now, struct ch_once_actions *out);
 /* expire: this node owns the slot and removes expired batches. */
 void ch_once_slot_tick(struct ch_once_slot *slot, bool expire, int64_t now,
                        struct ch_once_actions *out);
 /* Time of the next tick; INT64_MAX: none until an event is added. */
-int64_t ch_once_slot_due(const struct ch_once_slot *slot);
+int64_t ch_once_slot_next_due(const struct ch_once_slot *slot);
 /* Whether no event waits and no call is in progress. */
-bool ch_once_slot_idle(const struct ch_once_slot *slot);
+bool ch_once_slot_is_idle(const struct ch_once_slot *slot);
 
 #endif
--- a/libchestnuthitch/decide/once_batch.c
+++ b/libchestnuthitch/decide/once_batch.c
@@ -33,8 +33,8 @@
 ch_once_batch_new(uint64_t previous_revision, const char *write_id)
 {
     struct ch_once_batch *batch = g_new0(struct ch_once_batch, 1);
-    batch->previous = previous_revision;
-    batch->writer = g_strdup(write_id);
+    batch->previous_revision = previous_revision;
+    batch->write_id = g_strdup(write_id);
     batch->events = g_ptr_array_new_with_free_func(ch_once_event_free);
     return batch;
 }
@@ -47,7 +47,7 @@
         return;
     }
     g_ptr_array_unref(batch->events);
-    g_free(batch->writer);
+    g_free(batch->write_id);
     g_free(batch);
 }
 
@@ -87,8 +87,9 @@
     if (event->kind == CH_ONCE_EVENT_CREATE) {
         add_number(builder, "fingerprint", event->fingerprint);
     }
-    if (event->kind == CH_ONCE_EVENT_COMPLETE && event->kept) {
-        g_autofree char *body = g_base64_encode(event->body, event->length);
+    if (event->kind == CH_ONCE_EVENT_COMPLETE && event->response_stored) {
+        g_autofree char *body =
+            g_base64_encode(event->body, event->body_length);
         add_number(builder, "status", (uint64_t)event->status);
         add_escaped(builder, "type",
                     event->content_type == NULL ? "" : event->content_type);
@@ -103,8 +104,8 @@
 {
     JsonBuilder *builder = json_builder_new();
     json_builder_begin_object(builder);
-    add_number(builder, "previous", batch->previous);
-    add_text(builder, "writer", batch->writer);
+    add_number(builder, "previous", batch->previous_revision);
+    add_text(builder, "writer", batch->write_id);
     json_builder_set_member_name(builder, "events");
     json_builder_begin_array(builder);
     for (guint i = 0; i < batch->events->len; i++) {
@@ -175,9 +176,9 @@
         !read_number(object, "status", MAX_STATUS, &status, error)) {
         return false;
     }
-    event->kept = true;
+    event->response_stored = true;
     event->status = (int)status;
-    event->body = g_base64_decode(body, &event->length);
+    event->body = g_base64_decode(body, &event->body_length);
     return true;
 }
 
@@ -270,8 +271,9 @@
 
 /* See once.h. */
 const struct ch_once_event *
-ch_once_batch_completion(const struct ch_once_batch *batch, const char *caller,
-                         const char *key, uint64_t attempt)
+ch_once_batch_find_completion(const struct ch_once_batch *batch,
+                              const char *caller, const char *key,
+                              uint64_t attempt)
 {
     for (guint i = 0; i < batch->events->len; i++) {
         const struct ch_once_event *event =
--- a/libchestnuthitch/decide/once_log.c
+++ b/libchestnuthitch/decide/once_log.c
@@ -71,20 +71,20 @@
         record = g_new0(struct ch_once_record, 1);
         record->attempt = event->attempt;
         record->fingerprint = event->fingerprint;
-        record->created = sequence;
+        record->created_sequence = sequence;
         g_hash_table_insert(log->records, g_steal_pointer(&name), record);
         return;
     }
     if (record == NULL || record->attempt != event->attempt ||
-        record->completed != 0) {
+        record->completed_sequence != 0) {
         return;
     }
     if (event->kind == CH_ONCE_EVENT_RELEASE) {
         g_hash_table_remove(log->records, name);
         return;
     }
-    record->completed = sequence;
-    record->kept = event->kept;
+    record->completed_sequence = sequence;
+    record->response_stored = event->response_stored;
 }
 
 static void
@@ -104,7 +104,7 @@
  * counted, its attempt would take a key that another attempt owns.
  */
 static int64_t
-find_first_linked(const struct ch_once_listed *listed, size_t count,
+find_first_linked(const struct ch_once_batch_entry *listed, size_t count,
                   struct ch_once_batch **batches, struct ch_error *error)
 {
     for (size_t i = count; i-- > 0;) {
@@ -114,7 +114,7 @@
             return -1;
         }
         if (i == 0 || listed[i - 1].sequence + 1 != listed[i].sequence ||
-            listed[i - 1].revision != batches[i]->previous) {
+            listed[i - 1].revision != batches[i]->previous_revision) {
             return (int64_t)i;
         }
     }
@@ -123,7 +123,7 @@
 
 /* When this node first saw a listed batch. */
 static int64_t
-find_first_seen(const GArray *rows, const struct ch_once_listed *listed,
+find_first_seen(const GArray *rows, const struct ch_once_batch_entry *listed,
                 int64_t now)
 {
     for (guint i = 0; i < rows->len; i++) {
@@ -138,8 +138,9 @@
 
 /* See once.h. */
 bool
-ch_once_log_load(struct ch_once_log *log, const struct ch_once_listed *listed,
-                 size_t count, int64_t now, struct ch_error *error)
+ch_once_log_load(struct ch_once_log *log,
+                 const struct ch_once_batch_entry *listed, size_t count,
+                 int64_t now, struct ch_error *error)
 {
     struct ch_once_batch **batches = g_new0(struct ch_once_batch *, count + 1);
     int64_t first = find_first_linked(listed, count, batches, error);
@@ -174,7 +175,7 @@
                    uint64_t revision, int64_t now)
 {
     const struct batch_row row = {
-        .sequence = ch_once_log_last(log) + 1,
+        .sequence = ch_once_log_last_sequence(log) + 1,
         .revision = revision,
         .first_seen = now,
         .linked = true,
@@ -195,7 +196,7 @@
 
 /* The last sequence; 0: the log is empty. */
 uint64_t
-ch_once_log_last(const struct ch_once_log *log)
+ch_once_log_last_sequence(const struct ch_once_log *log)
 {
     const struct batch_row *row = last_row(log);
     return row == NULL ? 0 : row->sequence;
@@ -211,8 +212,8 @@
 
 /* See once.h. */
 bool
-ch_once_log_holds(const struct ch_once_log *log, uint64_t sequence,
-                  uint64_t revision)
+ch_once_log_contains(const struct ch_once_log *log, uint64_t sequence,
+                     uint64_t revision)
 {
     for (guint i = log->rows->len; i-- > 0;) {
         const struct batch_row *row =
@@ -231,8 +232,8 @@
  * own that its own sequence was never removed.
  */
 bool
-ch_once_log_expired(const struct ch_once_log *log, int64_t seen_before,
-                    uint64_t *sequence, uint64_t *revision)
+ch_once_log_find_expired(const struct ch_once_log *log, int64_t seen_before,
+                         uint64_t *sequence, uint64_t *revision)
 {
     if (log->rows->len < 2) {
         return false;
@@ -251,7 +252,7 @@
     (void)key;
     const struct ch_once_record *record = value;
     const struct batch_row *row = data;
-    return record->created == row->sequence;
+    return record->created_sequence == row->sequence;
 }
 
 /* Removes the first batch and the records that were created in it. */
@@ -268,8 +269,8 @@
 /* The state of a record (NULL: none) for an attempt.  CREATED only if the log
  * gives the key to this attempt; REFUSED: no attempt owns the key. */
 enum ch_once_state
-ch_once_state_of(const struct ch_once_record *record, uint64_t attempt,
-                 uint64_t fingerprint)
+ch_once_record_get_state(const struct ch_once_record *record, uint64_t attempt,
+                         uint64_t fingerprint)
 {
     if (record == NULL) {
         return CH_ONCE_REFUSED;
@@ -277,8 +278,8 @@
     if (record->fingerprint != fingerprint) {
         return CH_ONCE_MISMATCH;
     }
-    if (record->completed != 0) {
+    if (record->completed_sequence != 0) {
         return CH_ONCE_DONE;
     }
-    return record->attempt == attempt ? CH_ONCE_CREATED : CH_ONCE_RUNNING;
+    return record->attempt == attempt ? CH_ONCE_CREATED : CH_ONCE_IN_PROGRESS;
 }
--- a/libchestnuthitch/decide/once_slot.c
+++ b/libchestnuthitch/decide/once_slot.c
@@ -107,14 +107,15 @@
         return;
     }
     struct ch_once_action action = {
-        .kind = CH_ONCE_ANSWER,
+        .kind = CH_ONCE_REPLY,
         .waiter = waiter,
         .state = state,
         .code = code,
     };
     if (record != NULL && state == CH_ONCE_DONE) {
-        action.completed = record->kept ? record->completed : 0;
-        action.by_attempt = record->attempt;
+        action.completed_sequence =
+            record->response_stored ? record->completed_sequence : 0;
+        action.completed_by_attempt = record->attempt;
     }
     g_array_append_val(out->list, action);
 }
@@ -221,9 +222,9 @@
     const struct ch_once_event *event = pending->event;
     const struct ch_once_record *record = find_record(slot, event);
     enum ch_once_state state =
-        ch_once_state_of(record, event->attempt, event->fingerprint);
+        ch_once_record_get_state(record, event->attempt, event->fingerprint);
     if (state == CH_ONCE_REFUSED ||
-        (state == CH_ONCE_RUNNING && slot->stale)) {
+        (state == CH_ONCE_IN_PROGRESS && slot->stale)) {
         return false;
     }
     add_reply(out, pending->waiter, state, CH_OK, record);
@@ -240,7 +241,7 @@
     const struct ch_once_event *event = pending->event;
     const struct ch_once_record *record = find_record(slot, event);
     bool owns_key = record != NULL && record->attempt == event->attempt;
-    if (owns_key ? record->completed == 0 : slot->stale) {
+    if (owns_key ? record->completed_sequence == 0 : slot->stale) {
         return false;
     }
     bool recorded = owns_key || event->kind == CH_ONCE_EVENT_RELEASE;
@@ -285,7 +286,7 @@
 event_size(const struct ch_once_event *event)
 {
     return 256 + strlen(event->caller) * 3 + strlen(event->key) * 3 +
-           event->length * 4 / 3;
+           event->body_length * 4 / 3;
 }
 
 /* Makes the next batch from as many queued events as fit. */
@@ -302,7 +303,7 @@
     while (!g_queue_is_empty(&slot->queue)) {
         struct pending_event *pending = g_queue_peek_head(&slot->queue);
         size += event_size(pending->event);
-        if (size > CH_ONCE_MOST_BATCH && slot->batch->events->len > 0) {
+        if (size > CH_ONCE_MAX_BATCH_BYTES && slot->batch->events->len > 0) {
             break;
         }
         (void)g_queue_pop_head(&slot->queue);
@@ -318,7 +319,7 @@
 {
     slot->phase = PHASE_WRITING;
     slot->put_count++;
-    add_call(out, CH_ONCE_PUT, ch_once_log_last(slot->log) + 1, 0,
+    add_call(out, CH_ONCE_PUT, ch_once_log_last_sequence(slot->log) + 1, 0,
              slot->bytes);
 }
 
@@ -341,7 +342,8 @@
     }
     else if (slot->phase == PHASE_READY && slot->stale) {
         slot->phase = PHASE_PROBING;
-        add_call(out, CH_ONCE_GET, ch_once_log_last(slot->log) + 1, 0, NULL);
+        add_call(out, CH_ONCE_GET, ch_once_log_last_sequence(slot->log) + 1, 0,
+                 NULL);
     }
     else if (slot->phase == PHASE_READY) {
         fill_batch(slot);
@@ -370,7 +372,7 @@
     const struct ch_once_event *event = pending->event;
     const struct ch_once_record *record = find_record(slot, event);
     enum ch_once_state state =
-        ch_once_state_of(record, event->attempt, event->fingerprint);
+        ch_once_record_get_state(record, event->attempt, event->fingerprint);
     add_reply(out, pending->waiter, state,
               state == CH_ONCE_REFUSED ? code : CH_OK, record);
     pending_event_free(pending);
@@ -475,7 +477,7 @@
 verify_batch(struct ch_once_slot *slot, uint64_t revision,
              struct ch_once_actions *out)
 {
-    uint64_t last = ch_once_log_last(slot->log);
+    uint64_t last = ch_once_log_last_sequence(slot->log);
     slot->revision = revision;
     if (last == 0) {
         slot->phase = PHASE_CONFIRMING;
@@ -496,8 +498,9 @@
 {
     const struct ch_once_record *record = find_record(slot, event);
     if (event->kind == CH_ONCE_EVENT_CREATE) {
-        slot->stale |= ch_once_state_of(record, event->attempt,
-                                        event->fingerprint) == CH_ONCE_RUNNING;
+        slot->stale |= ch_once_record_get_state(record, event->attempt,
+                                                event->fingerprint) ==
+                       CH_ONCE_IN_PROGRESS;
     }
     else {
         slot->stale |= record == NULL || record->attempt != event->attempt;
@@ -506,8 +509,9 @@
 
 /* Adds a creation, a completion or a release. */
 void
-ch_once_slot_add(struct ch_once_slot *slot, struct ch_once_event *event,
-                 uint64_t waiter, int64_t now, struct ch_once_actions *out)
+ch_once_slot_add_event(struct ch_once_slot *slot, struct ch_once_event *event,
+                       uint64_t waiter, int64_t now,
+                       struct ch_once_actions *out)
 {
     struct pending_event *pending = g_new0(struct pending_event, 1);
     pending->event = event;
@@ -541,9 +545,10 @@
 
 /* Handles the result of a LIST. */
 void
-ch_once_slot_listed(struct ch_once_slot *slot, enum ch_code code,
-                    const struct ch_once_listed *listed, size_t count,
-                    int64_t now, struct ch_once_actions *out)
+ch_once_slot_handle_list(struct ch_once_slot *slot, enum ch_code code,
+                         const struct ch_once_batch_entry *listed,
+                         size_t count, int64_t now,
+                         struct ch_once_actions *out)
 {
     enum ch_code refusal =
         slot->phase == PHASE_CONFIRMING ? CH_KV_AMBIGUOUS : CH_KV_UNREACHABLE;
@@ -553,7 +558,7 @@
         return;
     }
     bool confirmed = slot->phase == PHASE_CONFIRMING &&
-                     ch_once_log_holds(slot->log, 1, slot->revision);
+                     ch_once_log_contains(slot->log, 1, slot->revision);
     struct pending_event *pending = NULL;
     slot->stale = false;
     while (confirmed && (pending = g_queue_pop_head(&slot->batched)) != NULL) {
@@ -570,9 +575,9 @@
 
 /* Handles the result of a PUT. */
 void
-ch_once_slot_written(struct ch_once_slot *slot, enum ch_code code,
-                     uint64_t revision, int64_t now,
-                     struct ch_once_actions *out)
+ch_once_slot_handle_put(struct ch_once_slot *slot, enum ch_code code,
+                        uint64_t revision, int64_t now,
+                        struct ch_once_actions *out)
 {
     switch (code) {
     case CH_OK:
@@ -583,7 +588,8 @@
         /* The sequence may be taken by this batch, from an earlier write that
            got no reply; reading it back shows whose batch it is. */
         slot->phase = PHASE_RESOLVING;
-        add_call(out, CH_ONCE_GET, ch_once_log_last(slot->log) + 1, 0, NULL);
+        add_call(out, CH_ONCE_GET, ch_once_log_last_sequence(slot->log) + 1, 0,
+                 NULL);
         return;
     default:
         handle_store_failure(
@@ -635,9 +641,9 @@
 
 /* Handles the result of a GET. */
 void
-ch_once_slot_got(struct ch_once_slot *slot, enum ch_code code,
-                 const char *bytes, size_t length, uint64_t revision,
-                 int64_t now, struct ch_once_actions *out)
+ch_once_slot_handle_get(struct ch_once_slot *slot, enum ch_code code,
+                        const char *bytes, size_t length, uint64_t revision,
+                        int64_t now, struct ch_once_actions *out)
 {
     if (slot->phase == PHASE_RESOLVING) {
         handle_read_back(slot, code, bytes, length, revision, now, out);
@@ -660,8 +666,8 @@
 
 /* Handles the result of a REMOVE. */
 void
-ch_once_slot_removed(struct ch_once_slot *slot, enum ch_code code, int64_t now,
-                     struct ch_once_actions *out)
+ch_once_slot_handle_remove(struct ch_once_slot *slot, enum ch_code code,
+                           int64_t now, struct ch_once_actions *out)
 {
     slot->phase = PHASE_READY;
     if (code == CH_OK || code == CH_KV_MISSING) {
@@ -683,8 +689,8 @@
     uint64_t revision = 0;
     start_next_call(slot, now, out);
     if (expire && slot->phase == PHASE_READY &&
-        ch_once_log_expired(slot->log, now - slot->retention, &sequence,
-                            &revision)) {
+        ch_once_log_find_expired(slot->log, now - slot->retention, &sequence,
+                                 &revision)) {
         slot->phase = PHASE_REMOVING;
         add_call(out, CH_ONCE_REMOVE, sequence, revision, NULL);
     }
@@ -692,7 +698,7 @@
 
 /* Time of the next write or retry; INT64_MAX: none. */
 int64_t
-ch_once_slot_due(const struct ch_once_slot *slot)
+ch_once_slot_next_due(const struct ch_once_slot *slot)
 {
     bool no_call = slot->phase == PHASE_UNLOADED || slot->phase == PHASE_READY;
     return no_call && slot->queue.length > 0 ? slot->due_at : INT64_MAX;
@@ -700,7 +706,7 @@
 
 /* Whether the slot can be freed without losing an event. */
 bool
-ch_once_slot_idle(const struct ch_once_slot *slot)
+ch_once_slot_is_idle(const struct ch_once_slot *slot)
 {
     bool no_call = slot->phase == PHASE_UNLOADED || slot->phase == PHASE_READY;
     return no_call && slot->queue.length == 0;
--- a/libchestnuthitch/decide/order.c
+++ b/libchestnuthitch/decide/order.c
@@ -21,7 +21,7 @@
  * start.
  */
 bool
-ch_order_unload_waits(int64_t due, uint32_t waiting, int64_t now)
+ch_order_should_delay_unload(int64_t due, uint32_t waiting, int64_t now)
 {
     return now < due || (waiting > 0 && now < due + MAX_UNLOAD_DELAY_US);
 }
@@ -34,10 +34,10 @@
  * is not busy, and has accepted no order since, is not loading a model.
  */
 bool
-ch_order_load_lost(const struct ch_load_facts *load)
+ch_order_is_load_lost(const struct ch_load_status *load)
 {
-    bool order_failed = load->ordered && load->age > LOAD_FAILED_AFTER_US;
-    return !load->busy && (load->told || order_failed);
+    bool order_failed = load->accepted && load->age > LOAD_FAILED_AFTER_US;
+    return !load->busy && (load->from_peer || order_failed);
 }
 
 /*
@@ -48,34 +48,35 @@
  * time of the report's request: the report is certain to cover that moment,
  * but none after it.
  */
-enum ch_report_news
-ch_order_report(const struct ch_report_facts *facts)
+enum ch_report_outcome
+ch_order_evaluate_report(const struct ch_report_comparison *facts)
 {
-    int64_t age = facts->asked - facts->changed;
+    int64_t age = facts->requested_at - facts->changed_at;
     bool is_past_report_lag = age > REPORT_LAG_US;
-    const struct ch_load_facts load = {
-        .ordered = facts->ordered,
-        .told = facts->told,
+    const struct ch_load_status load = {
+        .accepted = facts->accepted,
+        .from_peer = facts->from_peer,
         .busy = facts->busy,
         .age = age,
     };
     switch (facts->state) {
     case CH_ITEM_RESIDENT:
-        return !facts->there && is_past_report_lag ? CH_REPORT_LOST
-                                                   : CH_REPORT_NOTHING;
+        return !facts->listed && is_past_report_lag ? CH_REPORT_LOST
+                                                    : CH_REPORT_NO_CHANGE;
     case CH_ITEM_LOADING:
-        if (facts->there) {
+        if (facts->listed) {
             return CH_REPORT_LOADED;
         }
-        return ch_order_load_lost(&load) ? CH_REPORT_LOST : CH_REPORT_NOTHING;
+        return ch_order_is_load_lost(&load) ? CH_REPORT_LOST
+                                            : CH_REPORT_NO_CHANGE;
     case CH_ITEM_UNLOADING:
-        if (!facts->there) {
+        if (!facts->listed) {
             return CH_REPORT_UNLOADED;
         }
-        return facts->ordered && is_past_report_lag && !facts->busy
-                   ? CH_REPORT_STAYS
-                   : CH_REPORT_NOTHING;
+        return facts->accepted && is_past_report_lag && !facts->busy
+                   ? CH_REPORT_UNLOAD_FAILED
+                   : CH_REPORT_NO_CHANGE;
     default:
-        return CH_REPORT_NOTHING;
+        return CH_REPORT_NO_CHANGE;
     }
 }
--- a/libchestnuthitch/decide/place.c
+++ b/libchestnuthitch/decide/place.c
@@ -40,7 +40,7 @@
 /* Returns the microseconds that loading the item takes if the weight store has
  * capacity to spare. */
 int64_t
-ch_place_load_time(const struct ch_held *item)
+ch_place_predict_load_time(const struct ch_item_record *item)
 {
     return (int64_t)item->memory_mb * LOAD_US_PER_MB;
 }
@@ -52,7 +52,7 @@
 static uint32_t
 memory_needed(const struct ch_home *home, uint32_t memory_mb)
 {
-    uint32_t capacity = home->facts.capacity_mb;
+    uint32_t capacity = home->config.capacity_mb;
     return MAX(memory_mb, MIN(memory_mb + capacity / 25, capacity));
 }
 
@@ -63,8 +63,8 @@
 {
     uint32_t sum = 0;
     for (guint i = 0; i < home->items->len; i++) {
-        const struct ch_held *item =
-            &g_array_index(home->items, struct ch_held, i);
+        const struct ch_item_record *item =
+            &g_array_index(home->items, struct ch_item_record, i);
         sum += item->state != CH_ITEM_ABSENT ? item->memory_mb : 0;
     }
     return sum;
@@ -76,10 +76,10 @@
 {
     uint32_t sum = 0;
     for (guint i = 0; i < home->items->len; i++) {
-        const struct ch_held *item =
-            &g_array_index(home->items, struct ch_held, i);
+        const struct ch_item_record *item =
+            &g_array_index(home->items, struct ch_item_record, i);
         bool is_leaving = item->state == CH_ITEM_UNLOADING ||
-                          (item->state == CH_ITEM_RESIDENT && item->leaving);
+                          (item->state == CH_ITEM_RESIDENT && item->evicting);
         sum += is_leaving ? item->memory_mb : 0;
     }
     return sum;
@@ -93,9 +93,9 @@
 {
     for (size_t i = 0; fleet != NULL && i < fleet->count; i++) {
         const struct ch_upstream_view *view = &fleet->upstreams[i];
-        if (view->name != home->facts.name && !view->down && !view->leaving &&
-            ch_upstream_view_has(view, model) &&
-            (view->running + view->queued) * 4 < view->batch * 3) {
+        if (view->name != home->config.name && !view->down &&
+            !view->draining && ch_upstream_view_has_item(view, model) &&
+            (view->running + view->queued) * 4 < view->max_batch * 3) {
             return true;
         }
     }
@@ -111,8 +111,8 @@
 {
     uint32_t sum = 0;
     for (guint i = 0; i < home->items->len; i++) {
-        const struct ch_held *item =
-            &g_array_index(home->items, struct ch_held, i);
+        const struct ch_item_record *item =
+            &g_array_index(home->items, struct ch_item_record, i);
         if (item->name == model) {
             if (!load_last) {
                 return sum;
@@ -132,11 +132,11 @@
  * costs least. */
 static double
 eviction_cost(const struct ch_home *home, const struct ch_fleet *fleet,
-              const struct ch_held *item, int64_t now)
+              const struct ch_item_record *item, int64_t now)
 {
-    double cost = ch_demand_most(&item->demand, now);
-    double idle_s = (double)(now - item->used) / G_USEC_PER_SEC;
-    if (home->policy->placing->keep_last &&
+    double cost = ch_demand_get_upper(&item->demand, now);
+    double idle_s = (double)(now - item->last_request_at) / G_USEC_PER_SEC;
+    if (home->policy->placement->protect_last_replica &&
         has_spare_replica(home, fleet, item->name)) {
         cost *= SHARED_DEMAND_LOSS;
     }
@@ -146,27 +146,28 @@
 /* Whether the item may be evicted. spare_recent: evict only models that were
  * not loaded recently. */
 static bool
-may_evict(const struct ch_home *home, const struct ch_held *item,
+may_evict(const struct ch_home *home, const struct ch_item_record *item,
           bool spare_recent, int64_t now)
 {
-    if (item->model != 0 || item->state != CH_ITEM_RESIDENT || item->leaving ||
-        item->wanted || now < item->not_before) {
+    if (item->model != 0 || item->state != CH_ITEM_RESIDENT ||
+        item->evicting || item->wanted || now < item->next_order_at) {
         return false;
     }
-    if (!home->policy->placing->reluctant || !spare_recent) {
+    if (!home->policy->placement->cost_aware || !spare_recent) {
         return true;
     }
-    return now - item->changed >= MIN_RESIDENCE_US;
+    return now - item->state_changed_at >= MIN_RESIDENCE_US;
 }
 
 /* Returns the memory of a model and of its loaded adapters. */
 static uint32_t
-memory_with_adapters(const struct ch_home *home, const struct ch_held *model)
+memory_with_adapters(const struct ch_home *home,
+                     const struct ch_item_record *model)
 {
     uint32_t sum = model->memory_mb;
     for (guint i = 0; i < home->items->len; i++) {
-        const struct ch_held *item =
-            &g_array_index(home->items, struct ch_held, i);
+        const struct ch_item_record *item =
+            &g_array_index(home->items, struct ch_item_record, i);
         if (item->model == model->name && item->state != CH_ITEM_ABSENT) {
             sum += item->memory_mb;
         }
@@ -176,14 +177,15 @@
 
 /* Returns the model that costs least to evict and isn't in `chosen` yet; NULL:
  * none. */
-static struct ch_held *
+static struct ch_item_record *
 find_cheapest_victim(struct ch_home *home, const struct ch_fleet *fleet,
                      const GArray *chosen, bool spare_recent, int64_t now)
 {
-    struct ch_held *cheapest = NULL;
+    struct ch_item_record *cheapest = NULL;
     double min_cost = 0;
     for (guint i = 0; i < home->items->len; i++) {
-        struct ch_held *item = &g_array_index(home->items, struct ch_held, i);
+        struct ch_item_record *item =
+            &g_array_index(home->items, struct ch_item_record, i);
         bool already_chosen = false;
         for (guint j = 0; j < chosen->len; j++) {
             already_chosen = already_chosen ||
@@ -192,9 +194,9 @@
         if (already_chosen || !may_evict(home, item, spare_recent, now)) {
             continue;
         }
-        double cost = home->policy->placing->reluctant
+        double cost = home->policy->placement->cost_aware
                           ? eviction_cost(home, fleet, item, now)
-                          : (double)item->used;
+                          : (double)item->last_request_at;
         if (cheapest == NULL || cost < min_cost) {
             cheapest = item;
             min_cost = cost;
@@ -213,19 +215,19 @@
                bool load_last, int64_t now, double *cost)
 {
     GArray *chosen = g_array_new(FALSE, FALSE, sizeof(GQuark));
-    uint32_t available = home->facts.capacity_mb + memory_being_freed(home);
+    uint32_t available = home->config.capacity_mb + memory_being_freed(home);
     uint32_t used =
         memory_in_use(home) + memory_for_others(home, model, load_last);
     available = available > used ? available - used : 0;
     *cost = 0;
     while (available < memory_mb) {
-        struct ch_held *cheapest =
+        struct ch_item_record *cheapest =
             find_cheapest_victim(home, fleet, chosen, spare_recent, now);
         if (cheapest == NULL) {
             g_array_unref(chosen);
             return NULL;
         }
-        if (home->policy->placing->reluctant) {
+        if (home->policy->placement->cost_aware) {
             *cost += eviction_cost(home, fleet, cheapest, now);
         }
         available += memory_with_adapters(home, cheapest);
@@ -237,17 +239,18 @@
 /* Whether another upstream serves the request fast enough or is loading its
  * model. */
 bool
-ch_place_is_served(const struct ch_home *home, const struct ch_work *request,
+ch_place_is_served(const struct ch_home *home,
+                   const struct ch_request_info *request,
                    const struct ch_fleet *fleet)
 {
     for (size_t i = 0; fleet != NULL && i < fleet->count; i++) {
         const struct ch_upstream_view *view = &fleet->upstreams[i];
-        if (view->name == home->facts.name) {
+        if (view->name == home->config.name) {
             continue;
         }
-        if (ch_view_serves(view, request) ||
-            (!view->down && !view->leaving &&
-             ch_upstream_view_loads(view, request->model))) {
+        if (ch_upstream_view_serves(view, request) ||
+            (!view->down && !view->draining &&
+             ch_upstream_view_is_loading(view, request->model))) {
             return true;
         }
     }
@@ -257,10 +260,13 @@
 /* Returns the requests per second of this kind that one replica here could
  * serve. */
 static double
-max_served_rate(const struct ch_home *home, const struct ch_work *request)
+max_served_rate(const struct ch_home *home,
+                const struct ch_request_info *request)
 {
-    uint32_t limit = ch_home_limit(home);
-    int64_t hold = MAX(ch_rates_hold(&home->rates, request, limit), 1);
+    uint32_t limit = ch_home_get_limit(home);
+    int64_t hold = MAX(
+        ch_service_times_predict_slot(&home->service_times, request, limit),
+        1);
     return (double)limit * G_USEC_PER_SEC / (double)hold;
 }
 
@@ -280,27 +286,27 @@
  * evicted can therefore always be loaded again.
  */
 bool
-ch_place_may_load(struct ch_home *home, const struct ch_work *request,
+ch_place_may_load(struct ch_home *home, const struct ch_request_info *request,
                   const struct ch_fleet *fleet, int64_t now)
 {
     uint32_t memory_mb = request->model_mb + request->adapter_mb;
-    if (home->policy->placing->fixed || now < home->blocked_until ||
-        memory_mb > home->facts.capacity_mb) {
+    if (home->policy->placement->fixed || now < home->orders_blocked_until ||
+        memory_mb > home->config.capacity_mb) {
         return false;
     }
-    struct ch_held *model = ch_home_item(home, request->model);
-    if (model->wanted || !home->policy->placing->reluctant) {
+    struct ch_item_record *model = ch_home_find_item(home, request->model);
+    if (model->wanted || !home->policy->placement->cost_aware) {
         return true;
     }
     bool unserved = !ch_place_is_served(home, request, fleet);
     if (!unserved && home->loads_left == 0) {
         return false;
     }
-    if (unserved && model->unserved == 0) {
-        model->unserved = now;
+    if (unserved && model->unavailable_since == 0) {
+        model->unavailable_since = now;
     }
     bool unserved_too_long =
-        unserved && now - model->unserved > UNSERVED_LOAD_DELAY_US;
+        unserved && now - model->unavailable_since > UNSERVED_LOAD_DELAY_US;
     double cost = 0;
     GArray *chosen = choose_victims(home, fleet, request->model,
                                     memory_needed(home, memory_mb),
@@ -312,9 +318,9 @@
     if (unserved_too_long || (unserved && cost < IDLE_REQUESTS_PER_S)) {
         return true;
     }
-    double gain = ch_demand_least(&model->demand, now);
+    double gain = ch_demand_get_lower(&model->demand, now);
     gain = MIN(gain, max_served_rate(home, request));
-    double load_s = (double)ch_place_load_time(model) / G_USEC_PER_SEC;
+    double load_s = (double)ch_place_predict_load_time(model) / G_USEC_PER_SEC;
     return (gain - cost) * DEMAND_HORIZON_S >
            cost * load_s + LOAD_COST_REQUESTS;
 }
@@ -322,15 +328,15 @@
 /* Appends a load or unload order and sets the item's state as if the order had
  * begun, so that it isn't issued again before the ledger answers. */
 static void
-append_order(struct ch_held *item, enum ch_action_kind kind, int64_t now,
-             struct ch_actions *out)
+append_order(struct ch_item_record *item, enum ch_action_kind kind,
+             int64_t now, struct ch_actions *out)
 {
     item->state = kind == CH_ACTION_LOAD ? CH_ITEM_LOADING : CH_ITEM_UNLOADING;
-    item->leaving = false;
-    item->changed = now;
+    item->evicting = false;
+    item->state_changed_at = now;
     if (kind == CH_ACTION_LOAD) {
         item->wanted = false;
-        item->unserved = 0;
+        item->unavailable_since = 0;
     }
     struct ch_action action = {
         .kind = kind, .item = item->name, .memory_mb = item->memory_mb};
@@ -343,14 +349,15 @@
 unload_evicted(struct ch_home *home, int64_t now, struct ch_actions *out)
 {
     for (guint i = 0; i < home->items->len; i++) {
-        struct ch_held *model = &g_array_index(home->items, struct ch_held, i);
-        if (!model->leaving || model->state != CH_ITEM_RESIDENT ||
-            model->running > 0 || now < model->not_before) {
+        struct ch_item_record *model =
+            &g_array_index(home->items, struct ch_item_record, i);
+        if (!model->evicting || model->state != CH_ITEM_RESIDENT ||
+            model->running > 0 || now < model->next_order_at) {
             continue;
         }
         for (guint j = 0; j < home->items->len; j++) {
-            struct ch_held *item =
-                &g_array_index(home->items, struct ch_held, j);
+            struct ch_item_record *item =
+                &g_array_index(home->items, struct ch_item_record, j);
             if (item->model == model->name &&
                 item->state == CH_ITEM_RESIDENT) {
                 append_order(item, CH_ACTION_UNLOAD, now, out);
@@ -366,11 +373,11 @@
 refuse_for_evicted(struct ch_home *home, struct ch_actions *out)
 {
     for (guint index = home->queue.entries->len; index-- > 0;) {
-        const struct ch_held *model =
-            ch_home_item(home, ch_queue_at(&home->queue, index)->work.model);
-        if (model != NULL && model->leaving) {
-            ch_home_refuse(home, index, CH_NO_UPSTREAM, 0,
-                           "the model is leaving this upstream", out);
+        const struct ch_item_record *model = ch_home_find_item(
+            home, ch_queue_get(&home->queue, index)->request.model);
+        if (model != NULL && model->evicting) {
+            ch_home_refuse_entry(home, index, CH_NO_UPSTREAM, 0,
+                                 "the model is leaving this upstream", out);
         }
     }
 }
@@ -379,7 +386,7 @@
  * them end first; none is interrupted. */
 static void
 evict_models_for(struct ch_home *home, const struct ch_fleet *fleet,
-                 const struct ch_held *item, int64_t now,
+                 const struct ch_item_record *item, int64_t now,
                  struct ch_actions *out)
 {
     double cost;
@@ -394,7 +401,8 @@
         return;
     }
     for (guint i = 0; i < chosen->len; i++) {
-        ch_home_item(home, g_array_index(chosen, GQuark, i))->leaving = true;
+        ch_home_find_item(home, g_array_index(chosen, GQuark, i))->evicting =
+            true;
     }
     g_array_unref(chosen);
     refuse_for_evicted(home, out);
@@ -406,9 +414,10 @@
 static void
 evict_adapter(struct ch_home *home, int64_t now, struct ch_actions *out)
 {
-    struct ch_held *oldest = NULL;
+    struct ch_item_record *oldest = NULL;
     for (guint i = 0; i < home->items->len; i++) {
-        struct ch_held *item = &g_array_index(home->items, struct ch_held, i);
+        struct ch_item_record *item =
+            &g_array_index(home->items, struct ch_item_record, i);
         if (item->state == CH_ITEM_UNLOADING && item->model != 0) {
             return;
         }
@@ -416,7 +425,8 @@
             item->running > 0 || item->queued > 0) {
             continue;
         }
-        if (oldest == NULL || item->used < oldest->used) {
+        if (oldest == NULL ||
+            item->last_request_at < oldest->last_request_at) {
             oldest = item;
         }
     }
@@ -429,14 +439,14 @@
  * for it. */
 static void
 load_or_evict(struct ch_home *home, const struct ch_fleet *fleet,
-              struct ch_held *item, int64_t now, struct ch_actions *out)
+              struct ch_item_record *item, int64_t now, struct ch_actions *out)
 {
-    if (now < item->not_before) {
+    if (now < item->next_order_at) {
         return;
     }
     uint32_t needed = item->model == 0 ? memory_needed(home, item->memory_mb)
                                        : item->memory_mb;
-    if (memory_in_use(home) + needed <= home->facts.capacity_mb) {
+    if (memory_in_use(home) + needed <= home->config.capacity_mb) {
         /* After a shift in demand, many models are wanted at once.  Beyond its
          * rate, the weight store slows down all loads, and every model would
          * arrive later than the first one would have.  Adapters load in
@@ -465,16 +475,17 @@
  * loaded together with the model, if there is memory, before any request waits
  * for it. */
 static bool
-is_load_due(struct ch_home *home, struct ch_held *item, int64_t now)
+is_load_due(struct ch_home *home, struct ch_item_record *item, int64_t now)
 {
     if (item->state != CH_ITEM_ABSENT) {
         return false;
     }
     if (item->model != 0) {
-        return (item->queued > 0 || now - item->used < ADAPTER_RECENT_US) &&
-               ch_home_has(home, item->model);
+        return (item->queued > 0 ||
+                now - item->last_request_at < ADAPTER_RECENT_US) &&
+               ch_home_has_item(home, item->model);
     }
-    if (item->wanted && now - item->used > WANTED_EXPIRY_US &&
+    if (item->wanted && now - item->last_request_at > WANTED_EXPIRY_US &&
         item->queued == 0) {
         item->wanted = false;
     }
@@ -487,7 +498,7 @@
 cancel_evictions(struct ch_home *home)
 {
     for (guint i = 0; i < home->items->len; i++) {
-        g_array_index(home->items, struct ch_held, i).leaving = false;
+        g_array_index(home->items, struct ch_item_record, i).evicting = false;
     }
 }
 
@@ -496,12 +507,14 @@
 reset_unavailable(struct ch_home *home, const struct ch_fleet *fleet)
 {
     for (guint i = 0; i < home->items->len; i++) {
-        struct ch_held *item = &g_array_index(home->items, struct ch_held, i);
-        for (size_t j = 0; item->unserved != 0 && j < fleet->count; j++) {
+        struct ch_item_record *item =
+            &g_array_index(home->items, struct ch_item_record, i);
+        for (size_t j = 0; item->unavailable_since != 0 && j < fleet->count;
+             j++) {
             const struct ch_upstream_view *view = &fleet->upstreams[j];
-            if (!view->down && !view->leaving &&
-                ch_upstream_view_has(view, item->name)) {
-                item->unserved = 0;
+            if (!view->down && !view->draining &&
+                ch_upstream_view_has_item(view, item->name)) {
+                item->unavailable_since = 0;
             }
         }
     }
@@ -510,18 +523,19 @@
 /* Continues loads and evictions.  Without a fleet view no further models are
  * chosen for eviction; the next tick does that. */
 void
-ch_place_pump(struct ch_home *home, const struct ch_fleet *fleet, int64_t now,
-              struct ch_actions *out)
+ch_place_apply_pending(struct ch_home *home, const struct ch_fleet *fleet,
+                       int64_t now, struct ch_actions *out)
 {
     if (fleet != NULL) {
         reset_unavailable(home, fleet);
     }
-    if (now < home->blocked_until) {
+    if (now < home->orders_blocked_until) {
         return;
     }
     bool model_load_due = false;
     for (guint i = 0; i < home->items->len; i++) {
-        struct ch_held *item = &g_array_index(home->items, struct ch_held, i);
+        struct ch_item_record *item =
+            &g_array_index(home->items, struct ch_item_record, i);
         if (is_load_due(home, item, now)) {
             model_load_due = model_load_due || item->model == 0;
             load_or_evict(home, fleet, item, now, out);
--- a/libchestnuthitch/decide/policy.c
+++ b/libchestnuthitch/decide/policy.c
@@ -21,64 +21,66 @@
  * late.
  */
 static int64_t
-rank_by_deadline(const struct ch_home *home, const struct ch_work *request,
-                 int64_t now)
+rank_by_deadline(const struct ch_home *home,
+                 const struct ch_request_info *request, int64_t now)
 {
     (void)home;
     (void)now;
-    return request->first_by > 0 ? request->first_by
-                                 : request->arrived + DEFAULT_TARGET_US;
+    return request->first_token_deadline > 0
+               ? request->first_token_deadline
+               : request->arrived_at + DEFAULT_TARGET_US;
 }
 
 static int64_t
-rank_by_arrival(const struct ch_home *home, const struct ch_work *request,
-                int64_t now)
+rank_by_arrival(const struct ch_home *home,
+                const struct ch_request_info *request, int64_t now)
 {
     (void)home;
     (void)now;
-    return request->arrived;
+    return request->arrived_at;
 }
 
 /* Least slack first: the deadline minus the time that the request will hold
  * its slot, so that of two requests with the same deadline the longer one goes
  * first. */
 static int64_t
-rank_by_slack(const struct ch_home *home, const struct ch_work *request,
-              int64_t now)
+rank_by_slack(const struct ch_home *home,
+              const struct ch_request_info *request, int64_t now)
 {
-    uint32_t running = home->granted->len + 1;
+    uint32_t running = home->running->len + 1;
     return rank_by_deadline(home, request, now) -
-           ch_rates_hold(&home->rates, request, running);
+           ch_service_times_predict_slot(&home->service_times, request,
+                                         running);
 }
 
-static const struct ch_routing ROUTE_DEFAULT = {ch_route_default, true, true,
-                                                true};
-static const struct ch_routing ROUTE_NO_AFFINITY = {ch_route_default, false,
-                                                    true, true};
-static const struct ch_routing ROUTE_NO_SPILL = {ch_route_default, true, false,
-                                                 true};
-static const struct ch_routing ROUTE_LEAST_LOADED = {ch_route_least_loaded,
-                                                     false, true, true};
-static const struct ch_routing ROUTE_STATIC = {ch_route_static, false, true,
-                                               false};
-static const struct ch_routing ROUTE_INDEPENDENT = {ch_route_independent, true,
-                                                    true, true};
-static const struct ch_ordering BY_DEADLINE = {rank_by_deadline};
-static const struct ch_ordering BY_ARRIVAL = {rank_by_arrival};
-static const struct ch_ordering BY_SLACK = {rank_by_slack};
-static const struct ch_admitting ADMIT_DEFAULT = {ch_admit_predicting, true,
-                                                  true, true, false};
-static const struct ch_admitting ADMIT_LATE_SHEDDING = {ch_admit_all, false,
-                                                        true, false, false};
-static const struct ch_admitting ADMIT_UNFAIR = {ch_admit_predicting, true,
-                                                 true, false, false};
-static const struct ch_admitting ADMIT_ALL = {ch_admit_all, false, false,
-                                              false, false};
-static const struct ch_admitting ADMIT_UNLIMITED = {ch_admit_all, false, true,
-                                                    false, true};
-static const struct ch_placing PLACE_DEFAULT = {false, true, true};
-static const struct ch_placing PLACE_EAGER = {false, false, false};
-static const struct ch_placing PLACE_FIXED = {true, false, false};
+static const struct ch_routing_rules ROUTE_DEFAULT = {ch_route_choose_default,
+                                                      true, true, true};
+static const struct ch_routing_rules ROUTE_NO_AFFINITY = {
+    ch_route_choose_default, false, true, true};
+static const struct ch_routing_rules ROUTE_NO_SPILL = {ch_route_choose_default,
+                                                       true, false, true};
+static const struct ch_routing_rules ROUTE_LEAST_LOADED = {
+    ch_route_choose_least_loaded, false, true, true};
+static const struct ch_routing_rules ROUTE_STATIC = {ch_route_choose_static,
+                                                     false, true, false};
+static const struct ch_routing_rules ROUTE_INDEPENDENT = {
+    ch_route_choose_independent, true, true, true};
+static const struct ch_ordering_rules BY_DEADLINE = {rank_by_deadline};
+static const struct ch_ordering_rules BY_ARRIVAL = {rank_by_arrival};
+static const struct ch_ordering_rules BY_SLACK = {rank_by_slack};
+static const struct ch_admission_rules ADMIT_DEFAULT = {
+    ch_admit_predicted, true, true, true, false};
+static const struct ch_admission_rules ADMIT_LATE_SHEDDING = {
+    ch_admit_all, false, true, false, false};
+static const struct ch_admission_rules ADMIT_UNFAIR = {
+    ch_admit_predicted, true, true, false, false};
+static const struct ch_admission_rules ADMIT_ALL = {ch_admit_all, false, false,
+                                                    false, false};
+static const struct ch_admission_rules ADMIT_UNLIMITED = {ch_admit_all, false,
+                                                          true, false, true};
+static const struct ch_placement_rules PLACE_DEFAULT = {false, true, true};
+static const struct ch_placement_rules PLACE_EAGER = {false, false, false};
+static const struct ch_placement_rules PLACE_FIXED = {true, false, false};
 
 /* The first policy is the node's.  The next two are baselines for comparison.
  * Each of the others differs from the first in a single choice, to measure the
@@ -107,7 +109,7 @@
 
 /* Returns the names of all policies, NULL-terminated, for error messages. */
 const char *const *
-ch_policy_names(void)
+ch_policy_list_names(void)
 {
     static const char *const NAMES[] = {
         "default",     "static",        "least-loaded", "fcfs",
--- a/libchestnuthitch/decide/queue.c
+++ b/libchestnuthitch/decide/queue.c
@@ -5,7 +5,7 @@
 void
 ch_queue_init(struct ch_queue *queue)
 {
-    queue->entries = g_array_new(FALSE, FALSE, sizeof(struct ch_entry));
+    queue->entries = g_array_new(FALSE, FALSE, sizeof(struct ch_queue_entry));
 }
 
 /* Frees the queue's memory; the entries own nothing. */
@@ -18,13 +18,13 @@
 
 /* Inserts the entry behind all entries of the same rank. */
 void
-ch_queue_add(struct ch_queue *queue, const struct ch_entry *entry)
+ch_queue_add(struct ch_queue *queue, const struct ch_queue_entry *entry)
 {
     guint low = 0;
     guint high = queue->entries->len;
     while (low < high) {
         guint middle = low + (high - low) / 2;
-        if (ch_queue_at(queue, middle)->rank <= entry->rank) {
+        if (ch_queue_get(queue, middle)->rank <= entry->rank) {
             low = middle + 1;
         }
         else {
@@ -39,7 +39,7 @@
 ch_queue_find(const struct ch_queue *queue, uint64_t request_id)
 {
     for (guint i = 0; i < queue->entries->len; i++) {
-        if (ch_queue_at(queue, i)->work.id == request_id) {
+        if (ch_queue_get(queue, i)->request.id == request_id) {
             return (int)i;
         }
     }
@@ -48,10 +48,10 @@
 
 /* Returns the entry at an index.  The pointer is valid until the queue
  * changes. */
-struct ch_entry *
-ch_queue_at(const struct ch_queue *queue, guint index)
+struct ch_queue_entry *
+ch_queue_get(const struct ch_queue *queue, guint index)
 {
-    return &g_array_index(queue->entries, struct ch_entry, index);
+    return &g_array_index(queue->entries, struct ch_queue_entry, index);
 }
 
 /* Removes the entry at an index. */
--- a/libchestnuthitch/decide/rank.c
+++ b/libchestnuthitch/decide/rank.c
@@ -17,8 +17,8 @@
  * among hosts of similar capacity the rendezvous weight decides.
  */
 size_t
-ch_rank_of(const struct ch_rank_node *nodes, size_t count, size_t self,
-           uint64_t key)
+ch_rank_for_role(const struct ch_rank_node *nodes, size_t count, size_t self,
+                 uint64_t key)
 {
     uint32_t max_capacity = 0;
     size_t rank = 0;
--- a/libchestnuthitch/decide/rank.h
+++ b/libchestnuthitch/decide/rank.h
@@ -15,7 +15,7 @@
 };
 
 /* The rank of nodes[self] for the role with the given key; 0 is the first. */
-size_t ch_rank_of(const struct ch_rank_node *nodes, size_t count, size_t self,
-                  uint64_t key);
+size_t ch_rank_for_role(const struct ch_rank_node *nodes, size_t count,
+                        size_t self, uint64_t key);
 
 #endif
--- a/libchestnuthitch/decide/rates.c
+++ b/libchestnuthitch/decide/rates.c
@@ -25,12 +25,14 @@
 static const double SAMPLE_DECAY = 0.98;
 
 void
-ch_rates_init(struct ch_rates *rates, bool engine)
+ch_service_times_init(struct ch_service_times *rates, bool engine)
 {
-    *rates = (struct ch_rates){
-        .first = engine ? ENGINE_FIRST_BYTE_US : SERVICE_FIRST_BYTE_US,
-        .hold = engine ? 100.0 * ENGINE_US_PER_TOKEN : SERVICE_FIRST_BYTE_US,
-        .engine = engine,
+    *rates = (struct ch_service_times){
+        .first_byte_time =
+            engine ? ENGINE_FIRST_BYTE_US : SERVICE_FIRST_BYTE_US,
+        .slot_time =
+            engine ? 100.0 * ENGINE_US_PER_TOKEN : SERVICE_FIRST_BYTE_US,
+        .is_engine = engine,
     };
 }
 
@@ -38,21 +40,23 @@
  * mean number of concurrent requests while it ran; slot_time: microseconds
  * from grant to release. */
 void
-ch_rates_add(struct ch_rates *rates, const struct ch_sample *sample,
-             double running, int64_t slot_time, int64_t now)
+ch_service_times_add_sample(struct ch_service_times *rates,
+                            const struct ch_timing_sample *sample,
+                            double running, int64_t slot_time, int64_t now)
 {
     if (sample->code != CH_OK) {
         return;
     }
-    rates->sampled = now;
-    rates->hold += 0.05 * ((double)slot_time - rates->hold);
-    if (sample->first > 0) {
-        rates->first += 0.1 * ((double)sample->first - rates->first);
+    rates->last_sample_at = now;
+    rates->slot_time += 0.05 * ((double)slot_time - rates->slot_time);
+    if (sample->first_byte_time > 0) {
+        rates->first_byte_time +=
+            0.1 * ((double)sample->first_byte_time - rates->first_byte_time);
     }
-    if (sample->token <= 0) {
+    if (sample->token_time <= 0) {
         return;
     }
-    double us_per_token = (double)sample->token;
+    double us_per_token = (double)sample->token_time;
     rates->weight = rates->weight * SAMPLE_DECAY + 1;
     rates->sum_n = rates->sum_n * SAMPLE_DECAY + running;
     rates->sum_t = rates->sum_t * SAMPLE_DECAY + us_per_token;
@@ -64,7 +68,8 @@
  * linear regression over the samples.  The prediction never falls as the
  * number grows. */
 double
-ch_rates_token(const struct ch_rates *rates, double running)
+ch_service_times_predict_token(const struct ch_service_times *rates,
+                               double running)
 {
     if (rates->weight <= 0) {
         return ENGINE_US_PER_TOKEN;
@@ -84,15 +89,17 @@
 /* Predicts the microseconds that the request will hold its slot, with
  * `running` concurrent requests including this one. */
 int64_t
-ch_rates_hold(const struct ch_rates *rates, const struct ch_work *request,
-              uint32_t running)
+ch_service_times_predict_slot(const struct ch_service_times *rates,
+                              const struct ch_request_info *request,
+                              uint32_t running)
 {
-    if (!rates->engine) {
-        return (int64_t)rates->hold;
+    if (!rates->is_engine) {
+        return (int64_t)rates->slot_time;
     }
-    double us_per_token = ch_rates_token(rates, (double)running);
-    return (int64_t)(rates->first +
-                     us_per_token * (double)request->output_tokens);
+    double us_per_token =
+        ch_service_times_predict_token(rates, (double)running);
+    return (int64_t)(rates->first_byte_time +
+                     us_per_token * (double)request->max_output_tokens);
 }
 
 /*
@@ -105,8 +112,8 @@
  * so that an upstream that has become slow is still measured.
  */
 uint32_t
-ch_rates_batch(const struct ch_rates *rates, int64_t token_target,
-               uint32_t max)
+ch_service_times_limit_batch(const struct ch_service_times *rates,
+                             int64_t token_target, uint32_t max)
 {
     if (token_target <= 0 || rates->weight < 5) {
         return max;
@@ -115,7 +122,8 @@
     uint32_t high = max;
     while (low < high) {
         uint32_t middle = low + (high - low + 1) / 2;
-        if (ch_rates_token(rates, middle) <= (double)token_target) {
+        if (ch_service_times_predict_token(rates, middle) <=
+            (double)token_target) {
             low = middle;
         }
         else {
@@ -136,37 +144,39 @@
 
 /* Counts one request. */
 void
-ch_demand_add(struct ch_demand *demand, int64_t now)
+ch_demand_add_request(struct ch_demand *demand, int64_t now)
 {
-    demand->fast =
-        decay_level(demand->fast, demand->at, now, FAST_DEMAND_DECAY_US) +
-        (double)G_USEC_PER_SEC / FAST_DEMAND_DECAY_US;
-    demand->slow =
-        decay_level(demand->slow, demand->at, now, SLOW_DEMAND_DECAY_US) +
-        (double)G_USEC_PER_SEC / SLOW_DEMAND_DECAY_US;
-    demand->at = MAX(demand->at, now);
+    demand->fast_rate = decay_level(demand->fast_rate, demand->updated_at, now,
+                                    FAST_DEMAND_DECAY_US) +
+                        (double)G_USEC_PER_SEC / FAST_DEMAND_DECAY_US;
+    demand->slow_rate = decay_level(demand->slow_rate, demand->updated_at, now,
+                                    SLOW_DEMAND_DECAY_US) +
+                        (double)G_USEC_PER_SEC / SLOW_DEMAND_DECAY_US;
+    demand->updated_at = MAX(demand->updated_at, now);
 }
 
 /* Returns the highest plausible demand in requests per second: the larger of
  * the two averages. */
 double
-ch_demand_most(const struct ch_demand *demand, int64_t now)
+ch_demand_get_upper(const struct ch_demand *demand, int64_t now)
 {
-    return MAX(
-        decay_level(demand->fast, demand->at, now, FAST_DEMAND_DECAY_US),
-        decay_level(demand->slow, demand->at, now, SLOW_DEMAND_DECAY_US));
+    return MAX(decay_level(demand->fast_rate, demand->updated_at, now,
+                           FAST_DEMAND_DECAY_US),
+               decay_level(demand->slow_rate, demand->updated_at, now,
+                           SLOW_DEMAND_DECAY_US));
 }
 
 /* Returns the demand in requests per second that is nearly certain: the larger
  * of the one-minute average and the fast average minus its standard error, as
  * few arrivals go into it. */
 double
-ch_demand_least(const struct ch_demand *demand, int64_t now)
+ch_demand_get_lower(const struct ch_demand *demand, int64_t now)
 {
-    double fast =
-        decay_level(demand->fast, demand->at, now, FAST_DEMAND_DECAY_US);
+    double fast = decay_level(demand->fast_rate, demand->updated_at, now,
+                              FAST_DEMAND_DECAY_US);
     double standard_error =
         sqrt(fast * G_USEC_PER_SEC / (2.0 * FAST_DEMAND_DECAY_US));
-    return MAX(fast - standard_error, decay_level(demand->slow, demand->at,
-                                                  now, SLOW_DEMAND_DECAY_US));
+    return MAX(fast - standard_error,
+               decay_level(demand->slow_rate, demand->updated_at, now,
+                           SLOW_DEMAND_DECAY_US));
 }
--- a/libchestnuthitch/decide/retry.c
+++ b/libchestnuthitch/decide/retry.c
@@ -24,14 +24,14 @@
 ch_retry_budget_init(struct ch_retry_budget *budget, double share)
 {
     *budget = (struct ch_retry_budget){
-        .level = INITIAL_RETRIES, .share = share, .most = 20};
+        .level = INITIAL_RETRIES, .share = share, .max_level = 20};
 }
 
 /* Adds the share of a new request to the budget. */
 void
-ch_retry_budget_fresh(struct ch_retry_budget *budget)
+ch_retry_budget_add_request(struct ch_retry_budget *budget)
 {
-    budget->level = MIN(budget->most, budget->level + budget->share);
+    budget->level = MIN(budget->max_level, budget->level + budget->share);
 }
 
 /* Whether the failure may be due to the upstream, so that another upstream may
@@ -56,9 +56,9 @@
 
 /* Returns the maximum number of attempts after the first; see MAX_RETRIES. */
 static uint32_t
-max_retries(const struct ch_work *request)
+max_retries(const struct ch_request_info *request)
 {
-    return request->tries > 0 ? request->tries - 1 : MAX_RETRIES;
+    return request->max_attempts > 0 ? request->max_attempts - 1 : MAX_RETRIES;
 }
 
 /* Whether the request may not be sent to another upstream.  If many nodes fill
@@ -67,7 +67,7 @@
  * The number of attempts bounds how many upstreams may run a request, so a
  * refusal that certainly didn't run it isn't counted. */
 static bool
-is_last_attempt(const struct ch_work *request,
+is_last_attempt(const struct ch_request_info *request,
                 const struct ch_retry_failure *failure)
 {
     return ch_retry_is_refusal(request, failure)
@@ -77,23 +77,23 @@
 
 /* Whether the target time for the whole response has passed. */
 static bool
-is_past_target(const struct ch_work *request, int64_t now)
+is_past_target(const struct ch_request_info *request, int64_t now)
 {
-    return request->whole_by > 0 && now >= request->whole_by;
+    return request->answer_deadline > 0 && now >= request->answer_deadline;
 }
 
 /* See policy.h. */
 bool
-ch_retry_is_refusal(const struct ch_work *request,
+ch_retry_is_refusal(const struct ch_request_info *request,
                     const struct ch_retry_failure *failure)
 {
-    return request->tries > 0 && failure->code == CH_UPSTREAM_REFUSED &&
-           !failure->may_have_run && failure->events_given == 0;
+    return request->max_attempts > 0 && failure->code == CH_UPSTREAM_REFUSED &&
+           !failure->may_have_run && failure->events_delivered == 0;
 }
 
 /* See policy.h. */
 bool
-ch_retry_hold(struct ch_retry_budget *budget, bool *reserved)
+ch_retry_take(struct ch_retry_budget *budget, bool *reserved)
 {
     if (!*reserved && budget->level >= 1.0) {
         budget->level -= 1.0;
@@ -104,10 +104,10 @@
 
 /* See policy.h. */
 void
-ch_retry_give_back(struct ch_retry_budget *budget, bool *reserved)
+ch_retry_put_back(struct ch_retry_budget *budget, bool *reserved)
 {
     if (*reserved) {
-        budget->level = MIN(budget->most, budget->level + 1.0);
+        budget->level = MIN(budget->max_level, budget->level + 1.0);
     }
     *reserved = false;
 }
@@ -118,11 +118,11 @@
  * budget, and the other callers would lose responses that would still have
  * come. */
 bool
-ch_retry_reserve(struct ch_retry_budget *budget, bool *reserved,
-                 const struct ch_work *request, int64_t now)
+ch_retry_may_abandon(struct ch_retry_budget *budget, bool *reserved,
+                     const struct ch_request_info *request, int64_t now)
 {
     return request->idempotent && request->attempt < max_retries(request) &&
-           !is_past_target(request, now) && ch_retry_hold(budget, reserved);
+           !is_past_target(request, now) && ch_retry_take(budget, reserved);
 }
 
 /* See policy.h.  When a stream has to be resumed elsewhere, other upstreams
@@ -132,13 +132,13 @@
  * certainly didn't run are tried again, so that the limit on upstreams that
  * run a request holds.  The caller's deadline ends the retries. */
 bool
-ch_retry_waits(const struct ch_work *request, enum ch_code code,
-               bool may_have_run, uint32_t events_given)
+ch_retry_is_delayed(const struct ch_request_info *request, enum ch_code code,
+                    bool may_have_run, uint32_t events_given)
 {
     bool no_upstream_free = code == CH_UPSTREAM_REFUSED || code == CH_LATE ||
                             code == CH_NO_UPSTREAM;
-    return request->tries > 0 && request->idempotent && events_given > 0 &&
-           !may_have_run && no_upstream_free;
+    return request->max_attempts > 0 && request->idempotent &&
+           events_given > 0 && !may_have_run && no_upstream_free;
 }
 
 /*
@@ -154,11 +154,12 @@
  */
 enum ch_retry
 ch_retry_decide(struct ch_retry_budget *budget, bool *reserved,
-                const struct ch_work *request,
+                const struct ch_request_info *request,
                 const struct ch_retry_failure *failure, int64_t now)
 {
-    bool sent = request->tries == 0 || failure->code != CH_UPSTREAM_CONNECT;
-    bool response_begun = failure->events_given > 0;
+    bool sent =
+        request->max_attempts == 0 || failure->code != CH_UPSTREAM_CONNECT;
+    bool response_begun = failure->events_delivered > 0;
     if (!is_upstream_failure(failure->code) || is_past_target(request, now) ||
         (sent && is_last_attempt(request, failure))) {
         return CH_RETRY_NO;
@@ -166,12 +167,12 @@
     if (failure->may_have_run && !request->idempotent) {
         return CH_RETRY_NO;
     }
-    if (response_begun && !failure->stream) {
+    if (response_begun && !failure->is_resumable) {
         return CH_RETRY_NO;
     }
     /* A request that was never sent puts no load on any upstream. */
-    if (sent && !ch_retry_hold(budget, reserved)) {
+    if (sent && !ch_retry_take(budget, reserved)) {
         return CH_RETRY_NO;
     }
-    return response_begun ? CH_RETRY_RESUME : CH_RETRY_AGAIN;
+    return response_begun ? CH_RETRY_RESUME : CH_RETRY_RESTART;
 }
--- a/libchestnuthitch/decide/revision.c
+++ b/libchestnuthitch/decide/revision.c
@@ -14,7 +14,7 @@
  * old ones.  A node that applied a lower revision would undo a change that an
  * operator was told is in force. */
 bool
-ch_revision_newer(uint64_t known, uint64_t offered)
+ch_revision_is_newer(uint64_t known, uint64_t offered)
 {
     return offered > known;
 }
@@ -26,7 +26,7 @@
 {
     *write = (struct ch_revision_write){
         .base = base,
-        .token = g_strdup(write_id),
+        .write_id = g_strdup(write_id),
     };
 }
 
@@ -34,17 +34,17 @@
 void
 ch_revision_write_clear(struct ch_revision_write *write)
 {
-    g_free(write->token);
-    g_free(write->base_token);
+    g_free(write->write_id);
+    g_free(write->base_write_id);
 }
 
 /* Returns NULL when the record's history doesn't list the write. */
-static const struct ch_revision_past *
+static const struct ch_revision_history_entry *
 find_in_history(const struct ch_revision_record *record, const char *write_id)
 {
-    for (size_t i = 0; i < record->past_count; i++) {
-        if (strcmp(record->past[i].token, write_id) == 0) {
-            return &record->past[i];
+    for (size_t i = 0; i < record->history_count; i++) {
+        if (strcmp(record->history[i].write_id, write_id) == 0) {
+            return &record->history[i];
         }
     }
     return NULL;
@@ -55,11 +55,11 @@
 lists_all_since_base(const struct ch_revision_write *write,
                      const struct ch_revision_record *record)
 {
-    if (record->past_count < CH_REVISION_HISTORY) {
+    if (record->history_count < CH_REVISION_HISTORY_LENGTH) {
         return true;
     }
-    return write->base_token != NULL &&
-           find_in_history(record, write->base_token) != NULL;
+    return write->base_write_id != NULL &&
+           find_in_history(record, write->base_write_id) != NULL;
 }
 
 /*
@@ -76,12 +76,12 @@
     if (record == NULL) {
         return write->base == 0 ? CH_REVISION_WRITE : CH_REVISION_CONFLICT;
     }
-    if (strcmp(record->token, write->token) == 0) {
+    if (strcmp(record->write_id, write->write_id) == 0) {
         write->revision = revision;
         return CH_REVISION_ACCEPTED;
     }
-    const struct ch_revision_past *entry =
-        find_in_history(record, write->token);
+    const struct ch_revision_history_entry *entry =
+        find_in_history(record, write->write_id);
     if (entry != NULL) {
         write->revision = entry->revision;
         return CH_REVISION_ACCEPTED;
@@ -90,47 +90,49 @@
         return CH_REVISION_WRITE;
     }
     return lists_all_since_base(write, record) ? CH_REVISION_CONFLICT
-                                               : CH_REVISION_UNSURE;
+                                               : CH_REVISION_OUTCOME_UNKNOWN;
 }
 
 /* The step after a call without an answer. */
 static enum ch_revision_step
 retry_or_stop(struct ch_revision_write *write)
 {
-    write->tries++;
-    if (write->tries < MAX_UNANSWERED_CALLS) {
+    write->unanswered_calls++;
+    if (write->unanswered_calls < MAX_UNANSWERED_CALLS) {
         return CH_REVISION_READ;
     }
-    return write->writes > 0 ? CH_REVISION_UNSURE : CH_REVISION_FAILED;
+    return write->writes_sent > 0 ? CH_REVISION_OUTCOME_UNKNOWN
+                                  : CH_REVISION_FAILED;
 }
 
 /* Counts the write when the step is one.  Returns the step. */
 static enum ch_revision_step
 count_write(struct ch_revision_write *write, enum ch_revision_step step)
 {
-    write->writes += step == CH_REVISION_WRITE;
+    write->writes_sent += step == CH_REVISION_WRITE;
     return step;
 }
 
 /* Before the first write, the record must still be at base.  After a write,
  * the read tells whether it took effect. */
 enum ch_revision_step
-ch_revision_write_read(struct ch_revision_write *write, enum ch_code code,
-                       const struct ch_revision_record *record,
-                       uint64_t revision)
+ch_revision_write_handle_read(struct ch_revision_write *write,
+                              enum ch_code code,
+                              const struct ch_revision_record *record,
+                              uint64_t revision)
 {
     if (code != CH_OK && code != CH_KV_MISSING) {
         return retry_or_stop(write);
     }
-    if (write->writes > 0) {
+    if (write->writes_sent > 0) {
         return count_write(write, resolve_outcome(write, record, revision));
     }
     if ((record == NULL ? 0 : revision) != write->base) {
         return CH_REVISION_CONFLICT;
     }
     if (record != NULL) {
-        g_free(write->base_token);
-        write->base_token = g_strdup(record->token);
+        g_free(write->base_write_id);
+        write->base_write_id = g_strdup(record->write_id);
     }
     return count_write(write, CH_REVISION_WRITE);
 }
@@ -139,8 +141,8 @@
  * unknown outcome, because that earlier write may be what caused the conflict.
  * An unreachable store did not receive the write. */
 enum ch_revision_step
-ch_revision_write_written(struct ch_revision_write *write, enum ch_code code,
-                          uint64_t revision)
+ch_revision_write_handle_write(struct ch_revision_write *write,
+                               enum ch_code code, uint64_t revision)
 {
     switch (code) {
     case CH_OK:
@@ -148,10 +150,11 @@
         return CH_REVISION_ACCEPTED;
     case CH_KV_CONFLICT:
     case CH_KV_MISSING:
-        return write->writes == 1 ? CH_REVISION_CONFLICT : CH_REVISION_READ;
+        return write->writes_sent == 1 ? CH_REVISION_CONFLICT
+                                       : CH_REVISION_READ;
     case CH_KV_UNREACHABLE:
-        if (write->writes == 1) {
-            write->writes = 0;
+        if (write->writes_sent == 1) {
+            write->writes_sent = 0;
         }
         return retry_or_stop(write);
     default:
--- a/libchestnuthitch/decide/revision.h
+++ b/libchestnuthitch/decide/revision.h
@@ -12,21 +12,22 @@
 enum {
     /* Earlier accepted writes that a record lists.  Operators make fewer
        writes than this while one of them waits for a lost answer. */
-    CH_REVISION_HISTORY = 16,
+    CH_REVISION_HISTORY_LENGTH = 16,
 };
 
-struct ch_revision_past {
-    char *token;
+struct ch_revision_history_entry {
+    char *write_id;
     uint64_t revision;
 };
 
 /* The value at config/current.  Its revision is the key-value store's. */
 struct ch_revision_record {
-    char *token; /* unique ID of the write, chosen by its writer */
+    char *write_id; /* unique ID of the write, chosen by its writer */
     char *author;
     char *text;
-    struct ch_revision_past past[CH_REVISION_HISTORY]; /* newest first */
-    size_t past_count;
+    struct ch_revision_history_entry
+        history[CH_REVISION_HISTORY_LENGTH]; /* newest first */
+    size_t history_count;
 };
 
 /* A record that replaces previous (NULL: none), which is in force at
@@ -44,7 +45,7 @@
 
 /* True when a node that has the revision known (0: none) applies the revision
    offered. */
-bool ch_revision_newer(uint64_t known, uint64_t offered);
+bool ch_revision_is_newer(uint64_t known, uint64_t offered);
 
 /* ---- one write, from its base revision to its outcome ---- */
 
@@ -55,17 +56,18 @@
     CH_REVISION_ACCEPTED, /* written at write->revision */
     CH_REVISION_CONFLICT, /* not written: base is no longer in force */
     CH_REVISION_FAILED,   /* certainly not written */
-    CH_REVISION_UNSURE,   /* may have been written, or may be written later */
+    CH_REVISION_OUTCOME_UNKNOWN, /* may have been written, or may be written
+                                    later */
 };
 
 struct ch_revision_write {
     uint64_t base; /* revision that the write replaces; 0: none */
-    char *token;
-    char *base_token; /* NULL until base was read, and for base 0 */
+    char *write_id;
+    char *base_write_id; /* NULL until base was read, and for base 0 */
     uint64_t revision;
-    unsigned writes; /* writes sent that may have taken effect */
-    unsigned tries;  /* calls without an answer */
-    bool wrote;      /* the latest step was a write */
+    unsigned writes_sent;      /* writes sent that may have taken effect */
+    unsigned unanswered_calls; /* calls without an answer */
+    bool wrote;                /* the latest step was a write */
 };
 
 /* Free the contents with ch_revision_write_clear. */
@@ -75,13 +77,12 @@
 /* The step that follows from the answer to a CH_REVISION_READ.  The record is
    NULL unless the code is CH_OK; CH_KV_MISSING says that there is none, and
    every other code that there was no answer. */
-enum ch_revision_step
-ch_revision_write_read(struct ch_revision_write *write, enum ch_code code,
-                       const struct ch_revision_record *record,
-                       uint64_t revision);
+enum ch_revision_step ch_revision_write_handle_read(
+    struct ch_revision_write *write, enum ch_code code,
+    const struct ch_revision_record *record, uint64_t revision);
 /* The step that follows from the answer to a CH_REVISION_WRITE. */
 enum ch_revision_step
-ch_revision_write_written(struct ch_revision_write *write, enum ch_code code,
-                          uint64_t revision);
+ch_revision_write_handle_write(struct ch_revision_write *write,
+                               enum ch_code code, uint64_t revision);
 
 #endif
--- a/libchestnuthitch/decide/revision_record.c
+++ b/libchestnuthitch/decide/revision_record.c
@@ -11,19 +11,20 @@
                        uint64_t previous_revision)
 {
     struct ch_revision_record *record = g_new0(struct ch_revision_record, 1);
-    record->token = g_strdup(write_id);
+    record->write_id = g_strdup(write_id);
     record->author = g_strdup(author);
     record->text = g_strdup(text);
     if (previous == NULL) {
         return record;
     }
-    record->past[0].token = g_strdup(previous->token);
-    record->past[0].revision = previous_revision;
-    record->past_count =
-        MIN(previous->past_count + 1, (size_t)CH_REVISION_HISTORY);
-    for (size_t i = 1; i < record->past_count; i++) {
-        record->past[i].token = g_strdup(previous->past[i - 1].token);
-        record->past[i].revision = previous->past[i - 1].revision;
+    record->history[0].write_id = g_strdup(previous->write_id);
+    record->history[0].revision = previous_revision;
+    record->history_count =
+        MIN(previous->history_count + 1, (size_t)CH_REVISION_HISTORY_LENGTH);
+    for (size_t i = 1; i < record->history_count; i++) {
+        record->history[i].write_id =
+            g_strdup(previous->history[i - 1].write_id);
+        record->history[i].revision = previous->history[i - 1].revision;
     }
     return record;
 }
@@ -35,10 +36,10 @@
     if (record == NULL) {
         return;
     }
-    for (size_t i = 0; i < record->past_count; i++) {
-        g_free(record->past[i].token);
+    for (size_t i = 0; i < record->history_count; i++) {
+        g_free(record->history[i].write_id);
     }
-    g_free(record->token);
+    g_free(record->write_id);
     g_free(record->author);
     g_free(record->text);
     g_free(record);
@@ -57,16 +58,17 @@
 {
     JsonBuilder *builder = json_builder_new();
     json_builder_begin_object(builder);
-    add_string(builder, "token", record->token);
+    add_string(builder, "token", record->write_id);
     add_string(builder, "author", record->author);
     add_string(builder, "text", record->text);
     json_builder_set_member_name(builder, "past");
     json_builder_begin_array(builder);
-    for (size_t i = 0; i < record->past_count; i++) {
+    for (size_t i = 0; i < record->history_count; i++) {
         json_builder_begin_object(builder);
-        add_string(builder, "token", record->past[i].token);
+        add_string(builder, "token", record->history[i].write_id);
         json_builder_set_member_name(builder, "revision");
-        json_builder_add_int_value(builder, (int64_t)record->past[i].revision);
+        json_builder_add_int_value(builder,
+                                   (int64_t)record->history[i].revision);
         json_builder_end_object(builder);
     }
     json_builder_end_array(builder);
@@ -92,7 +94,8 @@
 read_history_entry(JsonNode *node, struct ch_revision_record *record,
                    struct ch_error *error)
 {
-    struct ch_revision_past *entry = &record->past[record->past_count];
+    struct ch_revision_history_entry *entry =
+        &record->history[record->history_count];
     if (!JSON_NODE_HOLDS_OBJECT(node)) {
         ch_error_set(error, CH_BAD_JSON,
                      "configuration: an entry of 'past' is not an object");
@@ -101,10 +104,10 @@
     JsonObject *object = json_node_get_object(node);
     int64_t revision =
         json_object_get_int_member_with_default(object, "revision", 0);
-    entry->token = read_string(object, "token", error);
+    entry->write_id = read_string(object, "token", error);
     entry->revision = (uint64_t)MAX(revision, 0);
-    record->past_count++;
-    return entry->token != NULL;
+    record->history_count++;
+    return entry->write_id != NULL;
 }
 
 /* Fills an empty record.  Returns false with an error, and the record may then
@@ -113,10 +116,10 @@
 read_record(JsonObject *object, struct ch_revision_record *record,
             struct ch_error *error)
 {
-    record->token = read_string(object, "token", error);
+    record->write_id = read_string(object, "token", error);
     record->author = read_string(object, "author", error);
     record->text = read_string(object, "text", error);
-    if (record->token == NULL || record->author == NULL ||
+    if (record->write_id == NULL || record->author == NULL ||
         record->text == NULL) {
         return false;
     }
@@ -130,7 +133,8 @@
         return false;
     }
     JsonArray *array = json_node_get_array(node);
-    guint count = MIN(json_array_get_length(array), CH_REVISION_HISTORY);
+    guint count =
+        MIN(json_array_get_length(array), CH_REVISION_HISTORY_LENGTH);
     for (guint i = 0; i < count; i++) {
         if (!read_history_entry(json_array_get_element(array, i), record,
                                 error)) {
--- a/libchestnuthitch/decide/route.c
+++ b/libchestnuthitch/decide/route.c
@@ -27,19 +27,21 @@
 /* Whether the upstream can serve the request as it is: it is the service, or
  * has the model and is at most a quarter slower per token than the target. */
 bool
-ch_view_serves(const struct ch_upstream_view *view,
-               const struct ch_work *request)
+ch_upstream_view_serves(const struct ch_upstream_view *view,
+                        const struct ch_request_info *request)
 {
-    if (view->down || view->leaving) {
+    if (view->down || view->draining) {
         return false;
     }
-    if (request->service) {
+    if (request->is_service) {
         return view->service == request->model;
     }
-    if (view->service != 0 || !ch_upstream_view_has(view, request->model)) {
+    if (view->service != 0 ||
+        !ch_upstream_view_has_item(view, request->model)) {
         return false;
     }
-    return request->between == 0 || view->token <= request->between * 5 / 4;
+    return request->token_target == 0 ||
+           view->token_time <= request->token_target * 5 / 4;
 }
 
 static bool
@@ -59,7 +61,7 @@
 count_requests(const struct ch_policy *policy,
                const struct ch_upstream_view *view)
 {
-    uint32_t sent = policy->routing->counts ? view->sent_since : 0;
+    uint32_t sent = policy->routing->count_sent ? view->sent_since_report : 0;
     return view->running + view->queued + sent;
 }
 
@@ -68,13 +70,13 @@
 estimate_wait(const struct ch_policy *policy,
               const struct ch_upstream_view *view)
 {
-    uint32_t batch = MAX(view->batch, 1);
+    uint32_t batch = MAX(view->max_batch, 1);
     uint32_t running = count_requests(policy, view);
     if (running < batch) {
         return 0;
     }
-    int64_t wait_per_request = view->wait / (view->queued + 1);
-    return view->wait + wait_per_request * view->sent_since;
+    int64_t wait_per_request = view->predicted_wait / (view->queued + 1);
+    return view->predicted_wait + wait_per_request * view->sent_since_report;
 }
 
 /* Rank of an upstream for a key by rendezvous hashing: every entry node
@@ -87,26 +89,26 @@
 
 /* Bytes that the request's prompt and response may take on the link. */
 static int64_t
-estimate_link_bytes(const struct ch_work *request)
+estimate_link_bytes(const struct ch_request_info *request)
 {
     return (int64_t)request->prompt_tokens * PROMPT_BYTES_PER_TOKEN +
-           (int64_t)request->output_tokens * EVENT_BYTES_PER_TOKEN;
+           (int64_t)request->max_output_tokens * EVENT_BYTES_PER_TOKEN;
 }
 
 /* Whether the request is expected to meet its target at the upstream. */
 static bool
 would_meet_target(const struct ch_policy *policy, const struct ch_fleet *fleet,
                   const struct ch_upstream_view *view,
-                  const struct ch_work *request, int64_t now)
+                  const struct ch_request_info *request, int64_t now)
 {
-    if (request->first_by == 0) {
+    if (request->first_token_deadline == 0) {
         return true;
     }
     int64_t delay =
         view->region == fleet->region ? 0 : 4 * fleet->region_delay;
-    int64_t first = request->service ? 0 : FIRST_TOKEN_US;
+    int64_t first = request->is_service ? 0 : FIRST_TOKEN_US;
     return now + delay + estimate_wait(policy, view) + first <=
-           request->first_by;
+           request->first_token_deadline;
 }
 
 /* Requests at the upstream as a share of its batch. */
@@ -114,7 +116,7 @@
 get_fullness(const struct ch_policy *policy,
              const struct ch_upstream_view *view)
 {
-    return (double)count_requests(policy, view) / MAX(view->batch, 1);
+    return (double)count_requests(policy, view) / MAX(view->max_batch, 1);
 }
 
 /* What replicas are compared by. */
@@ -158,7 +160,7 @@
  */
 static int
 choose_replica(const struct ch_policy *policy, const struct ch_fleet *fleet,
-               const struct ch_work *request, const GArray *excluded,
+               const struct ch_request_info *request, const GArray *excluded,
                bool local, int64_t now)
 {
     struct replica best = {0};
@@ -167,24 +169,24 @@
         const struct ch_upstream_view *view = &fleet->upstreams[i];
         if ((view->region == fleet->region) != local ||
             is_excluded(excluded, view->name) ||
-            !ch_view_serves(view, request) ||
+            !ch_upstream_view_serves(view, request) ||
             !would_meet_target(policy, fleet, view, request, now)) {
             continue;
         }
-        bool affinity = policy->routing->affinity && !request->service;
+        bool affinity = policy->routing->affinity && !request->is_service;
         struct replica replica = {
             .index = i,
             .adapter = affinity && request->adapter != 0 &&
-                       ch_upstream_view_has(view, request->adapter),
-            .prefix = affinity && request->prefix != 0
-                          ? rank_upstream(request->prefix, view)
+                       ch_upstream_view_has_item(view, request->adapter),
+            .prefix = affinity && request->prefix_hash != 0
+                          ? rank_upstream(request->prefix_hash, view)
                           : 0,
             .fullness = get_fullness(policy, view),
             .tie = rank_upstream(request->id, view),
         };
-        double slack =
-            affinity ? (double)AFFINITY_SLACK_REQUESTS / MAX(view->batch, 1)
-                     : 0;
+        double slack = affinity ? (double)AFFINITY_SLACK_REQUESTS /
+                                      MAX(view->max_batch, 1)
+                                : 0;
         if (!found || is_better(&replica, &best, slack)) {
             best = replica;
             found = true;
@@ -197,19 +199,21 @@
  * model; -1: none. Unless `any` is set, only if it is in this region and the
  * target leaves time for the load. */
 static int
-choose_loading(const struct ch_fleet *fleet, const struct ch_work *request,
-               const GArray *excluded, bool any, int64_t now)
+choose_loading(const struct ch_fleet *fleet,
+               const struct ch_request_info *request, const GArray *excluded,
+               bool any, int64_t now)
 {
-    if (request->service || (!any && request->first_by != 0 &&
-                             now + LOAD_REMAINING_US > request->first_by)) {
+    if (request->is_service ||
+        (!any && request->first_token_deadline != 0 &&
+         now + LOAD_REMAINING_US > request->first_token_deadline)) {
         return -1;
     }
     int best = -1;
     for (size_t i = 0; i < fleet->count; i++) {
         const struct ch_upstream_view *view = &fleet->upstreams[i];
-        if (view->down || view->leaving || view->service != 0 ||
+        if (view->down || view->draining || view->service != 0 ||
             is_excluded(excluded, view->name) ||
-            !ch_upstream_view_loads(view, request->model)) {
+            !ch_upstream_view_is_loading(view, request->model)) {
             continue;
         }
         if (view->region != fleet->region && !any) {
@@ -240,7 +244,7 @@
     for (size_t i = 0; i < fleet->count; i++) {
         const struct ch_upstream_view *view = &fleet->upstreams[i];
         for (guint j = 0;
-             !view->down && !view->leaving && j < get_length(view->resident);
+             !view->down && !view->draining && j < get_length(view->resident);
              j++) {
             gpointer key = GUINT_TO_POINTER(
                 g_array_index(view->resident, struct ch_item, j).name);
@@ -259,7 +263,7 @@
  */
 static unsigned
 get_eviction_step(GHashTable *replicas, const struct ch_upstream_view *view,
-                  const struct ch_work *request)
+                  const struct ch_request_info *request)
 {
     if (view->free_mb >= request->model_mb + request->adapter_mb) {
         return 0;
@@ -308,10 +312,10 @@
  * again.
  */
 static int
-choose_place(const struct ch_fleet *fleet, const struct ch_work *request,
-             const GArray *excluded)
+choose_place(const struct ch_fleet *fleet,
+             const struct ch_request_info *request, const GArray *excluded)
 {
-    if (request->service) {
+    if (request->is_service) {
         return -1;
     }
     int best = -1;
@@ -321,8 +325,8 @@
     GHashTable *replicas = count_replicas(fleet);
     for (size_t i = 0; i < fleet->count; i++) {
         const struct ch_upstream_view *view = &fleet->upstreams[i];
-        if (view->down || view->leaving || view->service != 0 ||
-            ch_upstream_view_has(view, request->model) ||
+        if (view->down || view->draining || view->service != 0 ||
+            ch_upstream_view_has_item(view, request->model) ||
             is_loading_model(view) ||
             view->capacity_mb < request->model_mb + request->adapter_mb) {
             continue;
@@ -349,14 +353,15 @@
 static int
 choose_shortest_wait(const struct ch_policy *policy,
                      const struct ch_fleet *fleet,
-                     const struct ch_work *request, const GArray *excluded)
+                     const struct ch_request_info *request,
+                     const GArray *excluded)
 {
     int best = -1;
     int64_t best_wait = 0;
     for (size_t i = 0; i < fleet->count; i++) {
         const struct ch_upstream_view *view = &fleet->upstreams[i];
         if (is_excluded(excluded, view->name) ||
-            !ch_view_serves(view, request)) {
+            !ch_upstream_view_serves(view, request)) {
             continue;
         }
         int64_t wait = estimate_wait(policy, view);
@@ -399,16 +404,16 @@
  * loaded, and so tells that place's home node how much demand overflows.
  */
 struct ch_route
-ch_route_default(const struct ch_policy *policy, struct ch_fleet *fleet,
-                 const struct ch_work *request, const GArray *excluded,
-                 int64_t now)
+ch_route_choose_default(const struct ch_policy *policy, struct ch_fleet *fleet,
+                        const struct ch_request_info *request,
+                        const GArray *excluded, int64_t now)
 {
     int index = choose_replica(policy, fleet, request, excluded, true, now);
     if (index < 0) {
         index = choose_loading(fleet, request, excluded, false, now);
     }
     if (index < 0 && policy->routing->spill &&
-        fleet->link_bytes >= estimate_link_bytes(request)) {
+        fleet->link_bytes_left >= estimate_link_bytes(request)) {
         index = choose_replica(policy, fleet, request, excluded, false, now);
     }
     bool is_retry = excluded != NULL && excluded->len > 0;
@@ -434,12 +439,13 @@
  * by the default policy.
  */
 struct ch_route
-ch_route_independent(const struct ch_policy *policy, struct ch_fleet *fleet,
-                     const struct ch_work *request, const GArray *excluded,
-                     int64_t now)
+ch_route_choose_independent(const struct ch_policy *policy,
+                            struct ch_fleet *fleet,
+                            const struct ch_request_info *request,
+                            const GArray *excluded, int64_t now)
 {
     int index = choose_replica(policy, fleet, request, excluded, true, now);
-    if (index < 0 && fleet->link_bytes >= estimate_link_bytes(request)) {
+    if (index < 0 && fleet->link_bytes_left >= estimate_link_bytes(request)) {
         index = choose_replica(policy, fleet, request, excluded, false, now);
     }
     if (index < 0) {
@@ -455,14 +461,15 @@
  * serve the request's model. */
 static bool
 is_candidate(const struct ch_fleet *fleet, const struct ch_upstream_view *view,
-             const struct ch_work *request, const GArray *excluded, bool local)
+             const struct ch_request_info *request, const GArray *excluded,
+             bool local)
 {
     if ((view->region == fleet->region) != local || view->down ||
-        view->leaving || is_excluded(excluded, view->name)) {
+        view->draining || is_excluded(excluded, view->name)) {
         return false;
     }
-    return request->service ? view->service == request->model
-                            : view->service == 0;
+    return request->is_service ? view->service == request->model
+                               : view->service == 0;
 }
 
 /* Returns the least full candidate in this region (local) or in the others;
@@ -470,8 +477,8 @@
  * none. */
 static int
 choose_least_full(const struct ch_policy *policy, const struct ch_fleet *fleet,
-                  const struct ch_work *request, const GArray *excluded,
-                  bool local, bool replica)
+                  const struct ch_request_info *request,
+                  const GArray *excluded, bool local, bool replica)
 {
     int best = -1;
     for (size_t i = 0; i < fleet->count; i++) {
@@ -479,9 +486,9 @@
         if (!is_candidate(fleet, view, request, excluded, local)) {
             continue;
         }
-        bool has_model = request->service ||
-                         ch_upstream_view_has(view, request->model) ||
-                         ch_upstream_view_loads(view, request->model);
+        bool has_model = request->is_service ||
+                         ch_upstream_view_has_item(view, request->model) ||
+                         ch_upstream_view_is_loading(view, request->model);
         if (has_model == replica &&
             (best < 0 || get_fullness(policy, view) <
                              get_fullness(policy, &fleet->upstreams[best]))) {
@@ -498,9 +505,10 @@
  * that upstream is less than half full.
  */
 struct ch_route
-ch_route_least_loaded(const struct ch_policy *policy, struct ch_fleet *fleet,
-                      const struct ch_work *request, const GArray *excluded,
-                      int64_t now)
+ch_route_choose_least_loaded(const struct ch_policy *policy,
+                             struct ch_fleet *fleet,
+                             const struct ch_request_info *request,
+                             const GArray *excluded, int64_t now)
 {
     (void)now;
     int replica = -1;
@@ -513,7 +521,7 @@
         }
         replica = replica < 0 ? index : replica;
     }
-    for (int local = 1; local >= 0 && !request->service; local--) {
+    for (int local = 1; local >= 0 && !request->is_service; local--) {
         int index = choose_least_full(policy, fleet, request, excluded,
                                       local == 1, false);
         if (index >= 0 &&
@@ -528,9 +536,9 @@
 /* Baseline: round robin over the replicas, this region first, whatever their
  * load. */
 struct ch_route
-ch_route_static(const struct ch_policy *policy, struct ch_fleet *fleet,
-                const struct ch_work *request, const GArray *excluded,
-                int64_t now)
+ch_route_choose_static(const struct ch_policy *policy, struct ch_fleet *fleet,
+                       const struct ch_request_info *request,
+                       const GArray *excluded, int64_t now)
 {
     (void)policy;
     (void)now;
@@ -542,8 +550,8 @@
                 const struct ch_upstream_view *view = &fleet->upstreams[i];
                 if (!is_candidate(fleet, view, request, excluded,
                                   local == 1) ||
-                    (!request->service &&
-                     !ch_upstream_view_has(view, request->model))) {
+                    (!request->is_service &&
+                     !ch_upstream_view_has_item(view, request->model))) {
                     continue;
                 }
                 if (pass == 0) {
@@ -561,13 +569,13 @@
 /* Asks the policy, and counts the request in the chosen view's sent_since. */
 struct ch_route
 ch_route_choose(const struct ch_policy *policy, struct ch_fleet *fleet,
-                const struct ch_work *request, const GArray *excluded,
+                const struct ch_request_info *request, const GArray *excluded,
                 int64_t now)
 {
     struct ch_route route =
         policy->routing->choose(policy, fleet, request, excluded, now);
     if (route.code == CH_OK) {
-        fleet->upstreams[route.upstream].sent_since++;
+        fleet->upstreams[route.upstream].sent_since_report++;
     }
     return route;
 }
@@ -575,10 +583,11 @@
 /* Whether a route leads to an upstream that can serve the request as it is. */
 static bool
 route_serves(const struct ch_fleet *fleet, const struct ch_route *route,
-             const struct ch_work *request)
+             const struct ch_request_info *request)
 {
     return route->code == CH_OK &&
-           ch_view_serves(&fleet->upstreams[route->upstream], request);
+           ch_upstream_view_serves(&fleet->upstreams[route->upstream],
+                                   request);
 }
 
 /*
@@ -591,9 +600,9 @@
  * budget and the limit of attempts bound the retries.
  */
 struct ch_route
-ch_route_retry(const struct ch_policy *policy, struct ch_fleet *fleet,
-               const struct ch_work *request, const GArray *excluded,
-               guint failed, int64_t now)
+ch_route_choose_retry(const struct ch_policy *policy, struct ch_fleet *fleet,
+                      const struct ch_request_info *request,
+                      const GArray *excluded, guint failed, int64_t now)
 {
     struct ch_route route =
         ch_route_choose(policy, fleet, request, excluded, now);
@@ -611,7 +620,7 @@
         return route;
     }
     if (route.code == CH_OK) {
-        fleet->upstreams[route.upstream].sent_since--;
+        fleet->upstreams[route.upstream].sent_since_report--;
     }
     return again;
 }
--- a/libchestnuthitch/decide/tell.c
+++ b/libchestnuthitch/decide/tell.c
@@ -4,7 +4,7 @@
 
 /* The rendezvous weight of a lease's holder for a data centre. */
 static uint64_t
-weight_of(const struct ch_tell_right *lease, GQuark data_centre)
+weight_of(const struct ch_publisher_lease *lease, GQuark data_centre)
 {
     return ch_hash_pair(ch_hash_string(g_quark_to_string(data_centre)),
                         ch_hash_string(g_quark_to_string(lease->holder)));
@@ -13,8 +13,9 @@
 /* Whether the holder of lease a is preferred to that of lease b: a holder of
  * the data centre's own region first, then the higher weight. */
 static bool
-is_preferred(const struct ch_tell_right *a, const struct ch_tell_right *b,
-             GQuark data_centre, GQuark region)
+is_preferred(const struct ch_publisher_lease *a,
+             const struct ch_publisher_lease *b, GQuark data_centre,
+             GQuark region)
 {
     bool same_region_a = region != 0 && a->region == region;
     bool same_region_b = region != 0 && b->region == region;
@@ -36,10 +37,10 @@
  * region publishes to its nodes, or one of another region if there is none.
  */
 GQuark
-ch_tell_teller(const struct ch_tell_right *leases, size_t count,
-               GQuark data_centre, GQuark region)
+ch_publisher_choose(const struct ch_publisher_lease *leases, size_t count,
+                    GQuark data_centre, GQuark region)
 {
-    const struct ch_tell_right *best = NULL;
+    const struct ch_publisher_lease *best = NULL;
     for (size_t i = 0; i < count; i++) {
         if (leases[i].data_centre == data_centre) {
             return leases[i].holder;
--- a/libchestnuthitch/decide/tell.h
+++ b/libchestnuthitch/decide/tell.h
@@ -12,7 +12,7 @@
 #include "base/base.h"
 
 /* A lease whose holder was heard from recently. */
-struct ch_tell_right {
+struct ch_publisher_lease {
     GQuark data_centre; /* whose engines the holder controls */
     GQuark holder;
     GQuark region; /* of the data centre; 0: unknown */
@@ -20,7 +20,7 @@
 
 /* The lease holder that publishes to the nodes of a data centre; 0: none is
  * known.  region: of that data centre; 0: unknown. */
-GQuark ch_tell_teller(const struct ch_tell_right *leases, size_t count,
-                      GQuark data_centre, GQuark region);
+GQuark ch_publisher_choose(const struct ch_publisher_lease *leases,
+                           size_t count, GQuark data_centre, GQuark region);
 
 #endif
--- a/libchestnuthitch/decide/turn.c
+++ b/libchestnuthitch/decide/turn.c
@@ -21,19 +21,19 @@
  * none for a whole period after that, in which a change goes unnoticed.
  */
 bool
-ch_turn_due(struct ch_turn *schedule, int64_t period, double random,
-            int64_t now)
+ch_poll_schedule_is_due(struct ch_poll_schedule *schedule, int64_t period,
+                        double random, int64_t now)
 {
-    double change = (double)period / (double)MAX(schedule->round, 1);
-    if (schedule->at == 0 || change > PERIOD_GROWTH_FACTOR ||
+    double change = (double)period / (double)MAX(schedule->period, 1);
+    if (schedule->due_at == 0 || change > PERIOD_GROWTH_FACTOR ||
         change < PERIOD_SHRINK_FACTOR) {
-        schedule->round = period;
-        schedule->at = now + (int64_t)(random * (double)period);
+        schedule->period = period;
+        schedule->due_at = now + (int64_t)(random * (double)period);
     }
-    if (now < schedule->at) {
+    if (now < schedule->due_at) {
         return false;
     }
-    schedule->at =
+    schedule->due_at =
         now + (int64_t)((1 - JITTER_FRACTION + 2 * JITTER_FRACTION * random) *
                         (double)period);
     return true;
--- a/libchestnuthitch/decide/turn.h
+++ b/libchestnuthitch/decide/turn.h
@@ -8,9 +8,9 @@
 
 #include "base/base.h"
 
-struct ch_turn {
-    int64_t at;    /* next run; 0: not scheduled yet */
-    int64_t round; /* period that due_at was computed from */
+struct ch_poll_schedule {
+    int64_t due_at; /* next run; 0: not scheduled yet */
+    int64_t period; /* period that due_at was computed from */
 };
 
 /*
@@ -19,7 +19,7 @@
  * now; random: in [0, 1), a new value for each call; now: microseconds, above
  * 0.
  */
-bool ch_turn_due(struct ch_turn *schedule, int64_t period, double random,
-                 int64_t now);
+bool ch_poll_schedule_is_due(struct ch_poll_schedule *schedule, int64_t period,
+                             double random, int64_t now);
 
 #endif
--- a/libchestnuthitch/decide/window.h
+++ b/libchestnuthitch/decide/window.h
@@ -9,24 +9,25 @@
 #include <stdbool.h>
 
 struct ch_window {
-    int64_t span;  /* microseconds */
-    GArray *begun; /* int64_t times in ascending order */
+    int64_t span;   /* microseconds */
+    GArray *starts; /* int64_t times in ascending order */
 };
 
 void ch_window_init(struct ch_window *window, int64_t span);
 void ch_window_clear(struct ch_window *window);
 /* Sets the window as though `limit` operations had started evenly over the
  * span before now. */
-void ch_window_assume_used(struct ch_window *window, unsigned limit,
+void ch_window_assume_full(struct ch_window *window, unsigned limit,
                            int64_t now);
 /* Returns how many operations may start now, of `limit` per span. */
-unsigned ch_window_left(struct ch_window *window, unsigned limit, int64_t now);
+unsigned ch_window_count_left(struct ch_window *window, unsigned limit,
+                              int64_t now);
 /* Starts an operation that was recorded at `reserved_at`: it counts from now
  * on instead of from then. Returns false, without a start, if that record has
  * left the span and `limit` operations have started since. */
-bool ch_window_begin(struct ch_window *window, unsigned limit,
-                     int64_t reserved_at, int64_t now);
+bool ch_window_start_reserved(struct ch_window *window, unsigned limit,
+                              int64_t reserved_at, int64_t now);
 /* Records that an operation starts now. */
-void ch_window_take(struct ch_window *window, int64_t now);
+void ch_window_record_start(struct ch_window *window, int64_t now);
 
 #endif
--- a/libchestnuthitch/node/balancer.c
+++ b/libchestnuthitch/node/balancer.c
@@ -57,11 +57,11 @@
 struct request {
     uint64_t handle;
     enum request_state state;
-    struct ch_work work;
+    struct ch_request_info work;
     GArray *excluded; /* GQuark */
     const struct ch_router_handlers *handlers;
     void *data;
-    struct ch_choice choice;
+    struct ch_upstream_choice choice;
     struct seat_client *client; /* of a granted one */
     unsigned prepared;          /* adapters asked for in vain */
     bool begun;
@@ -83,12 +83,12 @@
     struct ch_roster *roster;
     struct ch_controller *controller;
     pthread_mutex_t lock;
-    struct ch_balance *balance; /* guarded by lock, like the rest */
-    GHashTable *clients;        /* GQuark to struct seat_client */
-    GHashTable *listed;         /* of the update that runs: GQuark */
-    GHashTable *told;           /* GQuark to struct told_engine */
-    struct ch_coming *coming;   /* models that are being loaded */
-    GHashTable *used;           /* "UPSTREAM MODEL/ADAPTER" */
+    struct ch_balance *balance;      /* guarded by lock, like the rest */
+    GHashTable *clients;             /* GQuark to struct seat_client */
+    GHashTable *listed;              /* of the update that runs: GQuark */
+    GHashTable *told;                /* GQuark to struct told_engine */
+    struct ch_pending_loads *coming; /* models that are being loaded */
+    GHashTable *used;                /* "UPSTREAM MODEL/ADAPTER" */
     struct ch_table *requests;
     bool looking; /* what waits will be looked at soon */
 };
@@ -133,7 +133,7 @@
 struct update {
     struct balancer *balancer;
     struct ch_config *config; /* NULL: none yet */
-    GArray *listed;           /* struct ch_crash_listed */
+    GArray *listed;           /* struct ch_crash_listed_upstream */
 };
 
 /* Splits what an upstream holds into models and adapters. */
@@ -189,30 +189,30 @@
         g_array_set_size(models, 0);
         g_array_append_vals(models, told->models->data, told->models->len);
     }
-    const struct ch_seat_facts facts = {
+    const struct ch_upstream_info facts = {
         .name = g_quark_from_string(host->name),
         .service = g_quark_from_string(host->service),
         .region = g_quark_from_string(host->region),
         .data_centre = g_quark_from_string(host->data_centre),
         .engine = host->kind == CH_HOST_ENGINE,
-        .leaving = host->leaving,
-        .boot = host->boot,
+        .draining = host->leaving,
+        .boot_id = host->boot,
         .slots = host->batch,
         .context_tokens = service == NULL ? 0 : service->context_tokens,
-        .adapter_places = service == NULL ? 0 : service->adapter_places,
-        .resident = (const GQuark *)(void *)models->data,
-        .resident_count = models->len,
+        .adapter_slots = service == NULL ? 0 : service->adapter_places,
+        .resident_models = (const GQuark *)(void *)models->data,
+        .resident_model_count = models->len,
     };
     need_client(balancer, facts.name, host);
-    const struct ch_crash_listed listed = {facts.name, facts.boot,
-                                           facts.leaving};
+    const struct ch_crash_listed_upstream listed = {facts.name, facts.boot_id,
+                                                    facts.draining};
     g_array_append_val(update->listed, listed);
     g_hash_table_add(balancer->listed, GUINT_TO_POINTER(facts.name));
-    ch_balance_listed(balancer->balance, &facts);
+    ch_balance_update_upstream(balancer->balance, &facts);
     if (told == NULL) {
-        ch_balance_adapters(balancer->balance, facts.name,
-                            (const GQuark *)(void *)adapters->data,
-                            adapters->len);
+        ch_balance_set_adapters(balancer->balance, facts.name,
+                                (const GQuark *)(void *)adapters->data,
+                                adapters->len);
     }
     g_array_free(models, TRUE);
     g_array_free(adapters, TRUE);
@@ -228,8 +228,8 @@
     if (g_hash_table_contains(balancer->listed, key)) {
         return FALSE;
     }
-    ch_coming_told(balancer->coming, GPOINTER_TO_UINT(key), NULL, 0, NULL, 0,
-                   ch_client_now(balancer->node->client));
+    ch_pending_loads_update(balancer->coming, GPOINTER_TO_UINT(key), NULL, 0,
+                            NULL, 0, ch_client_now(balancer->node->client));
     return TRUE;
 }
 
@@ -243,7 +243,8 @@
     struct update update = {
         .balancer = balancer,
         .config = ch_config_keeper_current(balancer->node->config),
-        .listed = g_array_new(FALSE, FALSE, sizeof(struct ch_crash_listed)),
+        .listed =
+            g_array_new(FALSE, FALSE, sizeof(struct ch_crash_listed_upstream)),
     };
     pthread_mutex_lock(&balancer->lock);
     balancer->listed = g_hash_table_new(NULL, NULL);
@@ -257,7 +258,7 @@
     ch_config_unref(update.config);
     ch_crash_keeper_listed(
         balancer->node->crashes,
-        (const struct ch_crash_listed *)(void *)update.listed->data,
+        (const struct ch_crash_listed_upstream *)(void *)update.listed->data,
         update.listed->len);
     g_array_free(update.listed, TRUE);
     ch_controller_changed(balancer->controller);
@@ -290,7 +291,7 @@
     void *data;
     uint64_t handle;
     struct ch_grant grant;
-    struct ch_choice choice;
+    struct ch_upstream_choice choice;
     GQuark model;
     GQuark adapter;
 };
@@ -327,13 +328,13 @@
 static struct step
 grant(struct balancer *balancer, struct request *request, int64_t now)
 {
-    const struct ch_choice *choice = &request->choice;
+    const struct ch_upstream_choice *choice = &request->choice;
     request->state = REQUEST_GRANTED;
     request->at = now;
     request->client = g_hash_table_lookup(balancer->clients,
                                           GUINT_TO_POINTER(choice->upstream));
     request->client->references++;
-    ch_balance_sent(balancer->balance, &request->work, choice, now);
+    ch_balance_record_sent(balancer->balance, &request->work, choice, now);
     if (request->work.adapter != 0) {
         note_used(balancer, request);
     }
@@ -345,12 +346,12 @@
             {
                 .handle = request->handle,
                 .upstream = choice->upstream,
-                .boot = choice->boot,
+                .boot = choice->boot_id,
                 .client = request->client->client,
                 .address = request->client->address,
                 .priority = request->work.priority,
                 .other_region = choice->other_region,
-                .expected = choice->expected,
+                .expected = choice->expected_latency,
             },
     };
 }
@@ -362,7 +363,7 @@
 {
     return balancer->node->settings->without.wait_for_model
                ? 0
-               : ch_coming_at(balancer->coming, model, now);
+               : ch_pending_loads_estimate_ready(balancer->coming, model, now);
 }
 
 /*
@@ -373,17 +374,18 @@
 static struct step
 wait_or_refuse(struct balancer *balancer, struct request *request, int64_t now)
 {
-    const struct ch_work *work = &request->work;
+    const struct ch_request_info *work = &request->work;
     int64_t limit =
-        work->arrived + WAIT_TARGETS * (work->first_by - work->arrived);
-    if (work->service || request->excluded->len > 0) {
+        work->arrived_at +
+        WAIT_TARGETS * (work->first_token_deadline - work->arrived_at);
+    if (work->is_service || request->excluded->len > 0) {
         return refuse(balancer, request, CH_NO_UPSTREAM,
                       request->choice.retry_after, request->choice.message);
     }
     if (coming_at(balancer, work->model, now) == 0) {
-        limit = MIN(limit, work->arrived + WAIT_BEGIN);
+        limit = MIN(limit, work->arrived_at + WAIT_BEGIN);
     }
-    limit = MIN(limit, work->whole_by - WAIT_BEGIN);
+    limit = MIN(limit, work->answer_deadline - WAIT_BEGIN);
     if (now >= limit) {
         return refuse(balancer, request, CH_NO_UPSTREAM, MODEL_RETRY_AFTER,
                       "no engine has the model");
@@ -399,15 +401,15 @@
 wait_or_refuse_late(struct balancer *balancer, struct request *request,
                     int64_t now)
 {
-    const struct ch_late late =
-        ch_late_decide(&request->work, request->choice.expected,
+    const struct ch_late_decision late =
+        ch_late_decide(&request->work, request->choice.expected_latency,
                        coming_at(balancer, request->work.model, now), now);
-    if (late.waits) {
+    if (late.should_wait) {
         request->state = REQUEST_WAITING;
-        request->until = late.until;
+        request->until = late.wait_until;
         return (struct step){.kind = STEP_NONE};
     }
-    return refuse(balancer, request, CH_LATE, late.back,
+    return refuse(balancer, request, CH_LATE, late.retry_after,
                   "the model's engines are full");
 }
 
@@ -416,17 +418,17 @@
 static bool
 may_pace(const struct request *request, int64_t now)
 {
-    const struct ch_work *work = &request->work;
-    int64_t target = work->first_by - work->arrived;
-    return now + request->choice.expected + target / PACE_MARGIN <
-           work->first_by;
+    const struct ch_request_info *work = &request->work;
+    int64_t target = work->first_token_deadline - work->arrived_at;
+    return now + request->choice.expected_latency + target / PACE_MARGIN <
+           work->first_token_deadline;
 }
 
 /* Chooses an upstream for a request.  Lock held. */
 static struct step
 route(struct balancer *balancer, struct request *request, int64_t now)
 {
-    const struct ch_work *work = &request->work;
+    const struct ch_request_info *work = &request->work;
     bool ready = request->prepared >= MOST_PREPARED;
     request->choice = ch_balance_choose(balancer->balance, work,
                                         request->excluded, ready, now);
@@ -438,10 +440,10 @@
         return wait_or_refuse(balancer, request, now);
     }
     if (!balancer->node->settings->without.refuse_late &&
-        ch_late_is(work, request->choice.expected, now)) {
+        ch_late_is_expected(work, request->choice.expected_latency, now)) {
         return wait_or_refuse_late(balancer, request, now);
     }
-    if (request->choice.too_dense && may_pace(request, now)) {
+    if (request->choice.should_defer && may_pace(request, now)) {
         request->state = REQUEST_PACED;
         return (struct step){.kind = STEP_PACE};
     }
@@ -480,8 +482,8 @@
         GQuark upstream = request->choice.upstream;
         bool listed = g_hash_table_contains(balancer->clients,
                                             GUINT_TO_POINTER(upstream));
-        ch_balance_adapter(balancer->balance, upstream, request->work.adapter,
-                           good);
+        ch_balance_set_adapter_resident(balancer->balance, upstream,
+                                        request->work.adapter, good);
         if (good && listed) {
             step = grant(balancer, request, now);
         }
@@ -568,7 +570,7 @@
 
 /* Routes a request; see struct ch_router_ops. */
 static uint64_t
-balancer_request(struct ch_router *router, const struct ch_work *work,
+balancer_request(struct ch_router *router, const struct ch_request_info *work,
                  const GArray *excluded,
                  const struct ch_router_handlers *handlers, void *data)
 {
@@ -583,8 +585,8 @@
         g_array_append_vals(request->excluded, excluded->data, excluded->len);
     }
     pthread_mutex_lock(&balancer->lock);
-    if (!work->service && work->attempt == 0 && work->refusals == 0) {
-        ch_balance_asked(balancer->balance, work, now);
+    if (!work->is_service && work->attempt == 0 && work->refusals == 0) {
+        ch_balance_record_demand(balancer->balance, work, now);
     }
     uint64_t handle = ch_table_add(balancer->requests, request);
     request->handle = handle;
@@ -681,16 +683,16 @@
     pthread_mutex_lock(&balancer->lock);
     g_hash_table_replace(balancer->told, GUINT_TO_POINTER(engine->upstream),
                          told);
-    ch_coming_told(balancer->coming, engine->upstream, engine->models,
-                   engine->model_count, engine->coming, engine->coming_count,
-                   told->at);
-    ch_balance_models(balancer->balance, engine->upstream, engine->models,
-                      engine->model_count);
-    ch_balance_adapters(balancer->balance, engine->upstream, engine->adapters,
-                        engine->adapter_count);
-    ch_balance_busy(balancer->balance, engine->upstream, engine->busy);
-    ch_balance_all(balancer->balance, engine->upstream, engine->running,
-                   engine->unread, told->at);
+    ch_pending_loads_update(balancer->coming, engine->upstream, engine->models,
+                            engine->model_count, engine->coming,
+                            engine->coming_count, told->at);
+    ch_balance_set_models(balancer->balance, engine->upstream, engine->models,
+                          engine->model_count);
+    ch_balance_set_adapters(balancer->balance, engine->upstream,
+                            engine->adapters, engine->adapter_count);
+    ch_balance_set_busy(balancer->balance, engine->upstream, engine->busy);
+    ch_balance_set_total_load(balancer->balance, engine->upstream,
+                              engine->running, engine->unread, told->at);
     pthread_mutex_unlock(&balancer->lock);
 }
 
@@ -709,8 +711,8 @@
         if (told != NULL) {
             told->at = now;
         }
-        ch_balance_all(balancer->balance, load->upstream, load->running,
-                       load->unread, now);
+        ch_balance_set_total_load(balancer->balance, load->upstream,
+                                  load->running, load->unread, now);
     }
     pthread_mutex_unlock(&balancer->lock);
 }
@@ -761,11 +763,11 @@
     (void)handle;
     const struct request *request = item;
     const struct gathered *gathered = data;
-    if (request->work.service || request->begun) {
+    if (request->work.is_service || request->begun) {
         return;
     }
-    int64_t reading =
-        ch_balance_reading(gathered->balancer->balance, &request->work);
+    int64_t reading = ch_balance_estimate_prefill(gathered->balancer->balance,
+                                                  &request->work);
     demand_of(gathered->models, request->work.model)->backlog +=
         (uint32_t)(reading / 1000);
 }
@@ -787,10 +789,10 @@
     struct balancer *balancer = data;
     pthread_mutex_lock(&balancer->lock);
     const struct gathered gathered = {balancer, out};
-    ch_balance_tell(balancer->balance, add_load, loads);
-    ch_balance_each_asked(balancer->balance,
-                          ch_client_now(balancer->node->client), add_asked,
-                          out);
+    ch_balance_report_load(balancer->balance, add_load, loads);
+    ch_balance_foreach_demand(balancer->balance,
+                              ch_client_now(balancer->node->client), add_asked,
+                              out);
     ch_table_each(balancer->requests, add_backlog, (void *)&gathered);
     pthread_mutex_unlock(&balancer->lock);
     route_waiting(balancer);
@@ -834,8 +836,8 @@
     struct request *request = ch_table_get(balancer->requests, handle);
     if (request != NULL && !request->begun) {
         request->begun = true;
-        ch_balance_first(balancer->balance, &request->work, &request->choice,
-                         now - request->at, now);
+        ch_balance_record_first_byte(balancer->balance, &request->work,
+                                     &request->choice, now - request->at, now);
     }
     pthread_mutex_unlock(&balancer->lock);
 }
@@ -845,23 +847,24 @@
 note_refused(struct balancer *balancer, const struct request *request)
 {
     if (request->work.adapter != 0) {
-        ch_balance_adapter(balancer->balance, request->choice.upstream,
-                           request->work.adapter, false);
+        ch_balance_set_adapter_resident(balancer->balance,
+                                        request->choice.upstream,
+                                        request->work.adapter, false);
     }
 }
 
 /* See struct ch_router_ops. */
 static void
 balancer_release(struct ch_router *router, uint64_t handle,
-                 const struct ch_sample *sample)
+                 const struct ch_timing_sample *sample)
 {
     struct balancer *balancer = (struct balancer *)router;
     int64_t now = ch_client_now(balancer->node->client);
     pthread_mutex_lock(&balancer->lock);
     struct request *request = ch_table_remove(balancer->requests, handle);
     if (request != NULL) {
-        ch_balance_ended(balancer->balance, &request->work, &request->choice,
-                         request->begun, sample, now);
+        ch_balance_record_end(balancer->balance, &request->work,
+                              &request->choice, request->begun, sample, now);
         if (sample->code == CH_UPSTREAM_REFUSED) {
             note_refused(balancer, request);
         }
@@ -968,7 +971,7 @@
     ch_roster_free(balancer->roster);
     g_hash_table_destroy(balancer->told);
     g_hash_table_destroy(balancer->used);
-    ch_coming_free(balancer->coming);
+    ch_pending_loads_free(balancer->coming);
     ch_balance_free(balancer->balance);
     g_hash_table_destroy(balancer->clients);
     pthread_mutex_destroy(&balancer->lock);
@@ -1004,8 +1007,8 @@
     balancer->balance =
         ch_balance_new(g_quark_from_string(node->settings->region),
                        g_quark_from_string(node->settings->data_centre));
-    ch_balance_do_without(balancer->balance, &node->settings->without);
-    balancer->coming = ch_coming_new();
+    ch_balance_disable_features(balancer->balance, &node->settings->without);
+    balancer->coming = ch_pending_loads_new();
     balancer->clients = g_hash_table_new_full(NULL, NULL, NULL, client_unref);
     balancer->requests = ch_table_new();
     pthread_mutex_init(&balancer->lock, NULL);
--- a/libchestnuthitch/node/config_keeper.c
+++ b/libchestnuthitch/node/config_keeper.c
@@ -82,8 +82,8 @@
     int64_t pulled;        /* when the latest began */
     uint64_t far_revision; /* what far nodes have, and since when */
     int64_t far_since;
-    GBytes *packed;      /* the text in force; NULL: not packed yet */
-    struct ch_turn turn; /* to read; see READ_EVERY */
+    GBytes *packed;               /* the text in force; NULL: not packed yet */
+    struct ch_poll_schedule turn; /* to read; see READ_EVERY */
     bool reading;
     bool read_first; /* a node that returns has read by itself */
     bool calling;    /* a watch or read of the service is under way */
@@ -149,8 +149,8 @@
 known_revision(const struct ch_config_keeper *keeper)
 {
     uint64_t current = keeper->current == NULL ? 0 : keeper->current->revision;
-    return ch_revision_newer(current, keeper->taking) ? keeper->taking
-                                                      : current;
+    return ch_revision_is_newer(current, keeper->taking) ? keeper->taking
+                                                         : current;
 }
 
 /*
@@ -166,7 +166,7 @@
 begin_taking(struct ch_config_keeper *keeper, uint64_t revision)
 {
     pthread_mutex_lock(&keeper->lock);
-    bool begin = ch_revision_newer(known_revision(keeper), revision);
+    bool begin = ch_revision_is_newer(known_revision(keeper), revision);
     if (begin) {
         keeper->taking = revision;
     }
@@ -216,7 +216,7 @@
     struct ch_config *old = config;
     pthread_mutex_lock(&keeper->lock);
     uint64_t known = keeper->current == NULL ? 0 : keeper->current->revision;
-    bool newer = ch_revision_newer(known, config->revision);
+    bool newer = ch_revision_is_newer(known, config->revision);
     if (newer) {
         old = keeper->current;
         keeper->current = config;
@@ -246,7 +246,7 @@
            const char *token, const char *author, const char *text)
 {
     struct ch_error error = {0};
-    if (!ch_revision_newer(current_revision(keeper), revision)) {
+    if (!ch_revision_is_newer(current_revision(keeper), revision)) {
         return;
     }
     struct ch_declaration *declaration =
@@ -298,7 +298,7 @@
                CH_F_STR("message", error.message), CH_F_END);
     }
     else {
-        take_parts(keeper, answer->revision, record->token, record->author,
+        take_parts(keeper, answer->revision, record->write_id, record->author,
                    record->text);
     }
     end_taking(keeper, answer->revision);
@@ -435,7 +435,8 @@
     bool begin = !keeper->stopped && !keeper->reading && keeper->taking == 0 &&
                  knows_its_role(keeper) &&
                  (reads_first(keeper, now) ||
-                  ch_turn_due(&keeper->turn, round, g_random_double(), now));
+                  ch_poll_schedule_is_due(&keeper->turn, round,
+                                          g_random_double(), now));
     if (begin) {
         keeper->reading = true;
         keeper_ref(keeper);
@@ -547,7 +548,7 @@
     }
     int64_t now = ch_client_now(node->client);
     pthread_mutex_lock(&keeper->lock);
-    if (ch_revision_newer(keeper->far_revision, revision)) {
+    if (ch_revision_is_newer(keeper->far_revision, revision)) {
         keeper->far_revision = revision;
         keeper->far_since = now;
     }
@@ -564,7 +565,7 @@
     pthread_mutex_lock(&keeper->lock);
     uint64_t known = known_revision(keeper);
     pthread_mutex_unlock(&keeper->lock);
-    if (ch_revision_newer(known, revision) &&
+    if (ch_revision_is_newer(known, revision) &&
         may_pull_from(keeper, revision, from)) {
         begin_pull(keeper, from);
     }
@@ -604,7 +605,7 @@
     struct ch_config *config = ch_config_keeper_current(keeper);
     GBytes *packed = NULL;
     if (config != NULL &&
-        ch_revision_newer(frame->config_pull->above, config->revision)) {
+        ch_revision_is_newer(frame->config_pull->above, config->revision)) {
         push.revision = config->revision;
         push.token = config->token;
         push.author = config->author;
@@ -720,7 +721,7 @@
          "another revision is in force than the one this was made from"},
         {CH_REVISION_FAILED, CH_KV_UNREACHABLE,
          "the key-value service is away; nothing was changed"},
-        {CH_REVISION_UNSURE, CH_KV_AMBIGUOUS,
+        {CH_REVISION_OUTCOME_UNKNOWN, CH_KV_AMBIGUOUS,
          "the answer was lost; the change may be in force, or may yet come"},
     };
     struct ch_error error = {0};
@@ -730,11 +731,11 @@
         }
     }
     if (step == CH_REVISION_ACCEPTED) {
-        take_parts(apply->keeper, apply->write.revision, apply->write.token,
+        take_parts(apply->keeper, apply->write.revision, apply->write.write_id,
                    apply->author, apply->text);
     }
     if (apply->read != NULL) {
-        take_parts(apply->keeper, apply->read_revision, apply->read->token,
+        take_parts(apply->keeper, apply->read_revision, apply->read->write_id,
                    apply->read->author, apply->read->text);
     }
     struct ch_config *config = ch_config_keeper_current(apply->keeper);
@@ -752,8 +753,8 @@
 apply_written(void *data, const struct ch_kv_answer *answer)
 {
     struct apply *apply = data;
-    apply_step(apply, ch_revision_write_written(&apply->write, answer->code,
-                                                answer->revision));
+    apply_step(apply, ch_revision_write_handle_write(
+                          &apply->write, answer->code, answer->revision));
 }
 
 /* The answer to a read. */
@@ -770,10 +771,10 @@
         apply->read_revision = answer->revision;
         code = record == NULL ? CH_SYSTEM : CH_OK;
     }
-    apply_step(apply,
-               ch_revision_write_read(&apply->write, code,
-                                      code == CH_OK ? apply->read : NULL,
-                                      answer->revision));
+    apply_step(apply, ch_revision_write_handle_read(&apply->write, code,
+                                                    code == CH_OK ? apply->read
+                                                                  : NULL,
+                                                    answer->revision));
 }
 
 /* The record is made once, from what was read at base, so that each try writes
@@ -785,7 +786,7 @@
         return;
     }
     struct ch_revision_record *record = ch_revision_record_new(
-        apply->write.token, apply->author, apply->text,
+        apply->write.write_id, apply->author, apply->text,
         apply->write.base == 0 ? NULL : apply->read, apply->write.base);
     apply->bytes = ch_revision_record_print(record);
     ch_revision_record_free(record);
@@ -800,8 +801,9 @@
     bool stopped = apply->keeper->stopped;
     pthread_mutex_unlock(&apply->keeper->lock);
     if (stopped && (step == CH_REVISION_READ || step == CH_REVISION_WRITE)) {
-        apply_end(apply, apply->write.writes > 0 ? CH_REVISION_UNSURE
-                                                 : CH_REVISION_FAILED);
+        apply_end(apply, apply->write.writes_sent > 0
+                             ? CH_REVISION_OUTCOME_UNKNOWN
+                             : CH_REVISION_FAILED);
         return;
     }
     switch (step) {
--- a/libchestnuthitch/node/controller.c
+++ b/libchestnuthitch/node/controller.c
@@ -134,7 +134,7 @@
         most = controller_loads_in_window(controller, config->declaration);
         ch_config_unref(config);
     }
-    ch_window_assume_used(&duty->loads, most, now);
+    ch_window_assume_full(&duty->loads, most, now);
 }
 
 /* What changes when the right is got or lost. */
--- a/libchestnuthitch/node/controller_engine.c
+++ b/libchestnuthitch/node/controller_engine.c
@@ -422,8 +422,9 @@
         engine->ordered_action != CH_ORDER_LOAD) {
         return;
     }
-    if (!ch_window_begin(&duty->loads, duty->most_loads, item->load_at, now)) {
-        ch_window_take(&duty->loads, now);
+    if (!ch_window_start_reserved(&duty->loads, duty->most_loads,
+                                  item->load_at, now)) {
+        ch_window_record_start(&duty->loads, now);
     }
     item->load_at = now;
 }
@@ -660,7 +661,8 @@
         return false;
     }
     if (item->from_store &&
-        !ch_window_begin(&duty->loads, duty->most_loads, item->load_at, now)) {
+        !ch_window_start_reserved(&duty->loads, duty->most_loads,
+                                  item->load_at, now)) {
         return false;
     }
     item->load_at = now;
@@ -677,7 +679,8 @@
         return false;
     }
     if (item->state == CH_ITEM_UNLOADING && item->model == 0) {
-        return !ch_order_unload_waits(item->not_before, engine->waiting, now);
+        return !ch_order_should_delay_unload(item->not_before, engine->waiting,
+                                             now);
     }
     return item->state == CH_ITEM_LOADING || item->state == CH_ITEM_UNLOADING;
 }
@@ -747,16 +750,16 @@
 compare_item(struct controller_engine *engine, struct item *item,
              const struct report_job *job, int64_t now)
 {
-    const struct ch_report_facts facts = {
+    const struct ch_report_comparison facts = {
         .state = item->state,
-        .ordered = item->ordered,
-        .told = item->told,
-        .there = report_has(job->report, g_quark_to_string(item->name)),
+        .accepted = item->ordered,
+        .from_peer = item->told,
+        .listed = report_has(job->report, g_quark_to_string(item->name)),
         .busy = job->report->busy,
-        .changed = item->changed,
-        .asked = job->asked,
+        .changed_at = item->changed,
+        .requested_at = job->asked,
     };
-    switch (ch_order_report(&facts)) {
+    switch (ch_order_evaluate_report(&facts)) {
     case CH_REPORT_LOADED:
         log_done(engine, item, "model-loaded", now);
         set_state(engine, item, CH_ITEM_RESIDENT, now);
@@ -769,7 +772,7 @@
     case CH_REPORT_LOST:
         item->state = CH_ITEM_ABSENT;
         break;
-    case CH_REPORT_STAYS:
+    case CH_REPORT_UNLOAD_FAILED:
         item->ordered = false;
         break;
     default:
--- a/libchestnuthitch/node/controller_models.c
+++ b/libchestnuthitch/node/controller_models.c
@@ -66,8 +66,8 @@
 
 /* What the decision is given; its lists are freed after it. */
 struct picture {
-    GArray *engines;  /* struct ch_arrange_engine */
-    GArray *models;   /* struct ch_arrange_model */
+    GArray *engines;  /* struct ch_placement_engine */
+    GArray *models;   /* struct ch_placement_model */
     GPtrArray *lists; /* GArray, to be freed */
 };
 
@@ -93,32 +93,33 @@
 add_engine(struct picture *picture, const struct controller_engine *engine,
            const struct duty *duty, uint32_t adapter_mb, int64_t now)
 {
-    GArray *items = g_array_new(FALSE, FALSE, sizeof(struct ch_arrange_item));
+    GArray *items =
+        g_array_new(FALSE, FALSE, sizeof(struct ch_placement_item));
     for (guint i = 0; i < engine->items->len; i++) {
         const struct item *item =
             &g_array_index(engine->items, struct item, i);
-        const struct ch_arrange_item copy = {item->name, item->state};
+        const struct ch_placement_item copy = {item->name, item->state};
         if (item->model == 0) {
             g_array_append_val(items, copy);
         }
     }
     g_ptr_array_add(picture->lists, items);
-    const struct ch_arrange_engine entry = {
+    const struct ch_placement_engine entry = {
         .name = engine->name,
         .service = engine->service,
         .data_centre = engine->data_centre,
-        .mine = engine->data_centre == duty->data_centre,
-        .open = engine->data_centre == duty->data_centre
-                    ? engine_is_open(engine, now)
-                    : is_open_elsewhere(engine, now),
-        .leaving = engine->leaving,
+        .controlled = engine->data_centre == duty->data_centre,
+        .accepts_orders = engine->data_centre == duty->data_centre
+                              ? engine_is_open(engine, now)
+                              : is_open_elsewhere(engine, now),
+        .draining = engine->leaving,
         .memory_mb = engine_memory(engine),
-        .reserve_mb = engine_reserve(engine, adapter_mb),
-        .items = (const struct ch_arrange_item *)(void *)items->data,
+        .adapter_reserve_mb = engine_reserve(engine, adapter_mb),
+        .items = (const struct ch_placement_item *)(void *)items->data,
         .item_count = items->len,
-        .copies = (const GQuark *)(void *)engine->copies->data,
-        .copy_count = engine->copies->len,
-        .pledged = now < engine->pledged_until ? engine->pledged : 0,
+        .local_copies = (const GQuark *)(void *)engine->copies->data,
+        .local_copy_count = engine->copies->len,
+        .reserved_for = now < engine->pledged_until ? engine->pledged : 0,
     };
     g_array_append_val(picture->engines, entry);
 }
@@ -140,14 +141,14 @@
         }
     }
     g_ptr_array_add(picture->lists, services);
-    const struct ch_arrange_model entry = {
+    const struct ch_placement_model entry = {
         .name = name,
         .memory_mb = model->memory_mb,
-        .work = smoothed == NULL ? 0 : smoothed->work,
-        .backlog = smoothed == NULL ? 0 : smoothed->backlog,
+        .demand = smoothed == NULL ? 0 : smoothed->work,
+        .backlog_s = smoothed == NULL ? 0 : smoothed->backlog,
         .services = (const GQuark *)(void *)services->data,
         .service_count = services->len,
-        .adapters = model->numbered_adapters > 0,
+        .has_adapters = model->numbered_adapters > 0,
     };
     g_array_append_val(picture->models, entry);
 }
@@ -179,10 +180,10 @@
 {
     uint32_t mine = 0;
     for (guint i = 0; i < picture->engines->len; i++) {
-        mine +=
-            g_array_index(picture->engines, struct ch_arrange_engine, i).mine
-                ? 1
-                : 0;
+        mine += g_array_index(picture->engines, struct ch_placement_engine, i)
+                        .controlled
+                    ? 1
+                    : 0;
     }
     return MAX(mine, 1);
 }
@@ -192,7 +193,7 @@
 /* Begins a load or an unload; the orders follow when they can be sent. */
 static void
 begin(struct ch_controller *controller, struct duty *duty,
-      const struct ch_arrange_action *action, int64_t now)
+      const struct ch_placement_action *action, int64_t now)
 {
     struct controller_engine *engine = g_hash_table_lookup(
         controller->engines, GUINT_TO_POINTER(action->engine));
@@ -201,21 +202,21 @@
         CH_F_STR("upstream", g_quark_to_string(action->engine)),
         CH_F_STR("model", g_quark_to_string(action->model)),
         CH_F_STR("action", action->kind == CH_ACTION_LOAD ? "load" : "unload"),
-        CH_F_STR("pledged", action->pledged == 0
+        CH_F_STR("pledged", action->reserved_for == 0
                                 ? ""
-                                : g_quark_to_string(action->pledged)),
+                                : g_quark_to_string(action->reserved_for)),
         CH_F_BOOL("from_store", action->from_store),
         CH_F_STR("reason", action->reason), CH_F_END);
     if (action->from_store) {
-        ch_window_take(&duty->loads, now);
+        ch_window_record_start(&duty->loads, now);
     }
     GQuark comes =
-        action->kind == CH_ACTION_LOAD ? action->model : action->pledged;
+        action->kind == CH_ACTION_LOAD ? action->model : action->reserved_for;
     bool keeps = comes != 0 && engine->pledged == comes;
     int64_t load_at = action->from_store ? now
                       : keeps            ? engine->pledged_load
                                          : 0;
-    engine->pledged = action->pledged;
+    engine->pledged = action->reserved_for;
     engine->pledged_until = now + PLEDGE;
     engine->pledged_load = load_at;
     if (action->kind == CH_ACTION_LOAD) {
@@ -240,21 +241,21 @@
  */
 static void
 log_short(struct ch_controller *controller, struct duty *duty,
-          const struct ch_arrange_state *state, GArray *actions, int64_t now)
+          const struct ch_placement_state *state, GArray *actions, int64_t now)
 {
     if (now < duty->next_short) {
         return;
     }
     GArray *entries =
-        g_array_new(FALSE, FALSE, sizeof(struct ch_arrange_short));
-    ch_arrange_find_short(state, actions, entries);
+        g_array_new(FALSE, FALSE, sizeof(struct ch_placement_shortage));
+    ch_placement_find_shortages(state, actions, entries);
     for (guint i = 0; i < entries->len && i < MOST_SHORT; i++) {
-        const struct ch_arrange_short *entry =
-            &g_array_index(entries, struct ch_arrange_short, i);
+        const struct ch_placement_shortage *entry =
+            &g_array_index(entries, struct ch_placement_shortage, i);
         ch_log(controller->node->client, CH_LOG_INFO, "model-short",
                CH_F_STR("data_centre", g_quark_to_string(duty->data_centre)),
                CH_F_STR("model", g_quark_to_string(entry->model)),
-               CH_F_INT("asked_thousandths", (int64_t)(entry->asked * 1000)),
+               CH_F_INT("asked_thousandths", (int64_t)(entry->demand * 1000)),
                CH_F_INT("replicas", entry->replicas),
                CH_F_INT("holding", entry->holding),
                CH_F_INT("changing", entry->changing),
@@ -280,8 +281,9 @@
         controller_loads_in_window(controller, config->declaration);
     uint32_t adapter_mb = largest_adapter(config->declaration);
     struct picture picture = {
-        .engines = g_array_new(FALSE, FALSE, sizeof(struct ch_arrange_engine)),
-        .models = g_array_new(FALSE, FALSE, sizeof(struct ch_arrange_model)),
+        .engines =
+            g_array_new(FALSE, FALSE, sizeof(struct ch_placement_engine)),
+        .models = g_array_new(FALSE, FALSE, sizeof(struct ch_placement_model)),
         .lists = g_ptr_array_new_with_free_func(free_list),
     };
     GHashTableIter iterator;
@@ -293,25 +295,26 @@
     for (size_t i = 0; i < config->declaration->model_count; i++) {
         add_model(&picture, controller, config->declaration, i);
     }
-    const struct ch_arrange_state state = {
+    const struct ch_placement_state state = {
         .engines =
-            (const struct ch_arrange_engine *)(void *)picture.engines->data,
+            (const struct ch_placement_engine *)(void *)picture.engines->data,
         .engine_count = picture.engines->len,
         .models =
-            (const struct ch_arrange_model *)(void *)picture.models->data,
+            (const struct ch_placement_model *)(void *)picture.models->data,
         .model_count = picture.models->len,
         .data_centre = duty->data_centre,
-        .loads_left = ch_window_left(&duty->loads, duty->most_loads, now),
-        .most_changes = most_changes(&picture),
-        .without = controller->node->settings->without,
+        .store_loads_left =
+            ch_window_count_left(&duty->loads, duty->most_loads, now),
+        .max_changing_engines = most_changes(&picture),
+        .disabled = controller->node->settings->without,
     };
     GArray *actions =
-        g_array_new(FALSE, FALSE, sizeof(struct ch_arrange_action));
-    ch_arrange(&state, actions);
+        g_array_new(FALSE, FALSE, sizeof(struct ch_placement_action));
+    ch_placement_plan(&state, actions);
     log_short(controller, duty, &state, actions, now);
     for (guint i = 0; i < actions->len; i++) {
         begin(controller, duty,
-              &g_array_index(actions, struct ch_arrange_action, i), now);
+              &g_array_index(actions, struct ch_placement_action, i), now);
     }
     g_array_free(actions, TRUE);
     g_array_free(picture.engines, TRUE);
--- a/libchestnuthitch/node/controller_tell.c
+++ b/libchestnuthitch/node/controller_tell.c
@@ -63,7 +63,8 @@
 list_rights(struct ch_controller *controller, int64_t now)
 {
     const struct ch_settings *settings = controller->node->settings;
-    GArray *rights = g_array_new(FALSE, FALSE, sizeof(struct ch_tell_right));
+    GArray *rights =
+        g_array_new(FALSE, FALSE, sizeof(struct ch_publisher_lease));
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, controller->duties);
@@ -75,7 +76,7 @@
              strcmp(duty->holder, settings->name) == 0)) {
             continue;
         }
-        const struct ch_tell_right right = {
+        const struct ch_publisher_lease right = {
             .data_centre = duty->data_centre,
             .holder = g_quark_from_string(own ? settings->name : duty->holder),
             .region = duty->region,
@@ -91,10 +92,10 @@
 {
     const struct ch_settings *settings = controller->node->settings;
     GArray *rights = list_rights(controller, now);
-    GQuark teller =
-        ch_tell_teller((const struct ch_tell_right *)(void *)rights->data,
-                       rights->len, g_quark_from_string(settings->data_centre),
-                       g_quark_from_string(settings->region));
+    GQuark teller = ch_publisher_choose(
+        (const struct ch_publisher_lease *)(void *)rights->data, rights->len,
+        g_quark_from_string(settings->data_centre),
+        g_quark_from_string(settings->region));
     g_array_free(rights, TRUE);
     return teller == 0 ? NULL : g_strdup(g_quark_to_string(teller));
 }
@@ -109,7 +110,7 @@
     GArray *rights = list_rights(controller, now);
     for (guint i = 0; i < rights->len; i++) {
         const char *name = g_quark_to_string(
-            g_array_index(rights, struct ch_tell_right, i).holder);
+            g_array_index(rights, struct ch_publisher_lease, i).holder);
         if (strcmp(name, self) != 0 &&
             ch_peers_is_near(controller->node->peers, name) == near &&
             !g_ptr_array_find_with_equal_func(names, name, g_str_equal,
@@ -133,8 +134,8 @@
              const char *region)
 {
     const struct listening *listening = data;
-    GQuark teller = ch_tell_teller(
-        (const struct ch_tell_right *)(void *)listening->rights->data,
+    GQuark teller = ch_publisher_choose(
+        (const struct ch_publisher_lease *)(void *)listening->rights->data,
         listening->rights->len, g_quark_from_string(data_centre),
         g_quark_from_string(region));
     if (teller == listening->self) {
--- a/libchestnuthitch/node/crash_internal.h
+++ b/libchestnuthitch/node/crash_internal.h
@@ -11,7 +11,7 @@
 
 enum {
     /* "crashes/DIGEST". */
-    CRASH_RECORD_KEY = 16 + CH_DIGEST_TEXT,
+    CRASH_RECORD_KEY = 16 + CH_DIGEST_TEXT_SIZE,
 };
 
 struct ch_crash_keeper {
@@ -19,16 +19,16 @@
     pthread_mutex_t lock;
     pthread_cond_t idle;
     struct ch_crash_table *table;
-    struct ch_crash_cuts *cuts;
+    struct ch_interrupted_calls *cuts;
     GHashTable *staying; /* GQuark of upstreams listed and not leaving; NULL:
                             no list came yet */
     GHashTable *probed;  /* GQuark to when a connection was asked for */
     GArray *barred;      /* of struct ch_digest: noted in the log */
     /* News that the other nodes have not been told. */
-    GArray *runs;       /* struct ch_crash_run */
+    GArray *runs;       /* struct ch_crash_observation */
     GArray *sound;      /* struct ch_digest */
     GArray *released;   /* struct ch_digest */
-    GArray *unrecorded; /* struct ch_crash_view: barred, to be written */
+    GArray *unrecorded; /* struct ch_crash_assessment: barred, to be written */
     bool recording;     /* the first of them is being written */
     bool read;          /* the records were read */
     bool reading;
@@ -49,9 +49,10 @@
 /* Takes a piece of evidence, from a node or, NULL, from here; true when it is
    news. */
 bool crash_keeper_take(struct ch_crash_keeper *keeper,
-                       const struct ch_crash_run *run, const char *from);
+                       const struct ch_crash_observation *run,
+                       const char *from);
 /* Takes this node's calls that were cut by the end of their upstream, struct
-   ch_crash_run; frees the list. */
+   ch_crash_observation; frees the list. */
 void crash_keeper_take_ended(struct ch_crash_keeper *keeper, GArray *ended);
 /* Forgets that a request was noted as barred. */
 void crash_keeper_forget_barred(struct ch_crash_keeper *keeper,
@@ -64,7 +65,7 @@
 /* A request is barred: its record is written if that is for this node to do.
    Lock held. */
 void crash_record_note(struct ch_crash_keeper *keeper,
-                       const struct ch_crash_view *view);
+                       const struct ch_crash_assessment *view);
 /* A request was released.  Lock not held, like the next. */
 void crash_record_remove(struct ch_crash_keeper *keeper,
                          const struct ch_digest *digest);
--- a/libchestnuthitch/node/crash_keeper.c
+++ b/libchestnuthitch/node/crash_keeper.c
@@ -28,7 +28,7 @@
         {request->caller, strlen(request->caller)},
         {request->body, request->length},
     };
-    return ch_digest_of(parts, G_N_ELEMENTS(parts));
+    return ch_digest_compute(parts, G_N_ELEMENTS(parts));
 }
 
 /* Whether anything is known or suspected: nearly always nothing is, and a call
@@ -44,7 +44,7 @@
 crash_keeper_note_active(struct ch_crash_keeper *keeper)
 {
     bool active = !ch_crash_table_is_empty(keeper->table) ||
-                  ch_crash_cuts_count(keeper->cuts) > 0;
+                  ch_interrupted_calls_count(keeper->cuts) > 0;
     ck_pr_store_int(&keeper->active, active);
 }
 
@@ -91,9 +91,10 @@
 /* Notes in the log that a request is barred from now on, and has what is under
  * way of it ended.  Lock held. */
 static void
-note_barred(struct ch_crash_keeper *keeper, const struct ch_crash_view *view)
+note_barred(struct ch_crash_keeper *keeper,
+            const struct ch_crash_assessment *view)
 {
-    char text[CH_DIGEST_TEXT];
+    char text[CH_DIGEST_TEXT_SIZE];
     if (view->state != CH_CRASH_BARRED ||
         find_barred(keeper, &view->digest) >= 0) {
         return;
@@ -102,11 +103,11 @@
         g_array_remove_index(keeper->barred, 0);
     }
     g_array_append_val(keeper->barred, view->digest);
-    ch_digest_print(&view->digest, text);
+    ch_digest_format(&view->digest, text);
     ch_metrics_count(keeper->node->client->metrics, CH_COUNT_CRASHERS, 1);
     ch_log(keeper->node->client, CH_LOG_WARNING, "request-barred",
            CH_F_STR("digest", text), CH_F_INT("crashes", view->crashes),
-           CH_F_INT("sure", view->sure), CH_F_END);
+           CH_F_INT("sure", view->unexplained_crashes), CH_F_END);
     crash_record_note(keeper, view);
     if (!keeper->stopping) {
         keeper->jobs++;
@@ -117,17 +118,19 @@
 /* Writes a piece of evidence to the log: this node's own, and what others tell
  * of requests that were on more than one upstream. */
 static void
-log_run(struct ch_crash_keeper *keeper, const struct ch_crash_run *run,
-        const struct ch_crash_view *view, const char *from)
+log_run(struct ch_crash_keeper *keeper, const struct ch_crash_observation *run,
+        const struct ch_crash_assessment *view, const char *from)
 {
-    char text[CH_DIGEST_TEXT];
-    ch_digest_print(&run->digest, text);
+    char text[CH_DIGEST_TEXT_SIZE];
+    ch_digest_format(&run->digest, text);
     ch_log(
         keeper->node->client, CH_LOG_NOTICE, "request-on-crash",
         CH_F_STR("digest", text),
         CH_F_STR("upstream", g_quark_to_string(run->upstream)),
-        CH_F_INT("boot", run->boot), CH_F_INT("fresh", run->fresh),
-        CH_F_INT("crashes", view->crashes), CH_F_INT("sure", view->sure),
+        CH_F_INT("boot", run->boot_id),
+        CH_F_INT("fresh", run->before_response),
+        CH_F_INT("crashes", view->crashes),
+        CH_F_INT("sure", view->unexplained_crashes),
         CH_F_STR("from", from == NULL ? keeper->node->settings->name : from),
         CH_F_END);
 }
@@ -135,19 +138,20 @@
 /* See crash_internal.h. */
 bool
 crash_keeper_take(struct ch_crash_keeper *keeper,
-                  const struct ch_crash_run *run, const char *from)
+                  const struct ch_crash_observation *run, const char *from)
 {
     if (!ch_crash_table_add(keeper->table, run)) {
         return false;
     }
     /* Of an outage of many upstreams, nearly all that others tell are
      * requests that were on one of them. */
-    unsigned crashes = ch_crash_table_crashes(keeper->table, &run->digest);
+    unsigned crashes =
+        ch_crash_table_count_crashes(keeper->table, &run->digest);
     if (from != NULL && crashes < MIN(keeper->node->settings->crashes, 2)) {
         return true;
     }
-    const struct ch_crash_view view =
-        ch_crash_table_view(keeper->table, &run->digest);
+    const struct ch_crash_assessment view =
+        ch_crash_table_assess(keeper->table, &run->digest);
     log_run(keeper, run, &view, from);
     note_barred(keeper, &view);
     return true;
@@ -158,8 +162,8 @@
 crash_keeper_take_ended(struct ch_crash_keeper *keeper, GArray *ended)
 {
     for (guint i = 0; i < ended->len; i++) {
-        const struct ch_crash_run *run =
-            &g_array_index(ended, struct ch_crash_run, i);
+        const struct ch_crash_observation *run =
+            &g_array_index(ended, struct ch_crash_observation, i);
         if (crash_keeper_take(keeper, run, NULL)) {
             g_array_append_val(keeper->runs, *run);
             crash_tell_soon(keeper);
@@ -246,24 +250,27 @@
     if (keeper == NULL) {
         return;
     }
-    const struct ch_crash_run run = {
+    const struct ch_crash_observation run = {
         .digest = digest_of(request),
         .fingerprint = request->fingerprint,
         .upstream = grant->upstream,
-        .boot = grant->boot,
-        .at = ch_client_now(keeper->node->client),
-        .fresh = fresh,
+        .boot_id = grant->boot,
+        .ended_at = ch_client_now(keeper->node->client),
+        .before_response = fresh,
     };
     bool asks = false;
     pthread_mutex_lock(&keeper->lock);
     if (may_crash(keeper, run.upstream)) {
-        GArray *ended = g_array_new(FALSE, FALSE, sizeof(struct ch_crash_run));
-        ch_crash_cuts_add(keeper->cuts, &run);
-        if (ch_crash_table_ended(keeper->table, run.upstream, run.boot)) {
-            ch_crash_cuts_ended(keeper->cuts, run.upstream, run.boot, ended);
+        GArray *ended =
+            g_array_new(FALSE, FALSE, sizeof(struct ch_crash_observation));
+        ch_interrupted_calls_add(keeper->cuts, &run);
+        if (ch_crash_table_has_crash(keeper->table, run.upstream,
+                                     run.boot_id)) {
+            ch_interrupted_calls_note_crash(keeper->cuts, run.upstream,
+                                            run.boot_id, ended);
         }
         else if (grant->address != NULL) {
-            asks = is_probed(keeper, run.upstream, run.at);
+            asks = is_probed(keeper, run.upstream, run.ended_at);
         }
         crash_keeper_take_ended(keeper, ended);
     }
@@ -280,10 +287,11 @@
     if (!is_active(keeper)) {
         return;
     }
-    GArray *ended = g_array_new(FALSE, FALSE, sizeof(struct ch_crash_run));
+    GArray *ended =
+        g_array_new(FALSE, FALSE, sizeof(struct ch_crash_observation));
     pthread_mutex_lock(&keeper->lock);
-    ch_crash_cuts_refused(keeper->cuts, upstream,
-                          ch_client_now(keeper->node->client), ended);
+    ch_interrupted_calls_note_refused(
+        keeper->cuts, upstream, ch_client_now(keeper->node->client), ended);
     crash_keeper_take_ended(keeper, ended);
     pthread_mutex_unlock(&keeper->lock);
 }
@@ -297,7 +305,7 @@
         return;
     }
     pthread_mutex_lock(&keeper->lock);
-    ch_crash_cuts_answered(keeper->cuts, upstream, sent);
+    ch_interrupted_calls_note_response(keeper->cuts, upstream, sent);
     crash_keeper_note_active(keeper);
     pthread_mutex_unlock(&keeper->lock);
 }
@@ -310,7 +318,8 @@
         return false;
     }
     pthread_mutex_lock(&keeper->lock);
-    bool known = ch_crash_table_knows(keeper->table, request->fingerprint);
+    bool known =
+        ch_crash_table_has_fingerprint(keeper->table, request->fingerprint);
     pthread_mutex_unlock(&keeper->lock);
     return known;
 }
@@ -326,7 +335,7 @@
     const struct ch_digest digest = digest_of(request);
     pthread_mutex_lock(&keeper->lock);
     bool was_barred = find_barred(keeper, &digest) >= 0;
-    if (ch_crash_table_sound(keeper->table, &digest)) {
+    if (ch_crash_table_mark_harmless(keeper->table, &digest)) {
         g_array_append_val(keeper->sound, digest);
         crash_keeper_forget_barred(keeper, &digest);
         crash_tell_soon(keeper);
@@ -347,8 +356,8 @@
     }
     const struct ch_digest digest = digest_of(request);
     pthread_mutex_lock(&keeper->lock);
-    const struct ch_crash_view view =
-        ch_crash_table_view(keeper->table, &digest);
+    const struct ch_crash_assessment view =
+        ch_crash_table_assess(keeper->table, &digest);
     note_barred(keeper, &view);
     pthread_mutex_unlock(&keeper->lock);
     return view.state == CH_CRASH_BARRED;
@@ -357,24 +366,26 @@
 /* See crash_keeper.h. */
 void
 ch_crash_keeper_listed(struct ch_crash_keeper *keeper,
-                       const struct ch_crash_listed *listed, size_t count)
+                       const struct ch_crash_listed_upstream *listed,
+                       size_t count)
 {
     if (keeper == NULL) {
         return;
     }
-    GArray *ended = g_array_new(FALSE, FALSE, sizeof(struct ch_crash_run));
+    GArray *ended =
+        g_array_new(FALSE, FALSE, sizeof(struct ch_crash_observation));
     pthread_mutex_lock(&keeper->lock);
     if (keeper->staying == NULL) {
         keeper->staying = g_hash_table_new(NULL, NULL);
     }
     g_hash_table_remove_all(keeper->staying);
     for (size_t i = 0; i < count; i++) {
-        if (!listed[i].leaving) {
+        if (!listed[i].draining) {
             g_hash_table_add(keeper->staying,
                              GUINT_TO_POINTER(listed[i].upstream));
         }
     }
-    ch_crash_cuts_listed(keeper->cuts, listed, count, ended);
+    ch_interrupted_calls_note_list(keeper->cuts, listed, count, ended);
     crash_keeper_take_ended(keeper, ended);
     pthread_mutex_unlock(&keeper->lock);
 }
@@ -404,7 +415,7 @@
     if (keeper == NULL) {
         return false;
     }
-    char text[CH_DIGEST_TEXT];
+    char text[CH_DIGEST_TEXT_SIZE];
     int64_t now = ch_client_now(keeper->node->client);
     pthread_mutex_lock(&keeper->lock);
     bool known = ch_crash_table_release(keeper->table, digest, now);
@@ -414,7 +425,7 @@
         crash_tell_soon(keeper);
     }
     pthread_mutex_unlock(&keeper->lock);
-    ch_digest_print(digest, text);
+    ch_digest_format(digest, text);
     ch_log(keeper->node->client, CH_LOG_NOTICE, "request-released",
            CH_F_STR("digest", text), CH_F_INT("known", known), CH_F_END);
     crash_record_remove(keeper, digest);
@@ -428,18 +439,18 @@
 
 /* One request in the status. */
 static void
-status_view(void *data, const struct ch_crash_view *view)
+status_view(void *data, const struct ch_crash_assessment *view)
 {
     static const char *const names[] = {
         [CH_CRASH_UNKNOWN] = "released",
         [CH_CRASH_SUSPECTED] = "suspected",
         [CH_CRASH_BARRED] = "barred",
-        [CH_CRASH_SOUND] = "sound",
+        [CH_CRASH_HARMLESS] = "sound",
     };
     const struct status *status = data;
     JsonBuilder *builder = status->builder;
-    char text[CH_DIGEST_TEXT];
-    ch_digest_print(&view->digest, text);
+    char text[CH_DIGEST_TEXT_SIZE];
+    ch_digest_format(&view->digest, text);
     json_builder_begin_object(builder);
     json_builder_set_member_name(builder, "digest");
     json_builder_add_string_value(builder, text);
@@ -448,9 +459,10 @@
     json_builder_set_member_name(builder, "crashes");
     json_builder_add_int_value(builder, view->crashes);
     json_builder_set_member_name(builder, "sure");
-    json_builder_add_int_value(builder, view->sure);
+    json_builder_add_int_value(builder, view->unexplained_crashes);
     json_builder_set_member_name(builder, "last_ms_ago");
-    json_builder_add_int_value(builder, (status->now - view->last) / 1000);
+    json_builder_add_int_value(builder,
+                               (status->now - view->last_evidence_at) / 1000);
     json_builder_end_object(builder);
 }
 
@@ -465,7 +477,7 @@
     json_builder_set_member_name(builder, "crash_suspects");
     json_builder_begin_array(builder);
     pthread_mutex_lock(&keeper->lock);
-    ch_crash_table_each(keeper->table, status_view, &status);
+    ch_crash_table_foreach(keeper->table, status_view, &status);
     pthread_mutex_unlock(&keeper->lock);
     json_builder_end_array(builder);
 }
@@ -487,7 +499,7 @@
     struct ch_crash_keeper *keeper = data;
     int64_t now = ch_client_now(keeper->node->client);
     pthread_mutex_lock(&keeper->lock);
-    ch_crash_cuts_expire(keeper->cuts, now);
+    ch_interrupted_calls_expire(keeper->cuts, now);
     ch_crash_table_expire(keeper->table, now);
     g_hash_table_foreach_remove(keeper->probed, is_old_probe, &now);
     crash_keeper_note_active(keeper);
@@ -511,19 +523,20 @@
 ch_crash_keeper_new(struct ch_node *node)
 {
     const struct ch_crash_limits limits = {
-        .crashes = node->settings->crashes,
-        .requests = node->settings->crash_requests,
-        .keep = (int64_t)node->settings->crash_keep_s * G_USEC_PER_SEC,
+        .crashes_to_bar = node->settings->crashes,
+        .max_requests = node->settings->crash_requests,
+        .retention = (int64_t)node->settings->crash_keep_s * G_USEC_PER_SEC,
     };
     struct ch_crash_keeper *keeper = g_new0(struct ch_crash_keeper, 1);
     keeper->node = node;
     keeper->table = ch_crash_table_new(&limits);
-    keeper->cuts = ch_crash_cuts_new();
+    keeper->cuts = ch_interrupted_calls_new();
     keeper->probed = g_hash_table_new_full(NULL, NULL, NULL, g_free);
     keeper->barred = g_array_new(FALSE, FALSE, sizeof(struct ch_digest));
     keeper->unrecorded =
-        g_array_new(FALSE, FALSE, sizeof(struct ch_crash_view));
-    keeper->runs = g_array_new(FALSE, FALSE, sizeof(struct ch_crash_run));
+        g_array_new(FALSE, FALSE, sizeof(struct ch_crash_assessment));
+    keeper->runs =
+        g_array_new(FALSE, FALSE, sizeof(struct ch_crash_observation));
     keeper->sound = g_array_new(FALSE, FALSE, sizeof(struct ch_digest));
     keeper->released = g_array_new(FALSE, FALSE, sizeof(struct ch_digest));
     pthread_mutex_init(&keeper->lock, NULL);
@@ -562,7 +575,7 @@
         return;
     }
     ch_crash_table_free(keeper->table);
-    ch_crash_cuts_free(keeper->cuts);
+    ch_interrupted_calls_free(keeper->cuts);
     if (keeper->staying != NULL) {
         g_hash_table_destroy(keeper->staying);
     }
--- a/libchestnuthitch/node/crash_keeper.h
+++ b/libchestnuthitch/node/crash_keeper.h
@@ -42,7 +42,7 @@
                            const struct ch_request *request);
 /* The upstreams as they are listed now, whole. */
 void ch_crash_keeper_listed(struct ch_crash_keeper *keeper,
-                            const struct ch_crash_listed *listed,
+                            const struct ch_crash_listed_upstream *listed,
                             size_t count);
 
 /* ---- operators ---- */
--- a/libchestnuthitch/node/crash_record.c
+++ b/libchestnuthitch/node/crash_record.c
@@ -26,8 +26,8 @@
 static void
 print_key(const struct ch_digest *digest, char key[CRASH_RECORD_KEY])
 {
-    char text[CH_DIGEST_TEXT];
-    ch_digest_print(digest, text);
+    char text[CH_DIGEST_TEXT_SIZE];
+    ch_digest_format(digest, text);
     (void)g_snprintf(key, CRASH_RECORD_KEY, PREFIX "%s", text);
 }
 
@@ -130,8 +130,8 @@
         pthread_mutex_unlock(&keeper->lock);
         return;
     }
-    const struct ch_crash_view view =
-        g_array_index(keeper->unrecorded, struct ch_crash_view, 0);
+    const struct ch_crash_assessment view =
+        g_array_index(keeper->unrecorded, struct ch_crash_assessment, 0);
     struct record_call *call = begin(keeper, &view.digest);
     keeper->recording = true;
     pthread_mutex_unlock(&keeper->lock);
@@ -142,7 +142,7 @@
 /* See crash_internal.h. */
 void
 crash_record_note(struct ch_crash_keeper *keeper,
-                  const struct ch_crash_view *view)
+                  const struct ch_crash_assessment *view)
 {
     if (keeper->node->kv != NULL &&
         ch_peers_has_role(keeper->node->peers, "crash-records", WRITERS,
@@ -213,7 +213,8 @@
             continue;
         }
         pthread_mutex_lock(&keeper->lock);
-        ch_crash_table_record(keeper->table, &digest, fingerprint, now);
+        ch_crash_table_restore_barred(keeper->table, &digest, fingerprint,
+                                      now);
         crash_keeper_note_active(keeper);
         pthread_mutex_unlock(&keeper->lock);
     }
--- a/libchestnuthitch/node/crash_tell.c
+++ b/libchestnuthitch/node/crash_tell.c
@@ -72,7 +72,8 @@
 
 /* Adds a piece of evidence, which outlives the message. */
 static void
-message_add_run(struct message *message, const struct ch_crash_run *run)
+message_add_run(struct message *message,
+                const struct ch_crash_observation *run)
 {
     if (message->runs->len >= MOST_RUNS) {
         return;
@@ -83,9 +84,9 @@
     row->digest = wire_digest(&run->digest);
     row->fingerprint = run->fingerprint;
     row->upstream = (char *)g_quark_to_string(run->upstream);
-    row->boot = run->boot;
-    row->age_ms = age_ms(message, run->at);
-    row->fresh = run->fresh;
+    row->boot = run->boot_id;
+    row->age_ms = age_ms(message, run->ended_at);
+    row->fresh = run->before_response;
     g_ptr_array_add(message->runs, row);
 }
 
@@ -162,14 +163,14 @@
     struct message message;
     message_init(&message, ch_client_now(keeper->node->client));
     pthread_mutex_lock(&keeper->lock);
-    GArray *runs = steal(&keeper->runs, sizeof(struct ch_crash_run));
+    GArray *runs = steal(&keeper->runs, sizeof(struct ch_crash_observation));
     GArray *sound = steal(&keeper->sound, sizeof(struct ch_digest));
     GArray *released = steal(&keeper->released, sizeof(struct ch_digest));
     keeper->telling = false;
     pthread_mutex_unlock(&keeper->lock);
     for (guint i = 0; i < runs->len; i++) {
         message_add_run(&message,
-                        &g_array_index(runs, struct ch_crash_run, i));
+                        &g_array_index(runs, struct ch_crash_observation, i));
     }
     for (guint i = 0; i < sound->len; i++) {
         message_add_sound(&message,
@@ -252,7 +253,7 @@
     bool pulls = !keeper->heard || now - keeper->ticked > STOOD_STILL;
     bool due = now - keeper->pulled >= SUM_PERIOD &&
                !ch_crash_table_is_empty(keeper->table);
-    uint64_t sum = due ? ch_crash_table_sum(keeper->table) : 0;
+    uint64_t sum = due ? ch_crash_table_checksum(keeper->table) : 0;
     keeper->ticked = now;
     if (due) {
         keeper->pulled = now;
@@ -265,20 +266,20 @@
 
 /* A copy of what the table holds, to be told without the lock. */
 struct whole {
-    GArray *runs;  /* struct ch_crash_run */
-    GArray *views; /* struct ch_crash_view */
+    GArray *runs;  /* struct ch_crash_observation */
+    GArray *views; /* struct ch_crash_assessment */
 };
 
 /* Copies a piece of evidence. */
 static void
-copy_run(void *data, const struct ch_crash_run *run)
+copy_run(void *data, const struct ch_crash_observation *run)
 {
     g_array_append_val(((struct whole *)data)->runs, *run);
 }
 
 /* Copies what follows for one request. */
 static void
-copy_view(void *data, const struct ch_crash_view *view)
+copy_view(void *data, const struct ch_crash_assessment *view)
 {
     g_array_append_val(((struct whole *)data)->views, *view);
 }
@@ -289,30 +290,31 @@
 {
     struct ch_crash_keeper *keeper = data;
     struct whole whole = {
-        g_array_new(FALSE, FALSE, sizeof(struct ch_crash_run)),
-        g_array_new(FALSE, FALSE, sizeof(struct ch_crash_view)),
+        g_array_new(FALSE, FALSE, sizeof(struct ch_crash_observation)),
+        g_array_new(FALSE, FALSE, sizeof(struct ch_crash_assessment)),
     };
     struct message message;
     message_init(&message, ch_client_now(keeper->node->client));
     message.crashes.whole = true;
     pthread_mutex_lock(&keeper->lock);
-    ch_crash_table_each_run(keeper->table, copy_run, &whole);
-    ch_crash_table_each(keeper->table, copy_view, &whole);
+    ch_crash_table_foreach_observation(keeper->table, copy_run, &whole);
+    ch_crash_table_foreach(keeper->table, copy_view, &whole);
     for (guint i = 0; i < whole.views->len; i++) {
-        const struct ch_crash_view *view =
-            &g_array_index(whole.views, struct ch_crash_view, i);
+        const struct ch_crash_assessment *view =
+            &g_array_index(whole.views, struct ch_crash_assessment, i);
         int64_t at = 0;
-        if (view->state == CH_CRASH_SOUND) {
+        if (view->state == CH_CRASH_HARMLESS) {
             message_add_sound(&message, &view->digest);
         }
-        if (ch_crash_table_released(keeper->table, &view->digest, &at)) {
+        if (ch_crash_table_find_release(keeper->table, &view->digest, &at)) {
             message_add_released(&message, &view->digest, at);
         }
     }
     pthread_mutex_unlock(&keeper->lock);
     for (guint i = 0; i < whole.runs->len; i++) {
-        message_add_run(&message,
-                        &g_array_index(whole.runs, struct ch_crash_run, i));
+        message_add_run(
+            &message,
+            &g_array_index(whole.runs, struct ch_crash_observation, i));
     }
     char *name = frame->from;
     message_send(keeper, &message, &name, 1);
@@ -341,19 +343,21 @@
          const Chestnuthitch__Wire__CrashRun *row, const char *from,
          int64_t now)
 {
-    struct ch_crash_run run = {
+    struct ch_crash_observation run = {
         .fingerprint = row->fingerprint,
-        .boot = row->boot,
-        .at = now - (int64_t)row->age_ms * 1000,
-        .fresh = row->fresh,
+        .boot_id = row->boot,
+        .ended_at = now - (int64_t)row->age_ms * 1000,
+        .before_response = row->fresh,
     };
     if (!read_digest(&row->digest, &run.digest) || row->upstream[0] == '\0') {
         return;
     }
     run.upstream = g_quark_from_string(row->upstream);
     (void)crash_keeper_take(keeper, &run, from);
-    GArray *ended = g_array_new(FALSE, FALSE, sizeof(struct ch_crash_run));
-    ch_crash_cuts_ended(keeper->cuts, run.upstream, run.boot, ended);
+    GArray *ended =
+        g_array_new(FALSE, FALSE, sizeof(struct ch_crash_observation));
+    ch_interrupted_calls_note_crash(keeper->cuts, run.upstream, run.boot_id,
+                                    ended);
     crash_keeper_take_ended(keeper, ended);
 }
 
@@ -370,7 +374,7 @@
     }
     for (size_t i = 0; i < crashes->n_sound; i++) {
         if (read_digest(&crashes->sound[i], &digest)) {
-            (void)ch_crash_table_sound(keeper->table, &digest);
+            (void)ch_crash_table_mark_harmless(keeper->table, &digest);
             crash_keeper_forget_barred(keeper, &digest);
         }
     }
@@ -394,8 +398,8 @@
     pthread_mutex_lock(&keeper->lock);
     take_message(keeper, frame, now);
     keeper->heard = keeper->heard || crashes->whole;
-    bool differs =
-        crashes->sum != 0 && crashes->sum != ch_crash_table_sum(keeper->table);
+    bool differs = crashes->sum != 0 &&
+                   crashes->sum != ch_crash_table_checksum(keeper->table);
     crash_keeper_note_active(keeper);
     pthread_mutex_unlock(&keeper->lock);
     if (differs) {
--- a/libchestnuthitch/node/effects.c
+++ b/libchestnuthitch/node/effects.c
@@ -44,7 +44,7 @@
     GQuark item;
     uint32_t memory_mb;
     struct upstream *held;
-    struct ch_sample sample;
+    struct ch_timing_sample sample;
     Chestnuthitch__Wire__UpstreamState *state;
 };
 
@@ -82,7 +82,7 @@
         .priority = priority,
         .other_region = g_strcmp0(request->upstream->region,
                                   homes->node->settings->region) != 0,
-        .token = view != NULL ? view->token : 0,
+        .token = view != NULL ? view->token_time : 0,
     };
 }
 
@@ -157,7 +157,7 @@
 /* A grant is to be given back to its home. */
 void
 effects_release(struct effects *effects, const char *home, GQuark upstream,
-                uint64_t grant, const struct ch_sample *sample)
+                uint64_t grant, const struct ch_timing_sample *sample)
 {
     struct effect *effect = add_effect(effects, EFFECT_RELEASE);
     effect->to = g_strdup(home);
@@ -185,7 +185,7 @@
     GQuark upstream;
     bool withdraw;
     uint64_t id;
-    struct ch_sample sample;
+    struct ch_timing_sample sample;
     unsigned left;
 };
 
@@ -236,9 +236,9 @@
         release.upstream = upstream;
         release.grant = parcel->id;
         release.code = (uint32_t)parcel->sample.code;
-        release.first_us = (uint64_t)MAX(parcel->sample.first, 0);
-        release.token_us = (uint64_t)MAX(parcel->sample.token, 0);
-        release.tokens = parcel->sample.tokens;
+        release.first_us = (uint64_t)MAX(parcel->sample.first_byte_time, 0);
+        release.token_us = (uint64_t)MAX(parcel->sample.token_time, 0);
+        release.tokens = parcel->sample.token_count;
         frame.body_case = WIRE(FRAME__BODY_RELEASE);
         frame.release = &release;
     }
--- a/libchestnuthitch/node/exchange.c
+++ b/libchestnuthitch/node/exchange.c
@@ -22,8 +22,9 @@
     }
     ch_exchange_record(exchange);
     pthread_mutex_lock(&front->lock);
-    ch_retry_give_back(ch_front_budget(front, exchange->request->work.pool),
-                       &exchange->try_held);
+    ch_retry_put_back(
+        ch_front_budget(front, exchange->request->work.required_service),
+        &exchange->try_held);
     pthread_mutex_unlock(&front->lock);
     pthread_mutex_lock(&exchange->lock);
     struct ch_reply *reply = exchange->reply;
@@ -125,7 +126,7 @@
 static void
 give_grant_back(struct ch_exchange *exchange)
 {
-    const struct ch_sample sample = {.code = CH_CANCELLED};
+    const struct ch_timing_sample sample = {.code = CH_CANCELLED};
     struct ch_router *router = exchange->front->node->router;
     router->ops->release(router, exchange->grant.handle, &sample);
 }
@@ -186,16 +187,16 @@
 {
     struct ch_front *front = exchange->front;
     pthread_mutex_lock(&front->lock);
-    bool held =
-        ch_retry_hold(ch_front_budget(front, exchange->request->work.pool),
-                      &exchange->try_held);
+    bool held = ch_retry_take(
+        ch_front_budget(front, exchange->request->work.required_service),
+        &exchange->try_held);
     pthread_mutex_unlock(&front->lock);
     return held;
 }
 
 static void ask_later(struct ch_exchange *exchange);
 
-/* On the pool, CH_RETRY_WAIT later: asks again, if the budget allows. */
+/* On the pool, CH_RETRY_DELAY_US later: asks again, if the budget allows. */
 static void
 ask_again(void *data)
 {
@@ -220,8 +221,8 @@
     exchange->home_handle = 0;
     exchange->home_answered = true;
     g_array_set_size(exchange->excluded, 0);
-    ch_timers_after(exchange->front->node->timers, CH_RETRY_WAIT, ask_again,
-                    exchange);
+    ch_timers_after(exchange->front->node->timers, CH_RETRY_DELAY_US,
+                    ask_again, exchange);
 }
 
 /* Whether a stream that was begun waits for its turn at an upstream: the one
@@ -230,10 +231,10 @@
 waits_for_turn(struct ch_exchange *exchange, enum ch_code code,
                bool may_have_run)
 {
-    const struct ch_work *work = &exchange->request->work;
-    bool gone = work->only != 0 && code == CH_NO_UPSTREAM;
+    const struct ch_request_info *work = &exchange->request->work;
+    bool gone = work->required_upstream != 0 && code == CH_NO_UPSTREAM;
     return !exchange->abandoned && exchange->stream_begun && !gone &&
-           ch_retry_waits(work, code, may_have_run, exchange->events);
+           ch_retry_is_delayed(work, code, may_have_run, exchange->events);
 }
 
 /* A home refused, or none serves this: final, and told at once, unless the
@@ -325,8 +326,8 @@
     unsigned round = ++exchange->round;
     exchange->home_answered = false;
     exchange->home_handle = 0;
-    struct ch_work work = exchange->request->work;
-    work.begun = exchange->stream_begun;
+    struct ch_request_info work = exchange->request->work;
+    work.answer_started = exchange->stream_begun;
     GArray *excluded = g_array_copy(exchange->excluded);
     /* The course may be over when the call returns. */
     ch_exchange_ref(exchange);
@@ -347,8 +348,8 @@
     return (struct ch_retry_failure){
         .code = end->code,
         .may_have_run = end->may_have_run,
-        .stream = exchange->request->stream,
-        .events_given = exchange->events,
+        .is_resumable = exchange->request->stream,
+        .events_delivered = exchange->events,
     };
 }
 
@@ -359,20 +360,20 @@
 decide_retry(struct ch_exchange *exchange, const struct ch_call_end *end)
 {
     struct ch_front *front = exchange->front;
-    const struct ch_work *work = &exchange->request->work;
+    const struct ch_request_info *work = &exchange->request->work;
     bool repeatable = work->idempotent || exchange->once_created ||
-                      (work->tries > 0 && !exchange->may_have_run);
+                      (work->max_attempts > 0 && !exchange->may_have_run);
     if (exchange->abandoned || exchange->too_large || !repeatable ||
         ch_crash_keeper_bars(front->node->crashes, exchange->request)) {
         return CH_RETRY_NO;
     }
     const struct ch_retry_failure failure = failure_of(exchange, end);
     pthread_mutex_lock(&front->lock);
-    enum ch_retry retry = ch_retry_decide(ch_front_budget(front, work->pool),
-                                          &exchange->try_held, work, &failure,
-                                          ch_client_now(front->node->client));
+    enum ch_retry retry = ch_retry_decide(
+        ch_front_budget(front, work->required_service), &exchange->try_held,
+        work, &failure, ch_client_now(front->node->client));
     pthread_mutex_unlock(&front->lock);
-    if (retry == CH_RETRY_AGAIN && exchange->stream_begun) {
+    if (retry == CH_RETRY_RESTART && exchange->stream_begun) {
         return CH_RETRY_NO;
     }
     return retry;
@@ -388,15 +389,15 @@
     if (retry == CH_RETRY_RESUME) {
         ch_metrics_count(metrics, CH_COUNT_RESUMED, 1);
     }
-    if (retry == CH_RETRY_AGAIN) {
+    if (retry == CH_RETRY_RESTART) {
         g_byte_array_set_size(exchange->body, 0);
     }
     GQuark failed = exchange->grant.upstream;
     g_array_append_val(exchange->excluded, failed);
-    struct ch_work *work = &exchange->request->work;
+    struct ch_request_info *work = &exchange->request->work;
     const struct ch_retry_failure failure = failure_of(exchange, end);
     bool refused = ch_retry_is_refusal(work, &failure);
-    bool counts = work->tries == 0 || exchange->was_sent;
+    bool counts = work->max_attempts == 0 || exchange->was_sent;
     work->refusals += refused ? 1 : 0;
     work->attempt += counts && !refused ? 1 : 0;
     exchange->step = CH_STEP_HOME;
@@ -468,7 +469,7 @@
         judged.may_have_run = true;
     }
     note_end(exchange, end);
-    struct ch_sample sample = ch_exchange_sample(exchange, judged.code);
+    struct ch_timing_sample sample = ch_exchange_sample(exchange, judged.code);
     node->router->ops->release(node->router, exchange->grant.handle, &sample);
     bool answers = end->code == CH_OK && !exchange->too_large;
     if (answers && judged.code == CH_OK) {
@@ -487,7 +488,7 @@
                     "the upstream's answer is over the limit", 0);
     }
     if (waits_for_turn(exchange, end->code, end->may_have_run)) {
-        exchange->request->work.only = exchange->grant.upstream;
+        exchange->request->work.required_upstream = exchange->grant.upstream;
         ask_later(exchange);
         return false;
     }
@@ -635,7 +636,7 @@
     case CH_ONCE_DONE:
         tell_kept(exchange, answer);
         return;
-    case CH_ONCE_RUNNING:
+    case CH_ONCE_IN_PROGRESS:
         exchange->may_have_run = true;
         ch_exchange_tell_failure(exchange, CH_IN_PROGRESS, NULL,
                                  CH_EXCHANGE_RETRY_AFTER);
@@ -719,7 +720,8 @@
     ch_reply_watch(reply, &watcher, ch_exchange_ref(exchange));
     ch_front_enter(front, exchange);
     pthread_mutex_lock(&front->lock);
-    ch_retry_budget_fresh(ch_front_budget(front, request->work.pool));
+    ch_retry_budget_add_request(
+        ch_front_budget(front, request->work.required_service));
     pthread_mutex_unlock(&front->lock);
     arm_deadline(exchange);
     ch_pool_submit(front->node->pool, begin, exchange);
