--- a/libchestnuthitch/node/exchange.h
+++ b/libchestnuthitch/node/exchange.h
@@ -128,8 +128,8 @@
 /* The request's id as its caller knows it. */
 const char *ch_exchange_id(const struct ch_exchange *exchange);
 /* What the home learns from the call.  Lock held. */
-struct ch_sample ch_exchange_sample(const struct ch_exchange *exchange,
-                                    enum ch_code code);
+struct ch_timing_sample ch_exchange_sample(const struct ch_exchange *exchange,
+                                           enum ch_code code);
 
 /* ---- exchange_tell.c; lock held; nothing after the first ---- */
 
--- a/libchestnuthitch/node/exchange_call.c
+++ b/libchestnuthitch/node/exchange_call.c
@@ -215,7 +215,7 @@
 {
     struct ch_exchange *exchange = data;
     struct ch_front *front = exchange->front;
-    const struct ch_work *work = &exchange->request->work;
+    const struct ch_request_info *work = &exchange->request->work;
     if (!exchange->request->routed) {
         return false;
     }
@@ -225,8 +225,9 @@
     if (!exchange->abandoned) {
         int64_t now = ch_client_now(front->node->client);
         pthread_mutex_lock(&front->lock);
-        held = ch_retry_reserve(ch_front_budget(front, work->pool),
-                                &exchange->try_held, work, now);
+        held = ch_retry_may_abandon(
+            ch_front_budget(front, work->required_service),
+            &exchange->try_held, work, now);
         pthread_mutex_unlock(&front->lock);
     }
     pthread_mutex_unlock(&exchange->lock);
@@ -274,7 +275,7 @@
                   sizeof(judged.message));
     }
     if (end->code == CH_OK && !exchange->is_stream &&
-        !exchange->request->work.service) {
+        !exchange->request->work.is_service) {
         exchange->made_tokens = tokens_of_answer(exchange->body);
     }
     if (exchange->out_of_order) {
@@ -301,7 +302,7 @@
         return MAX(request->first_byte_limit,
                    EXPECTED_TIMES * exchange->grant.expected + EXPECTED_MORE);
     }
-    if (request->stream || request->work.service) {
+    if (request->stream || request->work.is_service) {
         return limit;
     }
     int64_t token = request->between_tokens > 0 ? 2 * request->between_tokens
@@ -309,7 +310,8 @@
     if (exchange->grant.token > 0) {
         token = MIN(token, MEASURED_TIMES * exchange->grant.token);
     }
-    return MIN(limit + token * request->work.output_tokens, MOST_FIRST_BYTE);
+    return MIN(limit + token * request->work.max_output_tokens,
+               MOST_FIRST_BYTE);
 }
 
 /* Sets the exchange back to before the first byte of a call. */
@@ -373,7 +375,7 @@
         .method = request->method,
         .path = request->path,
         .content_type = request->content_type,
-        .idempotency_key = request->work.service ? request->key : NULL,
+        .idempotency_key = request->work.is_service ? request->key : NULL,
         .body = request->body,
         .body_length = request->length,
         .stream = request->stream,
@@ -400,25 +402,25 @@
 
 /* Of a plain model answer all tokens come at once, so that the time for one is
  * taken from the whole. */
-struct ch_sample
+struct ch_timing_sample
 ch_exchange_sample(const struct ch_exchange *exchange, enum ch_code code)
 {
-    struct ch_sample sample = {.code = code};
+    struct ch_timing_sample sample = {.code = code};
     if (exchange->call_first == 0) {
         return sample;
     }
-    sample.first = exchange->call_first - exchange->dispatched;
+    sample.first_byte_time = exchange->call_first - exchange->dispatched;
     if (exchange->is_stream) {
-        sample.tokens = exchange->call_events;
+        sample.token_count = exchange->call_events;
         if (exchange->call_events > 1) {
-            sample.token = (exchange->call_last - exchange->call_first) /
-                           (exchange->call_events - 1);
+            sample.token_time = (exchange->call_last - exchange->call_first) /
+                                (exchange->call_events - 1);
         }
     }
     else if (exchange->made_tokens > 0) {
-        sample.tokens = exchange->made_tokens;
-        sample.token = sample.first / exchange->made_tokens;
-        sample.first = sample.token;
+        sample.token_count = exchange->made_tokens;
+        sample.token_time = sample.first_byte_time / exchange->made_tokens;
+        sample.first_byte_time = sample.token_time;
     }
     return sample;
 }
--- a/libchestnuthitch/node/exchange_life.c
+++ b/libchestnuthitch/node/exchange_life.c
@@ -27,7 +27,7 @@
     g_array_set_clear_func(exchange->headers, clear_header);
     exchange->last_event = g_strdup(request->resume_id);
     exchange->body = g_byte_array_new();
-    exchange->arrived = request->work.arrived;
+    exchange->arrived = request->work.arrived_at;
     exchange->at_wall_ms = g_get_real_time() / 1000;
     exchange->code = CH_SYSTEM;
     exchange->step = !request->work.idempotent && request->key != NULL
--- a/libchestnuthitch/node/exchange_tell.c
+++ b/libchestnuthitch/node/exchange_tell.c
@@ -221,9 +221,9 @@
 {
     const struct ch_request *request = exchange->request;
     char prefix[20] = "";
-    if (request->work.prefix != 0) {
+    if (request->work.prefix_hash != 0) {
         g_snprintf(prefix, sizeof(prefix), "%016" G_GINT64_MODIFIER "x",
-                   request->work.prefix);
+                   request->work.prefix_hash);
     }
     count(exchange);
     ch_log(
@@ -235,7 +235,7 @@
         CH_F_STR("adapter", request->adapter ? request->adapter : ""),
         CH_F_STR("prefix", prefix),
         CH_F_INT("prompt_tokens", request->work.prompt_tokens),
-        CH_F_INT("output_tokens", request->work.output_tokens),
+        CH_F_INT("output_tokens", request->work.max_output_tokens),
         CH_F_INT("made_tokens", exchange->made_tokens),
         CH_F_STR("key", request->key ? request->key : ""),
         CH_F_STR("upstream",
@@ -247,7 +247,8 @@
         CH_F_INT("status", exchange->status),
         CH_F_INT("attempts", exchange->calls),
         CH_F_INT("at_ms", exchange->at_wall_ms),
-        CH_F_INT("target_us", request->work.first_by - request->work.arrived),
+        CH_F_INT("target_us", request->work.first_token_deadline -
+                                  request->work.arrived_at),
         CH_F_INT("queued_us", since_arrival(exchange, exchange->first_grant)),
         CH_F_INT("first_us", since_arrival(exchange, exchange->first)),
         CH_F_INT("between_us", between_tokens(exchange)),
--- a/libchestnuthitch/node/front.c
+++ b/libchestnuthitch/node/front.c
@@ -84,8 +84,8 @@
     const struct ch_settings *settings = front->node->settings;
     double slack = RETRY_PART * settings->retry_slack / count_sharers(front);
     budget->share = RETRY_PART * settings->retry_share;
-    budget->most = MAX(slack, 1);
-    budget->level = MIN(budget->level, budget->most);
+    budget->max_level = MAX(slack, 1);
+    budget->level = MIN(budget->level, budget->max_level);
 }
 
 /* See front.h. */
--- a/libchestnuthitch/node/gossip.c
+++ b/libchestnuthitch/node/gossip.c
@@ -9,7 +9,7 @@
 #define WIRE(name) CHESTNUTHITCH__WIRE__##name
 
 struct message {
-    Chestnuthitch__Wire__UpstreamState *states[CH_GOSSIP_STATES];
+    Chestnuthitch__Wire__UpstreamState *states[CH_GOSSIP_MAX_STATES];
     size_t state_count;
     GPtrArray *members; /* of MemberState */
 };
@@ -20,9 +20,9 @@
 state_hash(const struct ch_upstream_view *view)
 {
     uint64_t hash = ch_hash_pair(view->running, view->queued);
-    hash = ch_hash_pair(hash, (uint64_t)(view->wait / 50000));
+    hash = ch_hash_pair(hash, (uint64_t)(view->predicted_wait / 50000));
     hash = ch_hash_pair(hash, view->free_mb);
-    hash = ch_hash_pair(hash, (uint64_t)view->leaving * 2 + view->down);
+    hash = ch_hash_pair(hash, (uint64_t)view->draining * 2 + view->down);
     for (guint i = 0; i < view->resident->len; i++) {
         hash = ch_hash_pair(
             hash, g_array_index(view->resident, struct ch_item, i).name);
@@ -41,7 +41,7 @@
     }
     uint64_t hash = state_hash(view);
     if (hash == upstream->told_hash && !homes->news &&
-        now - upstream->told_at < CH_GOSSIP_REFRESH) {
+        now - upstream->told_at < CH_GOSSIP_REFRESH_US) {
         return;
     }
     upstream->told_hash = hash;
@@ -58,7 +58,7 @@
 static void
 gather_states(struct ch_homes *homes, struct message *message, int64_t now)
 {
-    bool direct = ch_gossip_direct(homes->live);
+    bool direct = ch_gossip_reaches_all(homes->live);
     guint count = homes->upstreams->len;
     guint start = count > 0 ? g_rand_int(homes->random) % count : 0;
     for (guint k = 0; k < count; k++) {
@@ -69,7 +69,7 @@
         }
         note_news(homes, upstream, now);
         if ((direct && !upstream->news) ||
-            message->state_count == CH_GOSSIP_STATES) {
+            message->state_count == CH_GOSSIP_MAX_STATES) {
             continue;
         }
         upstream->news = false;
@@ -133,18 +133,18 @@
     GPtrArray *near = g_ptr_array_new_with_free_func(g_free);
     GPtrArray *far = g_ptr_array_new_with_free_func(g_free);
     ch_peers_others(homes->node->peers, near, far);
-    struct ch_gossip_share share = {near->len, far->len};
+    struct ch_gossip_fanout share = {near->len, far->len};
     if (!all) {
-        share = ch_gossip_share(near->len, far->len);
+        share = ch_gossip_fanout(near->len, far->len);
     }
     pthread_mutex_lock(&homes->lock);
     unsigned near_turn = homes->near_turn;
     unsigned far_turn = homes->far_turn;
-    homes->near_turn += share.near;
-    homes->far_turn += share.far;
+    homes->near_turn += share.local;
+    homes->far_turn += share.remote;
     pthread_mutex_unlock(&homes->lock);
-    send_message(homes, message, near, near_turn, share.near);
-    send_message(homes, message, far, far_turn, share.far);
+    send_message(homes, message, near, near_turn, share.local);
+    send_message(homes, message, far, far_turn, share.remote);
     g_ptr_array_free(near, TRUE);
     g_ptr_array_free(far, TRUE);
 }
--- a/libchestnuthitch/node/home_frames.c
+++ b/libchestnuthitch/node/home_frames.c
@@ -44,18 +44,18 @@
 static bool
 make_work(const struct ch_declaration *declaration,
           const Chestnuthitch__Wire__Enqueue *enqueue, int64_t now,
-          struct ch_work *work)
+          struct ch_request_info *work)
 {
-    *work = (struct ch_work){
-        .service = enqueue->service,
+    *work = (struct ch_request_info){
+        .is_service = enqueue->service,
         .tenant = ch_hash_string(enqueue->tenant),
         .prompt_tokens = enqueue->prompt_tokens,
-        .output_tokens = enqueue->output_tokens,
-        .prefix = enqueue->prefix,
-        .arrived = now,
-        .first_by = now + (int64_t)enqueue->left_us,
-        .between = (int64_t)enqueue->between_us,
-        .whole_by =
+        .max_output_tokens = enqueue->output_tokens,
+        .prefix_hash = enqueue->prefix,
+        .arrived_at = now,
+        .first_token_deadline = now + (int64_t)enqueue->left_us,
+        .token_target = (int64_t)enqueue->between_us,
+        .answer_deadline =
             enqueue->whole_us > 0 ? now + (int64_t)enqueue->whole_us : 0,
         .attempt = enqueue->attempt,
         .idempotent = enqueue->idempotent,
@@ -92,7 +92,7 @@
  * two homes cost some quality and no promise. */
 static void
 queue_remote(struct ch_homes *homes, const Chestnuthitch__Wire__Frame *frame,
-             struct ch_work *work)
+             struct ch_request_info *work)
 {
     int64_t now = ch_client_now(homes->node->client);
     struct effects effects;
@@ -128,7 +128,7 @@
         refuse_enqueue(homes, frame, CH_NOT_READY, "no configuration yet");
         return;
     }
-    struct ch_work work;
+    struct ch_request_info work;
     if (make_work(config->declaration, frame->enqueue,
                   ch_client_now(homes->node->client), &work)) {
         queue_remote(homes, frame, &work);
@@ -146,11 +146,11 @@
 handle_release(void *data, const Chestnuthitch__Wire__Frame *frame)
 {
     struct ch_homes *homes = data;
-    struct ch_sample sample = {
+    struct ch_timing_sample sample = {
         .code = (enum ch_code)frame->release->code,
-        .first = (int64_t)frame->release->first_us,
-        .token = (int64_t)frame->release->token_us,
-        .tokens = frame->release->tokens,
+        .first_byte_time = (int64_t)frame->release->first_us,
+        .token_time = (int64_t)frame->release->token_us,
+        .token_count = frame->release->tokens,
     };
     struct effects effects;
     effects_init(&effects);
--- a/libchestnuthitch/node/home_ledger.c
+++ b/libchestnuthitch/node/home_ledger.c
@@ -98,13 +98,13 @@
     upstream->ledger_read = true;
     for (guint i = 0; i < upstream->items->len; i++) {
         GQuark item = g_array_index(upstream->items, GQuark, i);
-        if (ch_ledger_find(ledger, g_quark_to_string(item)) == NULL) {
+        if (ch_ledger_find_entry(ledger, g_quark_to_string(item)) == NULL) {
             ch_home_set_item(upstream->home, item, CH_ITEM_ABSENT, 0, now,
                              &actions);
         }
     }
     g_array_set_size(upstream->items, 0);
-    for (size_t i = 0; i < ledger->count; i++) {
+    for (size_t i = 0; i < ledger->entry_count; i++) {
         const struct ch_ledger_entry *entry = &ledger->entries[i];
         GQuark item = g_quark_from_string(entry->item);
         g_array_append_val(upstream->items, item);
@@ -159,7 +159,8 @@
     if (upstream != NULL && upstream->home != NULL) {
         int64_t now = ch_client_now(homes->node->client);
         struct ch_actions actions = home_actions_new();
-        ch_home_order_failed(upstream->home, item, kind, code, now, &actions);
+        ch_home_handle_failed_order(upstream->home, item, kind, code, now,
+                                    &actions);
         home_apply(homes, upstream, &actions, now, &effects);
     }
     pthread_mutex_unlock(&homes->lock);
--- a/libchestnuthitch/node/home_members.c
+++ b/libchestnuthitch/node/home_members.c
@@ -74,10 +74,10 @@
     unsigned count = g_strv_length(live);
     g_strfreev(live);
     double nodes = MAX(count, 1U);
-    homes->loads.rate = settings->loads_per_s / nodes;
-    homes->loads.most = MAX(settings->loads_parallel / nodes, 1.0);
-    homes->link.rate = settings->link_mbit * 1e6 / 8 / nodes;
-    homes->link.most = homes->link.rate * 2;
+    homes->loads.rate_per_s = settings->loads_per_s / nodes;
+    homes->loads.capacity = MAX(settings->loads_parallel / nodes, 1.0);
+    homes->link.rate_per_s = settings->link_mbit * 1e6 / 8 / nodes;
+    homes->link.capacity = homes->link.rate_per_s * 2;
     homes->news = count != homes->live;
     homes->live = count;
 }
--- a/libchestnuthitch/node/home_queue.c
+++ b/libchestnuthitch/node/home_queue.c
@@ -47,15 +47,15 @@
 apply_grant(struct ch_homes *homes, const struct ch_action *action,
             struct effects *effects)
 {
-    struct ticket *ticket = ch_table_get(homes->tickets, action->work);
+    struct ticket *ticket = ch_table_get(homes->tickets, action->request_id);
     if (ticket == NULL) {
         return;
     }
     ticket->granted = true;
     ch_metrics_count(homes->node->client->metrics, CH_COUNT_GRANTS, 1);
     if (ticket->from != NULL) {
-        effects_grant_frame(effects, ticket, action->work, action->priority,
-                            homes);
+        effects_grant_frame(effects, ticket, action->request_id,
+                            action->priority, homes);
         return;
     }
     struct request *request = request_of(homes, ticket);
@@ -69,7 +69,8 @@
 apply_refuse(struct ch_homes *homes, const struct ch_action *action,
              int64_t now, struct effects *effects)
 {
-    struct ticket *ticket = ch_table_remove(homes->tickets, action->work);
+    struct ticket *ticket =
+        ch_table_remove(homes->tickets, action->request_id);
     if (ticket == NULL) {
         return;
     }
@@ -108,7 +109,7 @@
     if (!is_model(item)) {
         return true;
     }
-    return ch_bucket_take(&homes->loads, 1.0, now);
+    return ch_token_bucket_take(&homes->loads, 1.0, now);
 }
 
 /* Models that are being loaded anywhere in this node's region, as far as it
@@ -137,8 +138,8 @@
 {
     unsigned parallel = homes->node->settings->loads_parallel;
     unsigned busy = loads_under_way(homes);
-    unsigned level = (unsigned)ch_bucket_level(&homes->loads, now);
-    homes->fleet.loads_left =
+    unsigned level = (unsigned)ch_token_bucket_level(&homes->loads, now);
+    homes->fleet.store_loads_left =
         busy < parallel ? MIN(level, parallel - busy) : 0;
 }
 
@@ -152,8 +153,8 @@
         !may_load(homes, action->item, now)) {
         struct ch_actions more = home_actions_new();
         /* As if somebody else had been first: tried again a tick later. */
-        ch_home_order_failed(upstream->home, action->item, action->kind,
-                             CH_KV_CONFLICT, now, &more);
+        ch_home_handle_failed_order(upstream->home, action->item, action->kind,
+                                    CH_KV_CONFLICT, now, &more);
         home_apply(homes, upstream, &more, now, effects);
         return;
     }
@@ -201,10 +202,10 @@
     uint16_t data_centre = view->data_centre;
     g_array_unref(view->resident);
     g_array_unref(view->loading);
-    ch_home_view(upstream->home, now, view);
+    ch_home_get_view(upstream->home, now, view);
     view->region = region;
     view->data_centre = data_centre;
-    view->leaving = view->leaving || upstream->leaving;
+    view->draining = view->draining || upstream->leaving;
 }
 
 /* Makes this node the home of an upstream. */
@@ -215,14 +216,14 @@
     if (upstream->home != NULL) {
         return;
     }
-    struct ch_home_facts facts = {
+    struct ch_upstream_config facts = {
         .name = upstream->name,
         .service = upstream->service,
         .capacity_mb = upstream->capacity_mb,
         .accelerators = upstream->accelerators,
         .batch = upstream->batch,
         .max_queue = homes->node->settings->max_queue,
-        .leaving = upstream->leaving,
+        .draining = upstream->leaving,
     };
     upstream->home = ch_home_new(homes->policy, &facts, now);
     g_array_set_size(upstream->items, 0);
@@ -280,16 +281,18 @@
     }
     for (guint i = 0; i < pass.handles->len; i++) {
         struct ch_action action = {
-            .work = g_array_index(pass.handles, uint64_t, i),
+            .request_id = g_array_index(pass.handles, uint64_t, i),
             .code = CH_PEER_LOST,
             .message = "the home has moved",
         };
-        struct ticket *ticket = ch_table_get(homes->tickets, action.work);
+        struct ticket *ticket =
+            ch_table_get(homes->tickets, action.request_id);
         if (ticket != NULL && !ticket->granted) {
             apply_refuse(homes, &action, now, effects);
         }
         else if (ticket != NULL) {
-            home_free_ticket(ch_table_remove(homes->tickets, action.work));
+            home_free_ticket(
+                ch_table_remove(homes->tickets, action.request_id));
         }
     }
     g_array_free(pass.handles, TRUE);
@@ -301,8 +304,8 @@
  * the home answers. */
 void
 home_offer(struct ch_homes *homes, struct upstream *upstream,
-           struct ch_work *work, struct ticket *ticket, uint64_t *handle,
-           int64_t now, struct effects *effects)
+           struct ch_request_info *work, struct ticket *ticket,
+           uint64_t *handle, int64_t now, struct effects *effects)
 {
     ticket->upstream = upstream_ref(upstream);
     ticket->since = now;
@@ -310,7 +313,7 @@
     *handle = work->id;
     struct ch_actions actions = home_actions_new();
     homes_refresh_loads(homes, now);
-    ch_home_offer(upstream->home, work, &homes->fleet, now, &actions);
+    ch_home_enqueue(upstream->home, work, &homes->fleet, now, &actions);
     home_apply(homes, upstream, &actions, now, effects);
 }
 
@@ -322,7 +325,7 @@
 {
     struct ticket *ticket = g_new0(struct ticket, 1);
     ticket->enqueue = request->handle;
-    struct ch_work work = request->work;
+    struct ch_request_info work = request->work;
     request->state = REQUEST_QUEUED_HERE;
     home_offer(homes, request->upstream, &work, ticket, &request->ticket, now,
                effects);
@@ -347,7 +350,7 @@
 /* A granted request has ended.  An unknown ticket was ended before. */
 void
 home_release(struct ch_homes *homes, uint64_t handle,
-             const struct ch_sample *sample, int64_t now,
+             const struct ch_timing_sample *sample, int64_t now,
              struct effects *effects)
 {
     struct ticket *ticket = ch_table_remove(homes->tickets, handle);
@@ -359,8 +362,8 @@
         note_failure(upstream, sample->code, now);
         struct ch_actions actions = home_actions_new();
         if (upstream->down_until > now) {
-            ch_home_report(upstream->home, 0, 0, upstream->leaving, true, now,
-                           &actions);
+            ch_home_update_engine_state(
+                upstream->home, 0, 0, upstream->leaving, true, now, &actions);
         }
         ch_home_release(upstream->home, handle, sample, now, &actions);
         home_apply(homes, upstream, &actions, now, effects);
@@ -378,7 +381,7 @@
         return;
     }
     if (ticket->granted) {
-        struct ch_sample sample = {.code = CH_PEER_LOST};
+        struct ch_timing_sample sample = {.code = CH_PEER_LOST};
         home_release(homes, handle, &sample, now, effects);
         return;
     }
--- a/libchestnuthitch/node/home_report.c
+++ b/libchestnuthitch/node/home_report.c
@@ -27,15 +27,15 @@
     struct ch_actions actions = home_actions_new();
     if (job->report != NULL) {
         upstream->report_failures = 0;
-        ch_home_report(
+        ch_home_update_engine_state(
             upstream->home, job->report->running, job->report->waiting,
             job->report->leaving || upstream->leaving, false, now, &actions);
         home_assume_report(upstream, job->report, now, &actions);
     }
     else if (++upstream->report_failures >= REPORTS_MISSED ||
              job->code == CH_UPSTREAM_CONNECT) {
-        ch_home_report(upstream->home, 0, 0, upstream->leaving, true, now,
-                       &actions);
+        ch_home_update_engine_state(upstream->home, 0, 0, upstream->leaving,
+                                    true, now, &actions);
     }
     home_apply(job->homes, upstream, &actions, now, effects);
 }
@@ -102,8 +102,8 @@
     struct ch_actions actions = home_actions_new();
     if (upstream->down_until > 0 && upstream->down_until <= now) {
         upstream->down_until = 0;
-        ch_home_report(upstream->home, 0, 0, upstream->leaving, false, now,
-                       &actions);
+        ch_home_update_engine_state(upstream->home, 0, 0, upstream->leaving,
+                                    false, now, &actions);
     }
     ch_home_tick(upstream->home, &homes->fleet, now, &actions);
     home_apply(homes, upstream, &actions, now, effects);
--- a/libchestnuthitch/node/homes.c
+++ b/libchestnuthitch/node/homes.c
@@ -120,7 +120,7 @@
            const Chestnuthitch__Wire__Grant *grant, struct effects *effects)
 {
     if (request->withdrawn) {
-        struct ch_sample sample = {.code = CH_PEER_LOST};
+        struct ch_timing_sample sample = {.code = CH_PEER_LOST};
         effects_release(effects, request->home, request->upstream->name,
                         grant->grant, &sample);
         free_request(homes, request);
@@ -192,7 +192,7 @@
 static void
 send_enqueue(struct ch_homes *homes, struct request *request, int64_t now)
 {
-    const struct ch_work *work = &request->work;
+    const struct ch_request_info *work = &request->work;
     char tenant[32];
     g_snprintf(tenant, sizeof(tenant), "%016" G_GINT64_MODIFIER "x",
                work->tenant);
@@ -204,13 +204,14 @@
     body.class_name = (char *)g_quark_to_string(work->class_name);
     body.tenant = tenant;
     body.prompt_tokens = work->prompt_tokens;
-    body.output_tokens = work->output_tokens;
-    body.prefix = work->prefix;
-    body.left_us = (uint64_t)MAX(work->first_by - now, 0);
-    body.between_us = (uint64_t)work->between;
-    body.whole_us =
-        work->whole_by > 0 ? (uint64_t)MAX(work->whole_by - now, 1) : 0;
-    body.service = work->service;
+    body.output_tokens = work->max_output_tokens;
+    body.prefix = work->prefix_hash;
+    body.left_us = (uint64_t)MAX(work->first_token_deadline - now, 0);
+    body.between_us = (uint64_t)work->token_target;
+    body.whole_us = work->answer_deadline > 0
+                        ? (uint64_t)MAX(work->answer_deadline - now, 1)
+                        : 0;
+    body.service = work->is_service;
     body.attempt = work->attempt;
     body.idempotent = work->idempotent;
     Chestnuthitch__Wire__Frame frame = WIRE(FRAME__INIT);
@@ -239,8 +240,8 @@
     }
     double bytes = LINK_HEAD_BYTES +
                    (double)LINK_PROMPT_BYTES * request->work.prompt_tokens +
-                   (double)LINK_TOKEN_BYTES * request->work.output_tokens;
-    ch_bucket_take(&homes->link, bytes, now);
+                   (double)LINK_TOKEN_BYTES * request->work.max_output_tokens;
+    ch_token_bucket_take(&homes->link, bytes, now);
 }
 
 /* Counts a pause of this process, seen by the ticks or before the next one. */
@@ -258,11 +259,12 @@
 route_request(struct ch_homes *homes, struct request *request, int64_t now,
               struct effects *effects)
 {
-    homes->fleet.link_bytes = (int64_t)ch_bucket_level(&homes->link, now);
+    homes->fleet.link_bytes_left =
+        (int64_t)ch_token_bucket_level(&homes->link, now);
     homes_refresh_loads(homes, now);
     struct ch_route route =
-        ch_route_retry(homes->policy, &homes->fleet, &request->work,
-                       request->excluded, request->failed, now);
+        ch_route_choose_retry(homes->policy, &homes->fleet, &request->work,
+                              request->excluded, request->failed, now);
     if (route.code != CH_OK && request->refusal != CH_OK) {
         /* Every place was asked: the caller learns what the last one said,
          * and when it may come back, rather than that there is none. */
@@ -300,7 +302,7 @@
 /* Asks for leave to dispatch.  One of the handlers runs once, on a pool
  * worker, unless the request is withdrawn first. */
 uint64_t
-ch_homes_request(struct ch_homes *homes, const struct ch_work *work,
+ch_homes_request(struct ch_homes *homes, const struct ch_request_info *work,
                  const GArray *excluded,
                  const struct ch_router_handlers *handlers, void *data)
 {
@@ -356,7 +358,7 @@
 /* Gives a grant back, telling how the dispatch went. */
 void
 ch_homes_release(struct ch_homes *homes, uint64_t handle,
-                 const struct ch_sample *sample)
+                 const struct ch_timing_sample *sample)
 {
     struct effects effects;
     effects_init(&effects);
@@ -387,7 +389,7 @@
 bool
 request_is_stale(struct ch_homes *homes, uint64_t handle)
 {
-    static const struct ch_sample unused = {.code = CH_CANCELLED};
+    static const struct ch_timing_sample unused = {.code = CH_CANCELLED};
     int64_t now = ch_client_now(homes->node->client);
     bool stale = false;
     struct effects effects;
@@ -425,7 +427,7 @@
     if (upstream == 0) {
         return;
     }
-    struct ch_sample sample = {.code = CH_PEER_LOST};
+    struct ch_timing_sample sample = {.code = CH_PEER_LOST};
     struct effects effects;
     effects_init(&effects);
     effects_release(&effects, frame->from, upstream, frame->grant->grant,
@@ -448,7 +450,7 @@
 }
 
 static uint64_t
-router_request(struct ch_router *router, const struct ch_work *work,
+router_request(struct ch_router *router, const struct ch_request_info *work,
                const GArray *excluded,
                const struct ch_router_handlers *handlers, void *data)
 {
@@ -464,7 +466,7 @@
 
 static void
 router_release(struct ch_router *router, uint64_t handle,
-               const struct ch_sample *sample)
+               const struct ch_timing_sample *sample)
 {
     ch_homes_release((struct ch_homes *)router, handle, sample);
 }
@@ -531,10 +533,10 @@
     site_init(homes);
     int64_t now = ch_client_now(node->client);
     const struct ch_settings *settings = node->settings;
-    ch_bucket_init(&homes->loads, settings->loads_per_s,
-                   settings->loads_parallel, now);
-    ch_bucket_init(&homes->link, settings->link_mbit * 1e6 / 8,
-                   settings->link_mbit * 1e6 / 4, now);
+    ch_token_bucket_init(&homes->loads, settings->loads_per_s,
+                         settings->loads_parallel, now);
+    ch_token_bucket_init(&homes->link, settings->link_mbit * 1e6 / 8,
+                         settings->link_mbit * 1e6 / 4, now);
     home_handlers(homes);
     gossip_handlers(homes);
     ch_peers_handle_late(node->peers, handle_late, homes);
@@ -549,7 +551,8 @@
     homes->jobs += 2;
     pthread_mutex_unlock(&homes->lock);
     homes_fetch_list(homes);
-    ch_timers_after(homes->node->timers, CH_HOME_TICK, homes_run_tick, homes);
+    ch_timers_after(homes->node->timers, CH_HOME_TICK_US, homes_run_tick,
+                    homes);
 }
 
 /* Hands the homes over: says that this node stops, then closes each, by which
--- a/libchestnuthitch/node/homes_internal.h
+++ b/libchestnuthitch/node/homes_internal.h
@@ -68,7 +68,7 @@
 struct request {
     uint64_t handle;
     enum request_state state;
-    struct ch_work work;
+    struct ch_request_info work;
     GArray *excluded; /* of GQuark: refused it, and failed before */
     guint failed;     /* so many at the front failed before */
     const struct ch_router_handlers *handlers;
@@ -103,8 +103,8 @@
     GPtrArray *data_centres;
     struct ch_table *requests;
     struct ch_table *tickets;
-    struct ch_bucket loads;
-    struct ch_bucket link;
+    struct ch_token_bucket loads;
+    struct ch_token_bucket link;
     uint64_t sequence;
     int64_t ticked;  /* last tick */
     uint64_t pauses; /* times that this process did not run for long */
@@ -150,7 +150,7 @@
 /* A Release or Withdraw that must arrive: sent again until acknowledged. */
 void effects_release(struct effects *effects, const char *home,
                      GQuark upstream, uint64_t grant,
-                     const struct ch_sample *sample);
+                     const struct ch_timing_sample *sample);
 void effects_withdraw(struct effects *effects, const char *home,
                       GQuark upstream, uint64_t enqueue);
 
@@ -187,8 +187,8 @@
 /* Offers work under a new ticket, whose handle is in *handle before the home
    answers. */
 void home_offer(struct ch_homes *homes, struct upstream *upstream,
-                struct ch_work *work, struct ticket *ticket, uint64_t *handle,
-                int64_t now, struct effects *effects);
+                struct ch_request_info *work, struct ticket *ticket,
+                uint64_t *handle, int64_t now, struct effects *effects);
 void home_open(struct ch_homes *homes, struct upstream *upstream, int64_t now,
                struct effects *effects);
 void home_close(struct ch_homes *homes, struct upstream *upstream,
@@ -197,7 +197,7 @@
 void home_offer_local(struct ch_homes *homes, struct request *request,
                       int64_t now, struct effects *effects);
 void home_release(struct ch_homes *homes, uint64_t ticket,
-                  const struct ch_sample *sample, int64_t now,
+                  const struct ch_timing_sample *sample, int64_t now,
                   struct effects *effects);
 void home_withdraw(struct ch_homes *homes, uint64_t ticket, int64_t now,
                    struct effects *effects);
@@ -214,7 +214,7 @@
 
 /* ---- home_report.c ---- */
 
-/* What each home does every CH_HOME_TICK, reports among it. */
+/* What each home does every CH_HOME_TICK_US, reports among it. */
 void home_tick_all(struct ch_homes *homes, int64_t now,
                    struct effects *effects);
 
--- a/libchestnuthitch/node/homes_recur.c
+++ b/libchestnuthitch/node/homes_recur.c
@@ -54,7 +54,7 @@
     return !stopping;
 }
 
-/* Every CH_HOME_TICK: homes, membership's consequences, gossip. */
+/* Every CH_HOME_TICK_US: homes, membership's consequences, gossip. */
 void
 homes_run_tick(void *data)
 {
@@ -74,10 +74,11 @@
     home_tick_all(homes, now, &effects);
     effects_run(homes, &effects);
     if (now >= homes->next_gossip) {
-        homes->next_gossip = now + CH_GOSSIP_PERIOD;
+        homes->next_gossip = now + CH_GOSSIP_PERIOD_US;
         gossip_round(homes, now);
     }
-    ch_timers_after(homes->node->timers, CH_HOME_TICK, homes_run_tick, homes);
+    ch_timers_after(homes->node->timers, CH_HOME_TICK_US, homes_run_tick,
+                    homes);
 }
 
 struct list_job {
--- a/libchestnuthitch/node/homes_status.c
+++ b/libchestnuthitch/node/homes_status.c
@@ -49,14 +49,14 @@
     add_string(builder, "data_centre", upstream->data_centre);
     add_string(builder, "home", home);
     add_string(builder, "state",
-               view->down      ? "down"
-               : view->leaving ? "leaving"
-                               : "live");
+               view->down       ? "down"
+               : view->draining ? "leaving"
+                                : "live");
     add_int(builder, "memory_mb", view->capacity_mb);
     add_int(builder, "free_mb", view->free_mb);
     add_int(builder, "running", view->running);
     add_int(builder, "queued", view->queued);
-    add_int(builder, "wait_ms", view->wait / 1000);
+    add_int(builder, "wait_ms", view->predicted_wait / 1000);
     add_items(builder, "resident", view->resident);
     add_items(builder, "reserved", view->loading);
     json_builder_end_object(builder);
--- a/libchestnuthitch/node/ledger_compose.c
+++ b/libchestnuthitch/node/ledger_compose.c
@@ -39,8 +39,8 @@
         if (!ending->ripe && !ending->refused && holding->engine != NULL) {
             continue;
         }
-        changed |= ch_ledger_end(next, ending->order, holding->office->sender,
-                                 ending->refused);
+        changed |= ch_ledger_end_send(
+            next, ending->order, holding->office->sender, ending->refused);
     }
     return changed;
 }
@@ -68,12 +68,13 @@
 apply_adoption(struct ch_ledger_holding *holding, struct ch_ledger *next)
 {
     const char *sender = holding->office->sender;
-    bool changed = ch_ledger_end_earlier(next, sender);
+    bool changed = ch_ledger_end_earlier_sends(next, sender);
     for (size_t i = 0; i < next->send_count; i++) {
         const struct ch_ledger_send *sending = &next->sends[i];
         if (strcmp(sending->sender, sender) == 0 &&
-            !followed_up(holding, sending->order)) {
-            changed |= ch_ledger_end(next, sending->order, sender, false);
+            !followed_up(holding, sending->order_id)) {
+            changed |=
+                ch_ledger_end_send(next, sending->order_id, sender, false);
         }
     }
     return changed;
@@ -94,16 +95,16 @@
         names[i] = report->resident[i].name;
         memory[i] = report->resident[i].memory_mb;
     }
-    const struct ch_ledger_evidence evidence = {
-        .boot = report->boot,
-        .resident = names,
+    const struct ch_ledger_report evidence = {
+        .boot_id = report->boot,
+        .resident_items = names,
         .resident_mb = memory,
         .resident_count = report->resident_count,
-        .orders_done = (const char *const *)report->orders_done,
-        .orders_done_count = report->orders_done_count,
-        .after_ends = true,
+        .done_order_ids = (const char *const *)report->orders_done,
+        .done_order_count = report->orders_done_count,
+        .requested_after_ends = true,
     };
-    return ch_ledger_observe(next, &evidence);
+    return ch_ledger_apply_report(next, &evidence);
 }
 
 /* Applies one intent; its code tells whether it could be. */
@@ -121,7 +122,7 @@
     intent->code = error.code;
     if (right) {
         g_hash_table_remove(holding->resends, item);
-        ledger_add_outgoing(holding, ch_ledger_find(next, item));
+        ledger_add_outgoing(holding, ch_ledger_find_entry(next, item));
     }
     return right;
 }
@@ -151,10 +152,10 @@
 {
     int64_t now = ch_client_now(holding->office->node->client);
     bool changed = false;
-    for (size_t i = 0; i < next->count; i++) {
+    for (size_t i = 0; i < next->entry_count; i++) {
         const char *item = next->entries[i].item;
-        if (next->entries[i].fence == next->version ||
-            ch_ledger_unclosed(next, item) == NULL) {
+        if (next->entries[i].fencing_token == next->version ||
+            ch_ledger_find_open_order(next, item) == NULL) {
             continue;
         }
         const struct resend *resend =
@@ -183,7 +184,7 @@
 ledger_compose(struct ch_ledger_holding *holding, GArray *failed)
 {
     g_autofree char *mark = ledger_new_mark(holding->office);
-    struct ch_ledger *next = ch_ledger_next(holding->ledger, mark);
+    struct ch_ledger *next = ch_ledger_copy_next(holding->ledger, mark);
     bool changed = false;
     holding->outgoing = g_ptr_array_new_with_free_func(ledger_outgoing_free);
     if (!holding->adopted) {
@@ -194,7 +195,8 @@
         changed |= next->capacity_mb != holding->capacity_mb;
         next->capacity_mb = holding->capacity_mb;
         changed |= apply_report(holding, next);
-        if (g_hash_table_size(holding->inflight) == 0 && next->boot != NULL) {
+        if (g_hash_table_size(holding->inflight) == 0 &&
+            next->boot_id != NULL) {
             changed |= apply_intents(holding, next, failed);
             g_array_set_size(holding->intents, 0);
             changed |= apply_resends(holding, next);
--- a/libchestnuthitch/node/ledger_orders.c
+++ b/libchestnuthitch/node/ledger_orders.c
@@ -173,8 +173,8 @@
     out->item = g_strdup(entry->item);
     out->model = g_strdup(parts[0]);
     out->adapter = g_strdup(parts[1]);
-    g_strlcpy(out->order.id, entry->order, sizeof(out->order.id));
-    out->order.fence = entry->fence;
+    g_strlcpy(out->order.id, entry->order_id, sizeof(out->order.id));
+    out->order.fence = entry->fencing_token;
     out->order.action =
         entry->state == CH_LEDGER_UNLOADING ? CH_ORDER_UNLOAD : CH_ORDER_LOAD;
     out->order.model = out->model;
--- a/libchestnuthitch/node/node.h
+++ b/libchestnuthitch/node/node.h
@@ -270,7 +270,8 @@
     bool (*ready)(struct ch_router *router);
     /* work is copied; excluded: GQuarks of upstreams not to try (may be
        NULL).  One of the handlers runs once, unless it is withdrawn. */
-    uint64_t (*request)(struct ch_router *router, const struct ch_work *work,
+    uint64_t (*request)(struct ch_router *router,
+                        const struct ch_request_info *work,
                         const GArray *excluded,
                         const struct ch_router_handlers *handlers, void *data);
     /* True: neither handler will run.  False: one has run or is about to; a
@@ -280,7 +281,7 @@
     void (*first)(struct ch_router *router, uint64_t handle);
     /* Exactly once for each grant. */
     void (*release)(struct ch_router *router, uint64_t handle,
-                    const struct ch_sample *sample);
+                    const struct ch_timing_sample *sample);
     /* This node stops: what it does for others goes to them. */
     void (*drain)(struct ch_router *router);
     void (*stop)(struct ch_router *router);
@@ -307,7 +308,8 @@
 /* True once this node knows enough of the upstreams to route. */
 bool ch_homes_ready(struct ch_homes *homes);
 /* work is copied; excluded: GQuarks of upstreams not to try (may be NULL). */
-uint64_t ch_homes_request(struct ch_homes *homes, const struct ch_work *work,
+uint64_t ch_homes_request(struct ch_homes *homes,
+                          const struct ch_request_info *work,
                           const GArray *excluded,
                           const struct ch_router_handlers *handlers,
                           void *data);
@@ -318,7 +320,7 @@
 bool ch_homes_withdraw(struct ch_homes *homes, uint64_t handle);
 /* Exactly once for each grant. */
 void ch_homes_release(struct ch_homes *homes, uint64_t handle,
-                      const struct ch_sample *sample);
+                      const struct ch_timing_sample *sample);
 /* Upstreams, homes, residents as JSON members of an open object. */
 void ch_homes_status(struct ch_homes *homes, JsonBuilder *builder);
 void ch_peers_status(struct ch_peers *peers, JsonBuilder *builder);
--- a/libchestnuthitch/node/once_home.c
+++ b/libchestnuthitch/node/once_home.c
@@ -84,8 +84,8 @@
 static int
 compare_listed(const void *a, const void *b)
 {
-    uint64_t first = ((const struct ch_once_listed *)a)->sequence;
-    uint64_t second = ((const struct ch_once_listed *)b)->sequence;
+    uint64_t first = ((const struct ch_once_batch_entry *)a)->sequence;
+    uint64_t second = ((const struct ch_once_batch_entry *)b)->sequence;
     return first < second ? -1 : first > second;
 }
 
@@ -93,7 +93,8 @@
 GArray *
 ch_once_listed_new(const struct ch_kv_entry *entries, size_t count)
 {
-    GArray *listed = g_array_new(FALSE, TRUE, sizeof(struct ch_once_listed));
+    GArray *listed =
+        g_array_new(FALSE, TRUE, sizeof(struct ch_once_batch_entry));
     for (size_t i = 0; i < count; i++) {
         const char *number = strrchr(entries[i].key, '/');
         guint64 sequence = 0;
@@ -102,7 +103,7 @@
                                         &sequence, NULL)) {
             continue;
         }
-        const struct ch_once_listed batch = {
+        const struct ch_once_batch_entry batch = {
             .sequence = sequence,
             .revision = entries[i].revision,
             .bytes = entries[i].value == NULL ? "" : entries[i].value,
@@ -210,15 +211,15 @@
         batch = ch_once_batch_decode(value->value, value->length, NULL);
     }
     if (batch != NULL) {
-        event = ch_once_batch_completion(batch, call->waiter->caller,
-                                         call->waiter->key, call->attempt);
+        event = ch_once_batch_find_completion(
+            batch, call->waiter->caller, call->waiter->key, call->attempt);
     }
-    if (event != NULL && event->kept) {
+    if (event != NULL && event->response_stored) {
         answer.kept = true;
         answer.status = (uint32_t)event->status;
         answer.content_type = event->content_type;
         answer.body.data = event->body;
-        answer.body.len = event->length;
+        answer.body.len = event->body_length;
     }
     reply(call->home, call->waiter, &answer);
     ch_once_batch_free(batch);
@@ -238,12 +239,13 @@
     if (waiter == NULL) {
         return;
     }
-    if (action->completed != 0 && !stopped) {
+    if (action->completed_sequence != 0 && !stopped) {
         struct kept_call *call = g_new0(struct kept_call, 1);
         call->home = home_ref(home);
         call->waiter = waiter;
-        call->attempt = action->by_attempt;
-        g_autofree char *key = ch_once_batch_key(slot, action->completed);
+        call->attempt = action->completed_by_attempt;
+        g_autofree char *key =
+            ch_once_batch_key(slot, action->completed_sequence);
         ch_kv_call_get(home->node, key, kept_read, call);
         return;
     }
@@ -297,10 +299,10 @@
     struct ch_once_actions actions;
     GArray *batches = ch_once_listed_new(entries, count);
     enter(slot, &actions);
-    ch_once_slot_listed(slot->machine, code,
-                        (const struct ch_once_listed *)(void *)batches->data,
-                        batches->len, ch_client_now(slot->home->node->client),
-                        &actions);
+    ch_once_slot_handle_list(
+        slot->machine, code,
+        (const struct ch_once_batch_entry *)(void *)batches->data,
+        batches->len, ch_client_now(slot->home->node->client), &actions);
     leave(slot, &actions, true);
     g_array_free(batches, TRUE);
 }
@@ -312,8 +314,8 @@
     struct home_slot *slot = data;
     struct ch_once_actions actions;
     enter(slot, &actions);
-    ch_once_slot_written(slot->machine, answer->code, answer->revision,
-                         ch_client_now(slot->home->node->client), &actions);
+    ch_once_slot_handle_put(slot->machine, answer->code, answer->revision,
+                            ch_client_now(slot->home->node->client), &actions);
     leave(slot, &actions, true);
 }
 
@@ -324,9 +326,9 @@
     struct home_slot *slot = data;
     struct ch_once_actions actions;
     enter(slot, &actions);
-    ch_once_slot_got(slot->machine, answer->code, answer->value,
-                     answer->length, answer->revision,
-                     ch_client_now(slot->home->node->client), &actions);
+    ch_once_slot_handle_get(slot->machine, answer->code, answer->value,
+                            answer->length, answer->revision,
+                            ch_client_now(slot->home->node->client), &actions);
     leave(slot, &actions, true);
 }
 
@@ -338,7 +340,7 @@
     struct ch_once_actions actions;
     int64_t now = ch_client_now(slot->home->node->client);
     enter(slot, &actions);
-    ch_once_slot_removed(slot->machine, answer->code, now, &actions);
+    ch_once_slot_handle_remove(slot->machine, answer->code, now, &actions);
     ch_once_slot_tick(slot->machine, answer->code == CH_OK, now, &actions);
     leave(slot, &actions, true);
 }
@@ -383,7 +385,7 @@
     for (guint i = 0; i < actions->list->len; i++) {
         const struct ch_once_action *action =
             &g_array_index(actions->list, struct ch_once_action, i);
-        if (action->kind == CH_ONCE_ANSWER) {
+        if (action->kind == CH_ONCE_REPLY) {
             run_answer(slot->home, slot->number, action);
         }
         else {
@@ -413,7 +415,7 @@
 follow_due(struct home_slot *slot)
 {
     struct ch_once_home *home = slot->home;
-    int64_t due = ch_once_slot_due(slot->machine);
+    int64_t due = ch_once_slot_next_due(slot->machine);
     if (due >= slot->timer_due || home->stopped) {
         return;
     }
@@ -479,8 +481,8 @@
     int64_t now = ch_client_now(home->node->client);
     slot->used = now;
     ch_once_actions_init(&actions);
-    ch_once_slot_add(slot->machine, event, ch_table_add(home->waiters, waiter),
-                     now, &actions);
+    ch_once_slot_add_event(slot->machine, event,
+                           ch_table_add(home->waiters, waiter), now, &actions);
     leave(slot, &actions, false);
 }
 
@@ -513,12 +515,13 @@
     event->caller = g_strdup(finish->caller);
     event->key = g_strdup(finish->key);
     event->attempt = finish->attempt;
-    event->kept = finish->kept && finish->body.len <= CH_ONCE_MOST_BODY;
-    if (event->kept) {
+    event->response_stored =
+        finish->kept && finish->body.len <= CH_ONCE_MAX_BODY_BYTES;
+    if (event->response_stored) {
         event->status = (int)MIN(finish->status, 999);
         event->content_type = g_strdup(finish->content_type);
         event->body = g_memdup2(finish->body.data, finish->body.len);
-        event->length = finish->body.len;
+        event->body_length = finish->body.len;
     }
     take_event(data, finish->slot, event, frame->from, frame->id);
 }
@@ -565,7 +568,7 @@
         return;
     }
     if (!own && slot->calls == 0 && now - slot->used > FORGET &&
-        ch_once_slot_idle(slot->machine)) {
+        ch_once_slot_is_idle(slot->machine)) {
         g_hash_table_remove(home->slots, GUINT_TO_POINTER(number));
         pthread_mutex_unlock(&home->lock);
         return;
--- a/libchestnuthitch/node/once_keeper.c
+++ b/libchestnuthitch/node/once_keeper.c
@@ -266,7 +266,7 @@
     struct finish *finish = finish_new(keeper, caller, key, attempt,
                                        ch_once_slot_of(caller, key, slots));
     finish->not_run = not_run;
-    finish->kept = !not_run && length <= CH_ONCE_MOST_BODY;
+    finish->kept = !not_run && length <= CH_ONCE_MAX_BODY_BYTES;
     finish->status = status;
     if (finish->kept) {
         g_free(finish->content_type);
@@ -305,7 +305,7 @@
     static const enum ch_counter counters[] = {
         [CH_ONCE_CREATED] = CH_COUNT_ONCE_CREATED,
         [CH_ONCE_DONE] = CH_COUNT_ONCE_REPEATED,
-        [CH_ONCE_RUNNING] = CH_COUNT_ONCE_REPEATED,
+        [CH_ONCE_IN_PROGRESS] = CH_COUNT_ONCE_REPEATED,
         [CH_ONCE_MISMATCH] = CH_COUNT_ONCE_REPEATED,
         [CH_ONCE_REFUSED] = CH_COUNT_ONCE_REFUSED,
     };
@@ -357,28 +357,29 @@
               const GArray *batches)
 {
     struct ch_once_answer answer = {
-        .state = ch_once_state_of(record, begin->attempt, begin->fingerprint),
+        .state = ch_once_record_get_state(record, begin->attempt,
+                                          begin->fingerprint),
     };
     struct ch_once_batch *batch = NULL;
-    for (guint i = 0;
-         answer.state == CH_ONCE_DONE && record->kept && i < batches->len;
+    for (guint i = 0; answer.state == CH_ONCE_DONE &&
+                      record->response_stored && i < batches->len;
          i++) {
-        const struct ch_once_listed *listed =
-            &g_array_index(batches, struct ch_once_listed, i);
-        if (listed->sequence == record->completed) {
+        const struct ch_once_batch_entry *listed =
+            &g_array_index(batches, struct ch_once_batch_entry, i);
+        if (listed->sequence == record->completed_sequence) {
             batch = ch_once_batch_decode(listed->bytes, listed->length, NULL);
         }
     }
     const struct ch_once_event *event =
         batch == NULL ? NULL
-                      : ch_once_batch_completion(batch, begin->caller,
-                                                 begin->key, record->attempt);
-    if (event != NULL && event->kept) {
+                      : ch_once_batch_find_completion(
+                            batch, begin->caller, begin->key, record->attempt);
+    if (event != NULL && event->response_stored) {
         answer.kept = true;
         answer.status = event->status;
         answer.content_type = event->content_type;
         answer.body = event->body;
-        answer.length = event->length;
+        answer.length = event->body_length;
     }
     begin_end(begin, &answer);
     ch_once_batch_free(batch);
@@ -395,10 +396,11 @@
     GArray *batches = ch_once_listed_new(entries, entry_count);
     struct ch_once_log *log = ch_once_log_new();
     const struct ch_once_record *record = NULL;
-    bool known = code == CH_OK &&
-                 ch_once_log_load(
-                     log, (const struct ch_once_listed *)(void *)batches->data,
-                     batches->len, 0, NULL);
+    bool known =
+        code == CH_OK &&
+        ch_once_log_load(
+            log, (const struct ch_once_batch_entry *)(void *)batches->data,
+            batches->len, 0, NULL);
     if (known) {
         record = ch_once_log_find(log, begin->caller, begin->key);
     }
--- a/libchestnuthitch/node/peers_connection.c
+++ b/libchestnuthitch/node/peers_connection.c
@@ -176,7 +176,8 @@
     if (connect(fd, (struct sockaddr *)&address, sizeof(address)) != 0 &&
         errno != EINPROGRESS) {
         if (errno == ECONNREFUSED) {
-            ch_members_refused(peers->members, member->name, now);
+            ch_members_record_refused_connection(peers->members, member->name,
+                                                 now);
         }
         close(fd);
         return NULL;
@@ -207,7 +208,7 @@
     }
     connection = open_connection(peers, member, now);
     if (connection == NULL) {
-        ch_members_lost(peers->members, name, now);
+        ch_members_record_lost_connection(peers->members, name, now);
     }
     return connection;
 }
--- a/libchestnuthitch/node/peers_loop.c
+++ b/libchestnuthitch/node/peers_loop.c
@@ -44,8 +44,8 @@
     if (peers->listed || !ch_address_check(hello->address, NULL)) {
         return;
     }
-    ch_members_listed(peers->members, frame->from, hello->address,
-                      hello->region, hello->data_centre, false, now);
+    ch_members_update_member(peers->members, frame->from, hello->address,
+                             hello->region, hello->data_centre, false, now);
 }
 
 /* An inbound connection says whose it is. */
@@ -54,8 +54,8 @@
            const Chestnuthitch__Wire__Frame *frame, int64_t now)
 {
     learn_member(peers, frame, now);
-    ch_members_incarnation(peers->members, frame->from,
-                           frame->hello->incarnation);
+    ch_members_set_incarnation(peers->members, frame->from,
+                               frame->hello->incarnation);
     if (connection->outbound || connection->name != NULL) {
         return;
     }
@@ -106,8 +106,8 @@
     peers_count(peers, PEERS_RECEIVED, frame->body_case,
                 connection->other_region,
                 ch_wire_decoder_length(connection->decoder));
-    ch_members_heard(peers->members, frame->from, now);
-    ch_members_ready(peers->members, frame->from, frame->ready);
+    ch_members_record_message(peers->members, frame->from, now);
+    ch_members_set_ready(peers->members, frame->from, frame->ready);
     connection->heard = now;
     connection->asked = 0;
     if (connection->name != NULL &&
@@ -217,7 +217,8 @@
     socklen_t length = sizeof(failure);
     getsockopt(connection->fd, SOL_SOCKET, SO_ERROR, &failure, &length);
     if (failure == ECONNREFUSED) {
-        ch_members_refused(peers->members, connection->name, now);
+        ch_members_record_refused_connection(peers->members, connection->name,
+                                             now);
     }
     if (failure != 0) {
         connection->failure = CH_PEER_LOST;
@@ -339,7 +340,8 @@
         bool idle = connection->awaited == 0 && connection->asked == 0 &&
                     !connection->connecting;
         if (connection->outbound && !idle &&
-            ch_members_lost(peers->members, connection->name, now)) {
+            ch_members_record_lost_connection(peers->members, connection->name,
+                                              now)) {
             ch_log(peers->node->client, CH_LOG_WARNING, "peer-silent",
                    CH_F_STR("peer", connection->name),
                    CH_F_INT("code", connection->failure), CH_F_END);
@@ -372,7 +374,8 @@
 probe_members(struct ch_peers *peers, int64_t now)
 {
     const char *names[PROBES];
-    size_t count = ch_members_probe(peers->members, now, names, PROBES);
+    size_t count =
+        ch_members_select_probes(peers->members, now, names, PROBES);
     for (size_t i = 0; i < count; i++) {
         struct connection *connection =
             connection_outbound(peers, names[i], now);
@@ -399,7 +402,7 @@
 {
     GHashTableIter iterator;
     gpointer value = NULL;
-    ch_members_paused(peers->members, gap, now);
+    ch_members_record_pause(peers->members, gap, now);
     for (guint i = 0; i < peers->connections->len; i++) {
         struct connection *connection =
             g_ptr_array_index(peers->connections, i);
@@ -428,7 +431,8 @@
         take_off_pause(peers, gap, now);
     }
     peers->last_tick = now;
-    ch_members_ready_self(peers->members, ck_pr_load_uint(&peers->ready) != 0);
+    ch_members_set_self_ready(peers->members,
+                              ck_pr_load_uint(&peers->ready) != 0);
     for (guint i = 0; i < peers->connections->len; i++) {
         watch_connection(peers, g_ptr_array_index(peers->connections, i), now);
     }
--- a/libchestnuthitch/node/peers_members.c
+++ b/libchestnuthitch/node/peers_members.c
@@ -18,8 +18,8 @@
 {
     pthread_mutex_lock(&peers->lock);
     char *home = g_strdup(
-        home_or_self(peers, ch_members_ready_home(peers->members, key, region,
-                                                  data_centre)));
+        home_or_self(peers, ch_members_find_ready_home(peers->members, key,
+                                                       region, data_centre)));
     pthread_mutex_unlock(&peers->lock);
     return home;
 }
@@ -36,10 +36,10 @@
 {
     pthread_mutex_lock(&peers->lock);
     const char *owner = home_or_self(
-        peers, ch_members_home(peers->members, key, region, data_centre));
+        peers, ch_members_find_home(peers->members, key, region, data_centre));
     const char *asked =
-        home_or_self(peers, ch_members_ready_home(peers->members, key, region,
-                                                  data_centre));
+        home_or_self(peers, ch_members_find_ready_home(peers->members, key,
+                                                       region, data_centre));
     bool owns = peers_is_self(peers, owner);
     bool is_asked = peers_is_self(peers, asked);
     pthread_mutex_unlock(&peers->lock);
@@ -70,12 +70,12 @@
     return unpacks;
 }
 
-/* The membership's version; see ch_members_version. */
+/* The membership's version; see ch_members_get_version. */
 uint64_t
 ch_peers_version(struct ch_peers *peers)
 {
     pthread_mutex_lock(&peers->lock);
-    uint64_t version = ch_members_version(peers->members);
+    uint64_t version = ch_members_get_version(peers->members);
     pthread_mutex_unlock(&peers->lock);
     return version;
 }
@@ -87,7 +87,7 @@
 {
     pthread_mutex_lock(&peers->lock);
     char *home = g_strdup(home_or_self(
-        peers, ch_members_home(peers->members, key, NULL, data_centre)));
+        peers, ch_members_find_home(peers->members, key, NULL, data_centre)));
     pthread_mutex_unlock(&peers->lock);
     return home;
 }
@@ -100,13 +100,13 @@
     const char *self = peers->node->settings->name;
     bool self_done = false;
     pthread_mutex_lock(&peers->lock);
-    for (size_t i = 0; i < ch_members_count(peers->members); i++) {
-        const struct ch_member *member = ch_members_at(peers->members, i);
+    for (size_t i = 0; i < ch_members_get_count(peers->members); i++) {
+        const struct ch_member *member = ch_members_get(peers->members, i);
         if (!self_done && strcmp(self, member->name) < 0) {
             g_ptr_array_add(names, g_strdup(self));
             self_done = true;
         }
-        if (ch_member_serves(member)) {
+        if (ch_member_is_available(member)) {
             g_ptr_array_add(names, g_strdup(member->name));
         }
     }
@@ -125,16 +125,16 @@
 {
     const struct ch_settings *settings = peers->node->settings;
     pthread_mutex_lock(&peers->lock);
-    size_t count = ch_members_count(peers->members);
+    size_t count = ch_members_get_count(peers->members);
     size_t first = 0;
-    while (first < count && strcmp(ch_members_at(peers->members, first)->name,
+    while (first < count && strcmp(ch_members_get(peers->members, first)->name,
                                    settings->name) < 0) {
         first++;
     }
     for (size_t i = 0; i < count; i++) {
         const struct ch_member *member =
-            ch_members_at(peers->members, (first + i) % count);
-        if (!ch_member_serves(member)) {
+            ch_members_get(peers->members, (first + i) % count);
+        if (!ch_member_is_available(member)) {
             continue;
         }
         bool is_near = strcmp(member->data_centre, settings->data_centre) == 0;
@@ -151,9 +151,9 @@
                     void *data)
 {
     pthread_mutex_lock(&peers->lock);
-    for (size_t i = 0; i < ch_members_count(peers->members); i++) {
-        const struct ch_member *member = ch_members_at(peers->members, i);
-        if (ch_member_serves(member)) {
+    for (size_t i = 0; i < ch_members_get_count(peers->members); i++) {
+        const struct ch_member *member = ch_members_get(peers->members, i);
+        if (ch_member_is_available(member)) {
             each(data, member->name, member->data_centre, member->region);
         }
     }
@@ -170,10 +170,11 @@
     for (size_t i = 0; i < list->count; i++) {
         const struct ch_host *host = &list->hosts[i];
         if (host->kind == CH_HOST_ENTRY) {
-            ch_members_listed(peers->members, host->name, host->address,
-                              host->region, host->data_centre, host->leaving,
-                              now);
-            ch_members_capacity(peers->members, host->name, host->capacity);
+            ch_members_update_member(peers->members, host->name, host->address,
+                                     host->region, host->data_centre,
+                                     host->leaving, now);
+            ch_members_set_capacity(peers->members, host->name,
+                                    host->capacity);
         }
     }
     ch_members_end_update(peers->members);
@@ -205,7 +206,7 @@
     pthread_mutex_lock(&peers->lock);
     const struct ch_member *member = ch_members_find(peers->members, name);
     if (member != NULL) {
-        heard = member->heard;
+        heard = member->last_heard_us;
         if (incarnation != NULL) {
             *incarnation = member->incarnation;
         }
@@ -220,9 +221,10 @@
 {
     int64_t now = ch_client_now(peers->node->client);
     pthread_mutex_lock(&peers->lock);
-    for (size_t i = 0; i < ch_members_count(peers->members); i++) {
-        const struct ch_member *member = ch_members_at(peers->members, i);
-        if (member->status == CH_MEMBER_SILENT && member->hint_until > now) {
+    for (size_t i = 0; i < ch_members_get_count(peers->members); i++) {
+        const struct ch_member *member = ch_members_get(peers->members, i);
+        if (member->status == CH_MEMBER_SILENT &&
+            member->hint_until_us > now) {
             g_ptr_array_add(silent_names, g_strdup(member->name));
         }
     }
@@ -240,10 +242,11 @@
     for (size_t i = 0; i < gossip->n_members; i++) {
         const Chestnuthitch__Wire__MemberState *state = gossip->members[i];
         if (state->status == CH_MEMBER_SILENT) {
-            ch_members_hint(peers->members, state->node, now);
+            ch_members_record_silence_hint(peers->members, state->node, now);
         }
         else if (state->status == CH_MEMBER_STOPPING) {
-            ch_members_leaves(peers->members, state->node, state->incarnation);
+            ch_members_record_stopping(peers->members, state->node,
+                                       state->incarnation);
         }
     }
     pthread_mutex_unlock(&peers->lock);
@@ -274,8 +277,8 @@
     json_builder_set_member_name(builder, "nodes");
     json_builder_begin_array(builder);
     pthread_mutex_lock(&peers->lock);
-    for (size_t i = 0; i < ch_members_count(peers->members); i++) {
-        const struct ch_member *member = ch_members_at(peers->members, i);
+    for (size_t i = 0; i < ch_members_get_count(peers->members); i++) {
+        const struct ch_member *member = ch_members_get(peers->members, i);
         json_builder_begin_object(builder);
         json_builder_set_member_name(builder, "name");
         json_builder_add_string_value(builder, member->name);
@@ -286,10 +289,11 @@
         json_builder_set_member_name(builder, "state");
         json_builder_add_string_value(
             builder, member->status == CH_MEMBER_SILENT ? "silent"
-                     : ch_member_serves(member)         ? "live"
+                     : ch_member_is_available(member)   ? "live"
                                                         : "leaving");
         json_builder_set_member_name(builder, "heard_ms_ago");
-        json_builder_add_int_value(builder, (now - member->heard) / 1000);
+        json_builder_add_int_value(builder,
+                                   (now - member->last_heard_us) / 1000);
         json_builder_end_object(builder);
     }
     pthread_mutex_unlock(&peers->lock);
--- a/libchestnuthitch/node/peers_role.c
+++ b/libchestnuthitch/node/peers_role.c
@@ -28,17 +28,17 @@
     };
     g_array_append_val(nodes, self);
     pthread_mutex_lock(&peers->lock);
-    for (size_t i = 0; i < ch_members_count(peers->members); i++) {
-        const struct ch_member *member = ch_members_at(peers->members, i);
-        const struct ch_rank_node node = {member->hash, member->capacity};
-        if (ch_member_serves(member) &&
+    for (size_t i = 0; i < ch_members_get_count(peers->members); i++) {
+        const struct ch_member *member = ch_members_get(peers->members, i);
+        const struct ch_rank_node node = {member->name_hash, member->capacity};
+        if (ch_member_is_available(member) &&
             is_of(data_centre, region, member->data_centre, member->region)) {
             g_array_append_val(nodes, node);
         }
     }
     pthread_mutex_unlock(&peers->lock);
-    size_t rank = ch_rank_of((const struct ch_rank_node *)(void *)nodes->data,
-                             nodes->len, 0, key);
+    size_t rank = ch_rank_for_role(
+        (const struct ch_rank_node *)(void *)nodes->data, nodes->len, 0, key);
     g_array_free(nodes, TRUE);
     return rank;
 }
--- a/libchestnuthitch/node/request.c
+++ b/libchestnuthitch/node/request.c
@@ -302,7 +302,7 @@
         return false;
     }
     request->work.model = g_quark_from_string(request->model);
-    request->work.service = true;
+    request->work.is_service = true;
     return true;
 }
 
@@ -321,8 +321,8 @@
     bool good = take_model(request, declaration, class, body.model, fault);
     request->stream = body.stream;
     request->work.prompt_tokens = body.prompt_tokens;
-    request->work.output_tokens = body.output_tokens;
-    request->work.prefix = body.prefix;
+    request->work.max_output_tokens = body.output_tokens;
+    request->work.prefix_hash = body.prefix;
     g_free(body.model);
     return good;
 }
@@ -334,21 +334,23 @@
 static void
 set_targets(struct ch_request *request, int64_t now)
 {
-    struct ch_work *work = &request->work;
+    struct ch_request_info *work = &request->work;
     int64_t first = request->first_token;
-    if (first == 0 || work->service) {
+    if (first == 0 || work->is_service) {
         first = request->whole_answer > 0 ? request->whole_answer : first;
     }
-    work->arrived = now;
-    work->first_by = now + (first > 0 ? first : NO_TARGET);
-    work->between = request->between_tokens;
-    work->whole_by =
+    work->arrived_at = now;
+    work->first_token_deadline = now + (first > 0 ? first : NO_TARGET);
+    work->token_target = request->between_tokens;
+    work->answer_deadline =
         request->whole_answer > 0 ? now + request->whole_answer : 0;
     if (request->deadline != 0) {
-        work->first_by = MIN(work->first_by, request->deadline);
-        work->whole_by = work->whole_by == 0
-                             ? request->deadline
-                             : MIN(work->whole_by, request->deadline);
+        work->first_token_deadline =
+            MIN(work->first_token_deadline, request->deadline);
+        work->answer_deadline =
+            work->answer_deadline == 0
+                ? request->deadline
+                : MIN(work->answer_deadline, request->deadline);
     }
 }
 
--- a/libchestnuthitch/node/request.h
+++ b/libchestnuthitch/node/request.h
@@ -39,7 +39,7 @@
     const char *resume_id;  /* of the last event that the caller has */
     uint32_t prompt_tokens;
     uint32_t output_tokens;
-    struct ch_part parts[CH_REQUEST_MOST_PARTS];
+    struct ch_prompt_part parts[CH_REQUEST_MOST_PARTS];
     size_t part_count;
     GArray *passed; /* struct ch_http_header: goes on to the upstream */
 };
@@ -69,7 +69,7 @@
     bool stream;
     int64_t deadline;     /* when the caller stops waiting; 0: not stated */
     uint64_t fingerprint; /* of method, path and body */
-    struct ch_work work;
+    struct ch_request_info work;
     /* Of a request whose class is chosen by host and path. */
     bool routed;
     char *request_id;
@@ -77,7 +77,7 @@
     char *host;
     struct ch_http_header *headers; /* go on to the upstream */
     size_t header_count;
-    struct ch_part *parts;
+    struct ch_prompt_part *parts;
     int64_t gap;              /* target: longest pause between events */
     int64_t first_byte_limit; /* 0: the node's */
     int64_t stall_limit;      /* 0: the node's */
--- a/libchestnuthitch/node/request_route.c
+++ b/libchestnuthitch/node/request_route.c
@@ -75,7 +75,7 @@
     request->gap = class->gap;
     request->work.class_name = g_quark_from_string(class->name);
     request->work.idempotent = class->idempotent;
-    request->work.tries = MAX(class->tries, 1);
+    request->work.max_attempts = MAX(class->tries, 1);
     request->work.priority = class->priority;
     return class;
 }
@@ -131,14 +131,14 @@
         return false;
     }
     const struct ch_service *service = &declaration->services[index];
-    request->work.pool = g_quark_from_string(service->name);
+    request->work.required_service = g_quark_from_string(service->name);
     if (service->memory_mb > 0) {
         return take_model(request, declaration, index, input, fault);
     }
     request->kind = CH_REQUEST_SERVICE_CALL;
     request->model = g_strdup(service->name);
-    request->work.service = true;
-    request->work.model = request->work.pool;
+    request->work.is_service = true;
+    request->work.model = request->work.required_service;
     return true;
 }
 
@@ -147,16 +147,17 @@
 set_times(struct ch_request *request, const struct ch_class *class,
           int64_t now)
 {
-    struct ch_work *work = &request->work;
+    struct ch_request_info *work = &request->work;
     int64_t limit = class->time_limit > 0 ? class->time_limit : USUAL_LIMIT;
     request->deadline = request->deadline == 0
                             ? now + limit
                             : MIN(request->deadline, now + limit);
     int64_t target = class->stream ? class->first_token : class->whole_answer;
-    work->arrived = now;
-    work->first_by = target > 0 ? now + target : request->deadline;
-    work->first_by = MIN(work->first_by, request->deadline);
-    work->whole_by = request->deadline;
+    work->arrived_at = now;
+    work->first_token_deadline = target > 0 ? now + target : request->deadline;
+    work->first_token_deadline =
+        MIN(work->first_token_deadline, request->deadline);
+    work->answer_deadline = request->deadline;
     request->first_byte_limit = request->deadline - now;
     request->stall_limit = request->deadline - now;
     if (class->idempotent && class->tries > 1 && target > 0) {
@@ -201,12 +202,12 @@
     }
     request->resume_id = g_strdup(input->resume_id);
     request->host = g_strdup(input->host);
-    request->parts = g_memdup2(input->parts, sizeof(struct ch_part) *
+    request->parts = g_memdup2(input->parts, sizeof(struct ch_prompt_part) *
                                                  MAX(input->part_count, 1));
     request->work.parts = request->parts;
     request->work.part_count = input->part_count;
     request->work.prompt_tokens = input->prompt_tokens;
-    request->work.output_tokens = input->output_tokens;
+    request->work.max_output_tokens = input->output_tokens;
 }
 
 /* Fills in the request; false with *fault at the first thing wrong. */
--- a/libchestnuthitch/node/roster.c
+++ b/libchestnuthitch/node/roster.c
@@ -178,7 +178,7 @@
     if (!feed_has_news_for_all(feed)) {
         return GATHER;
     }
-    return ch_bucket_take(&feed->watches, 1, now)
+    return ch_token_bucket_take(&feed->watches, 1, now)
                ? 0
                : (int64_t)(G_USEC_PER_SEC / WATCH_RATE);
 }
@@ -422,10 +422,10 @@
     feed_init(&roster->upstreams, roster, node->dialect->hosts_prefix,
               LAPSE_GRACE);
     feed_init(&roster->nodes, roster, NODES_PREFIX, NODE_GRACE);
-    ch_bucket_init(&roster->upstreams.watches, WATCH_RATE, WATCH_BURST,
-                   ch_client_now(node->client));
-    ch_bucket_init(&roster->nodes.watches, WATCH_RATE, WATCH_BURST,
-                   ch_client_now(node->client));
+    ch_token_bucket_init(&roster->upstreams.watches, WATCH_RATE, WATCH_BURST,
+                         ch_client_now(node->client));
+    ch_token_bucket_init(&roster->nodes.watches, WATCH_RATE, WATCH_BURST,
+                         ch_client_now(node->client));
     roster_tell_init(roster);
     return roster;
 }
--- a/libchestnuthitch/node/roster_internal.h
+++ b/libchestnuthitch/node/roster_internal.h
@@ -51,9 +51,9 @@
     bool calling;
     int64_t pause;
     int64_t not_before;
-    struct ch_bucket watches; /* that bring something */
-    int64_t troubled;         /* the service last failed; 0: it did not */
-    int64_t grace;            /* of entries that vanish after a failure */
+    struct ch_token_bucket watches; /* that bring something */
+    int64_t troubled; /* the service last failed; 0: it did not */
+    int64_t grace;    /* of entries that vanish after a failure */
 };
 
 struct ch_roster {
--- a/libchestnuthitch/node/site.c
+++ b/libchestnuthitch/node/site.c
@@ -122,7 +122,7 @@
 struct ch_upstream_view *
 site_view(struct ch_homes *homes, const struct upstream *upstream)
 {
-    return ch_fleet_find(&homes->fleet, upstream->name);
+    return ch_fleet_find_upstream(&homes->fleet, upstream->name);
 }
 
 /* Makes the client that talks to an upstream. */
@@ -214,7 +214,8 @@
         const struct upstream *upstream =
             g_ptr_array_index(homes->upstreams, i);
         struct ch_upstream_view *view = &homes->fleet.upstreams[i];
-        struct ch_upstream_view *before = ch_fleet_find(&old, upstream->name);
+        struct ch_upstream_view *before =
+            ch_fleet_find_upstream(&old, upstream->name);
         if (before != NULL && upstream->sequence > 0) {
             *view = *before;
             before->resident = NULL;
@@ -226,8 +227,9 @@
         view->service = upstream->service;
         view->accelerators = upstream->accelerators;
         view->capacity_mb = upstream->capacity_mb;
-        view->batch = view->batch > 0 ? view->batch : upstream->batch;
-        view->leaving = view->leaving || upstream->leaving;
+        view->max_batch =
+            view->max_batch > 0 ? view->max_batch : upstream->batch;
+        view->draining = view->draining || upstream->leaving;
     }
     for (size_t i = 0; i < old.count; i++) {
         clear_view(&old.upstreams[i]);
@@ -246,16 +248,16 @@
     if (upstream->home == NULL) {
         return;
     }
-    struct ch_home_facts facts = {
+    struct ch_upstream_config facts = {
         .name = upstream->name,
         .service = upstream->service,
         .capacity_mb = upstream->capacity_mb,
         .accelerators = upstream->accelerators,
         .batch = upstream->batch,
         .max_queue = homes->node->settings->max_queue,
-        .leaving = upstream->leaving,
+        .draining = upstream->leaving,
     };
-    ch_home_set_facts(upstream->home, &facts);
+    ch_home_set_config(upstream->home, &facts);
 }
 
 /* Takes one upstream of the list, new or known. */
@@ -346,14 +348,14 @@
     upstream->sequence = state->sequence;
     view->running = state->running;
     view->queued = state->queued;
-    view->wait = (int64_t)state->wait_us;
-    view->token = (int64_t)state->token_us;
+    view->predicted_wait = (int64_t)state->wait_us;
+    view->token_time = (int64_t)state->token_us;
     view->free_mb = state->free_mb;
-    view->batch = state->batch;
-    view->leaving = state->leaving || upstream->leaving;
+    view->max_batch = state->batch;
+    view->draining = state->leaving || upstream->leaving;
     view->down = state->down;
-    view->seen = now;
-    view->sent_since = 0;
+    view->reported_at = now;
+    view->sent_since_report = 0;
     take_items(view->resident, state->n_resident, state->resident,
                state->n_resident_rate, state->resident_rate);
     take_items(view->loading, state->n_loading, state->loading, 0, NULL);
@@ -389,11 +391,11 @@
     state->sequence = upstream->sequence;
     state->running = view->running;
     state->queued = view->queued;
-    state->wait_us = (uint64_t)MAX(view->wait, 0);
-    state->token_us = (uint64_t)MAX(view->token, 0);
+    state->wait_us = (uint64_t)MAX(view->predicted_wait, 0);
+    state->token_us = (uint64_t)MAX(view->token_time, 0);
     state->free_mb = view->free_mb;
-    state->batch = view->batch;
-    state->leaving = view->leaving;
+    state->batch = view->max_batch;
+    state->leaving = view->draining;
     state->down = view->down;
     state->resident = copy_items(view->resident, &state->n_resident);
     state->loading = copy_items(view->loading, &state->n_loading);
--- a/libchestnuthitch/replay/sim.h
+++ b/libchestnuthitch/replay/sim.h
@@ -139,8 +139,8 @@
     struct ch_fleet fleet;
     uint32_t *asked; /* by upstream: asks not yet answered */
     struct ch_retry_budget budget;
-    struct ch_bucket link;
-    struct ch_bucket loads;
+    struct ch_token_bucket link;
+    struct ch_token_bucket loads;
 };
 
 enum sim_state {
@@ -151,7 +151,7 @@
 
 struct sim_request {
     const struct ch_trace_event *event;
-    struct ch_work work;
+    struct ch_request_info work;
     size_t entry;
     enum sim_state state;
     unsigned asks;        /* since the last dispatch */
--- a/libchestnuthitch/replay/sim_engine.c
+++ b/libchestnuthitch/replay/sim_engine.c
@@ -144,7 +144,7 @@
         return job;
     }
     uint32_t prompt = request->work.prompt_tokens;
-    uint64_t prefix = request->work.prefix;
+    uint64_t prefix = request->work.prefix_hash;
     if (prefix != 0 && touch_prefix(sim, engine, prefix)) {
         prompt -= MIN(prompt, model->prefix_tokens);
     }
@@ -153,7 +153,7 @@
     double alone = (double)(model->token + model->token_per_request);
     double prefill =
         (double)prompt / model->prefill_per_s * G_USEC_PER_SEC / alone;
-    job.tokens = request->work.output_tokens;
+    job.tokens = request->work.max_output_tokens;
     job.first = prefill + 1.0;
     job.end = prefill + MAX(job.tokens, 1);
     return job;
--- a/libchestnuthitch/replay/sim_entries.c
+++ b/libchestnuthitch/replay/sim_entries.c
@@ -44,8 +44,8 @@
     }
     double bytes = site->link_mbit * 1e6 / 8.0 * LINK_SHARE;
     bytes /= (double)neighbours;
-    ch_bucket_init(&host->link, bytes, 2.0 * bytes, 0);
-    ch_bucket_init(&host->loads, site->loads_per_s, 3.0, 0);
+    ch_token_bucket_init(&host->link, bytes, 2.0 * bytes, 0);
+    ch_token_bucket_init(&host->loads, site->loads_per_s, 3.0, 0);
     ch_retry_budget_init(&host->budget, RETRY_SHARE);
 }
 
@@ -254,10 +254,11 @@
     request->ask = sim->asks->len;
     request->work.id = request->ask;
     request->state = SIM_ASKING;
-    entry->fleet.link_bytes = (int64_t)ch_bucket_level(&entry->link, sim->now);
+    entry->fleet.link_bytes_left =
+        (int64_t)ch_token_bucket_level(&entry->link, sim->now);
     struct ch_route route =
-        ch_route_retry(sim->policy, &entry->fleet, &request->work,
-                       request->excluded, request->failed, sim->now);
+        ch_route_choose_retry(sim->policy, &entry->fleet, &request->work,
+                              request->excluded, request->failed, sim->now);
     struct sim_ask record = {
         .request = (uint64_t)(request - sim->requests),
         .upstream = route.code == CH_OK ? route.upstream : 0,
@@ -296,25 +297,25 @@
     const struct ch_trace_event *event = request->event;
     const struct ch_declaration *declaration = sim->declaration;
     const struct ch_class *class = &declaration->classes[event->class_index];
-    struct ch_work *work = &request->work;
+    struct ch_request_info *work = &request->work;
     int64_t target =
         class->first_token > 0 ? class->first_token : class->whole_answer;
-    *work = (struct ch_work){
-        .service =
+    *work = (struct ch_request_info){
+        .is_service =
             event->model<0, .class_name = g_quark_from_string(class->name),
                          .tenant = ch_hash_string(event->caller),
                          .prompt_tokens = event->prompt_tokens,
-                         .output_tokens = event->output_tokens,
-                         .prefix = event->prefix, .arrived = sim->now,
-                         .first_by = target> 0
+                         .max_output_tokens = event->output_tokens,
+                         .prefix_hash = event->prefix, .arrived_at = sim->now,
+                         .first_token_deadline = target> 0
                 ? sim->now + target
                 : 0,
-        .between = class->between_tokens,
-        .whole_by =
+        .token_target = class->between_tokens,
+        .answer_deadline =
             class->whole_answer > 0 ? sim->now + class->whole_answer : 0,
         .idempotent = class->idempotent,
     };
-    if (work->service) {
+    if (work->is_service) {
         work->model =
             g_quark_from_string(declaration->services[event->service].name);
         return;
@@ -400,7 +401,7 @@
         finish(sim, request, CH_NO_UPSTREAM);
         return;
     }
-    ch_retry_budget_fresh(&sim->entries[entry].budget);
+    ch_retry_budget_add_request(&sim->entries[entry].budget);
     if (is_keyed(request)) {
         begin_keyed(sim, request);
         return;
@@ -447,8 +448,8 @@
         const struct ch_site_engine *model = &sim->site->engine;
         uint64_t bytes = 4ull * request->work.prompt_tokens;
         uint64_t back =
-            (uint64_t)model->token_bytes * request->work.output_tokens;
-        ch_bucket_take(&entry->link, (double)(bytes + back), sim->now);
+            (uint64_t)model->token_bytes * request->work.max_output_tokens;
+        ch_token_bucket_take(&entry->link, (double)(bytes + back), sim->now);
         delay += sim_link_send(sim, entry->region, to->region, bytes);
     }
     sim_schedule(sim, sim->now + delay, sim_request_dispatch, request->ask, 0,
@@ -543,7 +544,7 @@
         (request->this_first > 0 ? request->this_first : sim->now) -
         request->sent;
     int64_t token = 0;
-    if (event->b > 1 && !request->work.service) {
+    if (event->b > 1 && !request->work.is_service) {
         token = (sim->now - request->sent - first) / (int64_t)(event->b - 1);
     }
     release(sim, event->a, CH_OK, first, token);
@@ -571,8 +572,8 @@
     const struct ch_retry_failure failure = {
         .code = code,
         .may_have_run = ran,
-        .stream = !request->work.service,
-        .events_given = request->given,
+        .is_resumable = !request->work.is_service,
+        .events_delivered = request->given,
     };
     bool held = false;
     enum ch_retry retry =
@@ -585,7 +586,8 @@
     }
     if (retry == CH_RETRY_RESUME) {
         uint32_t all = request->event->output_tokens;
-        request->work.output_tokens = MAX(all - MIN(request->given, all), 1);
+        request->work.max_output_tokens =
+            MAX(all - MIN(request->given, all), 1);
     }
     else {
         request->given = 0;
--- a/libchestnuthitch/replay/sim_homes.c
+++ b/libchestnuthitch/replay/sim_homes.c
@@ -48,11 +48,11 @@
 }
 
 /* What the platform's list says of an upstream. */
-static struct ch_home_facts
+static struct ch_upstream_config
 facts_of(const struct sim *sim, size_t upstream)
 {
     const struct sim_upstream *held = &sim->upstreams[upstream];
-    return (struct ch_home_facts){
+    return (struct ch_upstream_config){
         .name = held->name,
         .service = held->site->service == NULL
                        ? 0
@@ -69,7 +69,7 @@
 sim_home_init(struct sim *sim, size_t upstream)
 {
     struct sim_upstream *held = &sim->upstreams[upstream];
-    struct ch_home_facts facts = facts_of(sim, upstream);
+    struct ch_upstream_config facts = facts_of(sim, upstream);
     held->host = sim_home_host(sim, upstream);
     held->home = ch_home_new(sim->policy, &facts, sim->now);
     held->told = g_hash_table_new(NULL, NULL);
@@ -123,9 +123,9 @@
         }
     }
     unsigned most = sim->site->loads_parallel;
-    double level = ch_bucket_level(&host->loads, sim->now);
+    double level = ch_token_bucket_level(&host->loads, sim->now);
     unsigned left = loading < most ? most - loading : 0;
-    host->fleet.loads_left = MIN(left, (unsigned)level);
+    host->fleet.store_loads_left = MIN(left, (unsigned)level);
     return &host->fleet;
 }
 
@@ -144,22 +144,25 @@
             action->kind == CH_ACTION_UNLOAD) {
             bool load = action->kind == CH_ACTION_LOAD;
             if (load && strchr(g_quark_to_string(action->item), '/') == NULL) {
-                ch_bucket_take(&sim->entries[held->host].loads, 1.0, sim->now);
+                ch_token_bucket_take(&sim->entries[held->host].loads, 1.0,
+                                     sim->now);
             }
             int64_t delay = KV_TIME + 2 * sim_delay(sim, host->data_centre, 0);
             sim_schedule(sim, sim->now + delay, order, upstream, action->item,
                          ((uint64_t)action->memory_mb << 1) | (load ? 1 : 0));
             continue;
         }
-        const struct sim_request *request = sim_request_of(sim, action->work);
+        const struct sim_request *request =
+            sim_request_of(sim, action->request_id);
         int64_t delay = 0;
         if (request != NULL) {
             const struct sim_entry *entry = &sim->entries[request->entry];
             delay =
                 sim_delay(sim, host->data_centre, entry->site->data_centre);
         }
-        sim_schedule(sim, sim->now + delay, sim_request_answer, action->work,
-                     action->code, (uint64_t)action->retry_after);
+        sim_schedule(sim, sim->now + delay, sim_request_answer,
+                     action->request_id, action->code,
+                     (uint64_t)action->retry_after);
     }
     g_array_unref(out->list);
 }
@@ -205,12 +208,13 @@
     GList *known = g_hash_table_get_keys(held->told);
     for (GList *at = known; at != NULL; at = at->next) {
         GQuark item = GPOINTER_TO_UINT(at->data);
-        if (ch_ledger_find(held->ledger, g_quark_to_string(item)) == NULL) {
+        if (ch_ledger_find_entry(held->ledger, g_quark_to_string(item)) ==
+            NULL) {
             tell_item(sim, upstream, item, CH_ITEM_ABSENT, 0);
         }
     }
     g_list_free(known);
-    for (size_t i = 0; i < held->ledger->count; i++) {
+    for (size_t i = 0; i < held->ledger->entry_count; i++) {
         const struct ch_ledger_entry *entry = &held->ledger->entries[i];
         tell_item(sim, upstream, g_quark_from_string(entry->item),
                   states[entry->state], entry->memory_mb);
@@ -231,12 +235,13 @@
 {
     struct sim_upstream *held = &sim->upstreams[event->a];
     const char *item = g_quark_to_string((GQuark)event->b);
-    const struct ch_ledger_entry *entry = ch_ledger_find(held->ledger, item);
+    const struct ch_ledger_entry *entry =
+        ch_ledger_find_entry(held->ledger, item);
     if (entry == NULL) {
         return;
     }
     char id[40];
-    g_strlcpy(id, entry->order, sizeof(id));
+    g_strlcpy(id, entry->order_id, sizeof(id));
     if (event->c == 0) {
         sim_engine_unload(sim, (size_t)event->a, (GQuark)event->b, id);
         return;
@@ -244,8 +249,8 @@
     bool refused = held->engine.down;
     sim_engine_load(sim, (size_t)event->a, (GQuark)event->b, entry->memory_mb,
                     id);
-    struct ch_ledger *next = ch_ledger_next(held->ledger, SENDER);
-    ch_ledger_end(next, id, SENDER, refused);
+    struct ch_ledger *next = ch_ledger_copy_next(held->ledger, SENDER);
+    ch_ledger_end_send(next, id, SENDER, refused);
     write_ledger(held, next);
     sync_ledger(sim, (size_t)event->a);
 }
@@ -256,9 +261,9 @@
             enum ch_code code)
 {
     struct ch_actions out = no_actions();
-    ch_home_order_failed(sim->upstreams[upstream].home, item,
-                         load ? CH_ACTION_LOAD : CH_ACTION_UNLOAD, code,
-                         sim->now, &out);
+    ch_home_handle_failed_order(sim->upstreams[upstream].home, item,
+                                load ? CH_ACTION_LOAD : CH_ACTION_UNLOAD, code,
+                                sim->now, &out);
     act(sim, upstream, &out);
 }
 
@@ -280,7 +285,7 @@
     }
     char id[24];
     g_snprintf(id, sizeof(id), "o-%" G_GUINT64_FORMAT, sim->scheduled);
-    struct ch_ledger *next = ch_ledger_next(held->ledger, SENDER);
+    struct ch_ledger *next = ch_ledger_copy_next(held->ledger, SENDER);
     const char *name = g_quark_to_string(item);
     bool fine = load ? ch_ledger_reserve(next, name, (uint32_t)(event->c >> 1),
                                          id, SENDER, NULL)
@@ -315,8 +320,8 @@
         return;
     }
     struct ch_actions out = no_actions();
-    ch_home_offer(held->home, &request->work, host_fleet(sim, held), sim->now,
-                  &out);
+    ch_home_enqueue(held->home, &request->work, host_fleet(sim, held),
+                    sim->now, &out);
     act(sim, upstream, &out);
 }
 
@@ -331,11 +336,11 @@
     if (held->host == SIM_NOBODY) {
         return;
     }
-    struct ch_sample sample = {
+    struct ch_timing_sample sample = {
         .code = (enum ch_code)event->b,
-        .first = (int64_t)(event->c >> 32),
-        .token = (int64_t)(event->c & UINT32_MAX),
-        .tokens = 2,
+        .first_byte_time = (int64_t)(event->c >> 32),
+        .token_time = (int64_t)(event->c & UINT32_MAX),
+        .token_count = 2,
     };
     struct ch_actions out = no_actions();
     ch_home_release(held->home, event->a, &sample, sim->now, &out);
@@ -350,7 +355,7 @@
     if (held->host == SIM_NOBODY) {
         return;
     }
-    struct ch_sample sample = {.code = CH_PEER_LOST};
+    struct ch_timing_sample sample = {.code = CH_PEER_LOST};
     struct ch_actions out = no_actions();
     ch_home_withdraw(held->home, ask, sim->now, &out);
     ch_home_release(held->home, ask, &sample, sim->now, &out);
@@ -368,8 +373,8 @@
         act(sim, (size_t)event->a, &out);
     }
     if (sim->open > 0) {
-        sim_schedule(sim, sim->now + CH_HOME_TICK, sim_home_tick, event->a, 0,
-                     0);
+        sim_schedule(sim, sim->now + CH_HOME_TICK_US, sim_home_tick, event->a,
+                     0, 0);
     }
 }
 
@@ -391,17 +396,17 @@
     }
     char boot[24];
     g_snprintf(boot, sizeof(boot), "b-%u", engine->boot);
-    struct ch_ledger_evidence evidence = {
-        .boot = boot,
-        .resident = (const char *const *)names->pdata,
+    struct ch_ledger_report evidence = {
+        .boot_id = boot,
+        .resident_items = (const char *const *)names->pdata,
         .resident_mb = (const uint32_t *)(const void *)sizes->data,
         .resident_count = names->len,
-        .orders_done = (const char *const *)engine->done->pdata,
-        .orders_done_count = engine->done->len,
-        .after_ends = true,
+        .done_order_ids = (const char *const *)engine->done->pdata,
+        .done_order_count = engine->done->len,
+        .requested_after_ends = true,
     };
-    struct ch_ledger *next = ch_ledger_next(held->ledger, SENDER);
-    if (ch_ledger_observe(next, &evidence)) {
+    struct ch_ledger *next = ch_ledger_copy_next(held->ledger, SENDER);
+    if (ch_ledger_apply_report(next, &evidence)) {
         write_ledger(held, next);
         sync_ledger(sim, upstream);
     }
@@ -423,8 +428,9 @@
             observe(sim, (size_t)event->a);
         }
         struct ch_actions out = no_actions();
-        ch_home_report(held->home, engine->running->len, engine->waiting->len,
-                       engine->leaving, engine->down, sim->now, &out);
+        ch_home_update_engine_state(held->home, engine->running->len,
+                                    engine->waiting->len, engine->leaving,
+                                    engine->down, sim->now, &out);
         act(sim, (size_t)event->a, &out);
     }
     if (sim->open > 0 && event->b == 0) {
@@ -482,7 +488,7 @@
     *own = *view;
     g_array_ref(own->resident);
     g_array_ref(own->loading);
-    own->sent_since = entry->asked[upstream];
+    own->sent_since_report = entry->asked[upstream];
 }
 
 /* All nodes are told the state of all homes. */
@@ -495,7 +501,7 @@
             continue;
         }
         struct ch_upstream_view view;
-        ch_home_view(held->home, sim->now, &view);
+        ch_home_get_view(held->home, sim->now, &view);
         view.region = (uint16_t)held->region;
         view.data_centre = (uint16_t)held->site->data_centre;
         for (size_t i = 0; i < sim->site->entry_count; i++) {
--- a/libchestnuthitch/replay/sim_run.c
+++ b/libchestnuthitch/replay/sim_run.c
@@ -167,7 +167,7 @@
     engine->down = false;
     engine->leaving = false;
     engine->at = sim->now;
-    if (sim->policy->placing->fixed && !engine->service) {
+    if (sim->policy->placement->fixed && !engine->service) {
         const GArray *first = sim->first_items[upstream];
         g_array_set_size(engine->items, 0);
         g_array_append_vals(engine->items, first->data, first->len);
@@ -333,7 +333,7 @@
         sim_home_report(sim, &event);
         /* Reports and ticks of different homes do not fall together. */
         int64_t phase = (int64_t)i * 997;
-        sim_schedule(sim, phase + CH_HOME_TICK, sim_home_tick, i, 0, 0);
+        sim_schedule(sim, phase + CH_HOME_TICK_US, sim_home_tick, i, 0, 0);
     }
     struct sim_event event = {0};
     sim_home_gossip(sim, &event);
--- a/tests/bench/bench_arrange.c
+++ b/tests/bench/bench_arrange.c
@@ -25,9 +25,9 @@
 } sizes[] = {{18, 26}, {60, 84}, {300, 291}, {1900, 1100}};
 
 struct fleet {
-    struct ch_arrange_engine *engines;
-    struct ch_arrange_item *items; /* MODELS_PER_ENGINE for each engine */
-    struct ch_arrange_model *models;
+    struct ch_placement_engine *engines;
+    struct ch_placement_item *items; /* MODELS_PER_ENGINE for each engine */
+    struct ch_placement_model *models;
     size_t engine_count;
     size_t model_count;
     GQuark service;
@@ -47,30 +47,32 @@
     fleet->engine_count = engines;
     fleet->model_count = models;
     fleet->service = g_quark_from_string("s");
-    fleet->engines = g_new0(struct ch_arrange_engine, engines);
-    fleet->items = g_new0(struct ch_arrange_item, engines * MODELS_PER_ENGINE);
-    fleet->models = g_new0(struct ch_arrange_model, models);
+    fleet->engines = g_new0(struct ch_placement_engine, engines);
+    fleet->items =
+        g_new0(struct ch_placement_item, engines * MODELS_PER_ENGINE);
+    fleet->models = g_new0(struct ch_placement_model, models);
     for (size_t i = 0; i < models; i++) {
-        fleet->models[i] = (struct ch_arrange_model){
+        fleet->models[i] = (struct ch_placement_model){
             .name = make_name("m", i),
             .memory_mb = i % 4 == 0 ? SMALL_MB : LARGE_MB,
-            .work = i % DEMAND_EVERY == 0 ? work : 0.01,
+            .demand = i % DEMAND_EVERY == 0 ? work : 0.01,
             .services = &fleet->service,
             .service_count = 1,
         };
     }
     for (size_t i = 0; i < engines; i++) {
         for (size_t k = 0; k < MODELS_PER_ENGINE; k++) {
-            fleet->items[MODELS_PER_ENGINE * i + k] = (struct ch_arrange_item){
-                fleet->models[(MODELS_PER_ENGINE * i + k) % models].name,
-                CH_ITEM_RESIDENT};
+            fleet->items[MODELS_PER_ENGINE * i + k] =
+                (struct ch_placement_item){
+                    fleet->models[(MODELS_PER_ENGINE * i + k) % models].name,
+                    CH_ITEM_RESIDENT};
         }
-        fleet->engines[i] = (struct ch_arrange_engine){
+        fleet->engines[i] = (struct ch_placement_engine){
             .name = make_name("e", i),
             .service = fleet->service,
             .data_centre = make_name("d", i % CENTRE_COUNT),
-            .mine = i % CENTRE_COUNT == 0,
-            .open = true,
+            .controlled = i % CENTRE_COUNT == 0,
+            .accepts_orders = true,
             .memory_mb = ENGINE_MB,
             .items = &fleet->items[MODELS_PER_ENGINE * i],
             .item_count = MODELS_PER_ENGINE,
@@ -90,20 +92,20 @@
 static double
 round_ms(const struct fleet *fleet, guint *orders)
 {
-    const struct ch_arrange_state state = {
+    const struct ch_placement_state state = {
         .engines = fleet->engines,
         .engine_count = fleet->engine_count,
         .models = fleet->models,
         .model_count = fleet->model_count,
         .data_centre = make_name("d", 0),
-        .loads_left = (uint32_t)fleet->engine_count,
-        .most_changes = (uint32_t)fleet->engine_count,
+        .store_loads_left = (uint32_t)fleet->engine_count,
+        .max_changing_engines = (uint32_t)fleet->engine_count,
     };
     clock_t begin = clock();
     for (int i = 0; i < ROUNDS; i++) {
         GArray *out =
-            g_array_new(FALSE, FALSE, sizeof(struct ch_arrange_action));
-        ch_arrange(&state, out);
+            g_array_new(FALSE, FALSE, sizeof(struct ch_placement_action));
+        ch_placement_plan(&state, out);
         *orders = out->len;
         g_array_free(out, TRUE);
     }
--- a/tests/bench/bench_decide.c
+++ b/tests/bench/bench_decide.c
@@ -52,17 +52,17 @@
         .upstreams = g_new0(struct ch_upstream_view, upstreams),
         .count = upstreams,
         .region_delay = 30000,
-        .link_bytes = 1 << 20,
-        .loads_left = 4,
+        .link_bytes_left = 1 << 20,
+        .store_loads_left = 4,
     };
     for (unsigned i = 0; i < upstreams; i++) {
         fleet.upstreams[i] = (struct ch_upstream_view){
             .name = numbered_quark("w%04u", i),
             .region = (uint16_t)(i % 3),
-            .batch = 16,
+            .max_batch = 16,
             .running = 6,
             .capacity_mb = 24000,
-            .token = 30000,
+            .token_time = 30000,
             .resident = g_array_new(FALSE, FALSE, sizeof(struct ch_item)),
             .loading = g_array_new(FALSE, FALSE, sizeof(struct ch_item)),
         };
@@ -86,18 +86,18 @@
     g_free(fleet->upstreams);
 }
 
-static struct ch_work
+static struct ch_request_info
 make_request(unsigned model, uint64_t id)
 {
-    return (struct ch_work){
+    return (struct ch_request_info){
         .id = id,
         .model = numbered_quark("m%04u", model),
         .tenant = id % 7,
         .model_mb = 14000,
         .prompt_tokens = 300,
-        .output_tokens = 100,
-        .first_by = INT64_C(10000000),
-        .between = 62000,
+        .max_output_tokens = 100,
+        .first_token_deadline = INT64_C(10000000),
+        .token_target = 62000,
     };
 }
 
@@ -110,13 +110,13 @@
     const struct ch_policy *policy = ch_policy_find("default");
     double start = cpu_us();
     for (unsigned i = 0; i < ROUNDS; i++) {
-        struct ch_work request = make_request(i % models, i);
+        struct ch_request_info request = make_request(i % models, i);
         (void)ch_route_choose(policy, fleet, &request, NULL, 0);
     }
     *resident = (cpu_us() - start) / ROUNDS;
     start = cpu_us();
     for (unsigned i = 0; i < ABSENT_ROUNDS; i++) {
-        struct ch_work request = make_request(models + 1, i);
+        struct ch_request_info request = make_request(models + 1, i);
         (void)ch_route_choose(policy, fleet, &request, NULL, 0);
     }
     *absent = (cpu_us() - start) / ABSENT_ROUNDS;
@@ -128,10 +128,10 @@
 measure_home(const struct ch_fleet *fleet, double *request_us, double *tick_us,
              double *bytes)
 {
-    struct ch_home_facts facts = {.name = numbered_quark("w%04u", 0),
-                                  .capacity_mb = 24000,
-                                  .batch = 16,
-                                  .max_queue = 256};
+    struct ch_upstream_config facts = {.name = numbered_quark("w%04u", 0),
+                                       .capacity_mb = 24000,
+                                       .batch = 16,
+                                       .max_queue = 256};
     struct ch_actions out = {
         g_array_new(FALSE, FALSE, sizeof(struct ch_action))};
     double before = heap_bytes();
@@ -143,10 +143,12 @@
     *bytes = heap_bytes() - before;
     double start = cpu_us();
     for (uint64_t i = 0; i < ROUNDS; i++) {
-        struct ch_work request = make_request((unsigned)(i % 4), i);
-        struct ch_sample sample = {
-            .code = CH_OK, .first = 100000, .token = 30000, .tokens = 100};
-        ch_home_offer(home, &request, fleet, 0, &out);
+        struct ch_request_info request = make_request((unsigned)(i % 4), i);
+        struct ch_timing_sample sample = {.code = CH_OK,
+                                          .first_byte_time = 100000,
+                                          .token_time = 30000,
+                                          .token_count = 100};
+        ch_home_enqueue(home, &request, fleet, 0, &out);
         if (i >= 32) {
             ch_home_release(home, i - 32, &sample, 0, &out);
         }
@@ -184,7 +186,7 @@
             "release at home %.1f us, tick %.2f us; view %.0f bytes, home "
             "%.0f bytes, work %zu bytes\n",
             SIZES[i].upstreams, SIZES[i].models, resident, absent, request_us,
-            tick_us, view, bytes, sizeof(struct ch_work));
+            tick_us, view, bytes, sizeof(struct ch_request_info));
         free_fleet(&fleet);
     }
     return 0;
--- a/tests/bench/bench_size.c
+++ b/tests/bench/bench_size.c
@@ -347,9 +347,9 @@
 static size_t
 send_gossip(const struct others *others, int fd, unsigned member)
 {
-    Chestnuthitch__Wire__UpstreamState states[CH_GOSSIP_STATES];
-    Chestnuthitch__Wire__UpstreamState *list[CH_GOSSIP_STATES];
-    char *texts[CH_GOSSIP_STATES][5];
+    Chestnuthitch__Wire__UpstreamState states[CH_GOSSIP_MAX_STATES];
+    Chestnuthitch__Wire__UpstreamState *list[CH_GOSSIP_MAX_STATES];
+    char *texts[CH_GOSSIP_MAX_STATES][5];
     Chestnuthitch__Wire__Gossip gossip = WIRE(GOSSIP__INIT);
     Chestnuthitch__Wire__Frame frame = WIRE(FRAME__INIT);
     size_t count = states_of(&others->size);
@@ -507,7 +507,7 @@
     struct reading before = read_all(fleet);
     for (int64_t begun = harness_now(); harness_now() - begun < window;) {
         send_hints(others, fd);
-        harness_sleep(CH_GOSSIP_PERIOD / 1000);
+        harness_sleep(CH_GOSSIP_PERIOD_US / 1000);
     }
     print_spent(fleet, size, "parting", &before);
     before = read_all(fleet);
@@ -549,9 +549,9 @@
         fds[i] = call_node(fleet, i + 1);
     }
     /* Every node sends to so many each period, so each hears as many. */
-    struct ch_gossip_share share =
-        ch_gossip_share(size->nodes / CENTRES, size->nodes);
-    int64_t pause = CH_GOSSIP_PERIOD / 1000 / (share.near + share.far);
+    struct ch_gossip_fanout share =
+        ch_gossip_fanout(size->nodes / CENTRES, size->nodes);
+    int64_t pause = CH_GOSSIP_PERIOD_US / 1000 / (share.local + share.remote);
     unsigned k = 0;
     before = read_all(fleet);
     for (; harness_now() - before.at < window; k++) {
--- a/tests/fuzz/fuzz_state.c
+++ b/tests/fuzz/fuzz_state.c
@@ -48,9 +48,9 @@
         abort();
     }
     check_same(once, ch_ledger_print(back));
-    const struct ch_ledger_evidence evidence = {.boot = "b",
-                                                .after_ends = true};
-    (void)ch_ledger_observe(back, &evidence);
+    const struct ch_ledger_report evidence = {.boot_id = "b",
+                                              .requested_after_ends = true};
+    (void)ch_ledger_apply_report(back, &evidence);
     (void)ch_ledger_reserve(back, "m", 1, "o", "n#1", NULL);
     ch_ledger_free(back);
     ch_ledger_free(ledger);
--- a/tests/threaded/fake_crashes.h
+++ b/tests/threaded/fake_crashes.h
@@ -74,7 +74,8 @@
 /* Fake: nothing. */
 void
 ch_crash_keeper_listed(struct ch_crash_keeper *keeper,
-                       const struct ch_crash_listed *listed, size_t count)
+                       const struct ch_crash_listed_upstream *listed,
+                       size_t count)
 {
     (void)keeper;
     (void)listed;
--- a/tests/threaded/test_crashes.c
+++ b/tests/threaded/test_crashes.c
@@ -203,7 +203,7 @@
     struct end *ends[NODES];
     start_three(ends);
     const struct ch_request request = request_of("long");
-    struct ch_crash_listed listed[] = {
+    struct ch_crash_listed_upstream listed[] = {
         {g_quark_from_string("u1"), 1, true},
         {g_quark_from_string("u3"), 1, false},
     };
@@ -270,7 +270,7 @@
     wait_bars(ends[NODES], &request, true);
     const struct ch_digest_part parts[] = {
         {"", 0}, {"/p", 2}, {"c", 1}, {request.body, request.length}};
-    digest = ch_digest_of(parts, G_N_ELEMENTS(parts));
+    digest = ch_digest_compute(parts, G_N_ELEMENTS(parts));
     g_assert_true(ch_crash_keeper_release(ends[1]->node.crashes, &digest));
     for (unsigned i = 0; i <= NODES; i++) {
         wait_bars(ends[i], &request, false);
--- a/tests/threaded/test_exchange.c
+++ b/tests/threaded/test_exchange.c
@@ -162,7 +162,7 @@
 }
 
 static uint64_t
-home_request(struct ch_router *router, const struct ch_work *work,
+home_request(struct ch_router *router, const struct ch_request_info *work,
              const GArray *excluded, const struct ch_router_handlers *handlers,
              void *data)
 {
@@ -172,8 +172,8 @@
     enum home_act act = world->home_acts[MIN(number, MOST_TRIES - 1)];
     world->excluded = excluded == NULL ? 0 : excluded->len;
     g_assert_true(world->asks_again || work->attempt == number);
-    world->only = work->only;
-    world->told_begun = work->begun;
+    world->only = work->required_upstream;
+    world->told_begun = work->answer_started;
     notify(world);
     if (act != HOLDS_BACK) {
         struct home_job *job = g_new(struct home_job, 1);
@@ -196,11 +196,11 @@
 
 static void
 home_release(struct ch_router *router, uint64_t handle,
-             const struct ch_sample *sample)
+             const struct ch_timing_sample *sample)
 {
     struct world *world = ((struct ch_homes *)router)->world;
     g_assert_cmpuint(handle, >, 0);
-    g_assert_cmpint(sample->first, >=, 0);
+    g_assert_cmpint(sample->first_byte_time, >=, 0);
     pthread_mutex_lock(&world->lock);
     world->released++;
     notify(world);
@@ -1332,7 +1332,7 @@
      "HTTP/1.1 201|" RAN "|text/x|first"},
     {"done, not kept", RECORD(.state = CH_ONCE_DONE),
      "HTTP/1.1 409|" UNKNOWN "|\"code\":307"},
-    {"running", RECORD(.state = CH_ONCE_RUNNING),
+    {"running", RECORD(.state = CH_ONCE_IN_PROGRESS),
      "HTTP/1.1 409|" UNKNOWN "|\"code\":310|Retry-After: 1"},
     {"another body", RECORD(.state = CH_ONCE_MISMATCH),
      "HTTP/1.1 422|" NOT_RUN "|\"code\":113"},
--- a/tests/threaded/test_front.c
+++ b/tests/threaded/test_front.c
@@ -69,7 +69,7 @@
 }
 
 static uint64_t
-fake_request(struct ch_router *router, const struct ch_work *work,
+fake_request(struct ch_router *router, const struct ch_request_info *work,
              const GArray *excluded, const struct ch_router_handlers *handlers,
              void *data)
 {
--- a/tests/threaded/test_homes.c
+++ b/tests/threaded/test_homes.c
@@ -164,13 +164,13 @@
         .refused = on_refused,
     };
     int64_t now = moved_now(world);
-    struct ch_work work = {
+    struct ch_request_info work = {
         .id = 1,
         .model = g_quark_from_static_string("orders"),
-        .service = true,
+        .is_service = true,
         .class_name = g_quark_from_static_string("order"),
-        .arrived = now,
-        .first_by = now + INT64_C(60000000),
+        .arrived_at = now,
+        .first_token_deadline = now + INT64_C(60000000),
     };
     return ch_homes_request(world->node.homes, &work, NULL, &handlers, world);
 }
@@ -222,7 +222,8 @@
     g_assert_cmpuint(ch_metrics_read(world->client.metrics, CH_COUNT_GRANTS),
                      ==, row->grants);
     if (world->granted > 0) {
-        const struct ch_sample sample = {.code = CH_OK, .first = 1000};
+        const struct ch_timing_sample sample = {.code = CH_OK,
+                                                .first_byte_time = 1000};
         g_assert_cmpuint(world->grant.handle, ==, handle);
         ch_homes_release(world->node.homes, handle, &sample);
     }
--- a/tests/threaded/test_keepers.c
+++ b/tests/threaded/test_keepers.c
@@ -320,7 +320,7 @@
     begin_all(once, &tally, "a");
     for (unsigned i = 0; i < KEYS; i++) {
         g_assert_cmpuint(tally.states[i][CH_ONCE_CREATED], ==, 1);
-        g_assert_cmpuint(tally.states[i][CH_ONCE_RUNNING], ==, TRIES - 1);
+        g_assert_cmpuint(tally.states[i][CH_ONCE_IN_PROGRESS], ==, TRIES - 1);
         g_autofree char *key = g_strdup_printf("a%u", i);
         ch_once_keeper_finish(once, "c", key, tally.attempt[i], false, 201,
                               "text/plain", "cut", 3, kept, &tally);
@@ -406,9 +406,9 @@
 {
     (void)upstream;
     struct home *home = data;
-    g_assert_cmpuint(ch_ledger_committed(ledger), <=, 1);
-    const struct ch_ledger_entry *first = ch_ledger_find(ledger, "m1");
-    const struct ch_ledger_entry *second = ch_ledger_find(ledger, "m2");
+    g_assert_cmpuint(ch_ledger_get_committed_mb(ledger), <=, 1);
+    const struct ch_ledger_entry *first = ch_ledger_find_entry(ledger, "m1");
+    const struct ch_ledger_entry *second = ch_ledger_find_entry(ledger, "m2");
     pthread_mutex_lock(&home->lock);
     home->state[0] = first == NULL ? 0 : 1 + (int)first->state;
     home->state[1] = second == NULL ? 0 : 1 + (int)second->state;
--- a/tests/threaded/test_switches.c
+++ b/tests/threaded/test_switches.c
@@ -371,7 +371,7 @@
 {
     static const struct ch_router_handlers handlers = {take_grant,
                                                        take_refusal};
-    const struct ch_sample sample = {.code = CH_OK};
+    const struct ch_timing_sample sample = {.code = CH_OK};
     uint64_t handles[2] = {0};
     struct fate fates[2] = {{"waits"}, {"waits"}};
     unsigned last = rows[row].second ? 1 : 0;
@@ -381,15 +381,15 @@
                          ? SECOND
                          : (int64_t)rows[row].target_ms * 1000;
     for (unsigned i = 0; i <= last; i++) {
-        const struct ch_work work = {
+        const struct ch_request_info work = {
             .id = i,
             .model = g_quark_from_string("m1"),
-            .pool = g_quark_from_string("s"),
+            .required_service = g_quark_from_string("s"),
             .prompt_tokens = 3500,
-            .output_tokens = 100,
-            .arrived = arrived,
-            .first_by = arrived + target,
-            .whole_by = now + 20 * (int64_t)SECOND,
+            .max_output_tokens = 100,
+            .arrived_at = arrived,
+            .first_token_deadline = arrived + target,
+            .answer_deadline = now + 20 * (int64_t)SECOND,
             .idempotent = true,
         };
         handles[i] =
--- a/tests/unit/explore.h
+++ b/tests/unit/explore.h
@@ -11,12 +11,12 @@
 #include <stdbool.h>
 
 enum {
-    EXPLORE_MOST = 24,
+    EXPLORE_MAX_CHOICES = 24,
 };
 
 struct explore {
-    unsigned path[EXPLORE_MOST];
-    unsigned width[EXPLORE_MOST];
+    unsigned path[EXPLORE_MAX_CHOICES];
+    unsigned width[EXPLORE_MAX_CHOICES];
     unsigned depth;
     unsigned bound; /* choices beyond this many always take the first option */
     guint64 runs;
--- a/tests/unit/test_arrange.c
+++ b/tests/unit/test_arrange.c
@@ -16,8 +16,8 @@
  * memory.
  */
 struct fleet {
-    struct ch_arrange_engine engines[MAX_ENGINES];
-    struct ch_arrange_item items[MAX_ENGINES][MAX_ENGINES];
+    struct ch_placement_engine engines[MAX_ENGINES];
+    struct ch_placement_item items[MAX_ENGINES][MAX_ENGINES];
     GQuark copies[MAX_ENGINES][MAX_ENGINES];
     size_t count;
 };
@@ -27,20 +27,20 @@
 {
     char **fields = g_strsplit(line, " ", -1);
     size_t engine_index = fleet->count++;
-    struct ch_arrange_engine *engine = &fleet->engines[engine_index];
+    struct ch_placement_engine *engine = &fleet->engines[engine_index];
     char **models = g_strsplit(fields[2], ",", -1);
     char **copies = g_strsplit(fields[3], ",", -1);
     const char *memory = strchr(fields[0], ':');
-    *engine = (struct ch_arrange_engine){
+    *engine = (struct ch_placement_engine){
         .name = g_quark_from_string(fields[0]),
         .service = g_quark_from_string("s"),
         .data_centre = g_quark_from_string(fields[1]),
-        .open = true,
+        .accepts_orders = true,
         .memory_mb = memory == NULL ? 200 : (uint32_t)atoi(memory + 1),
         .items = fleet->items[engine_index],
-        .copies = fleet->copies[engine_index],
+        .local_copies = fleet->copies[engine_index],
     };
-    engine->mine = engine->data_centre == controlled_centre;
+    engine->controlled = engine->data_centre == controlled_centre;
     for (size_t i = 0; models[i] != NULL && strcmp(models[i], "-") != 0; i++) {
         enum ch_item_state state =
             g_str_has_suffix(models[i], "+")   ? CH_ITEM_LOADING
@@ -48,14 +48,15 @@
                                                : CH_ITEM_RESIDENT;
         models[i][strcspn(models[i], "+~")] = '\0';
         fleet->items[engine_index][engine->item_count++] =
-            (struct ch_arrange_item){
+            (struct ch_placement_item){
                 g_quark_from_string(models[i]),
                 state,
             };
-        engine->open = engine->open && state == CH_ITEM_RESIDENT;
+        engine->accepts_orders =
+            engine->accepts_orders && state == CH_ITEM_RESIDENT;
     }
     for (size_t i = 0; copies[i] != NULL && strcmp(copies[i], "-") != 0; i++) {
-        fleet->copies[engine_index][engine->copy_count++] =
+        fleet->copies[engine_index][engine->local_copy_count++] =
             g_quark_from_string(copies[i]);
     }
     g_strfreev(fields);
@@ -79,14 +80,14 @@
     static const char *const names[] = {"m1", "m2", "m3", "m4", "s1", "s2"};
     struct fleet fleet = {0};
     uint32_t busy_count = 0;
-    struct ch_arrange_model models[G_N_ELEMENTS(names)];
+    struct ch_placement_model models[G_N_ELEMENTS(names)];
     GQuark service = g_quark_from_string("s");
     char **lines = g_strsplit(text, "\n", -1);
     for (size_t i = 0; lines[i] != NULL && lines[i][0] != '\0'; i++) {
         read_engine(&fleet, lines[i], g_quark_from_string(controlled_centre));
     }
     if (reserved_for != NULL) {
-        fleet.engines[0].pledged = g_quark_from_string(reserved_for);
+        fleet.engines[0].reserved_for = g_quark_from_string(reserved_for);
     }
     size_t count = 0;
     for (size_t i = 0; i < G_N_ELEMENTS(names); i++) {
@@ -96,39 +97,39 @@
         }
         bool is_busy = busy != NULL && strstr(busy, names[i]) != NULL;
         busy_count += is_busy ? 1 : 0;
-        models[count++] = (struct ch_arrange_model){
+        models[count++] = (struct ch_placement_model){
             .name = g_quark_from_string(names[i]),
             .memory_mb = small ? 35 : 70,
-            .work = is_busy ? work * (1 - 0.05 * (double)i) : 0.01,
+            .demand = is_busy ? work * (1 - 0.05 * (double)i) : 0.01,
             .services = &service,
             .service_count = 1,
         };
     }
-    const struct ch_arrange_state state = {
+    const struct ch_placement_state state = {
         .engines = fleet.engines,
         .engine_count = fleet.count,
         .models = models,
         .model_count = count,
         .data_centre = g_quark_from_string(controlled_centre),
-        .loads_left = loads_left,
-        .most_changes = MAX(busy_count, 1),
-        .without = *without,
+        .store_loads_left = loads_left,
+        .max_changing_engines = MAX(busy_count, 1),
+        .disabled = *without,
     };
     GArray *actions =
-        g_array_new(FALSE, FALSE, sizeof(struct ch_arrange_action));
+        g_array_new(FALSE, FALSE, sizeof(struct ch_placement_action));
     GString *out = g_string_new(NULL);
-    ch_arrange(&state, actions);
+    ch_placement_plan(&state, actions);
     for (guint i = 0; i < actions->len; i++) {
-        const struct ch_arrange_action *action =
-            &g_array_index(actions, struct ch_arrange_action, i);
+        const struct ch_placement_action *action =
+            &g_array_index(actions, struct ch_placement_action, i);
         g_string_append_printf(out, "%s%s %s %s", i == 0 ? "" : "; ",
                                g_quark_to_string(action->engine),
                                action->kind == CH_ACTION_LOAD ? "load"
                                                               : "unload",
                                g_quark_to_string(action->model));
-        if (action->pledged != 0) {
+        if (action->reserved_for != 0) {
             g_string_append_printf(out, " for %s",
-                                   g_quark_to_string(action->pledged));
+                                   g_quark_to_string(action->reserved_for));
         }
         g_string_append(out, action->from_store ? store : "");
     }
--- a/tests/unit/test_balance.c
+++ b/tests/unit/test_balance.c
@@ -35,24 +35,24 @@
             GQuark model = g_quark_from_string(names[j]);
             g_array_append_val(models, model);
         }
-        const struct ch_seat_facts facts = {
+        const struct ch_upstream_info facts = {
             .name = g_quark_from_string(upstreams[i].name),
             .service = g_quark_from_string("s"),
             .region = g_quark_from_string(upstreams[i].region),
             .data_centre = g_quark_from_string(upstreams[i].data_centre),
             .engine = true,
-            .leaving = upstreams[i].leaving,
+            .draining = upstreams[i].leaving,
             .slots = 64,
             .context_tokens = 100000,
-            .adapter_places = 8,
-            .resident = (const GQuark *)(void *)models->data,
-            .resident_count = models->len,
+            .adapter_slots = 8,
+            .resident_models = (const GQuark *)(void *)models->data,
+            .resident_model_count = models->len,
         };
-        ch_balance_listed(balance, &facts);
+        ch_balance_update_upstream(balance, &facts);
         if (upstreams[i].adapters != NULL) {
-            ch_balance_adapter(balance, facts.name,
-                               g_quark_from_string(upstreams[i].adapters),
-                               true);
+            ch_balance_set_adapter_resident(
+                balance, facts.name,
+                g_quark_from_string(upstreams[i].adapters), true);
         }
         g_strfreev(names);
         g_array_free(models, TRUE);
@@ -62,20 +62,20 @@
 }
 
 /* Builds a request for a model "m" or an adapter "m/a1". */
-static struct ch_work
+static struct ch_request_info
 build_request(const char *name, uint32_t tokens)
 {
     char **parts = g_strsplit(name, "/", 2);
-    struct ch_work request = {
+    struct ch_request_info request = {
         .id = 7,
         .model = g_quark_from_string(parts[0]),
         .adapter = parts[1] == NULL ? 0 : g_quark_from_string(name),
-        .pool = g_quark_from_string("s"),
+        .required_service = g_quark_from_string("s"),
         .prompt_tokens = tokens,
-        .output_tokens = 100,
-        .arrived = NOW,
-        .first_by = NOW + SECOND,
-        .whole_by = NOW + 10 * SECOND,
+        .max_output_tokens = 100,
+        .arrived_at = NOW,
+        .first_token_deadline = NOW + SECOND,
+        .answer_deadline = NOW + 10 * SECOND,
         .idempotent = true,
     };
     g_strfreev(parts);
@@ -84,10 +84,10 @@
 
 /* Returns the name of the chosen upstream, or "" if the request is refused. */
 static const char *
-choose_name(struct ch_balance *balance, const struct ch_work *request,
+choose_name(struct ch_balance *balance, const struct ch_request_info *request,
             const GArray *excluded, bool adapter_ready)
 {
-    struct ch_choice choice =
+    struct ch_upstream_choice choice =
         ch_balance_choose(balance, request, excluded, adapter_ready, NOW);
     return choice.code == CH_OK ? g_quark_to_string(choice.upstream) : "";
 }
@@ -153,7 +153,8 @@
 {
     for (size_t i = 0; i < G_N_ELEMENTS(choice_cases); i++) {
         struct ch_balance *balance = create_balance(choice_cases[i].upstreams);
-        struct ch_work request = build_request(choice_cases[i].model, 1000);
+        struct ch_request_info request =
+            build_request(choice_cases[i].model, 1000);
         GArray *excluded = g_array_new(FALSE, FALSE, sizeof(GQuark));
         if (choice_cases[i].excluded != NULL) {
             GQuark name = g_quark_from_string(choice_cases[i].excluded);
@@ -175,25 +176,26 @@
 
 /* Sends a request to the upstream that is chosen for it, and returns the
  * choice. */
-static struct ch_choice
-send_one(struct ch_balance *balance, const struct ch_work *request,
+static struct ch_upstream_choice
+send_one(struct ch_balance *balance, const struct ch_request_info *request,
          int64_t now)
 {
-    struct ch_choice choice =
+    struct ch_upstream_choice choice =
         ch_balance_choose(balance, request, NULL, false, now);
     g_assert_cmpint(choice.code, ==, CH_OK);
-    ch_balance_sent(balance, request, &choice, now);
+    ch_balance_record_sent(balance, request, &choice, now);
     return choice;
 }
 
 /* Ends a request that yields no measurements. */
 static void
-record_end(struct ch_balance *balance, const struct ch_work *request,
-           const struct ch_choice *choice, bool response_started,
+record_end(struct ch_balance *balance, const struct ch_request_info *request,
+           const struct ch_upstream_choice *choice, bool response_started,
            enum ch_code code)
 {
-    const struct ch_sample sample = {.code = code};
-    ch_balance_ended(balance, request, choice, response_started, &sample, NOW);
+    const struct ch_timing_sample sample = {.code = code};
+    ch_balance_record_end(balance, request, choice, response_started, &sample,
+                          NOW);
 }
 
 /* In a burst, requests that were sent count at once, before any load report
@@ -204,9 +206,9 @@
     struct ch_balance *balance = create_balance(two_upstreams);
     unsigned counts[2] = {0};
     for (uint64_t i = 0; i < 20; i++) {
-        struct ch_work request = build_request("m1", 1000);
+        struct ch_request_info request = build_request("m1", 1000);
         request.id = i;
-        struct ch_choice choice = send_one(balance, &request, NOW);
+        struct ch_upstream_choice choice = send_one(balance, &request, NOW);
         counts[choice.upstream == g_quark_from_string("a") ? 0 : 1]++;
     }
     g_assert_cmpuint(counts[0], ==, 10);
@@ -219,18 +221,20 @@
 static void
 test_shared_parts(void)
 {
-    const struct ch_part parts[] = {{1, 3000}, {2, 100}};
+    const struct ch_prompt_part parts[] = {{1, 3000}, {2, 100}};
     struct ch_balance *balance = create_balance(two_upstreams);
-    struct ch_work request = build_request("m1", 3100);
+    struct ch_request_info request = build_request("m1", 3100);
     request.parts = parts;
     request.part_count = G_N_ELEMENTS(parts);
-    struct ch_choice first = send_one(balance, &request, NOW);
-    ch_balance_first(balance, &request, &first, (int64_t)200 * MILLI, NOW);
-    struct ch_choice second = send_one(balance, &request, NOW);
+    struct ch_upstream_choice first = send_one(balance, &request, NOW);
+    ch_balance_record_first_byte(balance, &request, &first,
+                                 (int64_t)200 * MILLI, NOW);
+    struct ch_upstream_choice second = send_one(balance, &request, NOW);
     g_assert_cmpuint(second.upstream, ==, first.upstream);
-    g_assert_cmpint(second.reading, <, first.reading / 10);
-    ch_balance_all(balance, first.upstream, 60, (int64_t)2 * SECOND, NOW);
-    struct ch_choice third = send_one(balance, &request, NOW);
+    g_assert_cmpint(second.prefill_time, <, first.prefill_time / 10);
+    ch_balance_set_total_load(balance, first.upstream, 60, (int64_t)2 * SECOND,
+                              NOW);
+    struct ch_upstream_choice third = send_one(balance, &request, NOW);
     g_assert_cmpuint(third.upstream, !=, first.upstream);
     ch_balance_free(balance);
 }
@@ -241,8 +245,8 @@
 test_failing(void)
 {
     struct ch_balance *balance = create_balance(two_upstreams);
-    struct ch_work request = build_request("m1", 1000);
-    struct ch_choice choice = send_one(balance, &request, NOW);
+    struct ch_request_info request = build_request("m1", 1000);
+    struct ch_upstream_choice choice = send_one(balance, &request, NOW);
     GQuark failing = choice.upstream;
     record_end(balance, &request, &choice, false, CH_UPSTREAM_CUT);
     for (uint64_t i = 0; i < 10; i++) {
@@ -268,14 +272,16 @@
 test_others(void)
 {
     struct ch_balance *balance = create_balance(two_upstreams);
-    struct ch_work request = build_request("m1", 1000);
+    struct ch_request_info request = build_request("m1", 1000);
     GQuark upstream = g_quark_from_string("a");
-    ch_balance_all(balance, upstream, 10, (int64_t)300 * MILLI, NOW);
+    ch_balance_set_total_load(balance, upstream, 10, (int64_t)300 * MILLI,
+                              NOW);
     g_assert_cmpstr(choose_name(balance, &request, NULL, false), ==, "b");
-    struct ch_choice choice =
+    struct ch_upstream_choice choice =
         ch_balance_choose(balance, &request, NULL, false, NOW);
-    g_assert_false(choice.too_dense);
-    ch_balance_all(balance, g_quark_from_string("b"), 10, SECOND, NOW);
+    g_assert_false(choice.should_defer);
+    ch_balance_set_total_load(balance, g_quark_from_string("b"), 10, SECOND,
+                              NOW);
     g_assert_cmpstr(choose_name(balance, &request, NULL, false), ==, "a");
     ch_balance_free(balance);
 }
@@ -288,21 +294,22 @@
     const struct test_upstream one_upstream[] = {
         {"a", "r1", "d1", "m1", NULL, false}, {0}};
     struct ch_balance *balance = create_balance(one_upstream);
-    struct ch_work request = build_request("m1", 3500);
-    struct ch_choice choice =
+    struct ch_request_info request = build_request("m1", 3500);
+    struct ch_upstream_choice choice =
         ch_balance_choose(balance, &request, NULL, false, NOW);
-    g_assert_false(choice.too_dense);
-    ch_balance_sent(balance, &request, &choice, NOW);
-    struct ch_choice second =
+    g_assert_false(choice.should_defer);
+    ch_balance_record_sent(balance, &request, &choice, NOW);
+    struct ch_upstream_choice second =
         ch_balance_choose(balance, &request, NULL, false, NOW);
-    g_assert_true(second.too_dense);
-    ch_balance_first(balance, &request, &choice, (int64_t)180 * MILLI, NOW);
+    g_assert_true(second.should_defer);
+    ch_balance_record_first_byte(balance, &request, &choice,
+                                 (int64_t)180 * MILLI, NOW);
     second =
         ch_balance_choose(balance, &request, NULL, false, NOW + 10 * 1000);
-    g_assert_true(second.too_dense);
+    g_assert_true(second.should_defer);
     second =
         ch_balance_choose(balance, &request, NULL, false, NOW + 50 * 1000);
-    g_assert_false(second.too_dense);
+    g_assert_false(second.should_defer);
     ch_balance_free(balance);
 }
 
@@ -312,18 +319,19 @@
 test_pace(void)
 {
     struct ch_balance *balance = create_balance(two_upstreams);
-    struct ch_work request = build_request("m1", 2000);
-    int64_t default_time = ch_balance_reading(balance, &request);
+    struct ch_request_info request = build_request("m1", 2000);
+    int64_t default_time = ch_balance_estimate_prefill(balance, &request);
     for (uint64_t i = 0; i < 60; i++) {
         request.id = i;
-        struct ch_choice choice = send_one(balance, &request, NOW);
-        ch_balance_first(balance, &request, &choice, choice.expected / 4, NOW);
+        struct ch_upstream_choice choice = send_one(balance, &request, NOW);
+        ch_balance_record_first_byte(balance, &request, &choice,
+                                     choice.expected_latency / 4, NOW);
         record_end(balance, &request, &choice, true, CH_OK);
     }
-    struct ch_work other_request = build_request("m2", 2000);
-    g_assert_cmpint(ch_balance_reading(balance, &request), <,
+    struct ch_request_info other_request = build_request("m2", 2000);
+    g_assert_cmpint(ch_balance_estimate_prefill(balance, &request), <,
                     default_time / 2);
-    g_assert_cmpint(ch_balance_reading(balance, &other_request), ==,
+    g_assert_cmpint(ch_balance_estimate_prefill(balance, &other_request), ==,
                     default_time);
     ch_balance_free(balance);
 }
@@ -354,22 +362,23 @@
     } rows[] = {{64, 0.2, 0.6}, {16, 1.0, 1.6}};
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         struct ch_balance *balance = create_balance(two_upstreams);
-        const struct ch_seat_facts facts = {
+        const struct ch_upstream_info facts = {
             .name = g_quark_from_string("a"),
             .service = g_quark_from_string("s"),
             .engine = true,
             .slots = rows[i].slots,
         };
-        struct ch_work request = build_request("m1", 50);
+        struct ch_request_info request = build_request("m1", 50);
         double demand = 0;
-        ch_balance_listed(balance, &facts);
-        request.pool = facts.service;
-        request.output_tokens = 600;
+        ch_balance_update_upstream(balance, &facts);
+        request.required_service = facts.service;
+        request.max_output_tokens = 600;
         for (int64_t tenth = 0; tenth < 50; tenth++) {
-            ch_balance_asked(balance, &request, NOW + tenth * SECOND / 10);
+            ch_balance_record_demand(balance, &request,
+                                     NOW + tenth * SECOND / 10);
         }
-        ch_balance_each_asked(balance, NOW + 50 * (int64_t)SECOND / 10,
-                              copy_demand, &demand);
+        ch_balance_foreach_demand(balance, NOW + 50 * (int64_t)SECOND / 10,
+                                  copy_demand, &demand);
         g_assert_cmpfloat(demand, >, rows[i].min);
         g_assert_cmpfloat(demand, <, rows[i].max);
         ch_balance_free(balance);
@@ -384,7 +393,7 @@
 test_overload(void)
 {
     struct ch_balance *balance = create_balance(two_upstreams);
-    struct ch_work request = build_request("m1", 1000);
+    struct ch_request_info request = build_request("m1", 1000);
     double initial_demand = 0;
     double demand = 0;
     for (int64_t i = 0; i < 200; i++) {
@@ -392,20 +401,21 @@
         int64_t slowdown = i < 20 ? 1 : MIN(1 + (i - 20) / 10, 8);
         int64_t now = NOW + i * SECOND / 10;
         request.id = (uint64_t)i;
-        ch_balance_asked(balance, &request, now);
-        struct ch_choice choice = send_one(balance, &request, now);
-        const struct ch_sample sample = {
+        ch_balance_record_demand(balance, &request, now);
+        struct ch_upstream_choice choice = send_one(balance, &request, now);
+        const struct ch_timing_sample sample = {
             .code = CH_OK,
-            .token = (int64_t)50 * MILLI * slowdown,
-            .tokens = 10,
+            .token_time = (int64_t)50 * MILLI * slowdown,
+            .token_count = 10,
         };
-        ch_balance_first(balance, &request, &choice,
-                         (int64_t)40 * MILLI * slowdown, now);
-        ch_balance_ended(balance, &request, &choice, true, &sample, now);
+        ch_balance_record_first_byte(balance, &request, &choice,
+                                     (int64_t)40 * MILLI * slowdown, now);
+        ch_balance_record_end(balance, &request, &choice, true, &sample, now);
         if (i == 19) {
-            ch_balance_each_asked(balance, now, copy_demand, &initial_demand);
+            ch_balance_foreach_demand(balance, now, copy_demand,
+                                      &initial_demand);
         }
-        ch_balance_each_asked(balance, now, copy_demand, &demand);
+        ch_balance_foreach_demand(balance, now, copy_demand, &demand);
     }
     g_assert_cmpfloat(demand, <, initial_demand * 2);
     ch_balance_free(balance);
@@ -418,20 +428,20 @@
     const struct test_upstream upstreams[] = {
         {"a", "r1", "d1", "m1", "m1/a1", false}, {0}};
     struct ch_balance *balance = create_balance(upstreams);
-    struct ch_work request = build_request("m1/a1", 100);
+    struct ch_request_info request = build_request("m1/a1", 100);
     GQuark model = g_quark_from_string("m1");
     g_assert_cmpstr(choose_name(balance, &request, NULL, true), ==, "a");
-    const struct ch_seat_facts restarted = {
+    const struct ch_upstream_info restarted = {
         .name = g_quark_from_string("a"),
         .service = g_quark_from_string("s"),
-        .boot = 2,
+        .boot_id = 2,
         .slots = 64,
         .engine = true,
-        .resident = &model,
-        .resident_count = 1,
+        .resident_models = &model,
+        .resident_model_count = 1,
     };
     ch_balance_begin_update(balance);
-    ch_balance_listed(balance, &restarted);
+    ch_balance_update_upstream(balance, &restarted);
     ch_balance_end_update(balance);
     g_assert_cmpstr(choose_name(balance, &request, NULL, true), ==, "");
     ch_balance_free(balance);
@@ -453,27 +463,28 @@
     const struct test_upstream one_upstream[] = {
         {"a", "r1", "d1", "m1", NULL, false}, {0}};
     struct ch_balance *balance = create_balance(one_upstream);
-    struct ch_work request = build_request("m1", 3500);
+    struct ch_request_info request = build_request("m1", 3500);
     struct decisions decisions = {0};
-    const struct ch_sample sample = {
+    const struct ch_timing_sample sample = {
         .code = CH_OK,
-        .token = (int64_t)5 * MILLI,
-        .tokens = 100,
+        .token_time = (int64_t)5 * MILLI,
+        .token_count = 100,
     };
     if (without != NULL) {
-        ch_balance_do_without(balance, without);
+        ch_balance_disable_features(balance, without);
     }
-    struct ch_choice choice = send_one(balance, &request, NOW);
+    struct ch_upstream_choice choice = send_one(balance, &request, NOW);
     decisions.should_defer =
-        ch_balance_choose(balance, &request, NULL, false, NOW).too_dense;
+        ch_balance_choose(balance, &request, NULL, false, NOW).should_defer;
     for (uint64_t i = 0; i < 60; i++) {
-        ch_balance_first(balance, &request, &choice, (int64_t)90 * MILLI, NOW);
-        ch_balance_ended(balance, &request, &choice, true, &sample, NOW);
+        ch_balance_record_first_byte(balance, &request, &choice,
+                                     (int64_t)90 * MILLI, NOW);
+        ch_balance_record_end(balance, &request, &choice, true, &sample, NOW);
         choice = send_one(balance, &request, NOW);
     }
-    decisions.prefill_time = ch_balance_reading(balance, &request);
-    ch_balance_asked(balance, &request, NOW);
-    ch_balance_each_asked(balance, NOW, copy_demand, &decisions.demand);
+    decisions.prefill_time = ch_balance_estimate_prefill(balance, &request);
+    ch_balance_record_demand(balance, &request, NOW);
+    ch_balance_foreach_demand(balance, NOW, copy_demand, &decisions.demand);
     ch_balance_free(balance);
     return decisions;
 }
--- a/tests/unit/test_crash.c
+++ b/tests/unit/test_crash.c
@@ -16,7 +16,7 @@
 number_digest(unsigned number)
 {
     const struct ch_digest_part part = {&number, sizeof(number)};
-    return ch_digest_of(&part, 1);
+    return ch_digest_compute(&part, 1);
 }
 
 /* Makes a table for at most `requests` requests, with the limits of this
@@ -31,26 +31,26 @@
 
 /* An observation that a request was running on an upstream that ended at
  * at_s. */
-static struct ch_crash_run
+static struct ch_crash_observation
 make_observation(unsigned request, const char *upstream, double at_s,
                  bool before_response)
 {
-    return (struct ch_crash_run){
+    return (struct ch_crash_observation){
         .digest = number_digest(request),
         .fingerprint = 1000 + request,
         .upstream = g_quark_from_string(upstream),
-        .boot = 7,
-        .at = (int64_t)(at_s * SECOND_US),
-        .fresh = before_response,
+        .boot_id = 7,
+        .ended_at = (int64_t)(at_s * SECOND_US),
+        .before_response = before_response,
     };
 }
 
 /* The table's assessment of a request. */
-static struct ch_crash_view
+static struct ch_crash_assessment
 assess(const struct ch_crash_table *table, unsigned request)
 {
     const struct ch_digest digest = number_digest(request);
-    return ch_crash_table_view(table, &digest);
+    return ch_crash_table_assess(table, &digest);
 }
 
 /* ---- digests ---- */
@@ -75,7 +75,7 @@
                     const char *text = texts[rows[k]][l];
                     parts[l] = (struct ch_digest_part){text, strlen(text)};
                 }
-                digests[k] = ch_digest_of(parts, 3);
+                digests[k] = ch_digest_compute(parts, 3);
             }
             g_assert_cmpint(ch_digest_equal(&digests[0], &digests[1]), ==,
                             i == j);
@@ -96,8 +96,8 @@
     };
     const struct ch_digest digest = number_digest(5);
     struct ch_digest read;
-    char text[CH_DIGEST_TEXT];
-    ch_digest_print(&digest, text);
+    char text[CH_DIGEST_TEXT_SIZE];
+    ch_digest_format(&digest, text);
     g_assert_true(ch_digest_parse(text, &read));
     g_assert_true(ch_digest_equal(&digest, &read));
     for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
@@ -239,7 +239,7 @@
     for (unsigned i = 0; i < count; i++) {
         const struct observation_row *observed =
             &row->rows[(first + i * step) % count];
-        const struct ch_crash_run observation =
+        const struct ch_crash_observation observation =
             make_observation(observed->request, observed->upstream,
                              observed->at_s, !observed->response_begun);
         (void)ch_crash_table_add(table, &observation);
@@ -261,8 +261,8 @@
         (void)add_rows(other, row, 0, 1);
         g_assert_cmpint(assess(other, 1).state, ==, row->first);
         g_assert_cmpint(assess(other, 2).state, ==, row->second);
-        g_assert_cmphex(ch_crash_table_sum(other), ==,
-                        ch_crash_table_sum(forward));
+        g_assert_cmphex(ch_crash_table_checksum(other), ==,
+                        ch_crash_table_checksum(forward));
         ch_crash_table_free(other);
     }
     ch_crash_table_free(forward);
@@ -270,7 +270,7 @@
 
 /* Adds an observation to the table in data. */
 static void
-add_to(void *data, const struct ch_crash_run *observation)
+add_to(void *data, const struct ch_crash_observation *observation)
 {
     (void)ch_crash_table_add(data, observation);
 }
@@ -284,11 +284,11 @@
     struct ch_crash_table *table = table_new(100);
     struct ch_crash_table *joining = table_new(100);
     (void)add_rows(table, &assess_cases[3], 0, 1);
-    g_assert_cmphex(ch_crash_table_sum(table), !=,
-                    ch_crash_table_sum(joining));
-    ch_crash_table_each_run(table, add_to, joining);
-    g_assert_cmphex(ch_crash_table_sum(table), ==,
-                    ch_crash_table_sum(joining));
+    g_assert_cmphex(ch_crash_table_checksum(table), !=,
+                    ch_crash_table_checksum(joining));
+    ch_crash_table_foreach_observation(table, add_to, joining);
+    g_assert_cmphex(ch_crash_table_checksum(table), ==,
+                    ch_crash_table_checksum(joining));
     g_assert_cmpint(assess(joining, 1).state, ==, CH_CRASH_BARRED);
     ch_crash_table_free(joining);
     ch_crash_table_free(table);
@@ -302,7 +302,7 @@
     struct ch_crash_table *table = table_new(100);
     for (unsigned i = 0; i < CRASHES_TO_BAR; i++) {
         char name[] = {(char)('a' + i), '\0'};
-        const struct ch_crash_run observation =
+        const struct ch_crash_observation observation =
             make_observation(1, name, -10.0 - 3 * i, true);
         (void)ch_crash_table_add(table, &observation);
     }
@@ -321,17 +321,17 @@
         static const char *const names[] = {"a", "b", "c", "d", "e", "f"};
         struct ch_crash_table *table = table_new(100);
         const struct ch_digest digest = number_digest(1);
-        g_assert_false(ch_crash_table_sound(table, &digest));
+        g_assert_false(ch_crash_table_mark_harmless(table, &digest));
         for (unsigned i = 0; i < G_N_ELEMENTS(names); i++) {
-            const struct ch_crash_run observation =
+            const struct ch_crash_observation observation =
                 make_observation(1, names[i], i + 1, true);
             (void)ch_crash_table_add(table, &observation);
             if (i == answered_after) {
-                g_assert_true(ch_crash_table_sound(table, &digest));
-                g_assert_false(ch_crash_table_sound(table, &digest));
+                g_assert_true(ch_crash_table_mark_harmless(table, &digest));
+                g_assert_false(ch_crash_table_mark_harmless(table, &digest));
             }
         }
-        g_assert_cmpint(assess(table, 1).state, ==, CH_CRASH_SOUND);
+        g_assert_cmpint(assess(table, 1).state, ==, CH_CRASH_HARMLESS);
         ch_crash_table_free(table);
     }
 }
@@ -349,7 +349,7 @@
     g_assert_cmpint(assess(table, 1).state, ==, CH_CRASH_UNKNOWN);
     for (unsigned i = 0; i < CRASHES_TO_BAR; i++) {
         char name[] = {(char)('m' + i), '\0'};
-        const struct ch_crash_run observation =
+        const struct ch_crash_observation observation =
             make_observation(1, name, 20 + i, true);
         (void)ch_crash_table_add(table, &observation);
     }
@@ -364,18 +364,19 @@
 {
     struct ch_crash_table *table = table_new(2);
     const struct ch_digest digest = number_digest(1);
-    ch_crash_table_record(table, &digest, 1001, SECOND_US);
+    ch_crash_table_restore_barred(table, &digest, 1001, SECOND_US);
     g_assert_cmpint(assess(table, 1).state, ==, CH_CRASH_BARRED);
-    g_assert_true(ch_crash_table_knows(table, 1001));
+    g_assert_true(ch_crash_table_has_fingerprint(table, 1001));
     g_assert_true(
         ch_crash_table_release(table, &digest, (int64_t)2 * SECOND_US));
     g_assert_cmpint(assess(table, 1).state, ==, CH_CRASH_UNKNOWN);
     for (unsigned i = 2; i < 5; i++) {
         const struct ch_digest other = number_digest(i);
-        ch_crash_table_record(table, &other, 1000 + i, (int64_t)i * SECOND_US);
+        ch_crash_table_restore_barred(table, &other, 1000 + i,
+                                      (int64_t)i * SECOND_US);
     }
-    g_assert_false(ch_crash_table_knows(table, 1001));
-    g_assert_true(ch_crash_table_knows(table, 1004));
+    g_assert_false(ch_crash_table_has_fingerprint(table, 1001));
+    g_assert_true(ch_crash_table_has_fingerprint(table, 1004));
     ch_crash_table_free(table);
 }
 
@@ -391,9 +392,9 @@
     struct ch_crash_table *table = table_new(REQUESTS);
     for (unsigned i = 0; i < 100; i++) {
         char *name = g_strdup_printf("u%u", i);
-        const struct ch_crash_run other =
+        const struct ch_crash_observation other =
             make_observation(100 + i, name, i + 1, true);
-        const struct ch_crash_run repeated =
+        const struct ch_crash_observation repeated =
             make_observation(1, name, i + 1, true);
         (void)ch_crash_table_add(table, &other);
         (void)ch_crash_table_add(table, &repeated);
@@ -403,14 +404,14 @@
     g_assert_cmpuint(assess(table, 1).crashes, ==, 100);
     g_assert_cmpuint(assess(table, 100).crashes, ==, 0);
     g_assert_cmpuint(assess(table, 199).crashes, ==, 1);
-    g_assert_true(ch_crash_table_knows(table, 1001));
-    g_assert_false(ch_crash_table_knows(table, 1100));
+    g_assert_true(ch_crash_table_has_fingerprint(table, 1001));
+    g_assert_false(ch_crash_table_has_fingerprint(table, 1100));
     ch_crash_table_expire(table, (int64_t)(HOUR_S + 99) * SECOND_US);
     g_assert_cmpuint(assess(table, 1).crashes, ==, 100);
     ch_crash_table_expire(table, (int64_t)(HOUR_S + 101) * SECOND_US);
     g_assert_true(ch_crash_table_is_empty(table));
-    g_assert_cmphex(ch_crash_table_sum(table), ==, 0);
-    g_assert_false(ch_crash_table_knows(table, 1001));
+    g_assert_cmphex(ch_crash_table_checksum(table), ==, 0);
+    g_assert_false(ch_crash_table_has_fingerprint(table, 1001));
     ch_crash_table_free(table);
 }
 
@@ -434,11 +435,12 @@
     for (unsigned i = 0; i < UPSTREAMS; i++) {
         char *name = g_strdup_printf("u%u", i);
         for (unsigned j = 0; j < REQUESTS_PER_UPSTREAM; j++) {
-            const struct ch_crash_run observation =
+            const struct ch_crash_observation observation =
                 make_observation(request++, name, 1 + 0.001 * i, true);
             (void)ch_crash_table_add(table, &observation);
             g_assert_cmpuint(
-                ch_crash_table_crashes(table, &observation.digest), ==, 1);
+                ch_crash_table_count_crashes(table, &observation.digest), ==,
+                1);
         }
         g_free(name);
     }
@@ -476,15 +478,15 @@
 }
 
 /* An observation of a request on an engine. */
-static struct ch_crash_run
+static struct ch_crash_observation
 fleet_observation(const struct fleet *fleet, unsigned request, unsigned engine,
                   double at_s, bool before_response)
 {
     char name[16];
     (void)g_snprintf(name, sizeof(name), "e%u", engine);
-    struct ch_crash_run observation =
+    struct ch_crash_observation observation =
         make_observation(request, name, at_s, before_response);
-    observation.boot = fleet->boot_ids[engine];
+    observation.boot_id = fleet->boot_ids[engine];
     return observation;
 }
 
@@ -495,7 +497,7 @@
 {
     for (unsigned i = 0; i < count; i++) {
         bool before_response = g_rand_boolean(fleet->random);
-        const struct ch_crash_run observation = fleet_observation(
+        const struct ch_crash_observation observation = fleet_observation(
             fleet, requests[i], engine, at_s, before_response);
         (void)ch_crash_table_add(fleet->table, &observation);
     }
@@ -580,7 +582,7 @@
                 engine = (unsigned)g_rand_int_range(fleet.random, 0, ENGINES);
                 at_s += 0.1;
             } while (!is_up(&fleet, engine, at_s));
-            const struct ch_crash_run observation = fleet_observation(
+            const struct ch_crash_observation observation = fleet_observation(
                 &fleet, CRASHING_REQUEST, engine, at_s, true);
             (void)ch_crash_table_add(fleet.table, &observation);
             crash_engine(&fleet, engine, at_s, others, OTHERS);
@@ -643,39 +645,42 @@
 /* Applies an event to upstream "a" with boot ID 7, on which a call was
  * interrupted at 10 s. */
 static void
-apply_event(struct ch_crash_cuts *calls, enum call_event event, GArray *ended)
+apply_event(struct ch_interrupted_calls *calls, enum call_event event,
+            GArray *ended)
 {
     GQuark a = g_quark_from_string("a");
-    const struct ch_crash_listed rows[] = {
+    const struct ch_crash_listed_upstream rows[] = {
         {g_quark_from_string("b"), 7, false},
         {a, event == LISTED_NEW_BOOT ? 8 : 7, event == LISTED_DRAINING},
     };
     switch (event) {
     case REFUSED_SOON:
     case REFUSED_LATE:
-        ch_crash_cuts_refused(
+        ch_interrupted_calls_note_refused(
             calls, a, (int64_t)(event == REFUSED_SOON ? 11 : 15) * SECOND_US,
             ended);
         return;
     case OTHER_REFUSED:
-        ch_crash_cuts_refused(calls, g_quark_from_string("b"),
-                              (int64_t)11 * SECOND_US, ended);
+        ch_interrupted_calls_note_refused(calls, g_quark_from_string("b"),
+                                          (int64_t)11 * SECOND_US, ended);
         return;
     case RESPONDED_LATER_CALL:
     case RESPONDED_EARLIER_CALL:
-        ch_crash_cuts_answered(
+        ch_interrupted_calls_note_response(
             calls, a,
             (int64_t)(event == RESPONDED_LATER_CALL ? 11 : 9) * SECOND_US);
         return;
     case CRASH_REPORTED:
     case CRASH_REPORTED_OTHER_BOOT:
-        ch_crash_cuts_ended(calls, a, event == CRASH_REPORTED ? 7 : 6, ended);
+        ch_interrupted_calls_note_crash(
+            calls, a, event == CRASH_REPORTED ? 7 : 6, ended);
         return;
     case EXPIRED:
-        ch_crash_cuts_expire(calls, (int64_t)30 * SECOND_US);
+        ch_interrupted_calls_expire(calls, (int64_t)30 * SECOND_US);
         return;
     default:
-        ch_crash_cuts_listed(calls, rows, event == NOT_LISTED ? 1 : 2, ended);
+        ch_interrupted_calls_note_list(calls, rows,
+                                       event == NOT_LISTED ? 1 : 2, ended);
         return;
     }
 }
@@ -686,18 +691,19 @@
 test_interrupted_calls(void)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(call_cases); i++) {
-        struct ch_crash_cuts *calls = ch_crash_cuts_new();
-        GArray *ended = g_array_new(FALSE, FALSE, sizeof(struct ch_crash_run));
-        const struct ch_crash_run observation =
+        struct ch_interrupted_calls *calls = ch_interrupted_calls_new();
+        GArray *ended =
+            g_array_new(FALSE, FALSE, sizeof(struct ch_crash_observation));
+        const struct ch_crash_observation observation =
             make_observation(1, "a", 10, true);
-        ch_crash_cuts_add(calls, &observation);
+        ch_interrupted_calls_add(calls, &observation);
         apply_event(calls, call_cases[i].event, ended);
         g_test_message("%s", call_cases[i].name);
         g_assert_cmpuint(ended->len, ==, call_cases[i].ended);
-        g_assert_cmpuint(ch_crash_cuts_count(calls), ==,
+        g_assert_cmpuint(ch_interrupted_calls_count(calls), ==,
                          call_cases[i].remaining);
         g_array_free(ended, TRUE);
-        ch_crash_cuts_free(calls);
+        ch_interrupted_calls_free(calls);
     }
 }
 
@@ -705,14 +711,14 @@
 static void
 test_interrupted_calls_bounded(void)
 {
-    struct ch_crash_cuts *calls = ch_crash_cuts_new();
+    struct ch_interrupted_calls *calls = ch_interrupted_calls_new();
     for (unsigned i = 0; i < 5000; i++) {
-        const struct ch_crash_run observation =
+        const struct ch_crash_observation observation =
             make_observation(i, "a", 10, true);
-        ch_crash_cuts_add(calls, &observation);
+        ch_interrupted_calls_add(calls, &observation);
     }
-    g_assert_cmpuint(ch_crash_cuts_count(calls), <=, 1024);
-    ch_crash_cuts_free(calls);
+    g_assert_cmpuint(ch_interrupted_calls_count(calls), <=, 1024);
+    ch_interrupted_calls_free(calls);
 }
 
 int
--- a/tests/unit/test_decide.c
+++ b/tests/unit/test_decide.c
@@ -20,7 +20,7 @@
 static struct fixture
 fixture_new(const char *policy, uint32_t batch)
 {
-    struct ch_home_facts facts = {
+    struct ch_upstream_config facts = {
         .name = g_quark_from_string("w01"),
         .capacity_mb = 24000,
         .accelerators = 1,
@@ -46,19 +46,19 @@
 
 /* Returns a request for a model that arrives now and must have its first token
  * within `target`. */
-static struct ch_work
+static struct ch_request_info
 make_request(struct fixture *fixture, const char *model, int64_t now,
              int64_t target)
 {
-    return (struct ch_work){
+    return (struct ch_request_info){
         .id = fixture->next_id++,
         .model = g_quark_from_string(model),
         .tenant = 1,
         .model_mb = 10000,
         .prompt_tokens = 100,
-        .output_tokens = 50,
-        .arrived = now,
-        .first_by = now + target,
+        .max_output_tokens = 50,
+        .arrived_at = now,
+        .first_token_deadline = now + target,
         .idempotent = true,
     };
 }
@@ -85,8 +85,10 @@
 release_request(struct fixture *fixture, uint64_t request_id, int64_t now,
                 int64_t token)
 {
-    struct ch_sample sample = {
-        .code = CH_OK, .first = 100 * MS, .token = token, .tokens = 50};
+    struct ch_timing_sample sample = {.code = CH_OK,
+                                      .first_byte_time = 100 * MS,
+                                      .token_time = token,
+                                      .token_count = 50};
     ch_home_release(fixture->home, request_id, &sample, now, &fixture->out);
 }
 
@@ -112,9 +114,9 @@
         unsigned granted = 0;
         unsigned refused = 0;
         for (unsigned n = 0; n < cases[i].burst; n++) {
-            struct ch_work request =
+            struct ch_request_info request =
                 make_request(&fixture, "m01", 0, cases[i].target);
-            ch_home_offer(fixture.home, &request, NULL, 0, &fixture.out);
+            ch_home_enqueue(fixture.home, &request, NULL, 0, &fixture.out);
             for (guint a = 0; a < fixture.out.list->len; a++) {
                 const struct ch_action *action =
                     &g_array_index(fixture.out.list, struct ch_action, a);
@@ -146,21 +148,22 @@
     } cases[] = {{"default", 3}, {"fcfs", 2}};
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         struct fixture fixture = fixture_new(cases[i].policy, 1);
-        struct ch_work running = make_request(&fixture, "m01", 0, 60 * SECOND);
-        struct ch_work long_request =
+        struct ch_request_info running =
             make_request(&fixture, "m01", 0, 60 * SECOND);
-        struct ch_work short_request =
+        struct ch_request_info long_request =
+            make_request(&fixture, "m01", 0, 60 * SECOND);
+        struct ch_request_info short_request =
             make_request(&fixture, "m01", 0, 10 * SECOND);
-        ch_home_offer(fixture.home, &running, NULL, 0, &fixture.out);
-        ch_home_offer(fixture.home, &long_request, NULL, 0, &fixture.out);
-        ch_home_offer(fixture.home, &short_request, NULL, 0, &fixture.out);
+        ch_home_enqueue(fixture.home, &running, NULL, 0, &fixture.out);
+        ch_home_enqueue(fixture.home, &long_request, NULL, 0, &fixture.out);
+        ch_home_enqueue(fixture.home, &short_request, NULL, 0, &fixture.out);
         g_assert_cmpuint(count_actions(&fixture, CH_ACTION_GRANT, CH_OK), ==,
                          1);
         release_request(&fixture, running.id, SECOND, 20 * MS);
         const struct ch_action *action =
             &g_array_index(fixture.out.list, struct ch_action, 0);
         g_assert_cmpint(action->kind, ==, CH_ACTION_GRANT);
-        g_assert_cmpuint(action->work, ==, cases[i].first);
+        g_assert_cmpuint(action->request_id, ==, cases[i].first);
         fixture_free(&fixture);
     }
 }
@@ -176,16 +179,18 @@
         uint32_t batch;
     } cases[] = {
         {0, 32}, {31 * MS, 2}, {62 * MS, 8}, {101 * MS, 16}, {10 * MS, 1}};
-    struct ch_rates rates;
-    ch_rates_init(&rates, true);
+    struct ch_service_times rates;
+    ch_service_times_init(&rates, true);
     for (int64_t n = 1; n <= 12; n++) {
-        struct ch_sample sample = {
-            .code = CH_OK, .first = 1, .token = (20 + 5 * n) * MS};
-        ch_rates_add(&rates, &sample, (double)n, SECOND, 0);
+        struct ch_timing_sample sample = {.code = CH_OK,
+                                          .first_byte_time = 1,
+                                          .token_time = (20 + 5 * n) * MS};
+        ch_service_times_add_sample(&rates, &sample, (double)n, SECOND, 0);
     }
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-        g_assert_cmpuint(ch_rates_batch(&rates, cases[i].between, 32), ==,
-                         cases[i].batch);
+        g_assert_cmpuint(
+            ch_service_times_limit_batch(&rates, cases[i].between, 32), ==,
+            cases[i].batch);
     }
 }
 
@@ -202,18 +207,19 @@
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         struct fixture fixture = fixture_new(cases[i].policy, 4);
         for (unsigned n = 0; n < 40; n++) {
-            struct ch_work request =
+            struct ch_request_info request =
                 make_request(&fixture, "m01", 0, 4 * SECOND);
-            ch_home_offer(fixture.home, &request, NULL, 0, &fixture.out);
+            ch_home_enqueue(fixture.home, &request, NULL, 0, &fixture.out);
         }
         g_array_set_size(fixture.out.list, 0);
-        struct ch_work request = make_request(&fixture, "m01", 0, 4 * SECOND);
+        struct ch_request_info request =
+            make_request(&fixture, "m01", 0, 4 * SECOND);
         request.tenant = 2;
-        ch_home_offer(fixture.home, &request, NULL, 0, &fixture.out);
+        ch_home_enqueue(fixture.home, &request, NULL, 0, &fixture.out);
         const struct ch_action *action =
             &g_array_index(fixture.out.list, struct ch_action, 0);
         g_assert_cmpint(action->code, ==, cases[i].code);
-        g_assert_true((action->work == request.id) ==
+        g_assert_true((action->request_id == request.id) ==
                       (cases[i].code == CH_LATE));
         fixture_free(&fixture);
     }
@@ -226,14 +232,14 @@
 test_exact_counts(void)
 {
     struct fixture fixture = fixture_new("default", 1);
-    struct ch_work a = make_request(&fixture, "m01", 0, 60 * SECOND);
-    struct ch_work b = make_request(&fixture, "m01", 0, 60 * SECOND);
-    struct ch_work c = make_request(&fixture, "m01", 0, 60 * SECOND);
-    ch_home_offer(fixture.home, &a, NULL, 0, &fixture.out);
-    ch_home_offer(fixture.home, &b, NULL, 0, &fixture.out);
-    ch_home_offer(fixture.home, &c, NULL, 0, &fixture.out);
+    struct ch_request_info a = make_request(&fixture, "m01", 0, 60 * SECOND);
+    struct ch_request_info b = make_request(&fixture, "m01", 0, 60 * SECOND);
+    struct ch_request_info c = make_request(&fixture, "m01", 0, 60 * SECOND);
+    ch_home_enqueue(fixture.home, &a, NULL, 0, &fixture.out);
+    ch_home_enqueue(fixture.home, &b, NULL, 0, &fixture.out);
+    ch_home_enqueue(fixture.home, &c, NULL, 0, &fixture.out);
     g_assert_cmpuint(count_actions(&fixture, CH_ACTION_GRANT, CH_OK), ==, 1);
-    struct ch_sample lost = {.code = CH_PEER_LOST};
+    struct ch_timing_sample lost = {.code = CH_PEER_LOST};
     ch_home_release(fixture.home, a.id, &lost, SECOND, &fixture.out);
     g_assert_cmpuint(count_actions(&fixture, CH_ACTION_GRANT, CH_OK), ==, 1);
     ch_home_release(fixture.home, a.id, &lost, SECOND, &fixture.out);
@@ -242,7 +248,7 @@
     release_request(&fixture, b.id, 2 * SECOND, 20 * MS);
     g_assert_cmpuint(count_actions(&fixture, CH_ACTION_GRANT, CH_OK), ==, 0);
     struct ch_upstream_view view;
-    ch_home_view(fixture.home, 2 * SECOND, &view);
+    ch_home_get_view(fixture.home, 2 * SECOND, &view);
     g_assert_cmpuint(view.running, ==, 0);
     g_assert_cmpuint(view.queued, ==, 0);
     g_array_unref(view.resident);
@@ -257,7 +263,7 @@
 {
     *view = (struct ch_upstream_view){
         .name = g_quark_from_string("w02"),
-        .batch = 8,
+        .max_batch = 8,
         .capacity_mb = 24000,
         .free_mb = 4000,
         .resident = g_array_new(FALSE, FALSE, sizeof(struct ch_item)),
@@ -267,8 +273,10 @@
         struct ch_item item = {.name = g_quark_from_string(models[i])};
         g_array_append_val(view->resident, item);
     }
-    return (struct ch_fleet){
-        .upstreams = view, .count = 1, .loads_left = 4, .link_bytes = 1 << 20};
+    return (struct ch_fleet){.upstreams = view,
+                             .count = 1,
+                             .store_loads_left = 4,
+                             .link_bytes_left = 1 << 20};
 }
 
 static void
@@ -284,8 +292,9 @@
              unsigned m01_rate, int64_t now)
 {
     for (unsigned n = 0; n < m01_rate; n++) {
-        struct ch_work request = make_request(fixture, "m01", now, SECOND);
-        ch_home_offer(fixture->home, &request, fleet, now, &fixture->out);
+        struct ch_request_info request =
+            make_request(fixture, "m01", now, SECOND);
+        ch_home_enqueue(fixture->home, &request, fleet, now, &fixture->out);
         release_request(fixture, request.id, now, 20 * MS);
     }
 }
@@ -300,9 +309,11 @@
     for (int64_t now = 40 * SECOND; now < until; now += SECOND) {
         run_requests(fixture, fleet, m01_rate, now);
         for (unsigned n = 0; n < m02_rate; n++) {
-            struct ch_work request = make_request(fixture, "m02", now, SECOND);
+            struct ch_request_info request =
+                make_request(fixture, "m02", now, SECOND);
             request.model_mb = 20000;
-            ch_home_offer(fixture->home, &request, fleet, now, &fixture->out);
+            ch_home_enqueue(fixture->home, &request, fleet, now,
+                            &fixture->out);
         }
         ch_home_tick(fixture->home, fleet, now, &fixture->out);
         unloaded += count_actions(fixture, CH_ACTION_UNLOAD, CH_OK);
@@ -361,15 +372,17 @@
     static const char *const no_models[] = {NULL};
     struct ch_upstream_view view;
     struct ch_fleet fleet = make_fleet(&view, no_models);
-    struct ch_work request = make_request(&fixture, "m03", 0, 60 * SECOND);
-    ch_home_offer(fixture.home, &request, &fleet, 0, &fixture.out);
+    struct ch_request_info request =
+        make_request(&fixture, "m03", 0, 60 * SECOND);
+    ch_home_enqueue(fixture.home, &request, &fleet, 0, &fixture.out);
     g_assert_cmpuint(count_actions(&fixture, CH_ACTION_LOAD, CH_OK), ==, 1);
-    ch_home_order_failed(fixture.home, request.model, CH_ACTION_LOAD,
-                         CH_KV_UNREACHABLE, MS, &fixture.out);
+    ch_home_handle_failed_order(fixture.home, request.model, CH_ACTION_LOAD,
+                                CH_KV_UNREACHABLE, MS, &fixture.out);
     g_assert_cmpuint(count_actions(&fixture, CH_ACTION_REFUSE, CH_NO_UPSTREAM),
                      ==, 1);
-    struct ch_work other = make_request(&fixture, "m01", 2 * MS, SECOND);
-    ch_home_offer(fixture.home, &other, &fleet, 2 * MS, &fixture.out);
+    struct ch_request_info other =
+        make_request(&fixture, "m01", 2 * MS, SECOND);
+    ch_home_enqueue(fixture.home, &other, &fleet, 2 * MS, &fixture.out);
     g_assert_cmpuint(count_actions(&fixture, CH_ACTION_GRANT, CH_OK), ==, 1);
     fleet_free(&view);
     fixture_free(&fixture);
@@ -386,17 +399,20 @@
     } cases[] = {{true, false}, {false, true}};
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         struct fixture fixture = fixture_new("default", 1);
-        struct ch_work a = make_request(&fixture, "m01", 0, 60 * SECOND);
-        struct ch_work b = make_request(&fixture, "m01", 0, 60 * SECOND);
-        ch_home_offer(fixture.home, &a, NULL, 0, &fixture.out);
-        ch_home_offer(fixture.home, &b, NULL, 0, &fixture.out);
+        struct ch_request_info a =
+            make_request(&fixture, "m01", 0, 60 * SECOND);
+        struct ch_request_info b =
+            make_request(&fixture, "m01", 0, 60 * SECOND);
+        ch_home_enqueue(fixture.home, &a, NULL, 0, &fixture.out);
+        ch_home_enqueue(fixture.home, &b, NULL, 0, &fixture.out);
         g_array_set_size(fixture.out.list, 0);
-        ch_home_report(fixture.home, 1, 0, cases[i].leaving, cases[i].down, MS,
-                       &fixture.out);
+        ch_home_update_engine_state(fixture.home, 1, 0, cases[i].leaving,
+                                    cases[i].down, MS, &fixture.out);
         g_assert_cmpuint(
             count_actions(&fixture, CH_ACTION_REFUSE, CH_NO_UPSTREAM), ==, 1);
-        struct ch_work c = make_request(&fixture, "m01", MS, 60 * SECOND);
-        ch_home_offer(fixture.home, &c, NULL, MS, &fixture.out);
+        struct ch_request_info c =
+            make_request(&fixture, "m01", MS, 60 * SECOND);
+        ch_home_enqueue(fixture.home, &c, NULL, MS, &fixture.out);
         g_assert_cmpuint(
             count_actions(&fixture, CH_ACTION_REFUSE, CH_NO_UPSTREAM), ==, 1);
         fixture_free(&fixture);
@@ -412,20 +428,20 @@
     (void)make_fleet(&views[0], models);
     struct ch_fleet fleet = make_fleet(&views[1], models);
     views[0].name = g_quark_from_string("w01");
-    views[0].token = 600 * MS;
-    views[1].token = 30 * MS;
+    views[0].token_time = 600 * MS;
+    views[1].token_time = 30 * MS;
     views[1].running = 7;
     fleet.upstreams = views;
     fleet.count = 2;
-    struct ch_work request = {.id = 1,
-                              .model = g_quark_from_string("m01"),
-                              .first_by = 10 * SECOND,
-                              .between = 62 * MS};
+    struct ch_request_info request = {.id = 1,
+                                      .model = g_quark_from_string("m01"),
+                                      .first_token_deadline = 10 * SECOND,
+                                      .token_target = 62 * MS};
     struct ch_route route =
         ch_route_choose(ch_policy_find("default"), &fleet, &request, NULL, 0);
     g_assert_cmpint(route.code, ==, CH_OK);
     g_assert_cmpuint(route.upstream, ==, 1);
-    g_assert_cmpuint(views[1].sent_since, ==, 1);
+    g_assert_cmpuint(views[1].sent_since_report, ==, 1);
     fleet_free(&views[0]);
     fleet_free(&views[1]);
 }
@@ -439,11 +455,12 @@
     ch_retry_budget_init(&budget, 0.1);
     unsigned retries = 0;
     for (unsigned i = 0; i < 10000; i++) {
-        const struct ch_retry_failure failure = {
-            .code = CH_UPSTREAM_CUT, .may_have_run = true, .stream = true};
-        struct ch_work request = {.idempotent = true};
+        const struct ch_retry_failure failure = {.code = CH_UPSTREAM_CUT,
+                                                 .may_have_run = true,
+                                                 .is_resumable = true};
+        struct ch_request_info request = {.idempotent = true};
         bool reserved = false;
-        ch_retry_budget_fresh(&budget);
+        ch_retry_budget_add_request(&budget);
         while (ch_retry_decide(&budget, &reserved, &request, &failure, 0) !=
                CH_RETRY_NO) {
             reserved = false;
@@ -468,9 +485,9 @@
         uint32_t attempt;
         enum ch_retry retry;
     } cases[] = {
-        {CH_UPSTREAM_CONNECT, false, false, false, 0, 0, CH_RETRY_AGAIN},
+        {CH_UPSTREAM_CONNECT, false, false, false, 0, 0, CH_RETRY_RESTART},
         {CH_UPSTREAM_CUT, false, true, false, 0, 0, CH_RETRY_NO},
-        {CH_UPSTREAM_CUT, true, true, false, 0, 0, CH_RETRY_AGAIN},
+        {CH_UPSTREAM_CUT, true, true, false, 0, 0, CH_RETRY_RESTART},
         {CH_UPSTREAM_STALLED, true, true, true, 7, 0, CH_RETRY_RESUME},
         {CH_UPSTREAM_STALLED, true, true, false, 7, 0, CH_RETRY_NO},
         {CH_UPSTREAM_CUT, true, true, true, 0, 2, CH_RETRY_NO},
@@ -479,8 +496,8 @@
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         struct ch_retry_budget budget;
         ch_retry_budget_init(&budget, 0.1);
-        struct ch_work request = {.idempotent = cases[i].idempotent,
-                                  .attempt = cases[i].attempt};
+        struct ch_request_info request = {.idempotent = cases[i].idempotent,
+                                          .attempt = cases[i].attempt};
         const struct ch_retry_failure failure = {
             cases[i].code, cases[i].may_have_run, cases[i].stream,
             cases[i].given};
@@ -515,12 +532,13 @@
         {CH_DEADLINE, 2, 7, true, false, false},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-        const struct ch_work request = {
+        const struct ch_request_info request = {
             .idempotent = cases[i].idempotent,
-            .tries = cases[i].tries,
+            .max_attempts = cases[i].tries,
         };
-        g_assert_cmpint(ch_retry_waits(&request, cases[i].code,
-                                       cases[i].may_have_run, cases[i].given),
+        g_assert_cmpint(ch_retry_is_delayed(&request, cases[i].code,
+                                            cases[i].may_have_run,
+                                            cases[i].given),
                         ==, cases[i].waits);
     }
 }
@@ -529,13 +547,13 @@
 static void
 test_token_bucket(void)
 {
-    struct ch_bucket bucket;
-    ch_bucket_init(&bucket, 2.0, 3.0, SECOND);
-    g_assert_true(ch_bucket_take(&bucket, 3.0, SECOND));
-    g_assert_false(ch_bucket_take(&bucket, 1.0, SECOND));
-    g_assert_false(ch_bucket_take(&bucket, 1.0, 0));
-    g_assert_true(ch_bucket_take(&bucket, 1.0, SECOND + SECOND / 2));
-    g_assert_cmpfloat(ch_bucket_level(&bucket, 100 * SECOND), ==, 3.0);
+    struct ch_token_bucket bucket;
+    ch_token_bucket_init(&bucket, 2.0, 3.0, SECOND);
+    g_assert_true(ch_token_bucket_take(&bucket, 3.0, SECOND));
+    g_assert_false(ch_token_bucket_take(&bucket, 1.0, SECOND));
+    g_assert_false(ch_token_bucket_take(&bucket, 1.0, 0));
+    g_assert_true(ch_token_bucket_take(&bucket, 1.0, SECOND + SECOND / 2));
+    g_assert_cmpfloat(ch_token_bucket_level(&bucket, 100 * SECOND), ==, 3.0);
 }
 
 int
--- a/tests/unit/test_late.c
+++ b/tests/unit/test_late.c
@@ -8,32 +8,33 @@
 
 /* A request that arrives now, with a target of 1.2 s and a deadline of 15 s:
  * its caller gives up after 4.8 s without a token. */
-static struct ch_work
+static struct ch_request_info
 build_request(void)
 {
-    return (struct ch_work){
+    return (struct ch_request_info){
         .model = g_quark_from_string("m"),
-        .arrived = NOW,
-        .first_by = NOW + 1200 * MILLI,
-        .whole_by = NOW + 15 * SECOND,
+        .arrived_at = NOW,
+        .first_token_deadline = NOW + 1200 * MILLI,
+        .answer_deadline = NOW + 15 * SECOND,
         .idempotent = true,
     };
 }
 
 /* Reports which model an engine has and which it is loading; NULL: none. */
 static void
-report(struct ch_coming *pending, const char *upstream, const char *models,
-       const char *loading, int64_t now)
+report(struct ch_pending_loads *pending, const char *upstream,
+       const char *models, const char *loading, int64_t now)
 {
     GQuark model = g_quark_from_string(models);
     GQuark loading_model = g_quark_from_string(loading);
-    ch_coming_told(pending, g_quark_from_string(upstream), &model, model != 0,
-                   &loading_model, loading_model != 0, now);
+    ch_pending_loads_update(pending, g_quark_from_string(upstream), &model,
+                            model != 0, &loading_model, loading_model != 0,
+                            now);
 }
 
 /* Reports loads of this length, the last of which ends at NOW. */
 static void
-report_past_loads(struct ch_coming *pending, int64_t load_time)
+report_past_loads(struct ch_pending_loads *pending, int64_t load_time)
 {
     for (int64_t i = 20; i > 0; i--) {
         report(pending, "w9", NULL, "other", NOW - i * load_time);
@@ -71,20 +72,22 @@
 {
     for (size_t i = 0; i < G_N_ELEMENTS(load_cases); i++) {
         g_test_message("%s", load_cases[i].what);
-        struct ch_coming *pending = ch_coming_new();
-        struct ch_work request = build_request();
+        struct ch_pending_loads *pending = ch_pending_loads_new();
+        struct ch_request_info request = build_request();
         report_past_loads(pending, load_cases[i].load_time);
         report(pending, "w1", NULL, "m", NOW - load_cases[i].begun);
         int64_t now = NOW + load_cases[i].decided_after;
         report(pending, "w1", NULL, "m", now);
-        int64_t ready_at = ch_coming_at(pending, request.model, now);
+        int64_t ready_at =
+            ch_pending_loads_estimate_ready(pending, request.model, now);
         g_assert_cmpint(ready_at, >, now);
-        struct ch_late decision =
+        struct ch_late_decision decision =
             ch_late_decide(&request, 6 * SECOND, ready_at, now);
-        g_assert_cmpint(decision.waits, ==, load_cases[i].waits);
-        g_assert_true(decision.waits ? decision.until <= request.first_by
-                                     : decision.back > 0);
-        ch_coming_free(pending);
+        g_assert_cmpint(decision.should_wait, ==, load_cases[i].waits);
+        g_assert_true(decision.should_wait
+                          ? decision.wait_until <= request.first_token_deadline
+                          : decision.retry_after > 0);
+        ch_pending_loads_free(pending);
     }
 }
 
@@ -98,15 +101,21 @@
 test_engine_gone(void)
 {
     GQuark model = g_quark_from_string("m");
-    struct ch_coming *pending = ch_coming_new();
+    struct ch_pending_loads *pending = ch_pending_loads_new();
     report(pending, "w1", NULL, "m", NOW);
-    g_assert_cmpint(ch_coming_at(pending, model, NOW), >, 0);
+    g_assert_cmpint(ch_pending_loads_estimate_ready(pending, model, NOW), >,
+                    0);
     report(pending, "w1", NULL, NULL, NOW + MILLI);
-    g_assert_cmpint(ch_coming_at(pending, model, NOW + MILLI), ==, 0);
+    g_assert_cmpint(
+        ch_pending_loads_estimate_ready(pending, model, NOW + MILLI), ==, 0);
     report(pending, "w2", NULL, "m", NOW);
-    g_assert_cmpint(ch_coming_at(pending, model, NOW + 8 * SECOND), >, 0);
-    g_assert_cmpint(ch_coming_at(pending, model, NOW + 11 * SECOND), ==, 0);
-    ch_coming_free(pending);
+    g_assert_cmpint(
+        ch_pending_loads_estimate_ready(pending, model, NOW + 8 * SECOND), >,
+        0);
+    g_assert_cmpint(
+        ch_pending_loads_estimate_ready(pending, model, NOW + 11 * SECOND), ==,
+        0);
+    ch_pending_loads_free(pending);
 }
 
 /* The load that began first decides when a model is ready. A model that was
@@ -115,19 +124,22 @@
 test_first_pending_load(void)
 {
     GQuark model = g_quark_from_string("m");
-    struct ch_coming *pending = ch_coming_new();
-    g_assert_cmpint(ch_coming_at(pending, model, NOW), ==, 0);
+    struct ch_pending_loads *pending = ch_pending_loads_new();
+    g_assert_cmpint(ch_pending_loads_estimate_ready(pending, model, NOW), ==,
+                    0);
     report_past_loads(pending, 4 * SECOND);
     report(pending, "w1", NULL, "m", NOW);
     report(pending, "w2", NULL, "m", NOW - 2 * SECOND);
-    int64_t ready_at = ch_coming_at(pending, model, NOW);
+    int64_t ready_at = ch_pending_loads_estimate_ready(pending, model, NOW);
     g_assert_cmpint(ready_at, >, NOW + 1500 * MILLI);
     g_assert_cmpint(ready_at, <, NOW + 2500 * MILLI);
     report(pending, "w2", "m", NULL, NOW + 2 * SECOND);
-    g_assert_cmpint(ch_coming_at(pending, model, NOW), >, NOW + 3 * SECOND);
+    g_assert_cmpint(ch_pending_loads_estimate_ready(pending, model, NOW), >,
+                    NOW + 3 * SECOND);
     report(pending, "w1", NULL, NULL, NOW + 2 * SECOND);
-    g_assert_cmpint(ch_coming_at(pending, model, NOW), ==, 0);
-    ch_coming_free(pending);
+    g_assert_cmpint(ch_pending_loads_estimate_ready(pending, model, NOW), ==,
+                    0);
+    ch_pending_loads_free(pending);
 }
 
 static const struct {
@@ -161,12 +173,12 @@
 {
     for (size_t i = 0; i < G_N_ELEMENTS(retry_cases); i++) {
         g_test_message("%s", retry_cases[i].what);
-        struct ch_work request = build_request();
+        struct ch_request_info request = build_request();
         request.attempt = retry_cases[i].attempt;
-        request.begun = retry_cases[i].begun;
-        request.service = retry_cases[i].service;
-        bool is_late = ch_late_is(&request, retry_cases[i].expected,
-                                  NOW + retry_cases[i].after);
+        request.answer_started = retry_cases[i].begun;
+        request.is_service = retry_cases[i].service;
+        bool is_late = ch_late_is_expected(&request, retry_cases[i].expected,
+                                           NOW + retry_cases[i].after);
         g_assert_cmpint(is_late, ==, retry_cases[i].is_late);
     }
 }
--- a/tests/unit/test_ledger.c
+++ b/tests/unit/test_ledger.c
@@ -33,16 +33,16 @@
     g_auto(GStrv) done = g_strsplit(step->sender, " ", -1);
     g_auto(GStrv) resident = g_strsplit(step->item, " ", -1);
     const uint32_t memory_mb[] = {1, 1, 1, 1};
-    const struct ch_ledger_evidence report = {
-        .boot = step->order,
-        .resident = (const char *const *)resident,
+    const struct ch_ledger_report report = {
+        .boot_id = step->order,
+        .resident_items = (const char *const *)resident,
         .resident_mb = memory_mb,
         .resident_count = step->item[0] == '\0' ? 0 : g_strv_length(resident),
-        .orders_done = (const char *const *)done,
-        .orders_done_count = g_strv_length(done),
-        .after_ends = true,
+        .done_order_ids = (const char *const *)done,
+        .done_order_count = g_strv_length(done),
+        .requested_after_ends = true,
     };
-    return ch_ledger_observe(ledger, &report);
+    return ch_ledger_apply_report(ledger, &report);
 }
 
 /* Runs a step and returns the result of its call. */
@@ -60,13 +60,13 @@
         return ch_ledger_resend(ledger, step->item, step->sender, NULL);
     }
     if (strcmp(step->action, "earlier") == 0) {
-        return ch_ledger_end_earlier(ledger, step->sender);
+        return ch_ledger_end_earlier_sends(ledger, step->sender);
     }
     if (strcmp(step->action, "report") == 0) {
         return run_report_step(ledger, step);
     }
-    return ch_ledger_end(ledger, step->order, step->sender,
-                         strcmp(step->action, "refused") == 0);
+    return ch_ledger_end_send(ledger, step->order, step->sender,
+                              strcmp(step->action, "refused") == 0);
 }
 
 /* The ledger in the form of step.after. */
@@ -74,11 +74,12 @@
 describe(const struct ch_ledger *ledger)
 {
     GString *description = g_string_new(NULL);
-    for (size_t i = 0; i < ledger->count; i++) {
+    for (size_t i = 0; i < ledger->entry_count; i++) {
         g_string_append_printf(description, "%s:%c ", ledger->entries[i].item,
                                "rRu"[ledger->entries[i].state]);
     }
-    g_string_append_printf(description, "%u", ch_ledger_exposed(ledger));
+    g_string_append_printf(description, "%u",
+                           ch_ledger_get_in_flight_mb(ledger));
     return g_string_free(description, FALSE);
 }
 
@@ -198,7 +199,7 @@
     struct ch_ledger *ledger = ch_ledger_new("w01", 2);
     for (size_t i = 0; i < scenarios[index].count; i++) {
         const struct step *step = &scenarios[index].steps[i];
-        struct ch_ledger *next = ch_ledger_next(ledger, "w");
+        struct ch_ledger *next = ch_ledger_copy_next(ledger, "w");
         bool result = run_step(next, step);
         g_autofree char *description = describe(next);
         g_test_message("%zu: %s %s", i, step->action, description);
@@ -265,12 +266,12 @@
     const char *resident[ITEMS];
     const char *done[ORDERS];
     const uint32_t memory_mb[] = {1, 1};
-    struct ch_ledger_evidence report = {
-        .boot = boot,
-        .resident = resident,
+    struct ch_ledger_report report = {
+        .boot_id = boot,
+        .resident_items = resident,
         .resident_mb = memory_mb,
-        .orders_done = done,
-        .after_ends = true,
+        .done_order_ids = done,
+        .requested_after_ends = true,
     };
     (void)g_snprintf(boot, sizeof(boot), "b%u", model->boot);
     for (int i = 0; i < ITEMS; i++) {
@@ -280,10 +281,10 @@
     }
     for (int i = 0; i < ORDERS; i++) {
         if (model->done[i]) {
-            done[report.orders_done_count++] = orders[i];
+            done[report.done_order_count++] = orders[i];
         }
     }
-    return ch_ledger_observe(ledger, &report);
+    return ch_ledger_apply_report(ledger, &report);
 }
 
 /* A node writes a change.  Returns true when the compare-and-swap succeeded.
@@ -309,7 +310,7 @@
 static void
 reserve_item(struct model *model, unsigned node, unsigned item)
 {
-    struct ch_ledger *next = ch_ledger_next(model->known[node], "w");
+    struct ch_ledger *next = ch_ledger_copy_next(model->known[node], "w");
     int order = model->order_count;
     if (order == ORDERS ||
         !ch_ledger_reserve(next, items[item], 1, orders[order], senders[node],
@@ -329,7 +330,7 @@
 static void
 handle_report(struct model *model, unsigned node, bool release)
 {
-    struct ch_ledger *next = ch_ledger_next(model->known[node], "w");
+    struct ch_ledger *next = ch_ledger_copy_next(model->known[node], "w");
     bool changed = apply_report(model, next);
     for (unsigned i = 0; release && i < ITEMS; i++) {
         /* The unload is executed at once; a late one would only free memory.
@@ -355,8 +356,8 @@
     unsigned node = model->sender[order];
     model->in_flight[order] = false;
     for (int i = 0; i < 2; i++) {
-        struct ch_ledger *next = ch_ledger_next(model->known[node], "w");
-        if (!ch_ledger_end(next, orders[order], senders[node], false)) {
+        struct ch_ledger *next = ch_ledger_copy_next(model->known[node], "w");
+        if (!ch_ledger_end_send(next, orders[order], senders[node], false)) {
             ch_ledger_free(next);
         }
         else if (write_ledger(model, node, next)) {
@@ -398,7 +399,7 @@
         return;
     }
     for (unsigned i = 0; i < ITEMS && model->order_count < ORDERS; i++) {
-        if (ch_ledger_find(model->known[node], items[i]) == NULL) {
+        if (ch_ledger_find_entry(model->known[node], items[i]) == NULL) {
             add_move(moves, MOVE_RESERVE, node, i);
         }
     }
--- a/tests/unit/test_member.c
+++ b/tests/unit/test_member.c
@@ -18,8 +18,8 @@
     for (size_t i = 0; i < count; i++) {
         char data_centre[2] = {names[i][0], '\0'};
         const char *region = names[i][0] == 'c' ? "r2" : "r1";
-        ch_members_listed(members, names[i], "127.0.0.1:1", region,
-                          data_centre, false, 0);
+        ch_members_update_member(members, names[i], "127.0.0.1:1", region,
+                                 data_centre, false, 0);
     }
     ch_members_end_update(members);
 }
@@ -56,13 +56,13 @@
             new_members(other_nodes, G_N_ELEMENTS(other_nodes));
         for (size_t k = 0; k < G_N_ELEMENTS(other_nodes); k++) {
             if (other_nodes[k][0] == cases[i].silent[0]) {
-                g_assert_true(ch_members_lost(members, other_nodes[k],
-                                              2 * SILENT_AFTER_US));
+                g_assert_true(ch_members_record_lost_connection(
+                    members, other_nodes[k], 2 * SILENT_AFTER_US));
             }
         }
         for (uint64_t key = 0; key < 200; key++) {
-            const char *home = ch_members_home(members, key, cases[i].region,
-                                               cases[i].data_centre);
+            const char *home = ch_members_find_home(
+                members, key, cases[i].region, cases[i].data_centre);
             g_assert_nonnull(strchr(cases[i].expected, home[0]));
         }
         ch_members_free(members);
@@ -78,13 +78,13 @@
     char *before[500];
     int b1_key_count = 0;
     for (uint64_t key = 0; key < 500; key++) {
-        before[key] = g_strdup(ch_members_home(members, key, NULL, NULL));
+        before[key] = g_strdup(ch_members_find_home(members, key, NULL, NULL));
         b1_key_count += strcmp(before[key], "b1") == 0;
     }
-    ch_members_lost(members, "b1", 2 * SILENT_AFTER_US);
+    ch_members_record_lost_connection(members, "b1", 2 * SILENT_AFTER_US);
     int moved_count = 0;
     for (uint64_t key = 0; key < 500; key++) {
-        const char *home = ch_members_home(members, key, NULL, NULL);
+        const char *home = ch_members_find_home(members, key, NULL, NULL);
         moved_count += strcmp(before[key], home) != 0;
         g_free(before[key]);
     }
@@ -117,12 +117,13 @@
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         struct ch_members *members =
             new_members(other_nodes, G_N_ELEMENTS(other_nodes));
-        ch_members_heard(members, "b1", cases[i].heard_us);
-        g_assert_cmpint(ch_members_lost(members, "b1", cases[i].lost_us), ==,
-                        cases[i].silent);
+        ch_members_record_message(members, "b1", cases[i].heard_us);
+        g_assert_cmpint(
+            ch_members_record_lost_connection(members, "b1", cases[i].lost_us),
+            ==, cases[i].silent);
         g_assert_cmpint(ch_members_find(members, "b1")->status, ==,
                         cases[i].silent ? CH_MEMBER_SILENT : CH_MEMBER_ALIVE);
-        ch_members_heard(members, "b1", cases[i].lost_us + 1);
+        ch_members_record_message(members, "b1", cases[i].lost_us + 1);
         g_assert_cmpint(ch_members_find(members, "b1")->status, ==,
                         CH_MEMBER_ALIVE);
         ch_members_free(members);
@@ -137,11 +138,13 @@
         new_members(other_nodes, G_N_ELEMENTS(other_nodes));
     const char *names[8];
     int64_t now = 10 * SILENT_AFTER_US;
-    ch_members_probe(members, now, names, 8); /* uses up this period's probe */
-    ch_members_hint(members, "c1", now);
+    ch_members_select_probes(members, now, names,
+                             8); /* uses up this period's probe */
+    ch_members_record_silence_hint(members, "c1", now);
     g_assert_cmpint(ch_members_find(members, "c1")->status, ==,
                     CH_MEMBER_ALIVE);
-    g_assert_cmpuint(ch_members_probe(members, now + 1, names, 8), ==, 1);
+    g_assert_cmpuint(ch_members_select_probes(members, now + 1, names, 8), ==,
+                     1);
     g_assert_cmpstr(names[0], ==, "c1");
     ch_members_free(members);
 }
@@ -157,8 +160,9 @@
     for (size_t round = 0; round < 3 * G_N_ELEMENTS(other_nodes); round++) {
         const char *names[8];
         update_members(members, other_nodes, G_N_ELEMENTS(other_nodes));
-        size_t count = ch_members_probe(
-            members, (int64_t)(round + 1) * CH_MEMBER_PERIOD, names, 8);
+        size_t count = ch_members_select_probes(
+            members, (int64_t)(round + 1) * CH_MEMBER_PROBE_PERIOD_US, names,
+            8);
         g_assert_cmpuint(count, ==, 1);
         for (size_t k = 0; k < G_N_ELEMENTS(other_nodes); k++) {
             probes[k] += strcmp(other_nodes[k], names[0]) == 0;
@@ -182,10 +186,10 @@
     struct ch_members *members =
         new_members(other_nodes, G_N_ELEMENTS(other_nodes));
     int64_t minute_us = 60000 * US_PER_MS;
-    ch_members_heard(members, "b1", 1000 * US_PER_MS);
-    ch_members_paused(members, minute_us, minute_us + 1050 * US_PER_MS);
-    g_assert_false(
-        ch_members_lost(members, "b1", minute_us + 1100 * US_PER_MS));
+    ch_members_record_message(members, "b1", 1000 * US_PER_MS);
+    ch_members_record_pause(members, minute_us, minute_us + 1050 * US_PER_MS);
+    g_assert_false(ch_members_record_lost_connection(
+        members, "b1", minute_us + 1100 * US_PER_MS));
     ch_members_free(members);
 }
 
@@ -200,11 +204,12 @@
     struct ch_members *members =
         new_members(other_nodes, G_N_ELEMENTS(other_nodes));
     int64_t minute_us = 60000 * US_PER_MS;
-    ch_members_heard(members, "b1", minute_us);
-    ch_members_paused(members, minute_us, minute_us);
-    g_assert_false(
-        ch_members_lost(members, "b1", minute_us + SILENT_AFTER_US - 1));
-    g_assert_true(ch_members_lost(members, "b1", minute_us + SILENT_AFTER_US));
+    ch_members_record_message(members, "b1", minute_us);
+    ch_members_record_pause(members, minute_us, minute_us);
+    g_assert_false(ch_members_record_lost_connection(
+        members, "b1", minute_us + SILENT_AFTER_US - 1));
+    g_assert_true(ch_members_record_lost_connection(
+        members, "b1", minute_us + SILENT_AFTER_US));
     ch_members_free(members);
 }
 
@@ -214,15 +219,16 @@
 {
     const char *const other[] = {"a2"};
     struct ch_members *members = new_members(other, 1);
-    ch_members_incarnation(members, "a2", 5);
-    ch_members_leaves(members, "a2", 5);
+    ch_members_set_incarnation(members, "a2", 5);
+    ch_members_record_stopping(members, "a2", 5);
     for (uint64_t key = 0; key < 50; key++) {
-        g_assert_cmpstr(ch_members_home(members, key, "r1", "a"), ==, "a1");
+        g_assert_cmpstr(ch_members_find_home(members, key, "r1", "a"), ==,
+                        "a1");
     }
     ch_members_stop_self(members);
-    g_assert_null(ch_members_home(members, 1, "r1", "a"));
-    ch_members_incarnation(members, "a2", 6);
-    g_assert_cmpstr(ch_members_home(members, 1, "r1", "a"), ==, "a2");
+    g_assert_null(ch_members_find_home(members, 1, "r1", "a"));
+    ch_members_set_incarnation(members, "a2", 6);
+    g_assert_cmpstr(ch_members_find_home(members, 1, "r1", "a"), ==, "a2");
     ch_members_free(members);
 }
 
@@ -248,20 +254,21 @@
         {false, false, NULL},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-        ch_members_ready_self(members, cases[i].self_ready);
-        ch_members_ready(members, "a2", cases[i].other_ready);
+        ch_members_set_self_ready(members, cases[i].self_ready);
+        ch_members_set_ready(members, "a2", cases[i].other_ready);
         for (uint64_t key = 0; key < 50; key++) {
-            const char *home = ch_members_home(members, key, "r1", "a");
-            const char *asked = ch_members_ready_home(members, key, "r1", "a");
+            const char *home = ch_members_find_home(members, key, "r1", "a");
+            const char *asked =
+                ch_members_find_ready_home(members, key, "r1", "a");
             g_assert_cmpstr(asked, ==,
                             cases[i].asked != NULL ? cases[i].asked : home);
         }
     }
-    uint64_t version = ch_members_version(members);
-    ch_members_ready(members, "a2", false);
-    g_assert_cmpuint(ch_members_version(members), ==, version);
-    ch_members_ready(members, "a2", true);
-    g_assert_cmpuint(ch_members_version(members), !=, version);
+    uint64_t version = ch_members_get_version(members);
+    ch_members_set_ready(members, "a2", false);
+    g_assert_cmpuint(ch_members_get_version(members), ==, version);
+    ch_members_set_ready(members, "a2", true);
+    g_assert_cmpuint(ch_members_get_version(members), !=, version);
     ch_members_free(members);
 }
 
@@ -273,20 +280,22 @@
     const struct {
         unsigned local;
         unsigned remote;
-        struct ch_gossip_share share;
+        struct ch_gossip_fanout share;
     } cases[] = {
         {0, 0, {0, 0}},    {2, 4, {2, 4}},   {11, 0, {11, 0}}, {12, 0, {6, 0}},
         {0, 12, {0, 6}},   {1, 30, {1, 5}},  {30, 2, {4, 2}},  {6, 6, {3, 3}},
         {45, 274, {3, 3}}, {319, 0, {6, 0}},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-        struct ch_gossip_share share =
-            ch_gossip_share(cases[i].local, cases[i].remote);
-        g_assert_cmpuint(share.near, ==, cases[i].share.near);
-        g_assert_cmpuint(share.far, ==, cases[i].share.far);
-        bool all = share.near + share.far == cases[i].local + cases[i].remote;
-        g_assert_cmpint(ch_gossip_direct(cases[i].local + cases[i].remote + 1),
-                        ==, all);
+        struct ch_gossip_fanout share =
+            ch_gossip_fanout(cases[i].local, cases[i].remote);
+        g_assert_cmpuint(share.local, ==, cases[i].share.local);
+        g_assert_cmpuint(share.remote, ==, cases[i].share.remote);
+        bool all =
+            share.local + share.remote == cases[i].local + cases[i].remote;
+        g_assert_cmpint(
+            ch_gossip_reaches_all(cases[i].local + cases[i].remote + 1), ==,
+            all);
     }
 }
 
@@ -298,19 +307,19 @@
 {
     struct ch_members *members =
         new_members(other_nodes, G_N_ELEMENTS(other_nodes));
-    ch_members_heard(members, "b1", 10 * US_PER_MS);
-    uint64_t before = ch_members_version(members);
-    ch_members_refused(members, "b1", 11 * US_PER_MS);
+    ch_members_record_message(members, "b1", 10 * US_PER_MS);
+    uint64_t before = ch_members_get_version(members);
+    ch_members_record_refused_connection(members, "b1", 11 * US_PER_MS);
     const struct ch_member *member = ch_members_find(members, "b1");
-    g_assert_false(ch_member_serves(member));
-    g_assert_cmpint(member->hint_until, >, 11 * US_PER_MS);
-    uint64_t version = ch_members_version(members);
+    g_assert_false(ch_member_is_available(member));
+    g_assert_cmpint(member->hint_until_us, >, 11 * US_PER_MS);
+    uint64_t version = ch_members_get_version(members);
     g_assert_cmpuint(version, !=, before);
-    ch_members_refused(members, "b1", 11 * US_PER_MS);
-    g_assert_cmpuint(ch_members_version(members), ==, version);
-    ch_members_heard(members, "b1", 12 * US_PER_MS);
-    g_assert_true(ch_member_serves(member));
-    ch_members_refused(members, "nobody", 13 * US_PER_MS);
+    ch_members_record_refused_connection(members, "b1", 11 * US_PER_MS);
+    g_assert_cmpuint(ch_members_get_version(members), ==, version);
+    ch_members_record_message(members, "b1", 12 * US_PER_MS);
+    g_assert_true(ch_member_is_available(member));
+    ch_members_record_refused_connection(members, "nobody", 13 * US_PER_MS);
     ch_members_free(members);
 }
 
@@ -334,22 +343,23 @@
         ch_members_begin_update(members);
         for (unsigned k = 0; k < cases[i].silent; k++) {
             g_snprintf(name, sizeof(name), "b%03u", k);
-            ch_members_listed(members, name, "127.0.0.1:1", "r1", "b", false,
-                              0);
+            ch_members_update_member(members, name, "127.0.0.1:1", "r1", "b",
+                                     false, 0);
         }
         ch_members_end_update(members);
         for (unsigned k = 0; k < cases[i].silent; k++) {
             g_snprintf(name, sizeof(name), "b%03u", k);
-            g_assert_true(ch_members_lost(members, name, start));
+            g_assert_true(
+                ch_members_record_lost_connection(members, name, start));
         }
         for (int64_t now = start; now < start + 20000 * US_PER_MS;
              now += 50 * US_PER_MS) {
             const char *names[16];
-            size_t count = ch_members_probe(members, now, names, 16);
+            size_t count = ch_members_select_probes(members, now, names, 16);
             total += count;
             for (size_t k = 0; k < count; k++) {
                 probes[g_ascii_strtoull(names[k] + 1, NULL, 10)]++;
-                ch_members_lost(members, names[k], now);
+                ch_members_record_lost_connection(members, names[k], now);
             }
         }
         g_assert_cmpuint(total, <=, cases[i].max_probes);
