--- a/tests/unit/test_once.c
+++ b/tests/unit/test_once.c
@@ -43,10 +43,10 @@
     for (guint i = 0; i < actions->list->len; i++) {
         struct ch_once_action *action =
             &g_array_index(actions->list, struct ch_once_action, i);
-        if (action->kind == CH_ONCE_ANSWER) {
+        if (action->kind == CH_ONCE_REPLY) {
             g_assert_cmpint(model->replies[action->waiter], ==, 0);
             model->replies[action->waiter] = 1 + (int)action->state;
-            model->completed[action->waiter] = action->completed;
+            model->completed[action->waiter] = action->completed_sequence;
             continue;
         }
         g_assert_false(model->in_call[owner]);
@@ -77,7 +77,8 @@
 {
     struct ch_once_actions actions;
     ch_once_actions_init(&actions);
-    ch_once_slot_add(model->owner[owner], event, waiter, model->now, &actions);
+    ch_once_slot_add_event(model->owner[owner], event, waiter, model->now,
+                           &actions);
     model_run_actions(model, owner, &actions);
     ch_once_actions_init(&actions);
     model->now += BATCH_DELAY_US + 1;
@@ -104,17 +105,18 @@
 model_list(struct model *model, unsigned owner, bool lost,
            struct ch_once_actions *actions)
 {
-    struct ch_once_listed listed[MAX_BATCHES];
+    struct ch_once_batch_entry listed[MAX_BATCHES];
     size_t count = 0;
     for (uint64_t i = 1; i <= MAX_BATCHES; i++) {
         const struct model_batch *batch = &model->batches[i];
         if (batch->bytes != NULL) {
-            listed[count++] = (struct ch_once_listed){
+            listed[count++] = (struct ch_once_batch_entry){
                 i, batch->revision, batch->bytes, strlen(batch->bytes)};
         }
     }
-    ch_once_slot_listed(model->owner[owner], lost ? CH_KV_UNREACHABLE : CH_OK,
-                        listed, lost ? 0 : count, model->now, actions);
+    ch_once_slot_handle_list(model->owner[owner],
+                             lost ? CH_KV_UNREACHABLE : CH_OK, listed,
+                             lost ? 0 : count, model->now, actions);
 }
 
 /* Answers a GET; lost: the result does not arrive. */
@@ -124,9 +126,10 @@
 {
     const struct model_batch *batch = &model->batches[sequence];
     enum ch_code code = batch->bytes == NULL ? CH_KV_MISSING : CH_OK;
-    ch_once_slot_got(model->owner[owner], lost ? CH_KV_UNREACHABLE : code,
-                     batch->bytes, batch->bytes ? strlen(batch->bytes) : 0,
-                     batch->revision, model->now, actions);
+    ch_once_slot_handle_get(model->owner[owner],
+                            lost ? CH_KV_UNREACHABLE : code, batch->bytes,
+                            batch->bytes ? strlen(batch->bytes) : 0,
+                            batch->revision, model->now, actions);
 }
 
 enum outcome {
@@ -162,10 +165,10 @@
                  outcome == OUTCOME_DONE_REPLY_LOST) {
             code = model_put(model, call.sequence, call.bytes);
         }
-        ch_once_slot_written(model->owner[owner],
-                             outcome == OUTCOME_REPLIED ? code
-                                                        : CH_KV_AMBIGUOUS,
-                             model->revision, model->now, &actions);
+        ch_once_slot_handle_put(model->owner[owner],
+                                outcome == OUTCOME_REPLIED ? code
+                                                           : CH_KV_AMBIGUOUS,
+                                model->revision, model->now, &actions);
     }
     g_free(call.bytes);
     model_run_actions(model, owner, &actions);
@@ -307,7 +310,7 @@
     g_assert_cmpint(model.replies[2], ==, 1 + CH_ONCE_CREATED);
     g_clear_pointer(&model.batches[1].bytes, g_free);
     model_finish_calls(&model, 1);
-    g_assert_cmpint(model.replies[1], ==, 1 + CH_ONCE_RUNNING);
+    g_assert_cmpint(model.replies[1], ==, 1 + CH_ONCE_IN_PROGRESS);
     model_clear(&model);
 }
 
@@ -317,7 +320,7 @@
 test_unlinked_batch(void)
 {
     struct ch_once_log *log = ch_once_log_new();
-    struct ch_once_listed listed[2];
+    struct ch_once_batch_entry listed[2];
     char *bytes[2];
     const uint64_t previous[] = {0, 5};
     const uint64_t attempts[] = {1, 2};
@@ -326,13 +329,13 @@
         g_ptr_array_add(batch->events,
                         event_new(CH_ONCE_EVENT_CREATE, "k", attempts[i]));
         bytes[i] = ch_once_batch_encode(batch);
-        listed[i] =
-            (struct ch_once_listed){i + 1, 9 - i, bytes[i], strlen(bytes[i])};
+        listed[i] = (struct ch_once_batch_entry){i + 1, 9 - i, bytes[i],
+                                                 strlen(bytes[i])};
         ch_once_batch_free(batch);
     }
     g_assert_true(ch_once_log_load(log, listed, 2, 0, NULL));
     g_assert_cmpuint(ch_once_log_find(log, "c", "k")->attempt, ==, 2);
-    g_assert_false(ch_once_log_holds(log, 1, 9));
+    g_assert_false(ch_once_log_contains(log, 1, 9));
     listed[0].revision = 5;
     g_assert_true(ch_once_log_load(log, listed, 2, 0, NULL));
     g_assert_cmpuint(ch_once_log_find(log, "c", "k")->attempt, ==, 1);
@@ -358,9 +361,9 @@
     } steps[] = {
         {0, CH_ONCE_EVENT_CREATE, 1, 7, CH_ONCE_CREATED},
         {0, CH_ONCE_EVENT_CREATE, 1, 7, CH_ONCE_CREATED},
-        {1, CH_ONCE_EVENT_CREATE, 2, 7, CH_ONCE_RUNNING},
+        {1, CH_ONCE_EVENT_CREATE, 2, 7, CH_ONCE_IN_PROGRESS},
         {0, CH_ONCE_EVENT_RELEASE, 2, 7, CH_ONCE_DONE},
-        {0, CH_ONCE_EVENT_CREATE, 2, 7, CH_ONCE_RUNNING},
+        {0, CH_ONCE_EVENT_CREATE, 2, 7, CH_ONCE_IN_PROGRESS},
         {0, CH_ONCE_EVENT_RELEASE, 1, 7, CH_ONCE_DONE},
         {1, CH_ONCE_EVENT_CREATE, 3, 7, CH_ONCE_CREATED},
         {0, CH_ONCE_EVENT_COMPLETE, 3, 7, CH_ONCE_DONE},
@@ -374,10 +377,10 @@
             event_new(steps[i].kind, "k", steps[i].attempt);
         event->fingerprint = steps[i].fingerprint;
         if (steps[i].kind == CH_ONCE_EVENT_COMPLETE) {
-            event->kept = true;
+            event->response_stored = true;
             event->status = 200;
             event->body = g_memdup2("cut", 3);
-            event->length = 3;
+            event->body_length = 3;
         }
         model.replies[1] = 0;
         model_add(&model, steps[i].owner, event, 1);
@@ -435,7 +438,8 @@
                 &g_array_index(actions.list, struct ch_once_action, 0);
             g_assert_cmpint(action->kind, ==, CH_ONCE_REMOVE);
             g_assert_cmpuint(action->sequence, ==, 1);
-            ch_once_slot_removed(model.owner[0], CH_OK, model.now, &actions);
+            ch_once_slot_handle_remove(model.owner[0], CH_OK, model.now,
+                                       &actions);
         }
         ch_once_actions_clear(&actions);
     }
@@ -449,11 +453,11 @@
     struct ch_once_batch *batch = ch_once_batch_new(3, "w");
     struct ch_once_event *event =
         event_new(CH_ONCE_EVENT_COMPLETE, "k", UINT64_MAX);
-    event->kept = true;
+    event->response_stored = true;
     event->status = 201;
     event->content_type = g_strdup("text/plain; charset=\"x\"");
     event->body = g_memdup2("a\0b", 3);
-    event->length = 3;
+    event->body_length = 3;
     g_free(event->caller);
     event->caller = g_strdup("Band \xe9\"\n%");
     g_ptr_array_add(batch->events, event);
@@ -462,9 +466,9 @@
         ch_once_batch_decode(bytes, strlen(bytes), NULL);
     g_assert_nonnull(decoded);
     const struct ch_once_event *completion =
-        ch_once_batch_completion(decoded, event->caller, "k", UINT64_MAX);
+        ch_once_batch_find_completion(decoded, event->caller, "k", UINT64_MAX);
     g_assert_nonnull(completion);
-    g_assert_cmpmem(completion->body, completion->length, "a\0b", 3);
+    g_assert_cmpmem(completion->body, completion->body_length, "a\0b", 3);
     g_assert_cmpint(completion->status, ==, 201);
     g_assert_cmpstr(completion->content_type, ==, event->content_type);
     for (size_t length = 0; length < strlen(bytes); length++) {
--- a/tests/unit/test_order.c
+++ b/tests/unit/test_order.c
@@ -26,35 +26,35 @@
 {
     for (size_t i = 0; i < G_N_ELEMENTS(unloads); i++) {
         g_test_message("%s", unloads[i].description);
-        g_assert_cmpint(
-            ch_order_unload_waits(DUE_US, unloads[i].waiting, unloads[i].now),
-            ==, unloads[i].delayed);
+        g_assert_cmpint(ch_order_should_delay_unload(
+                            DUE_US, unloads[i].waiting, unloads[i].now),
+                        ==, unloads[i].delayed);
     }
 }
 
 /* A model that no report lists yet. */
 static const struct {
     const char *description;
-    struct ch_load_facts load;
+    struct ch_load_status load;
     bool lost;
 } loads[] = {
     {"the engine is loading it",
-     {.ordered = true, .busy = true, .age = (int64_t)9000 * US_PER_MS},
+     {.accepted = true, .busy = true, .age = (int64_t)9000 * US_PER_MS},
      false},
     {"too soon after the order for a report to show the load",
-     {.ordered = true, .age = (int64_t)400 * US_PER_MS},
+     {.accepted = true, .age = (int64_t)400 * US_PER_MS},
      false},
     {"the load has failed",
-     {.ordered = true, .age = (int64_t)1600 * US_PER_MS},
+     {.accepted = true, .age = (int64_t)1600 * US_PER_MS},
      true},
     {"not ordered yet by the lease holder that decided on the load",
      {.age = (int64_t)9000 * US_PER_MS},
      false},
     {"the former lease holder ordered the load before it was lost",
-     {.told = true, .busy = true},
+     {.from_peer = true, .busy = true},
      false},
     {"the former lease holder was lost before it ordered the load",
-     {.told = true},
+     {.from_peer = true},
      true},
 };
 
@@ -63,100 +63,104 @@
 {
     for (size_t i = 0; i < G_N_ELEMENTS(loads); i++) {
         g_test_message("%s", loads[i].description);
-        g_assert_cmpint(ch_order_load_lost(&loads[i].load), ==, loads[i].lost);
+        g_assert_cmpint(ch_order_is_load_lost(&loads[i].load), ==,
+                        loads[i].lost);
     }
 }
 
 /* What a report means for an item; times are in milliseconds. */
 static const struct {
     const char *description;
-    struct ch_report_facts facts;
-    enum ch_report_news change;
+    struct ch_report_comparison facts;
+    enum ch_report_outcome change;
 } reports[] = {
     {"loaded",
      {.state = CH_ITEM_LOADING,
-      .ordered = true,
-      .there = true,
-      .changed = 5000,
-      .asked = 5100},
+      .accepted = true,
+      .listed = true,
+      .changed_at = 5000,
+      .requested_at = 5100},
      CH_REPORT_LOADED},
     {"asked for before the load shows, whenever the report is handled",
      {.state = CH_ITEM_LOADING,
-      .ordered = true,
-      .changed = 5000,
-      .asked = 5400},
-     CH_REPORT_NOTHING},
+      .accepted = true,
+      .changed_at = 5000,
+      .requested_at = 5400},
+     CH_REPORT_NO_CHANGE},
     {"asked for before the order was taken",
      {.state = CH_ITEM_LOADING,
-      .ordered = true,
-      .changed = 5000,
-      .asked = 4900},
-     CH_REPORT_NOTHING},
+      .accepted = true,
+      .changed_at = 5000,
+      .requested_at = 4900},
+     CH_REPORT_NO_CHANGE},
     {"the load has failed",
      {.state = CH_ITEM_LOADING,
-      .ordered = true,
-      .changed = 5000,
-      .asked = 6600},
+      .accepted = true,
+      .changed_at = 5000,
+      .requested_at = 6600},
      CH_REPORT_LOST},
     {"the load goes on",
      {.state = CH_ITEM_LOADING,
-      .ordered = true,
+      .accepted = true,
       .busy = true,
-      .changed = 5000,
-      .asked = 9000},
-     CH_REPORT_NOTHING},
+      .changed_at = 5000,
+      .requested_at = 9000},
+     CH_REPORT_NO_CHANGE},
     {"the former lease holder was lost before it ordered the load",
-     {.state = CH_ITEM_LOADING, .told = true, .changed = 5000, .asked = 5100},
+     {.state = CH_ITEM_LOADING,
+      .from_peer = true,
+      .changed_at = 5000,
+      .requested_at = 5100},
      CH_REPORT_LOST},
     {"asked for before a newly loaded adapter shows",
-     {.state = CH_ITEM_RESIDENT, .changed = 5000, .asked = 4990},
-     CH_REPORT_NOTHING},
+     {.state = CH_ITEM_RESIDENT, .changed_at = 5000, .requested_at = 4990},
+     CH_REPORT_NO_CHANGE},
     {"asked for while reports may still lag",
-     {.state = CH_ITEM_RESIDENT, .changed = 5000, .asked = 6500},
-     CH_REPORT_NOTHING},
+     {.state = CH_ITEM_RESIDENT, .changed_at = 5000, .requested_at = 6500},
+     CH_REPORT_NO_CHANGE},
     {"the item has gone",
-     {.state = CH_ITEM_RESIDENT, .changed = 5000, .asked = 6501},
+     {.state = CH_ITEM_RESIDENT, .changed_at = 5000, .requested_at = 6501},
      CH_REPORT_LOST},
     {"the item is still resident",
      {.state = CH_ITEM_RESIDENT,
-      .there = true,
-      .changed = 5000,
-      .asked = 9000},
-     CH_REPORT_NOTHING},
+      .listed = true,
+      .changed_at = 5000,
+      .requested_at = 9000},
+     CH_REPORT_NO_CHANGE},
     {"unloaded",
      {.state = CH_ITEM_UNLOADING,
-      .ordered = true,
-      .changed = 5000,
-      .asked = 5100},
+      .accepted = true,
+      .changed_at = 5000,
+      .requested_at = 5100},
      CH_REPORT_UNLOADED},
     {"asked for before the unload shows",
      {.state = CH_ITEM_UNLOADING,
-      .ordered = true,
-      .there = true,
-      .changed = 5000,
-      .asked = 5400},
-     CH_REPORT_NOTHING},
+      .accepted = true,
+      .listed = true,
+      .changed_at = 5000,
+      .requested_at = 5400},
+     CH_REPORT_NO_CHANGE},
     {"the unload has failed",
      {.state = CH_ITEM_UNLOADING,
-      .ordered = true,
-      .there = true,
-      .changed = 5000,
-      .asked = 6600},
-     CH_REPORT_STAYS},
+      .accepted = true,
+      .listed = true,
+      .changed_at = 5000,
+      .requested_at = 6600},
+     CH_REPORT_UNLOAD_FAILED},
     {"the unload goes on",
      {.state = CH_ITEM_UNLOADING,
-      .ordered = true,
-      .there = true,
+      .accepted = true,
+      .listed = true,
       .busy = true,
-      .changed = 5000,
-      .asked = 9000},
-     CH_REPORT_NOTHING},
+      .changed_at = 5000,
+      .requested_at = 9000},
+     CH_REPORT_NO_CHANGE},
     {"the unload is not ordered yet",
      {.state = CH_ITEM_UNLOADING,
-      .there = true,
-      .changed = 5000,
-      .asked = 9000},
-     CH_REPORT_NOTHING},
+      .listed = true,
+      .changed_at = 5000,
+      .requested_at = 9000},
+     CH_REPORT_NO_CHANGE},
 };
 
 /* Guards against items that count as lost, and are ordered again, because a
@@ -165,11 +169,12 @@
 test_reports(void)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(reports); i++) {
-        struct ch_report_facts facts = reports[i].facts;
-        facts.changed *= US_PER_MS;
-        facts.asked *= US_PER_MS;
+        struct ch_report_comparison facts = reports[i].facts;
+        facts.changed_at *= US_PER_MS;
+        facts.requested_at *= US_PER_MS;
         g_test_message("%s", reports[i].description);
-        g_assert_cmpint(ch_order_report(&facts), ==, reports[i].change);
+        g_assert_cmpint(ch_order_evaluate_report(&facts), ==,
+                        reports[i].change);
     }
 }
 
--- a/tests/unit/test_rank.c
+++ b/tests/unit/test_rank.c
@@ -44,8 +44,8 @@
         for (uint64_t key = 0; key < KEY_COUNT; key++) {
             bool seen[MAX_NODES] = {false};
             for (size_t i = 0; i < test->count; i++) {
-                size_t rank =
-                    ch_rank_of(nodes, test->count, i, ch_hash_pair(key, 1));
+                size_t rank = ch_rank_for_role(nodes, test->count, i,
+                                               ch_hash_pair(key, 1));
                 g_assert_cmpuint(rank, <, test->count);
                 g_assert_false(seen[rank]);
                 seen[rank] = true;
--- a/tests/unit/test_request.c
+++ b/tests/unit/test_request.c
@@ -250,8 +250,8 @@
     g_assert_cmpstr(request->key, ==, input.key);
     g_assert_cmpint(request->stream, ==, row->stream);
     g_assert_cmpint(request->work.idempotent, ==, row->idempotent);
-    g_assert_cmpuint(request->work.output_tokens, ==, row->output_tokens);
-    g_assert_cmpint(request->work.first_by, ==, row->first_by);
+    g_assert_cmpuint(request->work.max_output_tokens, ==, row->output_tokens);
+    g_assert_cmpint(request->work.first_token_deadline, ==, row->first_by);
     g_assert_cmpmem(request->body, request->length, input.body, input.length);
     ch_request_free(request);
     ch_declaration_free(declaration);
--- a/tests/unit/test_revision.c
+++ b/tests/unit/test_revision.c
@@ -52,7 +52,7 @@
     struct operator* operator= & model->operators[index];
     if (operator->step == CH_REVISION_READ) {
         enum ch_code code = model->record == NULL ? CH_KV_MISSING : CH_OK;
-        operator->step = ch_revision_write_read(
+        operator->step = ch_revision_write_handle_read(
             &operator->write, result == 0 ? code : CH_KV_UNREACHABLE,
             result == 0 ? model->record : NULL, model->revision);
         return;
@@ -70,8 +70,8 @@
     else {
         code = CH_KV_UNREACHABLE;
     }
-    operator->step =
-        ch_revision_write_written(&operator->write, code, model->revision);
+    operator->step = ch_revision_write_handle_write(&operator->write, code,
+                                                    model->revision);
 }
 
 /* True when the operator's write is in force or was earlier. */
@@ -82,9 +82,9 @@
     if (record == NULL) {
         return false;
     }
-    bool found = strcmp(record->token, write_ids[index]) == 0;
-    for (size_t i = 0; i < record->past_count; i++) {
-        found |= strcmp(record->past[i].token, write_ids[index]) == 0;
+    bool found = strcmp(record->write_id, write_ids[index]) == 0;
+    for (size_t i = 0; i < record->history_count; i++) {
+        found |= strcmp(record->history[i].write_id, write_ids[index]) == 0;
     }
     return found;
 }
@@ -175,8 +175,8 @@
         {3, true, CH_REVISION_ACCEPTED},
         {0, false, CH_REVISION_WRITE},
         {1, false, CH_REVISION_CONFLICT},
-        {CH_REVISION_HISTORY + 1, true, CH_REVISION_UNSURE},
-        {CH_REVISION_HISTORY + 1, false, CH_REVISION_UNSURE},
+        {CH_REVISION_HISTORY_LENGTH + 1, true, CH_REVISION_OUTCOME_UNKNOWN},
+        {CH_REVISION_HISTORY_LENGTH + 1, false, CH_REVISION_OUTCOME_UNKNOWN},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         struct ch_revision_write write;
@@ -184,10 +184,12 @@
             ch_revision_record_new("base", "a", "x", NULL, 0);
         uint64_t revision = 5;
         ch_revision_write_init(&write, revision, "mine");
-        g_assert_cmpint(ch_revision_write_read(&write, CH_OK, record, 5), ==,
-                        CH_REVISION_WRITE);
-        g_assert_cmpint(ch_revision_write_written(&write, CH_KV_AMBIGUOUS, 0),
-                        ==, CH_REVISION_READ);
+        g_assert_cmpint(
+            ch_revision_write_handle_read(&write, CH_OK, record, 5), ==,
+            CH_REVISION_WRITE);
+        g_assert_cmpint(
+            ch_revision_write_handle_write(&write, CH_KV_AMBIGUOUS, 0), ==,
+            CH_REVISION_READ);
         unsigned write_count = cases[i].writes_after + cases[i].took_effect;
         for (unsigned k = 0; k < write_count; k++) {
             bool is_own = k == 0 && cases[i].took_effect;
@@ -197,7 +199,7 @@
             record = next;
         }
         g_assert_cmpint(
-            ch_revision_write_read(&write, CH_OK, record, revision), ==,
+            ch_revision_write_handle_read(&write, CH_OK, record, revision), ==,
             cases[i].expect);
         if (cases[i].expect == CH_REVISION_ACCEPTED) {
             g_assert_cmpuint(write.revision, ==, 6);
@@ -211,10 +213,10 @@
 static void
 test_older_revision(void)
 {
-    g_assert_true(ch_revision_newer(0, 1));
-    g_assert_false(ch_revision_newer(1, 1));
-    g_assert_false(ch_revision_newer(2, 1));
-    g_assert_false(ch_revision_newer(0, 0));
+    g_assert_true(ch_revision_is_newer(0, 1));
+    g_assert_false(ch_revision_is_newer(1, 1));
+    g_assert_false(ch_revision_is_newer(2, 1));
+    g_assert_false(ch_revision_is_newer(0, 0));
 }
 
 /* A record printed as JSON and parsed again is the same; a truncated one is
@@ -232,7 +234,7 @@
     g_assert_nonnull(parsed);
     g_autofree char *printed_again = ch_revision_record_print(parsed);
     g_assert_cmpstr(json, ==, printed_again);
-    g_assert_cmpuint(parsed->past[0].revision, ==, 7);
+    g_assert_cmpuint(parsed->history[0].revision, ==, 7);
     for (size_t cut = 0; cut < strlen(json); cut++) {
         g_assert_null(ch_revision_record_parse(json, cut, NULL));
     }
--- a/tests/unit/test_route.c
+++ b/tests/unit/test_route.c
@@ -209,7 +209,7 @@
     double level;
 } retry_cases[] = {
     {"safe to repeat, fails", true, 2, 0, CH_UPSTREAM_CUT, true,
-     CH_RETRY_AGAIN, 5},
+     CH_RETRY_RESTART, 5},
     {"its tries are used up", true, 2, 1, CH_UPSTREAM_CUT, true, CH_RETRY_NO,
      5},
     {"the retry budget is used up", true, 3, 0, CH_UPSTREAM_CUT, true,
@@ -217,9 +217,9 @@
     {"not idempotent, may have run", false, 3, 0, CH_UPSTREAM_CUT, true,
      CH_RETRY_NO, 5},
     {"not idempotent, has not run", false, 3, 0, CH_UPSTREAM_REFUSED, false,
-     CH_RETRY_AGAIN, 5},
+     CH_RETRY_RESTART, 5},
     {"no connection: nothing was sent, and no retry is drawn", false, 1, 0,
-     CH_UPSTREAM_CONNECT, false, CH_RETRY_AGAIN, 0},
+     CH_UPSTREAM_CONNECT, false, CH_RETRY_RESTART, 0},
     {"the caller is gone", true, 3, 0, CH_CANCELLED, true, CH_RETRY_NO, 5},
 };
 
@@ -228,10 +228,10 @@
 {
     for (size_t i = 0; i < G_N_ELEMENTS(retry_cases); i++) {
         struct ch_retry_budget budget = {
-            .level = retry_cases[i].level, .share = 0.1, .most = 20};
-        const struct ch_work request = {
+            .level = retry_cases[i].level, .share = 0.1, .max_level = 20};
+        const struct ch_request_info request = {
             .idempotent = retry_cases[i].idempotent,
-            .tries = retry_cases[i].tries,
+            .max_attempts = retry_cases[i].tries,
             .attempt = retry_cases[i].attempt,
         };
         g_test_message("%s", retry_cases[i].what);
@@ -242,14 +242,15 @@
         bool held = false;
         /* A silent call is given up only after a retry has been reserved. */
         if (retry_cases[i].code == CH_UPSTREAM_CUT) {
-            bool expect = retry_cases[i].expect == CH_RETRY_AGAIN;
-            g_assert_cmpint(ch_retry_reserve(&budget, &held, &request, 0), ==,
-                            expect);
+            bool expect = retry_cases[i].expect == CH_RETRY_RESTART;
+            g_assert_cmpint(ch_retry_may_abandon(&budget, &held, &request, 0),
+                            ==, expect);
             g_assert_cmpint(held, ==, expect);
             g_assert_cmpfloat(budget.level, ==, retry_cases[i].level - held);
         }
         double level_before = budget.level;
-        bool draws_retry = !held && retry_cases[i].expect == CH_RETRY_AGAIN &&
+        bool draws_retry = !held &&
+                           retry_cases[i].expect == CH_RETRY_RESTART &&
                            retry_cases[i].code != CH_UPSTREAM_CONNECT;
         g_assert_cmpint(ch_retry_decide(&budget, &held, &request, &failure, 0),
                         ==, retry_cases[i].expect);
@@ -257,8 +258,8 @@
          * once. */
         g_assert_cmpfloat(budget.level, ==, level_before - draws_retry);
         level_before = budget.level + held;
-        ch_retry_give_back(&budget, &held);
-        ch_retry_give_back(&budget, &held);
+        ch_retry_put_back(&budget, &held);
+        ch_retry_put_back(&budget, &held);
         g_assert_cmpfloat(budget.level, ==, level_before);
     }
 }
@@ -267,14 +268,15 @@
 static void
 test_reserve_past_deadline(void)
 {
-    struct ch_retry_budget budget = {.level = 2, .share = 0.1, .most = 20};
-    const struct ch_work request = {
-        .idempotent = true, .tries = 2, .whole_by = 100};
+    struct ch_retry_budget budget = {
+        .level = 2, .share = 0.1, .max_level = 20};
+    const struct ch_request_info request = {
+        .idempotent = true, .max_attempts = 2, .answer_deadline = 100};
     bool held = false;
-    g_assert_false(ch_retry_reserve(&budget, &held, &request, 100));
+    g_assert_false(ch_retry_may_abandon(&budget, &held, &request, 100));
     g_assert_cmpfloat(budget.level, ==, 2);
-    g_assert_true(ch_retry_reserve(&budget, &held, &request, 99));
-    g_assert_true(ch_retry_reserve(&budget, &held, &request, 99));
+    g_assert_true(ch_retry_may_abandon(&budget, &held, &request, 99));
+    g_assert_true(ch_retry_may_abandon(&budget, &held, &request, 99));
     g_assert_cmpfloat(budget.level, ==, 1);
 }
 
--- a/tests/unit/test_tell.c
+++ b/tests/unit/test_tell.c
@@ -45,12 +45,12 @@
 /* The leases of a fleet, without the one of data centre `lost`. */
 static size_t
 make_leases(const struct fleet_case *test, int lost,
-            struct ch_tell_right *leases)
+            struct ch_publisher_lease *leases)
 {
     size_t count = 0;
     for (unsigned i = 0; i < test->centres; i++) {
         if ((int)i != lost) {
-            leases[count++] = (struct ch_tell_right){
+            leases[count++] = (struct ch_publisher_lease){
                 centre_name(i), holder_name(i), region_name(i)};
         }
     }
@@ -62,14 +62,14 @@
 static unsigned
 count_most_nodes(const struct fleet_case *test, int lost)
 {
-    struct ch_tell_right leases[MAX_CENTRES];
+    struct ch_publisher_lease leases[MAX_CENTRES];
     size_t count = make_leases(test, lost, leases);
     unsigned nodes_of[MAX_CENTRES] = {0};
     unsigned max_nodes = 0;
     for (unsigned node = 0; node < test->nodes; node++) {
         unsigned centre = node % MAX(test->centres, 1U);
-        GQuark publisher = ch_tell_teller(leases, count, centre_name(centre),
-                                          region_name(centre));
+        GQuark publisher = ch_publisher_choose(
+            leases, count, centre_name(centre), region_name(centre));
         bool same_region_left = false;
         bool same_region = false;
         g_assert_cmpuint(publisher, !=, 0);
@@ -114,15 +114,16 @@
 static void
 test_edge_cases(void)
 {
-    const struct ch_tell_right both[] = {
+    const struct ch_publisher_lease both[] = {
         {centre_name(0), holder_name(0), region_name(0)},
         {centre_name(1), holder_name(0), region_name(1)},
     };
-    g_assert_cmpuint(ch_tell_teller(NULL, 0, centre_name(0), region_name(0)),
-                     ==, 0);
-    g_assert_cmpuint(ch_tell_teller(both, 2, centre_name(1), region_name(1)),
-                     ==, holder_name(0));
-    g_assert_cmpuint(ch_tell_teller(both, 2, centre_name(2), 0), ==,
+    g_assert_cmpuint(
+        ch_publisher_choose(NULL, 0, centre_name(0), region_name(0)), ==, 0);
+    g_assert_cmpuint(
+        ch_publisher_choose(both, 2, centre_name(1), region_name(1)), ==,
+        holder_name(0));
+    g_assert_cmpuint(ch_publisher_choose(both, 2, centre_name(2), 0), ==,
                      holder_name(0));
 }
 
--- a/tests/unit/test_turn.c
+++ b/tests/unit/test_turn.c
@@ -40,7 +40,7 @@
 test_spread(void)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-        struct ch_turn schedules[MAX_NODES] = {{0}};
+        struct ch_poll_schedule schedules[MAX_NODES] = {{0}};
         unsigned runs[MAX_NODES] = {0};
         GRand *random = g_rand_new_with_seed(11);
         int64_t last = 4 * US_PER_S;
@@ -57,9 +57,10 @@
             }
             for (unsigned node = 0; node < running; node++) {
                 bool polls = (now / (10 * US_PER_MS) + node) % 25 == 0;
-                if (!polls || !ch_turn_due(&schedules[node],
-                                           MEAN_RUN_INTERVAL_US * known,
-                                           g_rand_double(random), now)) {
+                if (!polls ||
+                    !ch_poll_schedule_is_due(&schedules[node],
+                                             MEAN_RUN_INTERVAL_US * known,
+                                             g_rand_double(random), now)) {
                     continue;
                 }
                 runs[node]++;
--- a/tests/unit/test_window.c
+++ b/tests/unit/test_window.c
@@ -37,14 +37,14 @@
         struct ch_window window;
         ch_window_init(&window, SPAN);
         if (limit_cases[i].assume_used) {
-            ch_window_assume_used(&window, LIMIT, 0);
+            ch_window_assume_full(&window, LIMIT, 0);
         }
         for (size_t k = 0; k < G_N_ELEMENTS(limit_cases[i].attempts); k++) {
             int64_t now = limit_cases[i].attempts[k];
-            bool starts = ch_window_left(&window, LIMIT, now) > 0;
+            bool starts = ch_window_count_left(&window, LIMIT, now) > 0;
             g_assert_cmpint(starts, ==, limit_cases[i].starts[k]);
             if (starts) {
-                ch_window_take(&window, now);
+                ch_window_record_start(&window, now);
             }
         }
         ch_window_clear(&window);
@@ -79,21 +79,22 @@
         unsigned start_count = 0;
         ch_window_init(&window, SPAN);
         for (int64_t k = 0; k < LIMIT; k++) {
-            ch_window_take(&window, k);
+            ch_window_record_start(&window, k);
         }
         g_test_message("%s", test->what);
         for (size_t k = 0; k < G_N_ELEMENTS(test->steps) &&
                            (k == 0 || test->steps[k].now > 0);
              k++) {
-            bool starts =
-                ch_window_begin(&window, LIMIT, test->steps[k].reserved_at,
-                                test->steps[k].now);
+            bool starts = ch_window_start_reserved(&window, LIMIT,
+                                                   test->steps[k].reserved_at,
+                                                   test->steps[k].now);
             g_assert_cmpint(starts, ==, test->steps[k].starts);
             start_count += starts ? 1 : 0;
         }
         g_assert_cmpuint(start_count, ==, LIMIT);
         g_assert_cmpuint(
-            ch_window_left(&window, LIMIT, test->steps[LIMIT - 1].now), ==, 0);
+            ch_window_count_left(&window, LIMIT, test->steps[LIMIT - 1].now),
+            ==, 0);
         ch_window_clear(&window);
     }
 }
