--- a/libchestnuthitch/decide/fleet.h
+++ b/libchestnuthitch/decide/fleet.h
@@ -98,7 +98,7 @@
 struct ch_upstream_view *ch_fleet_find_upstream(struct ch_fleet *fleet,
                                                 GQuark name);
 
-/* ---- token buckets (bucket.c): limit loads, link bytes, watches ---- */
+/* ---- token buckets (token_bucket.c): loads, link bytes, watches ---- */
 
 struct ch_token_bucket {
     double tokens;
--- a/libchestnuthitch/decide/arrange.c
+++ b/libchestnuthitch/decide/placement.c
@@ -1,7 +1,7 @@
 /* Decides which models are loaded and unloaded on the engines of a data
  * centre. */
 
-#include "decide/arrange_internal.h"
+#include "decide/placement_internal.h"
 
 /*
  * Costs that rank engines for a model.  The engine with the lowest sum of
@@ -510,7 +510,7 @@
     g_hash_table_destroy(finished);
 }
 
-/* See arrange.h.  Models without replicas go first, then reservations, then
+/* See placement.h.  Models without replicas go first, then reservations, then
  * the models with the highest demand, then spare replicas. */
 void
 ch_placement_plan(const struct ch_placement_state *state, GArray *out)
--- a/libchestnuthitch/decide/arrange.h
+++ b/libchestnuthitch/decide/placement.h
@@ -1,5 +1,5 @@
-#ifndef CH_DECIDE_ARRANGE_H
-#define CH_DECIDE_ARRANGE_H
+#ifndef CH_DECIDE_PLACEMENT_H
+#define CH_DECIDE_PLACEMENT_H
 
 /*
  * Placement of models on engines.  In each data centre one node at a time, the
--- a/libchestnuthitch/decide/arrange_internal.h
+++ b/libchestnuthitch/decide/placement_internal.h
@@ -1,12 +1,13 @@
-#ifndef CH_DECIDE_ARRANGE_INTERNAL_H
-#define CH_DECIDE_ARRANGE_INTERNAL_H
+#ifndef CH_DECIDE_PLACEMENT_INTERNAL_H
+#define CH_DECIDE_PLACEMENT_INTERNAL_H
 
 /*
- * The view of a placement state (arrange_view.c) that arrange.c, which decides
- * on orders, and arrange_short.c, which finds shortages, have in common.
+ * The view of a placement state (placement_view.c) that placement.c, which
+ * decides on orders, and placement_shortage.c, which finds shortages, have in
+ * common.
  */
 
-#include "decide/arrange.h"
+#include "decide/placement.h"
 
 /*
  * Load of a replica, as a part of an engine's time for reading prompts and for
--- a/libchestnuthitch/decide/arrange_short.c
+++ b/libchestnuthitch/decide/placement_shortage.c
@@ -1,7 +1,7 @@
 /* Finds models whose demand exceeds the time of their replicas, and what
  * prevents further replicas. */
 
-#include "decide/arrange_internal.h"
+#include "decide/placement_internal.h"
 
 /* Counts an engine of this data centre as holding the model, or by what
  * prevents a load of the model on it. */
@@ -53,7 +53,7 @@
     return false;
 }
 
-/* See arrange.h. */
+/* See placement.h. */
 void
 ch_placement_find_shortages(const struct ch_placement_state *state,
                             GArray *actions, GArray *out)
--- a/libchestnuthitch/decide/arrange_view.c
+++ b/libchestnuthitch/decide/placement_view.c
@@ -1,7 +1,7 @@
 /* The view that placement decisions have of a state: replica counts, and the
  * memory that evictions can free. */
 
-#include "decide/arrange_internal.h"
+#include "decide/placement_internal.h"
 
 /* Queued work is to be done within this many seconds. */
 static const double BACKLOG_TARGET_S = 2;
@@ -128,7 +128,7 @@
 }
 
 /*
- * See arrange_internal.h.  For several engines that become empty at once, or
+ * See placement_internal.h.  For several engines that become empty at once, or
  * several models that need memory.  Otherwise all of these engines would load
  * the same model, for which one is enough, or the last two replicas of a model
  * would be evicted in one round, each because the other exists.
@@ -165,7 +165,7 @@
 
 /* ---- queries ---- */
 
-/* See arrange_internal.h. */
+/* See placement_internal.h. */
 const struct ch_placement_item *
 ch_placement_find_item(const struct ch_placement_engine *engine, GQuark model)
 {
@@ -177,7 +177,7 @@
     return NULL;
 }
 
-/* See arrange_internal.h. */
+/* See placement_internal.h. */
 bool
 ch_placement_has_local_copy(const struct ch_placement_engine *engine,
                             GQuark model)
@@ -190,7 +190,7 @@
     return false;
 }
 
-/* See arrange_internal.h. */
+/* See placement_internal.h. */
 bool
 ch_placement_is_eligible(const struct ch_placement_engine *engine,
                          const struct ch_placement_model *model)
@@ -203,14 +203,14 @@
     return false;
 }
 
-/* See arrange_internal.h. */
+/* See placement_internal.h. */
 const struct ch_replica_count *
 ch_placement_find_count(const struct ch_placement_round *round, GQuark name)
 {
     return g_hash_table_lookup(round->count_by_model, GUINT_TO_POINTER(name));
 }
 
-/* See arrange_internal.h. */
+/* See placement_internal.h. */
 unsigned
 ch_placement_count_replicas(const struct ch_placement_round *round,
                             GQuark model)
@@ -220,7 +220,7 @@
     return count == NULL ? 0 : count->replicas;
 }
 
-/* See arrange_internal.h. */
+/* See placement_internal.h. */
 double
 ch_placement_load_per_replica(const struct ch_placement_model *model,
                               unsigned replicas)
@@ -229,7 +229,7 @@
            MAX(replicas, 1);
 }
 
-/* See arrange_internal.h. */
+/* See placement_internal.h. */
 double
 ch_placement_engine_load(const struct ch_placement_round *round,
                          const struct ch_placement_engine *engine,
@@ -256,7 +256,7 @@
                                        : 0;
 }
 
-/* See arrange_internal.h. */
+/* See placement_internal.h. */
 uint32_t
 ch_placement_free_mb(const struct ch_placement_round *round,
                      const struct ch_placement_engine *engine)
@@ -270,7 +270,7 @@
     return remaining_mb(engine, used_mb);
 }
 
-/* See arrange_internal.h. */
+/* See placement_internal.h. */
 uint32_t
 ch_placement_reclaimable_mb(const struct ch_placement_round *round,
                             const struct ch_placement_engine *engine)
@@ -286,14 +286,14 @@
     return remaining_mb(engine, used_mb);
 }
 
-/* See arrange_internal.h. */
+/* See placement_internal.h. */
 bool
 ch_placement_accepts_order(const struct ch_placement_engine *engine)
 {
     return engine->accepts_orders && !engine->draining;
 }
 
-/* See arrange_internal.h. */
+/* See placement_internal.h. */
 bool
 ch_placement_has_order(const struct ch_placement_round *round,
                        const struct ch_placement_engine *engine)
@@ -302,7 +302,7 @@
                                  GUINT_TO_POINTER(engine->name));
 }
 
-/* See arrange_internal.h. */
+/* See placement_internal.h. */
 bool
 ch_placement_may_start_load(const struct ch_placement_round *round,
                             const struct ch_placement_engine *engine,
@@ -428,10 +428,10 @@
 }
 
 /*
- * See arrange_internal.h.  For a large model in demand when only small models
- * can be evicted.  Evicting a single one of them frees too little memory;
- * without further evictions the engine would be idle beside the large model's
- * queue.
+ * See placement_internal.h.  For a large model in demand when only small
+ * models can be evicted.  Evicting a single one of them frees too little
+ * memory; without further evictions the engine would be idle beside the large
+ * model's queue.
  */
 bool
 ch_placement_find_evictions(const struct ch_placement_round *round,
--- a/libchestnuthitch/decide/turn.c
+++ b/libchestnuthitch/decide/poll_schedule.c
@@ -1,6 +1,6 @@
 /* Schedule of a periodic job shared by many nodes. */
 
-#include "decide/turn.h"
+#include "decide/poll_schedule.h"
 
 /*
  * The next run is scheduled anew when the period has grown or shrunk by this
@@ -16,9 +16,9 @@
 static const double JITTER_FRACTION = 0.25;
 
 /*
- * See turn.h.  For hundreds of nodes that start within a second, or are
- * replaced one by one.  Otherwise all nodes would run in the same second and
- * none for a whole period after that, in which a change goes unnoticed.
+ * See poll_schedule.h.  For hundreds of nodes that start within a second, or
+ * are replaced one by one.  Otherwise all nodes would run in the same second
+ * and none for a whole period after that, in which a change goes unnoticed.
  */
 bool
 ch_poll_schedule_is_due(struct ch_poll_schedule *schedule, int64_t period,
--- a/libchestnuthitch/decide/turn.h
+++ b/libchestnuthitch/decide/poll_schedule.h
@@ -1,5 +1,5 @@
-#ifndef CH_DECIDE_TURN_H
-#define CH_DECIDE_TURN_H
+#ifndef CH_DECIDE_POLL_SCHEDULE_H
+#define CH_DECIDE_POLL_SCHEDULE_H
 
 /*
  * Schedule of a periodic job that many nodes share, where each node picks its
--- a/libchestnuthitch/decide/tell.c
+++ b/libchestnuthitch/decide/publisher.c
@@ -1,6 +1,6 @@
 /* Which lease holder publishes engine state to which nodes. */
 
-#include "decide/tell.h"
+#include "decide/publisher.h"
 
 /* The rendezvous weight of a lease's holder for a data centre. */
 static uint64_t
@@ -26,12 +26,12 @@
 }
 
 /*
- * See tell.h.  For hundreds of nodes that each need the state of hundreds of
- * engines, over links that a few nodes share.  If every lease holder sent to
- * every node, the traffic would exceed the link of a small host and delay its
- * callers and the configuration.  So each node gets the state of all engines
- * from the lease holder of its own data centre alone, and lease holders
- * exchange it among themselves.
+ * See publisher.h.  For hundreds of nodes that each need the state of hundreds
+ * of engines, over links that a few nodes share.  If every lease holder sent
+ * to every node, the traffic would exceed the link of a small host and delay
+ * its callers and the configuration.  So each node gets the state of all
+ * engines from the lease holder of its own data centre alone, and lease
+ * holders exchange it among themselves.
  *
  * While a data centre has no lease holder, another lease holder of the same
  * region publishes to its nodes, or one of another region if there is none.
--- a/libchestnuthitch/decide/tell.h
+++ b/libchestnuthitch/decide/publisher.h
@@ -1,5 +1,5 @@
-#ifndef CH_DECIDE_TELL_H
-#define CH_DECIDE_TELL_H
+#ifndef CH_DECIDE_PUBLISHER_H
+#define CH_DECIDE_PUBLISHER_H
 
 /*
  * Which lease holder publishes the state of engines (the models that they hold
--- a/libchestnuthitch/node/config_keeper.c
+++ b/libchestnuthitch/node/config_keeper.c
@@ -13,7 +13,7 @@
 #include "node/kv_call.h"
 
 #include "decide/revision.h"
-#include "decide/turn.h"
+#include "decide/poll_schedule.h"
 
 #include <pthread.h>
 #include <string.h>
--- a/libchestnuthitch/node/controller.h
+++ b/libchestnuthitch/node/controller.h
@@ -4,7 +4,7 @@
 /*
  * Orders to engines where one node at a time has the right to order those of a
  * data centre (claim.h): adapters that requests need, models by
- * decide/arrange.h.  Every node has a controller: it learns from the holders
+ * decide/placement.h.  Every node has a controller: it learns from the holders
  * what the engines hold, and asks them for adapters.
  */
 
--- a/libchestnuthitch/node/controller_internal.h
+++ b/libchestnuthitch/node/controller_internal.h
@@ -9,7 +9,7 @@
  * controller_models.c (which models) share.  One lock guards all of it.
  */
 
-#include "decide/arrange.h"
+#include "decide/placement.h"
 #include "decide/order.h"
 #include "decide/window.h"
 #include "node/claim.h"
--- a/libchestnuthitch/node/controller_tell.c
+++ b/libchestnuthitch/node/controller_tell.c
@@ -1,6 +1,6 @@
 /* What holders of rights tell of their engines, one another and the nodes. */
 
-#include "decide/tell.h"
+#include "decide/publisher.h"
 #include "node/controller_internal.h"
 
 #include <string.h>
--- a/tests/bench/bench_arrange.c
+++ b/tests/bench/bench_placement.c
@@ -4,7 +4,7 @@
  * docs/CAPACITY.md.
  */
 
-#include "decide/arrange.h"
+#include "decide/placement.h"
 
 #include <stdio.h>
 #include <time.h>
--- a/tests/unit/test_arrange.c
+++ b/tests/unit/test_placement.c
@@ -1,6 +1,6 @@
 /* Placement of models on engines: rounds of decisions over a small fleet. */
 
-#include "decide/arrange.h"
+#include "decide/placement.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/tests/unit/test_turn.c
+++ b/tests/unit/test_poll_schedule.c
@@ -1,6 +1,6 @@
 /* Schedule of a periodic job shared by many nodes, in virtual time. */
 
-#include "decide/turn.h"
+#include "decide/poll_schedule.h"
 
 enum {
     MAX_NODES = 320,
--- a/tests/unit/test_tell.c
+++ b/tests/unit/test_publisher.c
@@ -1,6 +1,6 @@
 /* Which lease holder publishes to which nodes, for fleets of several sizes. */
 
-#include "decide/tell.h"
+#include "decide/publisher.h"
 
 enum {
     MAX_CENTRES = 8,
