--- a/libchestnuthitch/node/claim.c
+++ b/libchestnuthitch/node/claim.c
@@ -1,4 +1,4 @@
-/* A right under a lease. */
+/* Leases, each stored as a key under a lease of the key-value store. */
 
 #include "node/claim.h"
 
@@ -10,336 +10,344 @@
 
 enum {
     /*
-     * How long the right is used after its last renewal was sent.  Longer, and
-     * more outages of the service pass without anybody being kept from
-     * ordering (users' platforms have them for 4 to 8 seconds); shorter, and
-     * the successor of a holder that is lost with its host comes sooner.  A
-     * holder whose process alone was lost takes its right back at its restart.
+     * How long the lease is used after its last renewal was sent. A longer
+     * time bridges more outages of the key-value store without stopping orders
+     * (on users' platforms these outages last 4 to 8 seconds); a shorter time
+     * lets a successor start sooner when the holder is lost with its host. If
+     * only the process was lost, it takes its lease back when it restarts.
      */
-    USE = 6000 * 1000,
-    RENEWAL = 700 * 1000,
-    /* Beyond the use and the pause: the clocks of two hosts differ a little
-     * in speed. */
-    MARGIN = 200 * 1000,
-    /* Between two tries to get it. */
-    TRY_AGAIN = 1000 * 1000,
+    LEASE_USE_US = 6000 * 1000,
+    RENEWAL_PERIOD_US = 700 * 1000,
+    /* Added to use and pause in the lease of the store: the clocks of two
+     * hosts differ a little in speed. */
+    CLOCK_MARGIN_US = 200 * 1000,
+    /* Between two attempts to acquire the lease. */
+    RETRY_DELAY_US = 1000 * 1000,
 };
 
 struct ch_claim {
     struct ch_node *node;
     char *key;
-    int64_t pause;
+    int64_t handover_pause;
     pthread_mutex_t lock;
     int references;
-    bool calling;
-    bool given_up; /* since the try that runs began */
-    uint64_t lease;
-    int64_t asked; /* when the last good call for the lease was sent */
-    int64_t sent;  /* the one under way */
+    bool call_in_flight;
+    bool released; /* since the current attempt began */
+    uint64_t kv_lease_id;
+    int64_t renewed_at;   /* when the last successful call for the key-value
+                             lease was sent */
+    int64_t call_sent_at; /* when the call in flight was sent */
     bool held;
-    uint64_t fence;
-    char *mark; /* of the write under way: knows one's own again */
-    uint64_t marks;
-    int64_t not_before;
-    uint64_t over; /* revision of an earlier process's key; 0: the key is free
-                    */
+    uint64_t fencing_token;
+    char *write_id; /* value of the write in flight, to recognise it */
+    uint64_t write_count;
+    int64_t next_attempt_at;
+    uint64_t replaced_revision; /* revision of the key of an earlier process;
+                                   0: the key is free */
 };
 
 /* Microseconds of a clock that also counts while the host is suspended. */
 static int64_t
-boot_now(void)
+get_boottime_us(void)
 {
     struct timespec now;
     clock_gettime(CLOCK_BOOTTIME, &now);
     return (int64_t)now.tv_sec * G_USEC_PER_SEC + now.tv_nsec / 1000;
 }
 
-/* One owner less; the last frees it. */
+/* Drops a reference; the last one frees the lease. */
 static void
-claim_unref(struct ch_claim *claim)
+lease_unref(struct ch_claim *lease)
 {
-    if (!g_atomic_int_dec_and_test(&claim->references)) {
+    if (!g_atomic_int_dec_and_test(&lease->references)) {
         return;
     }
-    pthread_mutex_destroy(&claim->lock);
-    g_free(claim->key);
-    g_free(claim->mark);
-    g_free(claim);
+    pthread_mutex_destroy(&lease->lock);
+    g_free(lease->key);
+    g_free(lease->write_id);
+    g_free(lease);
 }
 
 /* See claim.h. */
 struct ch_claim *
-ch_claim_new(struct ch_node *node, const char *key, int64_t pause)
+ch_claim_new(struct ch_node *node, const char *key, int64_t handover_pause)
 {
-    struct ch_claim *claim = g_new0(struct ch_claim, 1);
-    claim->node = node;
-    claim->key = g_strdup(key);
-    claim->pause = pause;
-    claim->references = 1;
-    pthread_mutex_init(&claim->lock, NULL);
-    return claim;
+    struct ch_claim *lease = g_new0(struct ch_claim, 1);
+    lease->node = node;
+    lease->key = g_strdup(key);
+    lease->handover_pause = handover_pause;
+    lease->references = 1;
+    pthread_mutex_init(&lease->lock, NULL);
+    return lease;
 }
 
-/* Drops the owner's hold; a call under way runs out. */
+/* Drops the owner's reference; a call in flight still ends by itself. */
 void
-ch_claim_free(struct ch_claim *claim)
+ch_claim_free(struct ch_claim *lease)
 {
-    if (claim != NULL) {
-        claim_unref(claim);
+    if (lease != NULL) {
+        lease_unref(lease);
     }
 }
 
 /* See claim.h. */
 bool
-ch_claim_held(struct ch_claim *claim, uint64_t *fence)
+ch_claim_held(struct ch_claim *lease, uint64_t *fencing_token)
 {
-    pthread_mutex_lock(&claim->lock);
-    bool held = claim->held && boot_now() - claim->asked < USE;
-    *fence = claim->fence;
-    pthread_mutex_unlock(&claim->lock);
+    pthread_mutex_lock(&lease->lock);
+    bool held =
+        lease->held && get_boottime_us() - lease->renewed_at < LEASE_USE_US;
+    *fencing_token = lease->fencing_token;
+    pthread_mutex_unlock(&lease->lock);
     return held;
 }
 
-/* Says that the right was got or lost.  Lock held. */
+/* Sets and logs whether the lease is held. Lock held. */
 static void
-set_held(struct ch_claim *claim, bool held, const char *why)
+set_held(struct ch_claim *lease, bool held, const char *why)
 {
-    if (claim->held != held) {
-        ch_log(claim->node->client, CH_LOG_NOTICE,
-               held ? "right-got" : "right-lost", CH_F_STR("key", claim->key),
-               CH_F_INT("fence", claim->fence), CH_F_STR("why", why),
+    if (lease->held != held) {
+        ch_log(lease->node->client, CH_LOG_NOTICE,
+               held ? "right-got" : "right-lost", CH_F_STR("key", lease->key),
+               CH_F_INT("fence", lease->fencing_token), CH_F_STR("why", why),
                CH_F_END);
     }
-    claim->held = held;
+    lease->held = held;
 }
 
-/* Begins anew after a while.  Lock held. */
+/* Gives up this attempt or lease, and tries again after a delay. Lock held. */
 static void
-start_over(struct ch_claim *claim, const char *why)
+schedule_retry(struct ch_claim *lease, const char *why)
 {
-    set_held(claim, false, why);
-    claim->lease = 0;
-    claim->not_before = boot_now() + TRY_AGAIN;
+    set_held(lease, false, why);
+    lease->kv_lease_id = 0;
+    lease->next_attempt_at = get_boottime_us() + RETRY_DELAY_US;
 }
 
-/* ---- steps ---- */
+/* ---- acquiring and renewing ---- */
 
-/* The key was written by this try; unless the right was given up meanwhile. */
+/* Records that this attempt wrote the key, unless the lease was released
+ * meanwhile. Lock held. */
 static void
-take_right(struct ch_claim *claim, uint64_t revision)
+record_acquired(struct ch_claim *lease, uint64_t revision)
 {
-    if (claim->given_up) {
+    if (lease->released) {
         return;
     }
-    claim->fence = revision;
-    set_held(claim, true, "the key was free");
+    lease->fencing_token = revision;
+    set_held(lease, true, "the key was free");
 }
 
-/* The key as it is after a write whose answer was lost. */
+/* Reads the key after a write whose outcome is unknown. */
 static void
-read_back(void *data, const struct ch_kv_answer *answer)
+handle_read_back(void *data, const struct ch_kv_answer *answer)
 {
-    struct ch_claim *claim = data;
-    pthread_mutex_lock(&claim->lock);
-    claim->calling = false;
-    if (answer->code == CH_OK && answer->length == strlen(claim->mark) &&
-        memcmp(answer->value, claim->mark, answer->length) == 0) {
-        take_right(claim, answer->revision);
+    struct ch_claim *lease = data;
+    pthread_mutex_lock(&lease->lock);
+    lease->call_in_flight = false;
+    if (answer->code == CH_OK && answer->length == strlen(lease->write_id) &&
+        memcmp(answer->value, lease->write_id, answer->length) == 0) {
+        record_acquired(lease, answer->revision);
     }
     else {
-        start_over(claim, "the write was lost");
+        schedule_retry(lease, "the write of the key failed");
     }
-    pthread_mutex_unlock(&claim->lock);
-    claim_unref(claim);
+    pthread_mutex_unlock(&lease->lock);
+    lease_unref(lease);
 }
 
-/* The key was written, or was there already. */
+/* Handles the result of the write: done, refused because the key exists, or
+ * outcome unknown. */
 static void
-written(void *data, const struct ch_kv_answer *answer)
+handle_write(void *data, const struct ch_kv_answer *answer)
 {
-    struct ch_claim *claim = data;
+    struct ch_claim *lease = data;
     if (answer->code == CH_KV_AMBIGUOUS) {
-        ch_kv_call_get(claim->node, claim->key, read_back, claim);
+        ch_kv_call_get(lease->node, lease->key, handle_read_back, lease);
         return;
     }
-    pthread_mutex_lock(&claim->lock);
-    claim->calling = false;
+    pthread_mutex_lock(&lease->lock);
+    lease->call_in_flight = false;
     if (answer->code == CH_OK) {
-        take_right(claim, answer->revision);
+        record_acquired(lease, answer->revision);
     }
     else {
-        start_over(claim, "another node has it");
+        schedule_retry(lease, "another node holds the lease");
     }
-    pthread_mutex_unlock(&claim->lock);
-    claim_unref(claim);
+    pthread_mutex_unlock(&lease->lock);
+    lease_unref(lease);
 }
 
-/* A lease was given: the key is written under it. */
+/* Handles the grant of a key-value lease: writes the key under it. */
 static void
-leased(void *data, const struct ch_kv_answer *answer)
+handle_kv_lease(void *data, const struct ch_kv_answer *answer)
 {
-    struct ch_claim *claim = data;
-    pthread_mutex_lock(&claim->lock);
-    bool good = answer->code == CH_OK && !claim->given_up;
-    if (good) {
-        claim->lease = answer->revision;
-        claim->asked = claim->sent;
-        g_free(claim->mark);
-        claim->mark = g_strdup_printf(
+    struct ch_claim *lease = data;
+    pthread_mutex_lock(&lease->lock);
+    bool proceed = answer->code == CH_OK && !lease->released;
+    if (proceed) {
+        lease->kv_lease_id = answer->revision;
+        lease->renewed_at = lease->call_sent_at;
+        g_free(lease->write_id);
+        lease->write_id = g_strdup_printf(
             "%s %" G_GINT64_MODIFIER "x %" G_GINT64_MODIFIER "x",
-            claim->node->settings->name, claim->node->incarnation,
-            ++claim->marks);
+            lease->node->settings->name, lease->node->incarnation,
+            ++lease->write_count);
     }
     else {
-        claim->calling = false;
-        start_over(claim, "no lease was given");
+        lease->call_in_flight = false;
+        schedule_retry(lease, "the key-value store granted no lease");
     }
-    uint64_t lease = claim->lease;
-    pthread_mutex_unlock(&claim->lock);
-    if (!good) {
-        claim_unref(claim);
+    uint64_t kv_lease_id = lease->kv_lease_id;
+    pthread_mutex_unlock(&lease->lock);
+    if (!proceed) {
+        lease_unref(lease);
         return;
     }
-    ch_kv_call_put_leased(claim->node, claim->key, claim->mark,
-                          strlen(claim->mark), claim->over, lease, written,
-                          claim);
+    ch_kv_call_put_leased(lease->node, lease->key, lease->write_id,
+                          strlen(lease->write_id), lease->replaced_revision,
+                          kv_lease_id, handle_write, lease);
 }
 
-/* Whether the key is of an earlier process of this host, which is no more as
- * this one has its address. */
+/* Whether the key was written by an earlier process of this host. That process
+ * has ended, because this one has its address. */
 static bool
-is_own(const struct ch_claim *claim, const struct ch_kv_answer *answer)
+is_from_earlier_process(const struct ch_claim *lease,
+                        const struct ch_kv_answer *answer)
 {
-    const char *name = claim->node->settings->name;
+    const char *name = lease->node->settings->name;
     size_t length = strlen(name);
     return answer->code == CH_OK && answer->length > length &&
            memcmp(answer->value, name, length) == 0 &&
            ((const char *)answer->value)[length] == ' ';
 }
 
-/* The key as it is: free, left by an earlier process of this host, or
- * another's. */
+/* Handles the current key: it is free, left by an earlier process of this
+ * host, or another node's. */
 static void
-looked(void *data, const struct ch_kv_answer *answer)
+handle_lookup(void *data, const struct ch_kv_answer *answer)
 {
-    struct ch_claim *claim = data;
-    int64_t ttl = USE + claim->pause + MARGIN;
-    pthread_mutex_lock(&claim->lock);
-    bool own = is_own(claim, answer);
-    bool good = !claim->given_up && (own || answer->code == CH_KV_MISSING);
-    if (good) {
-        claim->over = own ? answer->revision : 0;
-        claim->sent = boot_now();
+    struct ch_claim *lease = data;
+    int64_t ttl = LEASE_USE_US + lease->handover_pause + CLOCK_MARGIN_US;
+    pthread_mutex_lock(&lease->lock);
+    bool from_earlier = is_from_earlier_process(lease, answer);
+    bool proceed =
+        !lease->released && (from_earlier || answer->code == CH_KV_MISSING);
+    if (proceed) {
+        lease->replaced_revision = from_earlier ? answer->revision : 0;
+        lease->call_sent_at = get_boottime_us();
     }
     else {
-        claim->calling = false;
-        start_over(claim, "another node has it");
+        lease->call_in_flight = false;
+        schedule_retry(lease, "another node holds the lease");
     }
-    pthread_mutex_unlock(&claim->lock);
-    if (!good) {
-        claim_unref(claim);
+    pthread_mutex_unlock(&lease->lock);
+    if (!proceed) {
+        lease_unref(lease);
         return;
     }
-    ch_kv_call_lease(claim->node, ttl, leased, claim);
+    ch_kv_call_lease(lease->node, ttl, handle_kv_lease, lease);
 }
 
-/* The lease was renewed, or has ended. */
+/* Handles the result of a renewal: renewed, or expired; after other errors a
+ * later renewal may still succeed. */
 static void
-renewed(void *data, const struct ch_kv_answer *answer)
+handle_renewal(void *data, const struct ch_kv_answer *answer)
 {
-    struct ch_claim *claim = data;
-    pthread_mutex_lock(&claim->lock);
-    claim->calling = false;
+    struct ch_claim *lease = data;
+    pthread_mutex_lock(&lease->lock);
+    lease->call_in_flight = false;
     if (answer->code == CH_OK) {
-        claim->asked = claim->sent;
+        lease->renewed_at = lease->call_sent_at;
     }
     else if (answer->code == CH_KV_MISSING) {
-        start_over(claim, "the lease has ended");
+        schedule_retry(lease, "the lease has ended");
     }
-    pthread_mutex_unlock(&claim->lock);
-    claim_unref(claim);
+    pthread_mutex_unlock(&lease->lock);
+    lease_unref(lease);
 }
 
 /* See claim.h. */
 void
-ch_claim_step(struct ch_claim *claim, bool wanted)
+ch_claim_step(struct ch_claim *lease, bool wanted)
 {
-    int64_t now = boot_now();
-    int64_t ttl = USE + claim->pause + MARGIN;
-    pthread_mutex_lock(&claim->lock);
-    if (claim->held && now - claim->asked > ttl) {
-        start_over(claim, "the lease could not be renewed");
+    int64_t now = get_boottime_us();
+    int64_t ttl = LEASE_USE_US + lease->handover_pause + CLOCK_MARGIN_US;
+    pthread_mutex_lock(&lease->lock);
+    if (lease->held && now - lease->renewed_at > ttl) {
+        schedule_retry(lease, "the lease could not be renewed");
     }
-    bool renew = claim->held && now - claim->asked >= RENEWAL;
-    bool begin = !claim->held && claim->lease == 0 && wanted &&
-                 now >= claim->not_before;
-    bool call = !claim->calling && (renew || begin);
-    uint64_t lease = claim->lease;
-    if (call) {
-        claim->calling = true;
-        claim->given_up = false;
-        claim->sent = now;
-        g_atomic_int_inc(&claim->references);
+    bool renew = lease->held && now - lease->renewed_at >= RENEWAL_PERIOD_US;
+    bool acquire = !lease->held && lease->kv_lease_id == 0 && wanted &&
+                   now >= lease->next_attempt_at;
+    bool do_call = !lease->call_in_flight && (renew || acquire);
+    uint64_t kv_lease_id = lease->kv_lease_id;
+    if (do_call) {
+        lease->call_in_flight = true;
+        lease->released = false;
+        lease->call_sent_at = now;
+        g_atomic_int_inc(&lease->references);
     }
-    pthread_mutex_unlock(&claim->lock);
-    if (call && renew) {
-        ch_kv_call_renew(claim->node, lease, renewed, claim);
+    pthread_mutex_unlock(&lease->lock);
+    if (do_call && renew) {
+        ch_kv_call_renew(lease->node, kv_lease_id, handle_renewal, lease);
     }
-    else if (call) {
-        ch_kv_call_get(claim->node, claim->key, looked, claim);
+    else if (do_call) {
+        ch_kv_call_get(lease->node, lease->key, handle_lookup, lease);
     }
 }
 
-/* ---- giving up ---- */
+/* ---- releasing ---- */
 
-/* The lease's end was told, or not: it ends by itself then. */
+/* Handles the result of ending the key-value lease; if the call failed, that
+ * lease expires by itself. */
 static void
-ended(void *data, const struct ch_kv_answer *answer)
+handle_kv_lease_end(void *data, const struct ch_kv_answer *answer)
 {
     (void)answer;
-    claim_unref(data);
+    lease_unref(data);
 }
 
-struct ending {
-    struct ch_claim *claim;
-    uint64_t lease;
+struct lease_release {
+    struct ch_claim *lease;
+    uint64_t kv_lease_id;
 };
 
-/* Ends the lease, by which the key goes. */
+/* Ends the key-value lease, which removes the key. */
 static void
-end_lease(void *data)
+end_kv_lease(void *data)
 {
-    struct ending *ending = data;
-    ch_kv_call_end_lease(ending->claim->node, ending->lease, ended,
-                         ending->claim);
-    g_free(ending);
+    struct lease_release *release = data;
+    ch_kv_call_end_lease(release->lease->node, release->kv_lease_id,
+                         handle_kv_lease_end, release->lease);
+    g_free(release);
 }
 
 /* See claim.h. */
 int64_t
-ch_claim_age(struct ch_claim *claim)
+ch_claim_age(struct ch_claim *lease)
 {
-    pthread_mutex_lock(&claim->lock);
-    int64_t age = boot_now() - claim->asked;
-    pthread_mutex_unlock(&claim->lock);
+    pthread_mutex_lock(&lease->lock);
+    int64_t age = get_boottime_us() - lease->renewed_at;
+    pthread_mutex_unlock(&lease->lock);
     return age;
 }
 
 /* See claim.h. */
 void
-ch_claim_give_up(struct ch_claim *claim, int64_t after)
+ch_claim_give_up(struct ch_claim *lease, int64_t delay)
 {
-    pthread_mutex_lock(&claim->lock);
-    struct ending *ending = g_new0(struct ending, 1);
-    ending->claim = claim;
-    ending->lease = claim->held ? claim->lease : 0;
-    start_over(claim, "given up");
-    claim->given_up = true;
-    pthread_mutex_unlock(&claim->lock);
-    if (ending->lease == 0) {
-        g_free(ending);
+    pthread_mutex_lock(&lease->lock);
+    struct lease_release *release = g_new0(struct lease_release, 1);
+    release->lease = lease;
+    release->kv_lease_id = lease->held ? lease->kv_lease_id : 0;
+    schedule_retry(lease, "given up by this node");
+    lease->released = true;
+    pthread_mutex_unlock(&lease->lock);
+    if (release->kv_lease_id == 0) {
+        g_free(release);
         return;
     }
-    g_atomic_int_inc(&claim->references);
-    ch_timers_after(claim->node->timers, after, end_lease, ending);
+    g_atomic_int_inc(&lease->references);
+    ch_timers_after(lease->node->timers, delay, end_kv_lease, release);
 }
