--- a/libchestnuthitch/node/controller.c
+++ b/libchestnuthitch/node/controller.c
@@ -1,4 +1,4 @@
-/* Rights to order engines, and adapters on request. */
+/* Leases to order engines, and loading of adapters on request. */
 
 #include "node/controller_internal.h"
 
@@ -7,104 +7,110 @@
 #define WIRE(name) CHESTNUTHITCH__WIRE__##name
 
 enum {
-    TICK = 100 * 1000,
-    ARRANGE_PERIOD = 250 * 1000,
-    /* A holder that told nothing for this long may be gone: three messages.
-     * Asking for its right in vain costs two calls. */
-    HOLDER_SILENT = 2500 * 1000,
-    /* The next in order tries this much later, so that they do not all ask the
-     * service at once. */
-    TRY_STEP = 700 * 1000,
-    /* Nodes of other data centres try after those of the own one. */
-    TRY_FOREIGN = 2500 * 1000,
-    /* The service that keeps the rights is away when it did not renew one for
-     * this long: it renews each 0.7 s. */
-    SERVICE_AWAY = 1000 * 1000,
-    /* Two orders take different times on their way, so that the second load
-     * may begin sooner after the first than it was ordered. */
-    LOADS_MARGIN = 500 * 1000,
-    /* An adapter that cannot be loaded within this is looked for elsewhere. */
-    PREPARE_LIMIT = 500 * 1000,
+    TICK_PERIOD_US = 100 * 1000,
+    PLACEMENT_PERIOD_US = 250 * 1000,
+    /* A lease holder not heard of for this long, three messages, may be gone.
+     * An attempt to take its lease in vain costs two calls. */
+    HOLDER_SILENCE_US = 2500 * 1000,
+    /* Each node in rank order tries this much later than the one before, so
+     * that they do not all call the key-value store at once. */
+    LEASE_ATTEMPT_STEP_US = 700 * 1000,
+    /* Nodes of other data centres try this much later than those of the data
+     * centre itself. */
+    OTHER_CENTRE_DELAY_US = 2500 * 1000,
+    /* The key-value store counts as unavailable if it has not renewed a lease
+     * for this long: leases are renewed every 0.7 s. */
+    KV_UNAVAILABLE_US = 1000 * 1000,
+    /* Added to the window in which loads are counted: two orders take
+     * different times to arrive, so the second load may start sooner after the
+     * first than their orders were apart. */
+    LOAD_WINDOW_MARGIN_US = 500 * 1000,
+    /* If an adapter cannot be loaded within this time, the request looks for
+     * another engine. */
+    PREPARE_TIMEOUT_US = 500 * 1000,
 };
 
-/* Of the weight store's rate, what is used. */
-static const double LOADS_PART = 0.9;
+/* Part of the weight store's load rate that is used. */
+static const double LOAD_RATE_SHARE = 0.9;
 
-/* ---- duties ---- */
+/* ---- state of a data centre, and its lease ---- */
 
 /* See controller_internal.h. */
 struct duty *
 controller_duty(struct ch_controller *controller, GQuark data_centre)
 {
     gpointer key = GUINT_TO_POINTER(data_centre);
-    struct duty *duty = g_hash_table_lookup(controller->duties, key);
-    if (duty != NULL) {
-        return duty;
+    struct duty *centre = g_hash_table_lookup(controller->duties, key);
+    if (centre != NULL) {
+        return centre;
     }
     const struct ch_settings *settings = controller->node->settings;
     g_autofree char *name =
         g_strconcat("orders/", g_quark_to_string(data_centre), NULL);
-    duty = g_new0(struct duty, 1);
-    duty->data_centre = data_centre;
+    centre = g_new0(struct duty, 1);
+    centre->data_centre = data_centre;
     g_autofree char *region =
         ch_settings_region(settings, g_quark_to_string(data_centre));
-    duty->region = g_quark_from_string(region);
-    duty->claim = ch_claim_new(controller->node, name,
-                               (int64_t)settings->lease_ms * 1000);
-    duty->heard = ch_client_now(controller->node->client) - HOLDER_SILENT;
-    ch_window_init(&duty->loads,
+    centre->region = g_quark_from_string(region);
+    centre->claim = ch_claim_new(controller->node, name,
+                                 (int64_t)settings->lease_ms * 1000);
+    centre->heard =
+        ch_client_now(controller->node->client) - HOLDER_SILENCE_US;
+    ch_window_init(&centre->loads,
                    (int64_t)(settings->load_window_s * G_USEC_PER_SEC) +
-                       LOADS_MARGIN);
-    g_hash_table_insert(controller->duties, key, duty);
-    return duty;
+                       LOAD_WINDOW_MARGIN_US);
+    g_hash_table_insert(controller->duties, key, centre);
+    return centre;
 }
 
-/* Frees a duty. */
 static void
-free_duty(void *data)
+free_centre(void *data)
 {
-    struct duty *duty = data;
-    ch_claim_free(duty->claim);
-    ch_window_clear(&duty->loads);
-    g_free(duty->holder);
-    g_free(duty);
+    struct duty *centre = data;
+    ch_claim_free(centre->claim);
+    ch_window_clear(&centre->loads);
+    g_free(centre->holder);
+    g_free(centre);
 }
 
-/* This node's place among those that may take the duty; *foreign: they are of
- * other data centres too. */
+/* Returns this node's rank among the nodes that may take the lease;
+ * *other_centres: these include nodes of other data centres. */
 static size_t
-rank_of(const struct ch_controller *controller, const struct duty *duty,
-        bool *foreign)
+find_rank(const struct ch_controller *controller, const struct duty *centre,
+          bool *other_centres)
 {
-    const char *centre = g_quark_to_string(duty->data_centre);
-    *foreign = strcmp(centre, controller->node->settings->data_centre) != 0;
-    return ch_peers_rank(controller->node->peers, ch_hash_string(centre),
-                         *foreign ? NULL : centre, NULL);
+    const char *centre_name = g_quark_to_string(centre->data_centre);
+    *other_centres =
+        strcmp(centre_name, controller->node->settings->data_centre) != 0;
+    return ch_peers_rank(controller->node->peers, ch_hash_string(centre_name),
+                         *other_centres ? NULL : centre_name, NULL);
 }
 
 /*
- * Whether this node is to try for the duty.  Load: the holder was killed or
- * cut off, or all nodes start at once.  Harm prevented: nobody loads what
- * requests need; all nodes asking the service for it at once; a node that
- * knows no other yet, and so finds itself the first in order, takes the duty
- * from a host that can do more.  A later start of all would then find the
- * right with one that is far down the order, and wait for its lease to run
- * out.
+ * Whether this node should try to acquire the lease.
+ *
+ * Load: the lease holder was killed or cut off, or all nodes start at once.
+ * Harm prevented: nobody loads what requests need; all nodes call the
+ * key-value store at once; a node that does not know the others yet, and so
+ * ranks itself first, takes the lease from a host with more capacity. After a
+ * later restart of all nodes, the lease would still be held by a node of low
+ * rank, and the others would wait for it to expire.
  */
 static bool
-is_wanted(const struct ch_controller *controller, const struct duty *duty,
-          int64_t now)
+should_acquire_lease(const struct ch_controller *controller,
+                     const struct duty *centre, int64_t now)
 {
-    int64_t silent = now - duty->heard;
+    int64_t silence = now - centre->heard;
     if (controller->draining || controller->stopping ||
-        silent < HOLDER_SILENT || !ch_peers_listed(controller->node->peers)) {
+        silence < HOLDER_SILENCE_US ||
+        !ch_peers_listed(controller->node->peers)) {
         return false;
     }
-    bool foreign = false;
-    size_t rank = rank_of(controller, duty, &foreign);
-    int64_t wait =
-        HOLDER_SILENT + (int64_t)rank * TRY_STEP + (foreign ? TRY_FOREIGN : 0);
-    return silent >= wait;
+    bool other_centres = false;
+    size_t rank = find_rank(controller, centre, &other_centres);
+    int64_t delay = HOLDER_SILENCE_US + (int64_t)rank * LEASE_ATTEMPT_STEP_US +
+                    (other_centres ? OTHER_CENTRE_DELAY_US : 0);
+    return silence >= delay;
 }
 
 /* See controller_internal.h. */
@@ -115,40 +121,45 @@
     const struct ch_settings *settings = controller->node->settings;
     double rate = settings->loads_per_s;
     for (size_t i = 0; i < declaration->service_count; i++) {
-        double stated = declaration->services[i].loads_per_s;
-        rate = stated > 0 ? stated : rate;
+        double service_rate = declaration->services[i].loads_per_s;
+        rate = service_rate > 0 ? service_rate : rate;
     }
     double share = rate * settings->load_window_s * settings->load_overshoot /
                    MAX(g_hash_table_size(controller->duties), 1U);
-    return 1 + (unsigned)(LOADS_PART * share);
+    return 1 + (unsigned)(LOAD_RATE_SHARE * share);
 }
 
-/* What another holder has loaded from the weight store lately is not known. */
+/* Assumes that the window is full: what the previous lease holder has loaded
+ * from the weight store lately is not known. */
 static void
-init_loads(struct ch_controller *controller, struct duty *duty, int64_t now)
+assume_window_full(struct ch_controller *controller, struct duty *centre,
+                   int64_t now)
 {
     struct ch_config *config =
         ch_config_keeper_current(controller->node->config);
-    unsigned most = 1;
+    unsigned max_loads = 1;
     if (config != NULL) {
-        most = controller_loads_in_window(controller, config->declaration);
+        max_loads =
+            controller_loads_in_window(controller, config->declaration);
         ch_config_unref(config);
     }
-    ch_window_assume_used(&duty->loads, most, now);
+    ch_window_assume_used(&centre->loads, max_loads, now);
 }
 
-/* What changes when the right is got or lost. */
+/* Resets the engine states after this node has acquired or lost the lease:
+ * they must be read again, and waiters for adapters must ask the new holder.
+ */
 static void
-note_right(struct ch_controller *controller, struct duty *duty, bool held,
-           int64_t now)
+record_lease_change(struct ch_controller *controller, struct duty *centre,
+                    bool held, int64_t now)
 {
-    if (held == duty->was_held) {
+    if (held == centre->was_held) {
         return;
     }
-    duty->was_held = held;
-    duty->held_since = now;
+    centre->was_held = held;
+    centre->held_since = now;
     if (held) {
-        init_loads(controller, duty, now);
+        assume_window_full(controller, centre, now);
         ch_roster_refresh(controller->roster);
         for (int i = 0; i < AUDIENCES; i++) {
             controller->telling[i].next_whole = now;
@@ -159,7 +170,7 @@
     g_hash_table_iter_init(&iterator, controller->engines);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct controller_engine *engine = value;
-        if (engine->data_centre != duty->data_centre) {
+        if (engine->data_centre != centre->data_centre) {
             continue;
         }
         engine->known = false;
@@ -175,7 +186,7 @@
 /* See controller_internal.h. */
 void
 controller_answer(struct ch_controller *controller,
-                  const struct adapter_wait *wait, enum ch_code code)
+                  const struct adapter_wait *waiter, enum ch_code code)
 {
     Chestnuthitch__Wire__Frame frame = WIRE(FRAME__INIT);
     Chestnuthitch__Wire__Done done = WIRE(DONE__INIT);
@@ -190,35 +201,35 @@
         frame.body_case = WIRE(FRAME__BODY_REFUSE);
         frame.refuse = &refuse;
     }
-    ch_peers_reply(controller->node->peers, wait->from, wait->id, &frame);
+    ch_peers_reply(controller->node->peers, waiter->from, waiter->id, &frame);
 }
 
-/* A node asks for an adapter. */
+/* Handles the request of a node to have an adapter loaded. */
 static void
 handle_prepare(void *data, const Chestnuthitch__Wire__Frame *frame)
 {
     struct ch_controller *controller = data;
     const Chestnuthitch__Wire__Prepare *prepare = frame->prepare;
     int64_t now = ch_client_now(controller->node->client);
-    const struct adapter_wait wait = {
+    const struct adapter_wait waiter = {
         .from = frame->from,
         .id = frame->id,
-        .until = now + PREPARE_LIMIT,
+        .until = now + PREPARE_TIMEOUT_US,
     };
-    uint64_t fence = 0;
+    uint64_t fencing_token = 0;
     pthread_mutex_lock(&controller->lock);
     struct controller_engine *engine = g_hash_table_lookup(
         controller->engines,
         GUINT_TO_POINTER(g_quark_try_string(prepare->upstream)));
-    struct duty *duty = engine == NULL
-                            ? NULL
-                            : controller_duty(controller, engine->data_centre);
-    if (duty == NULL || !ch_claim_held(duty->claim, &fence)) {
-        controller_answer(controller, &wait, CH_NOT_READY);
+    struct duty *centre =
+        engine == NULL ? NULL
+                       : controller_duty(controller, engine->data_centre);
+    if (centre == NULL || !ch_claim_held(centre->claim, &fencing_token)) {
+        controller_answer(controller, &waiter, CH_NOT_READY);
     }
     else {
-        engine_prepare(engine, duty, g_quark_from_string(prepare->model),
-                       g_quark_from_string(prepare->adapter), &wait, now);
+        engine_prepare(engine, centre, g_quark_from_string(prepare->model),
+                       g_quark_from_string(prepare->adapter), &waiter, now);
     }
     pthread_mutex_unlock(&controller->lock);
 }
@@ -229,10 +240,11 @@
 {
     int64_t now = ch_client_now(controller->node->client);
     pthread_mutex_lock(&controller->lock);
-    const struct duty *duty = controller_duty(controller, data_centre);
-    bool has = duty->holder != NULL && now - duty->heard < HOLDER_SILENT;
+    const struct duty *centre = controller_duty(controller, data_centre);
+    bool has_holder =
+        centre->holder != NULL && now - centre->heard < HOLDER_SILENCE_US;
     pthread_mutex_unlock(&controller->lock);
-    return has;
+    return has_holder;
 }
 
 /* See controller.h. */
@@ -244,8 +256,8 @@
                       void *data)
 {
     pthread_mutex_lock(&controller->lock);
-    const struct duty *duty = controller_duty(controller, data_centre);
-    g_autofree char *holder = g_strdup(duty->holder);
+    const struct duty *centre = controller_duty(controller, data_centre);
+    g_autofree char *holder = g_strdup(centre->holder);
     pthread_mutex_unlock(&controller->lock);
     if (holder == NULL) {
         return false;
@@ -258,23 +270,23 @@
     frame.body_case = WIRE(FRAME__BODY_PREPARE);
     frame.prepare = &prepare;
     ch_peers_request(controller->node->peers, holder, &frame,
-                     PREPARE_LIMIT + 100 * 1000, done, data);
+                     PREPARE_TIMEOUT_US + 100 * 1000, done, data);
     return true;
 }
 
-/* ---- the list ---- */
+/* ---- the host list ---- */
 
-struct listing {
+struct refresh {
     struct ch_controller *controller;
     int64_t now;
 };
 
-/* Takes one upstream of the list.  Lock held. */
+/* Adds or updates the engine of one host in the list. Lock held. */
 static void
-take_host(void *data, const struct ch_host *host)
+apply_host(void *data, const struct ch_host *host)
 {
-    const struct listing *listing = data;
-    struct ch_controller *controller = listing->controller;
+    const struct refresh *refresh = data;
+    struct ch_controller *controller = refresh->controller;
     gpointer key = GUINT_TO_POINTER(g_quark_from_string(host->name));
     struct controller_engine *engine =
         g_hash_table_lookup(controller->engines, key);
@@ -285,13 +297,13 @@
         engine = engine_new(controller, host);
         g_hash_table_replace(controller->engines, key, engine);
     }
-    engine_listed(engine, host, listing->now);
+    engine_listed(engine, host, refresh->now);
     (void)controller_duty(controller, engine->data_centre);
 }
 
-/* Whether an engine is not listed any more; what waits there is told. */
+/* Whether an engine is no longer listed; fails its waiters if so. */
 static gboolean
-is_unlisted(gpointer key, gpointer value, gpointer data)
+fail_if_unlisted(gpointer key, gpointer value, gpointer data)
 {
     (void)key;
     (void)data;
@@ -306,7 +318,7 @@
 void
 ch_controller_changed(struct ch_controller *controller)
 {
-    const struct listing listing = {
+    const struct refresh refresh = {
         controller,
         ch_client_now(controller->node->client),
     };
@@ -317,62 +329,66 @@
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         ((struct controller_engine *)value)->listed = false;
     }
-    ch_roster_each(controller->roster, take_host, (void *)&listing);
-    g_hash_table_foreach_remove(controller->engines, is_unlisted, NULL);
+    ch_roster_each(controller->roster, apply_host, (void *)&refresh);
+    g_hash_table_foreach_remove(controller->engines, fail_if_unlisted, NULL);
     pthread_mutex_unlock(&controller->lock);
 }
 
-/* ---- the tick ---- */
+/* ---- periodic work ---- */
 
 /*
- * A stopping node gives its right up.  Load: hosts are replaced one after the
- * other while the key-value service is away.  Harm prevented: the right is
- * given up though nobody can take it, and no engine of the data centre is
- * ordered until the service is back.  So it is kept as long as it lasts, and
- * given up when the service answers.  Lock held.
+ * Releases the lease because this node stops. Lock held.
+ *
+ * Load: hosts are replaced one after the other while the key-value store is
+ * unavailable. Harm prevented: the lease is released though no node can
+ * acquire it, and no engine of the data centre gets orders until the store is
+ * back. So the node keeps the lease for as long as it lasts, and releases it
+ * once the store answers.
  */
 static void
-give_up(struct ch_controller *controller, struct duty *duty)
+release_lease(struct ch_controller *controller, struct duty *centre)
 {
-    int64_t pause = (int64_t)controller->node->settings->lease_ms * 1000;
-    if (duty->was_held && ch_claim_age(duty->claim) < SERVICE_AWAY) {
-        ch_claim_give_up(duty->claim, pause);
+    int64_t handover_pause =
+        (int64_t)controller->node->settings->lease_ms * 1000;
+    if (centre->was_held && ch_claim_age(centre->claim) < KV_UNAVAILABLE_US) {
+        ch_claim_give_up(centre->claim, handover_pause);
     }
 }
 
-/* A duty's part of a tick.  Lock held. */
+/* Does the periodic work for one data centre. Lock held. */
 static void
-tick_duty(struct ch_controller *controller, struct duty *duty, int64_t now)
+run_centre(struct ch_controller *controller, struct duty *centre, int64_t now)
 {
-    uint64_t fence = 0;
-    ch_claim_step(duty->claim, is_wanted(controller, duty, now));
-    bool held = ch_claim_held(duty->claim, &fence);
-    note_right(controller, duty, held, now);
+    uint64_t fencing_token = 0;
+    ch_claim_step(centre->claim,
+                  should_acquire_lease(controller, centre, now));
+    bool held = ch_claim_held(centre->claim, &fencing_token);
+    record_lease_change(controller, centre, held, now);
     if (!held) {
         return;
     }
     if (controller->draining) {
-        give_up(controller, duty);
+        release_lease(controller, centre);
     }
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, controller->engines);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct controller_engine *engine = value;
-        if (engine->data_centre == duty->data_centre) {
-            engine_pump(engine, duty, now);
+        if (engine->data_centre == centre->data_centre) {
+            engine_pump(engine, centre, now);
         }
     }
-    if (now >= duty->next_arrange) {
-        duty->next_arrange = now + ARRANGE_PERIOD;
-        controller_arrange(controller, duty, now);
-        controller_fill_places(controller, duty, now);
+    if (now >= centre->next_arrange) {
+        centre->next_arrange = now + PLACEMENT_PERIOD_US;
+        controller_arrange(controller, centre, now);
+        controller_fill_places(controller, centre, now);
     }
 }
 
-/* Every TICK. */
+/* Runs every TICK_PERIOD_US. */
 static void
-tick(void *data)
+run_periodic(void *data)
 {
     struct ch_controller *controller = data;
     int64_t now = ch_client_now(controller->node->client);
@@ -381,7 +397,7 @@
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, controller->duties);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        tick_duty(controller, value, now);
+        run_centre(controller, value, now);
     }
     controller_tell(controller, now);
     pthread_mutex_unlock(&controller->lock);
@@ -392,7 +408,8 @@
         pthread_cond_broadcast(&controller->idle);
     }
     else {
-        ch_timers_after(controller->node->timers, TICK, tick, controller);
+        ch_timers_after(controller->node->timers, TICK_PERIOD_US, run_periodic,
+                        controller);
     }
     pthread_mutex_unlock(&controller->lock);
 }
@@ -411,36 +428,36 @@
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, controller->duties);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        const struct duty *duty = value;
+        const struct duty *centre = value;
         json_builder_begin_object(builder);
         json_builder_set_member_name(builder, "data_centre");
         json_builder_add_string_value(builder,
-                                      g_quark_to_string(duty->data_centre));
+                                      g_quark_to_string(centre->data_centre));
         json_builder_set_member_name(builder, "holder");
         json_builder_add_string_value(
-            builder, duty->holder == NULL ? "" : duty->holder);
+            builder, centre->holder == NULL ? "" : centre->holder);
         json_builder_set_member_name(builder, "fence");
-        json_builder_add_int_value(builder, (int64_t)duty->fence);
+        json_builder_add_int_value(builder, (int64_t)centre->fence);
         json_builder_set_member_name(builder, "heard_ms_ago");
-        json_builder_add_int_value(builder, (now - duty->heard) / 1000);
+        json_builder_add_int_value(builder, (now - centre->heard) / 1000);
         json_builder_end_object(builder);
     }
     pthread_mutex_unlock(&controller->lock);
     json_builder_end_array(builder);
 }
 
-/* ---- life ---- */
+/* ---- life cycle ---- */
 
-/* Frees an engine that left the table. */
+/* Drops the table's reference. */
 static void
-drop_engine(void *data)
+release_engine(void *data)
 {
     engine_unref(data);
 }
 
-/* Names the nodes that order engines. */
+/* Appends the names of the known lease holders, as new strings. */
 static void
-name_holders(void *data, GPtrArray *names)
+list_holders(void *data, GPtrArray *names)
 {
     struct ch_controller *controller = data;
     GHashTableIter iterator;
@@ -448,15 +465,16 @@
     pthread_mutex_lock(&controller->lock);
     g_hash_table_iter_init(&iterator, controller->duties);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        const struct duty *duty = value;
-        if (duty->holder != NULL) {
-            g_ptr_array_add(names, g_strdup(duty->holder));
+        const struct duty *centre = value;
+        if (centre->holder != NULL) {
+            g_ptr_array_add(names, g_strdup(centre->holder));
         }
     }
     pthread_mutex_unlock(&controller->lock);
 }
 
-/* A controller that knows no engines yet; node and roster outlive it. */
+/* Creates a controller that knows no engines yet; node and roster must outlive
+ * it. */
 struct ch_controller *
 ch_controller_new(struct ch_node *node, struct ch_roster *roster,
                   const struct ch_controller_handlers *handlers, void *data)
@@ -468,28 +486,30 @@
     controller->data = data;
     pthread_mutex_init(&controller->lock, NULL);
     pthread_cond_init(&controller->idle, NULL);
-    controller->engines = g_hash_table_new_full(NULL, NULL, NULL, drop_engine);
-    controller->duties = g_hash_table_new_full(NULL, NULL, NULL, free_duty);
+    controller->engines =
+        g_hash_table_new_full(NULL, NULL, NULL, release_engine);
+    controller->duties = g_hash_table_new_full(NULL, NULL, NULL, free_centre);
     controller->smoothed = g_hash_table_new_full(NULL, NULL, NULL, g_free);
     controller_demand_init(controller);
     controller_tell_init(controller);
     controller_hear_init(controller);
     ch_peers_handle(node->peers, WIRE(FRAME__BODY_PREPARE), handle_prepare,
                     controller);
-    ch_roster_set_orderers(roster, name_holders, controller);
+    ch_roster_set_orderers(roster, list_holders, controller);
     return controller;
 }
 
-/* Begins the tick. */
+/* Starts the periodic work. */
 void
 ch_controller_start(struct ch_controller *controller)
 {
     controller->jobs = 1;
-    ch_timers_after(controller->node->timers, TICK, tick, controller);
+    ch_timers_after(controller->node->timers, TICK_PERIOD_US, run_periodic,
+                    controller);
 }
 
-/* See controller.h.  The right goes only when what this node ordered last is
- * as long ago as there has to be between two holders. */
+/* See controller.h. The lease is released only after the pause that must lie
+ * between the last order of one lease holder and the first of the next. */
 void
 ch_controller_drain(struct ch_controller *controller)
 {
@@ -499,12 +519,12 @@
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, controller->duties);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        give_up(controller, value);
+        release_lease(controller, value);
     }
     pthread_mutex_unlock(&controller->lock);
 }
 
-/* Ends the tick, and waits for orders and reports under way. */
+/* Stops the periodic work, and waits for orders and reports in flight. */
 void
 ch_controller_stop(struct ch_controller *controller)
 {
@@ -516,7 +536,7 @@
     pthread_mutex_unlock(&controller->lock);
 }
 
-/* Frees it after its stop. */
+/* Must be called after ch_controller_stop(). */
 void
 ch_controller_free(struct ch_controller *controller)
 {
--- a/libchestnuthitch/node/controller.h
+++ b/libchestnuthitch/node/controller.h
@@ -2,15 +2,16 @@
 #define CH_NODE_CONTROLLER_H
 
 /*
- * Orders to engines where one node at a time has the right to order those of a
- * data centre (claim.h): adapters that requests need, models by
- * decide/arrange.h.  Every node has a controller: it learns from the holders
- * what the engines hold, and asks them for adapters.
+ * Orders to engines, where one node at a time holds the lease to order the
+ * engines of a data centre (lease.h): the lease holder loads adapters that
+ * requests need, and models as decide/arrange.h decides. Every node has a
+ * controller: it learns from the lease holders what the engines hold, and asks
+ * them to load adapters.
  */
 
 #include "node/roster.h"
 
-/* What a holder tells of one engine. */
+/* State of one engine, as a lease holder publishes it. */
 struct ch_engine_told {
     GQuark upstream;
     uint64_t boot;
@@ -21,18 +22,19 @@
     const GQuark *coming;
     size_t coming_count;
     uint32_t running; /* requests of all nodes */
-    int64_t unread;   /* to read what has not begun, microseconds */
-    bool busy;        /* takes no order now */
+    int64_t unread;   /* prefill time of requests not begun, microseconds */
+    bool busy;        /* accepts no order now */
 };
 
-/* What this node's requests ask for of one model. */
+/* One model's demand from requests, usually those of this node. */
 struct ch_model_demand {
     GQuark model;
-    uint32_t work;    /* ms of engine time a second */
-    uint32_t backlog; /* ms of it that have not begun */
+    uint32_t work;    /* milliseconds of engine time per second */
+    uint32_t backlog; /* milliseconds of engine time not begun */
 };
 
-/* What this node has sent to one engine. */
+/* Load of one engine: what this node has sent there, or what a lease holder
+ * reports. */
 struct ch_engine_load {
     GQuark upstream;
     GQuark data_centre;
@@ -41,17 +43,20 @@
 };
 
 struct ch_controller_handlers {
-    /* On a pool worker, no lock held. */
+    /* Receives the state of one engine. Called on a pool worker with no lock
+     * held, as are the other handlers. */
     void (*told)(void *data, const struct ch_engine_told *engine);
-    /* The loads of engines as of now, struct ch_engine_load: those told in a
-       message, and those that it left as they were. */
+    /* Receives the current loads of all engines that the publisher reports, as
+     * struct ch_engine_load: those in the message, and those unchanged since
+     * earlier messages. */
     void (*loads)(void *data, const GArray *loads);
-    /* All that was told in one message is told. */
+    /* Called after everything in one message was passed on. */
     void (*told_all)(void *data);
-    /* Appends struct ch_model_demand, and struct ch_engine_load. */
+    /* Appends this node's demand as struct ch_model_demand, and what it has
+     * sent to engines as struct ch_engine_load. */
     void (*demand)(void *data, GArray *out, GArray *loads);
-    /* Appends "UPSTREAM MODEL/ADAPTER" of what is in use, or was since it was
-       last asked; new strings. */
+    /* Appends "UPSTREAM MODEL/ADAPTER", as new strings, for each adapter in
+     * use now or used since the last call. */
     void (*used)(void *data, GPtrArray *out);
 };
 
@@ -61,22 +66,23 @@
 ch_controller_new(struct ch_node *node, struct ch_roster *roster,
                   const struct ch_controller_handlers *handlers, void *data);
 void ch_controller_start(struct ch_controller *controller);
-/* The roster or the configuration changed. */
+/* To be called when the roster or the configuration has changed. */
 void ch_controller_changed(struct ch_controller *controller);
 /*
- * Has an adapter loaded; done(data, code) once, on a pool worker: OK, when a
- * request for it may go out.  False: nobody is known to have the right, and
- * done is not called.
+ * Asks the lease holder to load an adapter. done(data, code) runs once, on a
+ * pool worker; CH_OK means that a request for the adapter may be sent. Returns
+ * false, without calling done, if no lease holder is known.
  */
 bool ch_controller_prepare(struct ch_controller *controller, GQuark upstream,
                            GQuark data_centre, GQuark model, GQuark adapter,
                            void (*done)(void *data, enum ch_code code,
                                         const Chestnuthitch__Wire__Frame *),
                            void *data);
-/* Whether some node is known to order that data centre's engines. */
+/* Whether a lease holder of that data centre was heard of lately. */
 bool ch_controller_has_holder(struct ch_controller *controller,
                               GQuark data_centre);
-/* This node stops: it orders nothing more, and lets others. */
+/* This node stops: it acquires no more leases and releases its own, so that
+ * other nodes can order the engines. */
 void ch_controller_drain(struct ch_controller *controller);
 void ch_controller_stop(struct ch_controller *controller);
 void ch_controller_free(struct ch_controller *controller);
--- a/libchestnuthitch/node/controller_demand.c
+++ b/libchestnuthitch/node/controller_demand.c
@@ -1,6 +1,7 @@
 /*
- * What requests ask for: each node tells it to the holder that tells it of
- * engines, and holders tell one another the sum of what they were told.
+ * Demand of requests: each node reports its own to the lease holder that
+ * publishes engine states to it, and lease holders send one another the sum of
+ * what their nodes reported.
  */
 
 #include "node/controller_internal.h"
@@ -10,27 +11,26 @@
 #define WIRE(name) CHESTNUTHITCH__WIRE__##name
 
 enum {
-    /* A word on demand holds this long: nodes and near holders tell it ten
-     * times a second. */
-    DEMAND_STALE = 2 * 1000 * 1000,
-    /* ... and is passed on this long, so that a node which tells another
-     * holder now is not counted twice for long. */
-    DEMAND_PASSED = 1000 * 1000,
-    DEMAND_PERIOD = 100 * 1000,
-    /* Between regions, whose link is paid by volume. */
-    DEMAND_PERIOD_FAR = 500 * 1000,
+    /* A report of demand is valid for this long: nodes and local holders send
+     * one ten times a second. */
+    DEMAND_VALID_US = 2 * 1000 * 1000,
+    /* A report is forwarded for this long only, so that a node that now
+     * reports to another holder is not counted twice for long. */
+    DEMAND_FORWARD_US = 1000 * 1000,
+    DEMAND_PERIOD_US = 100 * 1000,
+    /* Between regions, whose link is charged by volume. */
+    REMOTE_DEMAND_PERIOD_US = 500 * 1000,
 };
 
-/* ---- lists that messages are made of ---- */
+/* ---- lists sent in messages ---- */
 
-/* What requests ask for, where they run, and the adapters that they use. */
+/* Demand for models, load of engines, and adapters in use. */
 struct demand_lists {
     GArray *models;  /* struct ch_model_demand */
     GArray *loads;   /* struct ch_engine_load */
     GPtrArray *used; /* "UPSTREAM MODEL/ADAPTER", new strings */
 };
 
-/* Empty lists. */
 static struct demand_lists
 lists_new(void)
 {
@@ -41,7 +41,6 @@
     };
 }
 
-/* Frees lists. */
 static void
 lists_clear(const struct demand_lists *lists)
 {
@@ -50,7 +49,8 @@
     g_ptr_array_free(lists->used, TRUE);
 }
 
-/* Fills the part of a message on models; its arrays are the caller's. */
+/* Fills in the models of a message; the caller frees the arrays, not the
+ * names. */
 static void
 fill_models(const GArray *models, Chestnuthitch__Wire__Demand *demand)
 {
@@ -70,7 +70,8 @@
     }
 }
 
-/* Fills the part of a message on engines; its arrays are the caller's. */
+/* Fills in the engine loads of a message; the caller frees demand->loads and
+ * demand->loads[0]. */
 static void
 fill_loads(const GArray *loads, Chestnuthitch__Wire__Demand *demand)
 {
@@ -90,10 +91,11 @@
     }
 }
 
-/* Sends lists to a holder. */
+/* Sends lists to a lease holder; is_sum: they sum the reports of other nodes.
+ */
 static void
 send_lists(struct ch_controller *controller, const struct demand_lists *lists,
-           const char *holder, bool collected)
+           const char *holder, bool is_sum)
 {
     Chestnuthitch__Wire__Demand demand = WIRE(DEMAND__INIT);
     Chestnuthitch__Wire__Frame frame = WIRE(FRAME__INIT);
@@ -101,7 +103,7 @@
     fill_loads(lists->loads, &demand);
     demand.n_used = lists->used->len;
     demand.used = (char **)lists->used->pdata;
-    demand.collected = collected;
+    demand.collected = is_sum;
     frame.body_case = WIRE(FRAME__BODY_DEMAND);
     frame.demand = &demand;
     ch_peers_send(controller->node->peers, holder, &frame);
@@ -112,57 +114,57 @@
     g_free(demand.loads);
 }
 
-/* ---- a node's own ---- */
+/* ---- demand of this node ---- */
 
-/* Tells this node's demand to the holder that collects it. */
+/* Reports this node's demand to the lease holder that collects it. Lock not
+ * held. */
 static void
-tell_own(struct ch_controller *controller, int64_t now)
+send_own_demand(struct ch_controller *controller, int64_t now)
 {
     pthread_mutex_lock(&controller->lock);
-    g_autofree char *collector = controller_teller(controller, now);
+    g_autofree char *holder = controller_teller(controller, now);
     pthread_mutex_unlock(&controller->lock);
     struct demand_lists own = lists_new();
     controller->handlers->demand(controller->data, own.models, own.loads);
     controller->handlers->used(controller->data, own.used);
-    if (collector != NULL) {
-        send_lists(controller, &own, collector, false);
+    if (holder != NULL) {
+        send_lists(controller, &own, holder, false);
     }
     lists_clear(&own);
 }
 
-/* ---- what was told ---- */
+/* ---- received reports ---- */
 
-/* Frees what a node told. */
 static void
-free_demand(void *data)
+free_report(void *data)
 {
-    struct node_demand *demand = data;
-    g_array_free(demand->list, TRUE);
-    g_array_free(demand->loads, TRUE);
-    g_free(demand);
+    struct node_demand *report = data;
+    g_array_free(report->list, TRUE);
+    g_array_free(report->loads, TRUE);
+    g_free(report);
 }
 
-/* For g_hash_table_foreach_remove. */
+/* For g_hash_table_foreach_remove; data is the current time. */
 static gboolean
 is_stale(gpointer key, gpointer value, gpointer data)
 {
     (void)key;
     return *(int64_t *)data - ((struct node_demand *)value)->at >=
-           DEMAND_STALE;
+           DEMAND_VALID_US;
 }
 
-/* Keeps what a node told.  Lock held. */
+/* Replaces the sender's earlier report. Lock held. */
 static void
-take_demand(struct ch_controller *controller, const char *from,
-            const Chestnuthitch__Wire__Demand *demand, int64_t now)
+store_demand(struct ch_controller *controller, const char *from,
+             const Chestnuthitch__Wire__Demand *demand, int64_t now)
 {
-    struct node_demand *told = g_new0(struct node_demand, 1);
-    told->at = now;
-    told->collected = demand->collected;
-    told->data_centre = demand->data_centre[0] == '\0'
-                            ? 0
-                            : g_quark_from_string(demand->data_centre);
-    told->list = g_array_new(FALSE, FALSE, sizeof(struct ch_model_demand));
+    struct node_demand *report = g_new0(struct node_demand, 1);
+    report->at = now;
+    report->collected = demand->collected;
+    report->data_centre = demand->data_centre[0] == '\0'
+                              ? 0
+                              : g_quark_from_string(demand->data_centre);
+    report->list = g_array_new(FALSE, FALSE, sizeof(struct ch_model_demand));
     for (size_t i = 0;
          i < demand->n_models && i < demand->n_work && i < demand->n_backlog;
          i++) {
@@ -171,28 +173,28 @@
             .work = demand->work[i],
             .backlog = demand->backlog[i],
         };
-        g_array_append_val(told->list, model);
+        g_array_append_val(report->list, model);
     }
-    told->loads = g_array_new(FALSE, FALSE, sizeof(struct ch_engine_load));
+    report->loads = g_array_new(FALSE, FALSE, sizeof(struct ch_engine_load));
     for (size_t i = 0; i < demand->n_loads; i++) {
         const struct ch_engine_load load = {
             .upstream = g_quark_from_string(demand->loads[i]->upstream),
             .running = demand->loads[i]->running,
             .unread = (int64_t)demand->loads[i]->unread_ms * 1000,
         };
-        g_array_append_val(told->loads, load);
+        g_array_append_val(report->loads, load);
     }
     g_hash_table_replace(controller->demands,
                          g_strdup_printf("%s %d %s", from, demand->collected,
                                          demand->data_centre),
-                         told);
+                         report);
 }
 
-/* The engine of a text "UPSTREAM MODEL/ADAPTER", or NULL; *adapter: the rest.
- * Lock held. */
+/* Finds the engine of a text "UPSTREAM MODEL/ADAPTER", or NULL; *adapter is
+ * set to the rest of the text. Lock held. */
 static struct controller_engine *
-engine_of(const struct ch_controller *controller, const char *text,
-          const char **adapter)
+find_used_engine(const struct ch_controller *controller, const char *text,
+                 const char **adapter)
 {
     const char *space = strchr(text, ' ');
     if (space == NULL) {
@@ -204,14 +206,15 @@
                                GUINT_TO_POINTER(g_quark_try_string(name)));
 }
 
-/* Notes that an adapter was used, and that its engine's holder is to know.
- * Lock held. */
+/* Records that an adapter is in use, and queues that to be forwarded to the
+ * lease holder of its engine. Lock held. */
 static void
-take_used(struct ch_controller *controller, const char *text, bool collected,
-          int64_t now)
+record_used_adapter(struct ch_controller *controller, const char *text,
+                    bool is_sum, int64_t now)
 {
     const char *name = NULL;
-    struct controller_engine *engine = engine_of(controller, text, &name);
+    struct controller_engine *engine =
+        find_used_engine(controller, text, &name);
     if (engine == NULL) {
         return;
     }
@@ -220,13 +223,13 @@
     if (item != NULL) {
         item->used = now;
     }
-    if (!collected &&
+    if (!is_sum &&
         !controller_holds(controller_duty(controller, engine->data_centre))) {
         g_hash_table_add(controller->used, g_strdup(text));
     }
 }
 
-/* A node tells what its requests ask for. */
+/* Handles a report of demand from a node or from another lease holder. */
 static void
 handle_demand(void *data, const Chestnuthitch__Wire__Frame *frame)
 {
@@ -234,23 +237,24 @@
     const Chestnuthitch__Wire__Demand *demand = frame->demand;
     int64_t now = ch_client_now(controller->node->client);
     pthread_mutex_lock(&controller->lock);
-    take_demand(controller, frame->from, demand, now);
+    store_demand(controller, frame->from, demand, now);
     for (size_t i = 0; i < demand->n_used; i++) {
-        take_used(controller, demand->used[i],
-                  demand->collected || demand->data_centre[0] != '\0', now);
+        record_used_adapter(
+            controller, demand->used[i],
+            demand->collected || demand->data_centre[0] != '\0', now);
     }
     pthread_mutex_unlock(&controller->lock);
 }
 
 /* ---- sums; lock held ---- */
 
-/* Adds what one node asks for to the sums. */
+/* Adds one report's demand to the sums. */
 static void
-add_models(GHashTable *sums, const struct node_demand *told)
+add_models(GHashTable *sums, const struct node_demand *report)
 {
-    for (guint i = 0; i < told->list->len; i++) {
+    for (guint i = 0; i < report->list->len; i++) {
         const struct ch_model_demand *model =
-            &g_array_index(told->list, struct ch_model_demand, i);
+            &g_array_index(report->list, struct ch_model_demand, i);
         gpointer key = GUINT_TO_POINTER(model->model);
         struct smoothed *sum = g_hash_table_lookup(sums, key);
         if (sum == NULL) {
@@ -265,34 +269,34 @@
 /* See controller_internal.h. */
 GHashTable *
 controller_sum_demands(struct ch_controller *controller,
-                       const struct duty *duty, int64_t now)
+                       const struct duty *centre, int64_t now)
 {
     GHashTable *sums = g_hash_table_new_full(NULL, NULL, NULL, g_free);
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, controller->demands);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        const struct node_demand *told = value;
-        if (now - told->at < DEMAND_STALE &&
-            (told->data_centre == 0 ||
-             told->data_centre == duty->data_centre)) {
-            add_models(sums, told);
+        const struct node_demand *report = value;
+        if (now - report->at < DEMAND_VALID_US &&
+            (report->data_centre == 0 ||
+             report->data_centre == centre->data_centre)) {
+            add_models(sums, report);
         }
     }
     return sums;
 }
 
-/* Adds what one node has sent to the engines of a data centre. */
+/* Adds one report's loads to the engines of a data centre. */
 static void
-add_loads(struct ch_controller *controller, const struct duty *duty,
-          const struct node_demand *told)
+add_loads(struct ch_controller *controller, const struct duty *centre,
+          const struct node_demand *report)
 {
-    for (guint i = 0; i < told->loads->len; i++) {
+    for (guint i = 0; i < report->loads->len; i++) {
         const struct ch_engine_load *load =
-            &g_array_index(told->loads, struct ch_engine_load, i);
+            &g_array_index(report->loads, struct ch_engine_load, i);
         struct controller_engine *engine = g_hash_table_lookup(
             controller->engines, GUINT_TO_POINTER(load->upstream));
-        if (engine != NULL && engine->data_centre == duty->data_centre) {
+        if (engine != NULL && engine->data_centre == centre->data_centre) {
             engine->load_running += load->running;
             engine->load_unread += load->unread;
         }
@@ -301,40 +305,40 @@
 
 /* See controller_internal.h. */
 void
-controller_sum_loads(struct ch_controller *controller, const struct duty *duty,
-                     int64_t now)
+controller_sum_loads(struct ch_controller *controller,
+                     const struct duty *centre, int64_t now)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, controller->engines);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct controller_engine *engine = value;
-        if (engine->data_centre == duty->data_centre) {
+        if (engine->data_centre == centre->data_centre) {
             engine->load_running = 0;
             engine->load_unread = 0;
         }
     }
     g_hash_table_iter_init(&iterator, controller->demands);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        const struct node_demand *told = value;
-        if (now - told->at < DEMAND_STALE) {
-            add_loads(controller, duty, told);
+        const struct node_demand *report = value;
+        if (now - report->at < DEMAND_VALID_US) {
+            add_loads(controller, centre, report);
         }
     }
 }
 
-/* ---- from holder to holder; lock held ---- */
+/* ---- forwarding between lease holders; lock held ---- */
 
-/* Whether a node's word is to be passed on: other holders have it from nobody
- * else. */
+/* Whether to forward a report: other lease holders get it from this node
+ * alone. */
 static bool
-is_passed(const struct node_demand *told, int64_t now)
+should_forward(const struct node_demand *report, int64_t now)
 {
-    return !told->collected && told->data_centre == 0 &&
-           now - told->at < DEMAND_PASSED;
+    return !report->collected && report->data_centre == 0 &&
+           now - report->at < DEMAND_FORWARD_US;
 }
 
-/* What all nodes that tell this one ask for, in all. */
+/* Appends the summed demand of all nodes that report to this one. */
 static void
 collect_models(struct ch_controller *controller, GArray *out, int64_t now)
 {
@@ -344,7 +348,7 @@
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, controller->demands);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        if (is_passed(value, now)) {
+        if (should_forward(value, now)) {
             add_models(sums, value);
         }
     }
@@ -361,9 +365,9 @@
     g_hash_table_destroy(sums);
 }
 
-/* Adds a node's load of one engine to that of the others. */
+/* Adds a node's load of one engine to the sum of the nodes. */
 static void
-merge_load(GHashTable *sums, const struct ch_engine_load *load)
+add_engine_load(GHashTable *sums, const struct ch_engine_load *load)
 {
     gpointer key = GUINT_TO_POINTER(load->upstream);
     struct ch_engine_load *sum = g_hash_table_lookup(sums, key);
@@ -376,17 +380,19 @@
     sum->unread += load->unread;
 }
 
-/* Whether an engine is ordered by that node, as far as is known here. */
+/* Whether that node holds the lease to order the engine, as far as is known
+ * here. */
 static bool
-is_ordered_by(struct ch_controller *controller,
-              const struct controller_engine *engine, const char *holder)
+is_controlled_by(struct ch_controller *controller,
+                 const struct controller_engine *engine, const char *holder)
 {
     return engine != NULL &&
            g_strcmp0(controller_duty(controller, engine->data_centre)->holder,
                      holder) == 0;
 }
 
-/* What the nodes that tell this one have sent to a holder's engines. */
+/* Appends the summed loads that the nodes reporting to this one have sent to a
+ * lease holder's engines. */
 static void
 collect_loads(struct ch_controller *controller, const char *holder,
               GArray *out, int64_t now)
@@ -396,26 +402,28 @@
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, controller->demands);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        const struct node_demand *told = value;
-        for (guint i = 0; is_passed(told, now) && i < told->loads->len; i++) {
-            merge_load(sums,
-                       &g_array_index(told->loads, struct ch_engine_load, i));
+        const struct node_demand *report = value;
+        for (guint i = 0;
+             should_forward(report, now) && i < report->loads->len; i++) {
+            add_engine_load(
+                sums, &g_array_index(report->loads, struct ch_engine_load, i));
         }
     }
     g_hash_table_iter_init(&iterator, sums);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const struct ch_engine_load *sum = value;
-        if (is_ordered_by(controller,
-                          g_hash_table_lookup(controller->engines,
-                                              GUINT_TO_POINTER(sum->upstream)),
-                          holder)) {
+        if (is_controlled_by(
+                controller,
+                g_hash_table_lookup(controller->engines,
+                                    GUINT_TO_POINTER(sum->upstream)),
+                holder)) {
             g_array_append_val(out, *sum);
         }
     }
     g_hash_table_destroy(sums);
 }
 
-/* Takes out the adapters in use on a holder's engines. */
+/* Moves the adapters in use on a lease holder's engines to a list. */
 static void
 collect_used(struct ch_controller *controller, const char *holder,
              GPtrArray *out)
@@ -425,17 +433,19 @@
     g_hash_table_iter_init(&iterator, controller->used);
     while (g_hash_table_iter_next(&iterator, &key, NULL)) {
         const char *adapter = NULL;
-        if (is_ordered_by(controller, engine_of(controller, key, &adapter),
-                          holder)) {
+        if (is_controlled_by(controller,
+                             find_used_engine(controller, key, &adapter),
+                             holder)) {
             g_ptr_array_add(out, g_strdup(key));
             g_hash_table_iter_remove(&iterator);
         }
     }
 }
 
-/* Tells other holders, near or far, the sum of what this one was told. */
+/* Sends other lease holders, of this region or of others, the sum of what
+ * nodes reported to this one. */
 static void
-pass_on(struct ch_controller *controller, bool near, int64_t now)
+forward_demand(struct ch_controller *controller, bool near, int64_t now)
 {
     GPtrArray *holders = controller_other_holders(controller, near, now);
     struct demand_lists sums = lists_new();
@@ -452,24 +462,25 @@
     g_ptr_array_free(holders, TRUE);
 }
 
-/* Passes on what is due.  What nobody takes is not kept for ever. */
+/* Forwards what is due. Adapters in use that no lease holder took are dropped,
+ * so that they do not pile up. */
 static void
-pass_due(struct ch_controller *controller, int64_t now)
+forward_due_demand(struct ch_controller *controller, int64_t now)
 {
     g_hash_table_foreach_remove(controller->demands, is_stale, &now);
     if (!controller_holds_any(controller)) {
         g_hash_table_remove_all(controller->used);
         return;
     }
-    pass_on(controller, true, now);
+    forward_demand(controller, true, now);
     if (now >= controller->next_demand_far) {
-        controller->next_demand_far = now + DEMAND_PERIOD_FAR;
-        pass_on(controller, false, now);
+        controller->next_demand_far = now + REMOTE_DEMAND_PERIOD_US;
+        forward_demand(controller, false, now);
         g_hash_table_remove_all(controller->used);
     }
 }
 
-/* ---- the whole ---- */
+/* ---- periodic work ---- */
 
 /* See controller_internal.h. */
 void
@@ -479,12 +490,12 @@
     pthread_mutex_lock(&controller->lock);
     bool due = now >= controller->next_demand;
     if (due) {
-        controller->next_demand = now + DEMAND_PERIOD;
-        pass_due(controller, now);
+        controller->next_demand = now + DEMAND_PERIOD_US;
+        forward_due_demand(controller, now);
     }
     pthread_mutex_unlock(&controller->lock);
     if (due) {
-        tell_own(controller, now);
+        send_own_demand(controller, now);
     }
 }
 
@@ -493,7 +504,7 @@
 controller_demand_init(struct ch_controller *controller)
 {
     controller->demands =
-        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_demand);
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_report);
     controller->used =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     ch_peers_handle(controller->node->peers, WIRE(FRAME__BODY_DEMAND),
--- a/libchestnuthitch/node/controller_engine.c
+++ b/libchestnuthitch/node/controller_engine.c
@@ -1,34 +1,35 @@
-/* One engine under orders: what it holds, the order that is next, reports. */
+/* One engine: the items it holds, the next order, and its reports. */
 
 #include "node/controller_internal.h"
 
 #include <string.h>
 
 enum {
-    /* A report is as old as some hundred ms: one that was asked for this long
-     * after an order was sent tells whether it was taken. */
-    SETTLED = 700 * 1000,
-    /* Between reports: while the engine changes its models, and else. */
-    REPORT_CHANGING = 300 * 1000,
-    REPORT_IDLE = 1000 * 1000,
-    /* After an order that another one kept from being taken. */
-    BUSY_PAUSE = 250 * 1000,
-    /* After a worker that is not the one that was meant. */
-    GONE_PAUSE = 1000 * 1000,
-    /* An adapter is there after its order was taken: 6 to 19 ms, and a little
-     * for the order to begin. */
-    ADAPTER_LOAD = 30 * 1000,
-    /* An adapter that was asked for this lately is not dropped for another:
-     * its request may be on its way. */
-    ADAPTER_RECENT = 1500 * 1000,
+    /* A report may be some hundred milliseconds old: one requested this long
+     * after an order was sent shows whether the engine accepted that order. */
+    REPORT_SETTLE_US = 700 * 1000,
+    /* Between reports, while the engine changes its models and otherwise. */
+    REPORT_PERIOD_CHANGING_US = 300 * 1000,
+    REPORT_PERIOD_IDLE_US = 1000 * 1000,
+    /* Delay after an order that the engine refused because of another one. */
+    REFUSED_ORDER_DELAY_US = 250 * 1000,
+    /* Delay after the worker could not be reached, or another worker answered
+     * at its address. */
+    UNREACHABLE_DELAY_US = 1000 * 1000,
+    /* Time from acceptance of the order until an adapter is loaded: 6 to 19
+     * ms, and a little for the order to begin. */
+    ADAPTER_LOAD_US = 30 * 1000,
+    /* An adapter requested within this time is not unloaded for another: its
+     * request may be in flight. */
+    ADAPTER_IN_USE_US = 1500 * 1000,
 };
 
-/* ---- facts ---- */
+/* ---- configuration ---- */
 
-/* The declaration of the engine's service, or NULL; config is the caller's to
- * unref. */
+/* The declaration of the engine's service, or NULL; the caller unrefs *config.
+ */
 static const struct ch_service *
-service_of(const struct controller_engine *engine, struct ch_config **config)
+find_service(const struct controller_engine *engine, struct ch_config **config)
 {
     *config = ch_config_keeper_current(engine->controller->node->config);
     if (*config == NULL) {
@@ -44,10 +45,10 @@
 engine_memory(const struct controller_engine *engine)
 {
     struct ch_config *config = NULL;
-    const struct ch_service *service = service_of(engine, &config);
-    uint32_t memory = service == NULL ? 0 : service->memory_mb;
+    const struct ch_service *service = find_service(engine, &config);
+    uint32_t memory_mb = service == NULL ? 0 : service->memory_mb;
     ch_config_unref(config);
-    return memory;
+    return memory_mb;
 }
 
 /* See controller_internal.h. */
@@ -55,10 +56,10 @@
 engine_adapter_places(const struct controller_engine *engine)
 {
     struct ch_config *config = NULL;
-    const struct ch_service *service = service_of(engine, &config);
-    uint32_t places = service == NULL ? 0 : service->adapter_places;
+    const struct ch_service *service = find_service(engine, &config);
+    uint32_t slots = service == NULL ? 0 : service->adapter_places;
     ch_config_unref(config);
-    return places;
+    return slots;
 }
 
 /* See controller_internal.h. */
@@ -68,9 +69,9 @@
     return engine_adapter_places(engine) * adapter_mb;
 }
 
-/* The memory of a model or adapter by a configuration. */
+/* The memory of a model or adapter in MB in a configuration; 0: unknown. */
 static uint32_t
-memory_in(const struct ch_declaration *declaration, const char *name)
+find_memory_mb(const struct ch_declaration *declaration, const char *name)
 {
     size_t length = strcspn(name, "/");
     char *model = g_strndup(name, length);
@@ -89,12 +90,13 @@
 {
     struct ch_config *config =
         ch_config_keeper_current(controller->node->config);
-    uint32_t memory = 0;
+    uint32_t memory_mb = 0;
     if (config != NULL) {
-        memory = memory_in(config->declaration, g_quark_to_string(name));
+        memory_mb =
+            find_memory_mb(config->declaration, g_quark_to_string(name));
         ch_config_unref(config);
     }
-    return memory;
+    return memory_mb;
 }
 
 /* See controller_internal.h. */
@@ -112,9 +114,8 @@
 
 /* ---- items ---- */
 
-/* Frees what waits for an item. */
 static void
-free_waits(struct item *item)
+free_waiters(struct item *item)
 {
     for (guint i = 0; item->waits != NULL && i < item->waits->len; i++) {
         g_free(g_array_index(item->waits, struct adapter_wait, i).from);
@@ -125,11 +126,11 @@
     item->waits = NULL;
 }
 
-/* For g_array_set_clear_func. */
+/* For g_array_set_clear_func(). */
 static void
 clear_item(void *data)
 {
-    free_waits(data);
+    free_waiters(data);
 }
 
 /* See controller_internal.h. */
@@ -161,27 +162,27 @@
     return &g_array_index(engine->items, struct item, engine->items->len - 1);
 }
 
-/* Answers all who wait for an item. */
+/* Sends the reply to all waiters of an item. */
 static void
-answer_waits(struct controller_engine *engine, struct item *item,
-             enum ch_code code)
+reply_waiters(struct controller_engine *engine, struct item *item,
+              enum ch_code code)
 {
     for (guint i = 0; item->waits != NULL && i < item->waits->len; i++) {
         controller_answer(engine->controller,
                           &g_array_index(item->waits, struct adapter_wait, i),
                           code);
     }
-    free_waits(item);
+    free_waiters(item);
 }
 
-/* Takes an item away; who waits for it is told. */
+/* Removes an item; its waiters get CH_NO_UPSTREAM. */
 static void
 remove_item(struct controller_engine *engine, GQuark name)
 {
     for (guint i = 0; i < engine->items->len; i++) {
         struct item *item = &g_array_index(engine->items, struct item, i);
         if (item->name == name) {
-            answer_waits(engine, item, CH_NO_UPSTREAM);
+            reply_waiters(engine, item, CH_NO_UPSTREAM);
             g_array_remove_index(engine->items, i);
             engine->news = ALL_NEWS;
             return;
@@ -194,12 +195,12 @@
 engine_fail_waits(struct controller_engine *engine, enum ch_code code)
 {
     for (guint i = 0; i < engine->items->len; i++) {
-        answer_waits(engine, &g_array_index(engine->items, struct item, i),
-                     code);
+        reply_waiters(engine, &g_array_index(engine->items, struct item, i),
+                      code);
     }
 }
 
-/* Sets an item's state. */
+/* Sets the state of an item; a new state has no accepted order yet. */
 static void
 set_state(struct controller_engine *engine, struct item *item,
           enum ch_item_state state, int64_t now)
@@ -212,7 +213,7 @@
     }
 }
 
-/* ---- life ---- */
+/* ---- life cycle ---- */
 
 /* See controller_internal.h. */
 struct controller_engine *
@@ -247,9 +248,9 @@
     g_free(engine);
 }
 
-/* Takes the names of what is resident, with all else unknown. */
+/* Adds resident items that are not known yet. */
 static void
-take_resident(struct controller_engine *engine, char **names, int64_t now)
+add_resident_items(struct controller_engine *engine, char **names, int64_t now)
 {
     for (size_t i = 0; names != NULL && names[i] != NULL; i++) {
         GQuark name = g_quark_from_string(names[i]);
@@ -260,9 +261,9 @@
     }
 }
 
-/* Forgets what an earlier process of the engine held. */
+/* Discards what an earlier process of the engine held. */
 static void
-start_anew(struct controller_engine *engine, int64_t now)
+reset_engine(struct controller_engine *engine, int64_t now)
 {
     engine_fail_waits(engine, CH_NO_UPSTREAM);
     g_array_set_size(engine->items, 0);
@@ -275,11 +276,11 @@
 }
 
 /*
- * See controller_internal.h.  The list lags: that an engine has started anew
- * is seen by its report first, and it has taken orders by the time that its
- * list entry says so.  Those would be forgotten with the entry, and the engine
- * loaded past its memory; so the entry of a start that was seen already
- * changes nothing but the name of the process.
+ * See controller_internal.h. The host list lags: a report is the first to show
+ * that an engine has restarted, and by the time the list shows it the engine
+ * has accepted orders. If the list entry discarded those, the engine would be
+ * loaded beyond its memory. So the list entry of a restart that a report has
+ * shown changes only the boot ID.
  */
 void
 engine_listed(struct controller_engine *engine, const struct ch_host *host,
@@ -290,9 +291,9 @@
         engine->restarted = false;
     }
     else if (host->boot > engine->boot || engine->boot == 0) {
-        start_anew(engine, now);
+        reset_engine(engine, now);
         engine->boot = host->boot;
-        take_resident(engine, host->resident, now);
+        add_resident_items(engine, host->resident, now);
     }
     engine->listed = true;
     engine->leaving = host->leaving;
@@ -314,7 +315,7 @@
     enum ch_code code;
 };
 
-/* Counts an order that was taken. */
+/* Counts an accepted order in the metrics. */
 static void
 count_order(const struct controller_engine *engine, const struct item *item,
             enum ch_order_action action)
@@ -331,9 +332,10 @@
     ch_metrics_count(metrics, counter, 1);
 }
 
-/* On the pool: an adapter's load has had its time. */
+/* Marks adapters as resident when their load time has passed. Runs on the
+ * pool. */
 static void
-adapter_ready(void *data)
+finish_adapter_loads(void *data)
 {
     struct order_job *job = data;
     struct ch_controller *controller = job->controller;
@@ -343,9 +345,9 @@
     for (guint i = 0; i < engine->items->len; i++) {
         struct item *item = &g_array_index(engine->items, struct item, i);
         if (item->model != 0 && item->state == CH_ITEM_LOADING &&
-            item->ordered && now - item->changed >= ADAPTER_LOAD) {
+            item->ordered && now - item->changed >= ADAPTER_LOAD_US) {
             set_state(engine, item, CH_ITEM_RESIDENT, now);
-            answer_waits(engine, item, CH_OK);
+            reply_waiters(engine, item, CH_OK);
         }
     }
     engine_unref(engine);
@@ -355,9 +357,9 @@
     g_free(job);
 }
 
-/* Has adapter_ready() run when the adapter is there. */
+/* Schedules finish_adapter_loads() for when the adapter is loaded. */
 static void
-await_adapter(struct controller_engine *engine)
+schedule_adapter_ready(struct controller_engine *engine)
 {
     struct ch_controller *controller = engine->controller;
     struct order_job *job = g_new0(struct order_job, 1);
@@ -365,29 +367,32 @@
     job->engine = engine;
     engine->references++;
     controller->jobs++;
-    ch_timers_after(controller->node->timers, ADAPTER_LOAD + 1000,
-                    adapter_ready, job);
+    ch_timers_after(controller->node->timers, ADAPTER_LOAD_US + 1000,
+                    finish_adapter_loads, job);
 }
 
-/* The order was taken. */
+/* Handles an order that the engine accepted. */
 static void
-order_taken(struct controller_engine *engine, struct item *item, int64_t now)
+handle_accepted_order(struct controller_engine *engine, struct item *item,
+                      int64_t now)
 {
     engine->taken++;
     count_order(engine, item, engine->ordered_action);
     item->ordered = true;
     item->changed = now;
-    engine->report_at = now + REPORT_CHANGING;
+    engine->report_at = now + REPORT_PERIOD_CHANGING_US;
     if (item->model != 0 && engine->ordered_action == CH_ORDER_LOAD) {
-        await_adapter(engine);
+        schedule_adapter_ready(engine);
     }
 }
 
-/* The engine is as ordered already.  An adapter that nobody uses goes at once,
- * which is an order taken; what was so before is none.  Should this count be
- * wrong, the next order is refused, and the report tells. */
+/* Handles an order whose result the engine already has. An unused adapter is
+ * unloaded at once, which counts as an accepted order; other items that
+ * already were as ordered do not count. If this count is wrong, the engine
+ * refuses the next order, and its report corrects the count. */
 static void
-order_holds(struct controller_engine *engine, struct item *item, int64_t now)
+handle_fulfilled_order(struct controller_engine *engine, struct item *item,
+                       int64_t now)
 {
     if (engine->ordered_action == CH_ORDER_UNLOAD) {
         engine->taken += item->model != 0 ? 1 : 0;
@@ -395,13 +400,14 @@
         return;
     }
     set_state(engine, item, CH_ITEM_RESIDENT, now);
-    answer_waits(engine, item, CH_OK);
+    reply_waiters(engine, item, CH_OK);
 }
 
-/* Another order is under way, or came before.  An adapter that was to go for
- * another stays. */
+/* Handles a refused order, after which an adapter that was to be unloaded for
+ * another stays resident. */
 static void
-order_refused(struct controller_engine *engine, struct item *item, int64_t now)
+handle_refused_order(struct controller_engine *engine, struct item *item,
+                     int64_t now)
 {
     if (item != NULL && item->model != 0 &&
         engine->ordered_action == CH_ORDER_UNLOAD) {
@@ -410,54 +416,57 @@
     }
 }
 
-/* An order without an answer may be carried out yet: a load counts as begun
- * no sooner than now. */
+/* Counts a load whose order got no reply as started now: the engine may still
+ * execute the order, and so start the load this late. */
 static void
-count_late_load(struct controller_engine *engine, int64_t now)
+count_delayed_load(struct controller_engine *engine, int64_t now)
 {
     struct item *item = engine_item(engine, engine->ordered_item);
-    struct duty *duty =
+    struct duty *centre =
         controller_duty(engine->controller, engine->data_centre);
     if (item == NULL || !item->from_store ||
         engine->ordered_action != CH_ORDER_LOAD) {
         return;
     }
-    if (!ch_window_begin(&duty->loads, duty->most_loads, item->load_at, now)) {
-        ch_window_take(&duty->loads, now);
+    if (!ch_window_begin(&centre->loads, centre->most_loads, item->load_at,
+                         now)) {
+        ch_window_take(&centre->loads, now);
     }
     item->load_at = now;
 }
 
-/* The order was not taken, or may have been. */
+/* Handles an order that was refused or whose outcome is unknown. */
 static void
-order_failed(struct controller_engine *engine, enum ch_code code, int64_t now)
+handle_failed_order(struct controller_engine *engine, enum ch_code code,
+                    int64_t now)
 {
     engine->known = false;
     switch (code) {
     case CH_UPSTREAM_REFUSED:
-        engine->quiet_until = now + BUSY_PAUSE;
+        engine->quiet_until = now + REFUSED_ORDER_DELAY_US;
         break;
     case CH_NO_UPSTREAM:
     case CH_UPSTREAM_CONNECT:
-        engine->quiet_until = now + GONE_PAUSE;
+        engine->quiet_until = now + UNREACHABLE_DELAY_US;
         engine_fail_waits(engine, CH_NO_UPSTREAM);
         break;
     default:
         engine->unsure = true;
-        engine->quiet_until = now + SETTLED;
-        count_late_load(engine, now);
+        engine->quiet_until = now + REPORT_SETTLE_US;
+        count_delayed_load(engine, now);
         break;
     }
     engine->report_at = engine->quiet_until;
 }
 
-/* Takes the answer to an order. */
+/* Handles the result of an order, and sends the next one. */
 static void
-take_answer(struct order_job *job, int64_t now)
+handle_order_result(struct order_job *job, int64_t now)
 {
     struct controller_engine *engine = job->engine;
     struct item *item = engine_item(engine, engine->ordered_item);
-    struct duty *duty = controller_duty(job->controller, engine->data_centre);
+    struct duty *centre =
+        controller_duty(job->controller, engine->data_centre);
     engine->ordering = false;
     if (job->boot != engine->boot) {
         return;
@@ -465,24 +474,24 @@
     if (job->code == CH_STALE_FENCE) {
         ch_metrics_count(job->controller->node->client->metrics,
                          CH_COUNT_ORDERS_REFUSED, 1);
-        ch_claim_give_up(duty->claim, 0);
+        ch_claim_give_up(centre->claim, 0);
     }
     else if (job->code == CH_OK && item != NULL) {
-        order_taken(engine, item, now);
+        handle_accepted_order(engine, item, now);
     }
     else if (job->code == CH_ORDER_HOLDS && item != NULL) {
-        order_holds(engine, item, now);
+        handle_fulfilled_order(engine, item, now);
     }
     else if (job->code != CH_OK && job->code != CH_ORDER_HOLDS) {
-        order_refused(engine, item, now);
-        order_failed(engine, job->code, now);
+        handle_refused_order(engine, item, now);
+        handle_failed_order(engine, job->code, now);
     }
-    engine_pump(engine, duty, now);
+    engine_pump(engine, centre, now);
 }
 
-/* On the pool: an order's answer. */
+/* Runs on the pool. */
 static void
-run_order_answer(void *data)
+run_order_result(void *data)
 {
     struct order_job *job = data;
     struct ch_controller *controller = job->controller;
@@ -496,7 +505,7 @@
                                   : "unload"),
            CH_F_INT("taken", job->engine->taken), CH_F_INT("code", job->code),
            CH_F_INT("took_us", now - job->engine->last_order), CH_F_END);
-    take_answer(job, now);
+    handle_order_result(job, now);
     engine_unref(job->engine);
     controller->jobs--;
     pthread_cond_broadcast(&controller->idle);
@@ -504,25 +513,25 @@
     g_free(job);
 }
 
-/* On the loop's thread. */
+/* Runs on the thread of the HTTP loop; hands the result to the pool. */
 static void
-order_done(void *data, enum ch_code code)
+submit_order_result(void *data, enum ch_code code)
 {
     struct order_job *job = data;
     job->code = code;
-    ch_pool_submit(job->controller->node->pool, run_order_answer, job);
+    ch_pool_submit(job->controller->node->pool, run_order_result, job);
 }
 
-/* Sends an order, if the right is held at this very moment. */
+/* Sends an order, if the lease is held at this very moment. */
 static void
-send_order(struct controller_engine *engine, struct duty *duty,
+send_order(struct controller_engine *engine, struct duty *centre,
            struct item *item, enum ch_order_action action, int64_t now)
 {
     struct ch_controller *controller = engine->controller;
     const char *name = g_quark_to_string(item->name);
     const char *slash = strchr(name, '/');
-    uint64_t fence = 0;
-    if (!ch_claim_held(duty->claim, &fence)) {
+    uint64_t fencing_token = 0;
+    if (!ch_claim_held(centre->claim, &fencing_token)) {
         return;
     }
     engine->ordering = true;
@@ -537,13 +546,14 @@
     controller->jobs++;
     ch_metrics_count(controller->node->client->metrics, CH_COUNT_ORDERS, 1);
     struct ch_order order = {
-        .fence = fence,
+        .fence = fencing_token,
         .action = action,
         .model = slash == NULL ? name : g_quark_to_string(item->model),
         .adapter = slash == NULL ? NULL : slash + 1,
         .expected = (int64_t)engine->taken,
     };
-    engine->client->ops->order(engine->client, &order, order_done, job);
+    engine->client->ops->order(engine->client, &order, submit_order_result,
+                               job);
 }
 
 /* See controller_internal.h. */
@@ -553,57 +563,58 @@
     for (guint i = 0; i < engine->items->len; i++) {
         const struct item *item =
             &g_array_index(engine->items, struct item, i);
-        bool moving =
+        bool changing =
             item->state == CH_ITEM_LOADING || item->state == CH_ITEM_UNLOADING;
-        bool slow = item->model == 0 || item->state == CH_ITEM_UNLOADING;
-        if (moving && slow && item->ordered) {
+        bool blocks_others =
+            item->model == 0 || item->state == CH_ITEM_UNLOADING;
+        if (changing && blocks_others && item->ordered) {
             return true;
         }
     }
     return false;
 }
 
-/* ---- which order is next ---- */
+/* ---- choice of the next order ---- */
 
-/* Adapters that take a place, or may. */
+/* Adapters that occupy a slot, or may. */
 static uint32_t
-adapter_count(const struct controller_engine *engine)
+count_adapter_slots(const struct controller_engine *engine)
 {
     uint32_t count = 0;
     for (guint i = 0; i < engine->items->len; i++) {
         const struct item *item =
             &g_array_index(engine->items, struct item, i);
-        bool placed = item->state != CH_ITEM_LOADING || item->ordered;
-        count += item->model != 0 && placed ? 1 : 0;
+        bool uses_slot = item->state != CH_ITEM_LOADING || item->ordered;
+        count += item->model != 0 && uses_slot ? 1 : 0;
     }
     return count;
 }
 
-/* Memory that is taken, or may be. */
+/* Memory in MB that is in use, or may be. */
 static uint64_t
-memory_used(struct controller_engine *engine)
+sum_used_memory_mb(struct controller_engine *engine)
 {
-    uint64_t used = 0;
+    uint64_t used_mb = 0;
     for (guint i = 0; i < engine->items->len; i++) {
         const struct item *item =
             &g_array_index(engine->items, struct item, i);
         if (item->state != CH_ITEM_LOADING || item->ordered) {
-            used += controller_memory(engine->controller, item->name);
+            used_mb += controller_memory(engine->controller, item->name);
         }
     }
-    return used;
+    return used_mb;
 }
 
-/* The adapter that is to go for another: the one not asked for longest, and
- * not lately; NULL: none. */
+/* The adapter to unload for another: the least recently requested, if not in
+ * use lately; NULL: none. */
 static struct item *
-idle_adapter(struct controller_engine *engine, int64_t now)
+find_idle_adapter(struct controller_engine *engine, int64_t now)
 {
     struct item *oldest = NULL;
     for (guint i = 0; i < engine->items->len; i++) {
         struct item *item = &g_array_index(engine->items, struct item, i);
         if (item->model == 0 || item->state != CH_ITEM_RESIDENT ||
-            now - item->used < ADAPTER_RECENT) {
+            now - item->used < ADAPTER_IN_USE_US) {
             continue;
         }
         if (oldest == NULL || item->used < oldest->used) {
@@ -613,58 +624,61 @@
     return oldest;
 }
 
-/* Whether the engine has the model that an adapter belongs to. */
+/* Whether the model of an adapter is resident. */
 static bool
-has_model(struct controller_engine *engine, GQuark model)
+has_resident_model(struct controller_engine *engine, GQuark model)
 {
     const struct item *item = engine_item(engine, model);
     return item != NULL && item->state == CH_ITEM_RESIDENT;
 }
 
-/* Orders the adapter, or another one out of its way.  True: an order was
- * sent. */
+/* Orders an adapter, or the unload of another one to make space for it. True:
+ * an order was sent. */
 static bool
-order_adapter(struct controller_engine *engine, struct duty *duty,
+order_adapter(struct controller_engine *engine, struct duty *centre,
               struct item *item, int64_t now)
 {
-    uint32_t places = engine_adapter_places(engine);
-    uint32_t memory = engine_memory(engine);
-    bool fits = memory_used(engine) +
+    uint32_t slots = engine_adapter_places(engine);
+    uint32_t memory_mb = engine_memory(engine);
+    bool fits = sum_used_memory_mb(engine) +
                     controller_memory(engine->controller, item->name) <=
-                memory;
-    if (adapter_count(engine) < places && fits) {
-        send_order(engine, duty, item, CH_ORDER_LOAD, now);
+                memory_mb;
+    if (count_adapter_slots(engine) < slots && fits) {
+        send_order(engine, centre, item, CH_ORDER_LOAD, now);
         return true;
     }
-    struct item *idle = idle_adapter(engine, now);
+    struct item *idle = find_idle_adapter(engine, now);
     if (idle == NULL) {
         remove_item(engine, item->name);
         return false;
     }
     set_state(engine, idle, CH_ITEM_UNLOADING, now);
-    send_order(engine, duty, idle, CH_ORDER_UNLOAD, now);
+    send_order(engine, centre, idle, CH_ORDER_UNLOAD, now);
     return true;
 }
 
-/* Orders a model, once there is room for it. */
+/* Orders a model; a load only once there is enough free memory and the weight
+ * store allows it. True: an order was sent. */
 static bool
-order_model(struct controller_engine *engine, struct duty *duty,
+order_model(struct controller_engine *engine, struct duty *centre,
             struct item *item, int64_t now)
 {
     if (item->state == CH_ITEM_UNLOADING) {
-        send_order(engine, duty, item, CH_ORDER_UNLOAD, now);
+        send_order(engine, centre, item, CH_ORDER_UNLOAD, now);
         return true;
     }
-    uint64_t need = controller_memory(engine->controller, item->name);
-    if (need == 0 || memory_used(engine) + need > engine_memory(engine)) {
+    uint64_t needed_mb = controller_memory(engine->controller, item->name);
+    if (needed_mb == 0 ||
+        sum_used_memory_mb(engine) + needed_mb > engine_memory(engine)) {
         return false;
     }
     if (item->from_store &&
-        !ch_window_begin(&duty->loads, duty->most_loads, item->load_at, now)) {
+        !ch_window_begin(&centre->loads, centre->most_loads, item->load_at,
+                         now)) {
         return false;
     }
     item->load_at = now;
-    send_order(engine, duty, item, CH_ORDER_LOAD, now);
+    send_order(engine, centre, item, CH_ORDER_LOAD, now);
     return true;
 }
 
@@ -682,9 +696,10 @@
     return item->state == CH_ITEM_LOADING || item->state == CH_ITEM_UNLOADING;
 }
 
-/* Sends the next order: adapters first, for which requests wait. */
+/* Sends the next order; adapters come first, as requests wait for them. */
 static void
-send_next(struct controller_engine *engine, struct duty *duty, int64_t now)
+send_next_order(struct controller_engine *engine, struct duty *centre,
+                int64_t now)
 {
     for (int models = 0; models < 2; models++) {
         for (guint i = 0; i < engine->items->len; i++) {
@@ -693,13 +708,13 @@
                 (item->model == 0) != (models == 1)) {
                 continue;
             }
-            if (item->model != 0 && !has_model(engine, item->model)) {
+            if (item->model != 0 && !has_resident_model(engine, item->model)) {
                 remove_item(engine, item->name);
                 return;
             }
             bool sent = item->model != 0
-                            ? order_adapter(engine, duty, item, now)
-                            : order_model(engine, duty, item, now);
+                            ? order_adapter(engine, centre, item, now)
+                            : order_model(engine, centre, item, now);
             if (sent || item->model != 0) {
                 return;
             }
@@ -713,13 +728,13 @@
     struct ch_controller *controller;
     struct controller_engine *engine;
     uint64_t boot;
-    int64_t asked;
-    struct ch_report *report; /* NULL: none came */
+    int64_t requested_at;
+    struct ch_report *report; /* NULL: none received */
 };
 
-/* Whether a report lists a name. */
+/* Whether a report lists an item as resident. */
 static bool
-report_has(const struct ch_report *report, const char *name)
+report_lists(const struct ch_report *report, const char *name)
 {
     for (size_t i = 0; i < report->resident_count; i++) {
         if (strcmp(report->resident[i].name, name) == 0) {
@@ -729,41 +744,41 @@
     return false;
 }
 
-/* Tells of a change of a model that a report shows as done. */
+/* Logs the end of a load or unload of a model that a report shows. */
 static void
-log_done(const struct controller_engine *engine, const struct item *item,
-         const char *what, int64_t now)
+log_model_change(const struct controller_engine *engine,
+                 const struct item *item, const char *event, int64_t now)
 {
     if (item->model == 0) {
-        ch_log(engine->controller->node->client, CH_LOG_INFO, what,
+        ch_log(engine->controller->node->client, CH_LOG_INFO, event,
                CH_F_STR("upstream", g_quark_to_string(engine->name)),
                CH_F_STR("model", g_quark_to_string(item->name)),
                CH_F_INT("took_us", now - item->changed), CH_F_END);
     }
 }
 
-/* Compares one item with a report that counts as many orders as this node. */
+/* Updates one item from a report that counts the same orders as this node. */
 static void
 compare_item(struct controller_engine *engine, struct item *item,
              const struct report_job *job, int64_t now)
 {
-    const struct ch_report_facts facts = {
+    const struct ch_report_facts comparison = {
         .state = item->state,
         .ordered = item->ordered,
         .told = item->told,
-        .there = report_has(job->report, g_quark_to_string(item->name)),
+        .there = report_lists(job->report, g_quark_to_string(item->name)),
         .busy = job->report->busy,
         .changed = item->changed,
-        .asked = job->asked,
+        .asked = job->requested_at,
     };
-    switch (ch_order_report(&facts)) {
+    switch (ch_order_report(&comparison)) {
     case CH_REPORT_LOADED:
-        log_done(engine, item, "model-loaded", now);
+        log_model_change(engine, item, "model-loaded", now);
         set_state(engine, item, CH_ITEM_RESIDENT, now);
-        answer_waits(engine, item, CH_OK);
+        reply_waiters(engine, item, CH_OK);
         break;
     case CH_REPORT_UNLOADED:
-        log_done(engine, item, "model-unloaded", now);
+        log_model_change(engine, item, "model-unloaded", now);
         item->state = CH_ITEM_ABSENT;
         break;
     case CH_REPORT_LOST:
@@ -777,10 +792,10 @@
     }
 }
 
-/* Takes over what a report lists. */
+/* Updates all items from a report. */
 static void
-take_lists(struct controller_engine *engine, const struct report_job *job,
-           int64_t now)
+apply_resident_lists(struct controller_engine *engine,
+                     const struct report_job *job, int64_t now)
 {
     const struct ch_report *report = job->report;
     char **names = g_new0(char *, report->resident_count + 1);
@@ -798,18 +813,20 @@
     for (size_t i = 0; i < report->resident_count; i++) {
         names[i] = report->resident[i].name;
     }
-    guint before = engine->items->len;
-    take_resident(engine, names, now);
-    if (engine->items->len != before) {
+    guint old_count = engine->items->len;
+    add_resident_items(engine, names, now);
+    if (engine->items->len != old_count) {
         engine->news = ALL_NEWS;
     }
     g_free(names);
 }
 
-/* Takes a report.  One that counts fewer orders than were taken is from before
- * them, and says nothing of what is held. */
+/* Handles a report. One that counts fewer orders than the engine has accepted
+ * is older than those orders, and is not used for the items; if it was
+ * requested long enough after the last order, it shows that the engine has
+ * restarted. */
 static void
-take_report(struct report_job *job, int64_t now)
+apply_report(struct report_job *job, int64_t now)
 {
     struct controller_engine *engine = job->engine;
     const struct ch_report *report = job->report;
@@ -819,8 +836,8 @@
     }
     engine->running = report->running;
     engine->waiting = report->waiting;
-    bool settled =
-        !engine->ordering && job->asked - engine->last_order >= SETTLED;
+    bool settled = !engine->ordering &&
+                   job->requested_at - engine->last_order >= REPORT_SETTLE_US;
     if (engine->ordering ||
         (!settled && report->orders_taken != engine->taken)) {
         return;
@@ -829,20 +846,20 @@
         return;
     }
     if (report->orders_taken < engine->taken) {
-        start_anew(engine, now);
+        reset_engine(engine, now);
         engine->restarted = true;
     }
     engine->taken = report->orders_taken;
     engine->unsure = false;
-    take_lists(engine, job, now);
-    /* An order that somebody else gave is under way: what it loads is in no
-     * list yet, and would be loaded past.  Once it is done a report shows it;
-     * one that is not busy and counts as many orders as the engine takes next
-     * has all in it. */
+    apply_resident_lists(engine, job, now);
+    /* If an order of another node is in flight, what it loads is in no list
+     * yet, and this node would load beyond the memory. Once that order is
+     * done, a report shows its result; a report that is not busy and counts as
+     * many orders as the engine expects next is complete. */
     engine->known = !report->busy || engine_is_busy(engine);
 }
 
-/* On the pool: a report's result. */
+/* Runs on the pool. */
 static void
 run_report(void *data)
 {
@@ -850,7 +867,7 @@
     struct ch_controller *controller = job->controller;
     pthread_mutex_lock(&controller->lock);
     int64_t now = ch_client_now(controller->node->client);
-    take_report(job, now);
+    apply_report(job, now);
     engine_pump(job->engine,
                 controller_duty(controller, job->engine->data_centre), now);
     engine_unref(job->engine);
@@ -861,9 +878,9 @@
     g_free(job);
 }
 
-/* On the loop's thread. */
+/* Runs on the thread of the HTTP loop; hands the result to the pool. */
 static void
-report_done(void *data, enum ch_code code, struct ch_report *report)
+submit_report(void *data, enum ch_code code, struct ch_report *report)
 {
     struct report_job *job = data;
     (void)code;
@@ -871,7 +888,7 @@
     ch_pool_submit(job->controller->node->pool, run_report, job);
 }
 
-/* Whether a model of the engine is on its way. */
+/* Whether a model of the engine is being loaded or unloaded. */
 static bool
 is_changing(const struct controller_engine *engine)
 {
@@ -885,27 +902,28 @@
     return false;
 }
 
-/* Asks for a report when it is time. */
+/* Requests a report when one is due. */
 static void
-ask_report(struct controller_engine *engine, int64_t now)
+request_report(struct controller_engine *engine, int64_t now)
 {
     if (engine->reporting || now < engine->report_at) {
         return;
     }
     bool soon = is_changing(engine) || !engine->known;
     engine->reporting = true;
-    engine->report_at = now + (soon ? REPORT_CHANGING : REPORT_IDLE);
+    engine->report_at =
+        now + (soon ? REPORT_PERIOD_CHANGING_US : REPORT_PERIOD_IDLE_US);
     struct report_job *job = g_new0(struct report_job, 1);
     job->controller = engine->controller;
     job->engine = engine;
     job->boot = engine->boot;
-    job->asked = now;
+    job->requested_at = now;
     engine->references++;
     engine->controller->jobs++;
-    engine->client->ops->report(engine->client, report_done, job);
+    engine->client->ops->report(engine->client, submit_report, job);
 }
 
-/* ---- the whole ---- */
+/* ---- entry points ---- */
 
 /* See controller_internal.h. */
 bool
@@ -915,54 +933,55 @@
            now >= engine->quiet_until && !is_changing(engine);
 }
 
-/* Ends the waits that are over their time. */
+/* Fails the waiters of adapters whose time is over. */
 static void
-expire_waits(struct controller_engine *engine, int64_t now)
+expire_waiters(struct controller_engine *engine, int64_t now)
 {
     for (guint i = 0; i < engine->items->len; i++) {
         struct item *item = &g_array_index(engine->items, struct item, i);
         if (item->waits != NULL && item->waits->len > 0 &&
             g_array_index(item->waits, struct adapter_wait, 0).until <= now) {
-            answer_waits(engine, item, CH_PEER_TIMEOUT);
+            reply_waiters(engine, item, CH_PEER_TIMEOUT);
         }
     }
 }
 
 /* See controller_internal.h. */
 void
-engine_pump(struct controller_engine *engine, struct duty *duty, int64_t now)
+engine_pump(struct controller_engine *engine, struct duty *centre, int64_t now)
 {
-    uint64_t fence = 0;
-    if (engine->controller->stopping || !ch_claim_held(duty->claim, &fence)) {
+    uint64_t fencing_token = 0;
+    if (engine->controller->stopping ||
+        !ch_claim_held(centre->claim, &fencing_token)) {
         engine_fail_waits(engine, CH_NOT_READY);
         return;
     }
-    expire_waits(engine, now);
-    ask_report(engine, now);
+    expire_waiters(engine, now);
+    request_report(engine, now);
     if (!engine->listed || engine->leaving || engine->ordering ||
         !engine->known || now < engine->quiet_until ||
         engine_is_busy(engine)) {
         return;
     }
-    send_next(engine, duty, now);
+    send_next_order(engine, centre, now);
 }
 
 /* See controller_internal.h. */
 void
-engine_prepare(struct controller_engine *engine, struct duty *duty,
-               GQuark model, GQuark adapter, const struct adapter_wait *wait,
+engine_prepare(struct controller_engine *engine, struct duty *centre,
+               GQuark model, GQuark adapter, const struct adapter_wait *waiter,
                int64_t now)
 {
     struct item *item = engine_item(engine, adapter);
     if (item != NULL && item->state == CH_ITEM_RESIDENT) {
         item->used = now;
-        controller_answer(engine->controller, wait, CH_OK);
+        controller_answer(engine->controller, waiter, CH_OK);
         return;
     }
-    if (!has_model(engine, model) || engine->leaving ||
+    if (!has_resident_model(engine, model) || engine->leaving ||
         engine_is_busy(engine) ||
         (item != NULL && item->state == CH_ITEM_UNLOADING)) {
-        controller_answer(engine->controller, wait, CH_NO_UPSTREAM);
+        controller_answer(engine->controller, waiter, CH_NO_UPSTREAM);
         return;
     }
     if (item == NULL) {
@@ -971,9 +990,9 @@
     if (item->waits == NULL) {
         item->waits = g_array_new(FALSE, FALSE, sizeof(struct adapter_wait));
     }
-    g_array_append_val(item->waits, *wait);
-    struct adapter_wait *kept =
+    g_array_append_val(item->waits, *waiter);
+    struct adapter_wait *stored =
         &g_array_index(item->waits, struct adapter_wait, item->waits->len - 1);
-    kept->from = g_strdup(wait->from);
-    engine_pump(engine, duty, now);
+    stored->from = g_strdup(waiter->from);
+    engine_pump(engine, centre, now);
 }
--- a/libchestnuthitch/node/controller_hear.c
+++ b/libchestnuthitch/node/controller_hear.c
@@ -1,4 +1,4 @@
-/* What a node takes of what holders of rights tell it of engines. */
+/* Receiving the engine states that lease holders publish. */
 
 #include "node/controller_internal.h"
 
@@ -7,269 +7,284 @@
 #define WIRE(name) CHESTNUTHITCH__WIRE__##name
 
 enum {
-    /* Something was missed: all is asked for again no more often than this. */
-    PULL_PERIOD = 500 * 1000,
-    /* What is kept of a teller that was not heard for this long goes. */
-    TELLER_GONE = 10 * 1000 * 1000,
-    /* Frames of one sender may be taken out of order by so many. */
-    MOST_OVERTAKEN = 16,
-    /* Engines that one teller may name; more are left out. */
-    MOST_NUMBERS = 16384,
+    /* After a gap the full status is requested again, but no more often than
+     * this. */
+    FULL_REQUEST_PERIOD_US = 500 * 1000,
+    /* The state of a publisher that was not heard of for this long is dropped.
+     */
+    PUBLISHER_RETENTION_US = 10 * 1000 * 1000,
+    /* Frames of one sender may arrive out of order by this many. */
+    MAX_REORDERED_MESSAGES = 16,
+    /* Engines that one publisher may number; more are ignored. */
+    MAX_NUMBERED_ENGINES = 16384,
 };
 
-/* What one teller told of an engine. */
-struct told_load {
+/* Load of an engine as one publisher reported it. */
+struct reported_load {
     GQuark upstream;
     uint32_t running;
-    uint32_t unread_ms;
+    uint32_t prefill_backlog_ms;
 };
 
-/* What one node tells to one audience that this node is of. */
-struct teller {
+/* What is known of one publisher for one audience. */
+struct publisher {
     uint64_t sequence;
-    uint64_t missing; /* the one before it, not taken yet; 0: none */
-    int64_t heard;
-    int64_t pulled;
-    GHashTable *loads; /* its number of an engine to struct told_load */
+    uint64_t missing_sequence; /* the missing message before `sequence`, which
+                                  may still arrive; 0: none */
+    int64_t heard_at;
+    int64_t full_requested_at;
+    GHashTable *loads; /* engine number to struct reported_load */
 };
 
-/* Frees what is kept of a teller. */
 static void
-free_teller(void *data)
+free_publisher(void *data)
 {
-    struct teller *teller = data;
-    g_hash_table_destroy(teller->loads);
-    g_free(teller);
+    struct publisher *publisher = data;
+    g_hash_table_destroy(publisher->loads);
+    g_free(publisher);
 }
 
-/* ---- taking; lock held ---- */
+/* ---- applying messages; lock held ---- */
 
-/* The rights of a message: of a node of an earlier version, one. */
-struct told_rights {
-    Chestnuthitch__Wire__Right earlier;
-    Chestnuthitch__Wire__Right *earlier_row;
+/* The leases of a message; a node of an earlier version sends one, in fields
+ * of the message itself. */
+struct message_leases {
+    Chestnuthitch__Wire__Right single;
+    Chestnuthitch__Wire__Right *single_row;
     Chestnuthitch__Wire__Right **rows;
     size_t count;
 };
 
-/* Finds them. */
+/* Fills in the leases of a message; leases must outlive their use, as
+ * leases->rows may point into it. */
 static void
-find_rights(const Chestnuthitch__Wire__Frame *frame,
-            struct told_rights *rights)
+find_leases(const Chestnuthitch__Wire__Frame *frame,
+            struct message_leases *leases)
 {
     const Chestnuthitch__Wire__Engines *engines = frame->engines;
-    rights->rows = engines->rights;
-    rights->count = engines->n_rights;
+    leases->rows = engines->rights;
+    leases->count = engines->n_rights;
     if (engines->n_rights > 0 || engines->data_centre[0] == '\0') {
         return;
     }
-    chestnuthitch__wire__right__init(&rights->earlier);
-    rights->earlier.data_centre = engines->data_centre;
-    rights->earlier.fence = engines->fence;
-    rights->earlier.holder = frame->from;
-    rights->earlier_row = &rights->earlier;
-    rights->rows = &rights->earlier_row;
-    rights->count = 1;
+    chestnuthitch__wire__right__init(&leases->single);
+    leases->single.data_centre = engines->data_centre;
+    leases->single.fence = engines->fence;
+    leases->single.holder = frame->from;
+    leases->single_row = &leases->single;
+    leases->rows = &leases->single_row;
+    leases->count = 1;
 }
 
-/* A right as a message has it.  One with a lower fence than was heard is lost
- * by its holder.  Whether it counts. */
+/* Updates what is known of a lease from a message. A fencing token lower than
+ * the known one means that the sender's holder has lost the lease. Returns
+ * whether the message's lease is current. */
 static bool
-take_right(struct duty *duty, const Chestnuthitch__Wire__Right *right,
-           int64_t now)
+apply_lease(struct duty *centre, const Chestnuthitch__Wire__Right *lease,
+            int64_t now)
 {
-    int64_t heard = now - (int64_t)right->age_ms * 1000;
-    if (right->fence < duty->fence || right->holder[0] == '\0') {
+    int64_t heard_at = now - (int64_t)lease->age_ms * 1000;
+    if (lease->fence < centre->fence || lease->holder[0] == '\0') {
         return false;
     }
-    duty->heard = right->fence > duty->fence ? heard : MAX(duty->heard, heard);
-    duty->fence = right->fence;
-    if (g_strcmp0(duty->holder, right->holder) != 0) {
-        g_free(duty->holder);
-        duty->holder = g_strdup(right->holder);
+    centre->heard =
+        lease->fence > centre->fence ? heard_at : MAX(centre->heard, heard_at);
+    centre->fence = lease->fence;
+    if (g_strcmp0(centre->holder, lease->holder) != 0) {
+        g_free(centre->holder);
+        centre->holder = g_strdup(lease->holder);
     }
     return true;
 }
 
-/* What is taken from one message. */
-struct taking {
+/* Context for handling one message. */
+struct message_context {
     struct ch_controller *controller;
     const char *from;
-    GHashTable *current; /* data centre to the holder's name */
-    struct teller *teller;
+    GHashTable *current_holders; /* data centre to its lease holder's name, for
+                                    current leases */
+    struct publisher *publisher;
     int64_t now;
 };
 
-/* Takes the rights, and keeps those that count. */
+/* Updates the leases, and collects the current ones. */
 static void
-take_rights(struct taking *taking, const Chestnuthitch__Wire__Frame *frame)
+apply_leases(struct message_context *context,
+             const Chestnuthitch__Wire__Frame *frame)
 {
-    struct told_rights rights;
-    find_rights(frame, &rights);
-    for (size_t i = 0; i < rights.count; i++) {
-        struct duty *duty =
-            controller_duty(taking->controller,
-                            g_quark_from_string(rights.rows[i]->data_centre));
-        if (take_right(duty, rights.rows[i], taking->now)) {
-            g_hash_table_insert(taking->current,
-                                GUINT_TO_POINTER(duty->data_centre),
-                                rights.rows[i]->holder);
+    struct message_leases leases;
+    find_leases(frame, &leases);
+    for (size_t i = 0; i < leases.count; i++) {
+        struct duty *centre =
+            controller_duty(context->controller,
+                            g_quark_from_string(leases.rows[i]->data_centre));
+        if (apply_lease(centre, leases.rows[i], context->now)) {
+            g_hash_table_insert(context->current_holders,
+                                GUINT_TO_POINTER(centre->data_centre),
+                                leases.rows[i]->holder);
         }
     }
 }
 
-/* Whether what is told of an engine counts.  One that is not listed yet is
- * kept for when it is. */
+/* Whether the state of an engine is to be used. An engine not listed yet is
+ * used as well: its state is stored for when it is listed. */
 static bool
-is_current(const struct taking *taking, const struct controller_engine *engine)
+is_current(const struct message_context *context,
+           const struct controller_engine *engine)
 {
     return engine == NULL ||
-           g_hash_table_contains(taking->current,
+           g_hash_table_contains(context->current_holders,
                                  GUINT_TO_POINTER(engine->data_centre));
 }
 
-/* Whether this node is to learn what an engine of another holder does. */
+/* Whether to use the reported state of an engine for decisions here: another
+ * node sent it, and this node does not hold the lease to order the engine. */
 static bool
-is_others(const struct taking *taking, const struct controller_engine *engine)
+is_controlled_elsewhere(const struct message_context *context,
+                        const struct controller_engine *engine)
 {
-    return strcmp(taking->from, taking->controller->node->settings->name) !=
+    return strcmp(context->from, context->controller->node->settings->name) !=
                0 &&
            !controller_holds(
-               controller_duty(taking->controller, engine->data_centre));
+               controller_duty(context->controller, engine->data_centre));
 }
 
-/* Takes over what another holder tells of an engine, for decisions here, and
- * to pass it on when it is the engine's own holder that tells. */
+/* Replaces an engine's items by those that another lease holder reports, for
+ * decisions here. If the sender controls the engine, the state is published on
+ * to the nodes. */
 static void
-mirror(const struct taking *taking, struct controller_engine *engine,
-       const Chestnuthitch__Wire__EngineState *state)
+apply_peer_state(const struct message_context *context,
+                 struct controller_engine *engine,
+                 const Chestnuthitch__Wire__EngineState *state)
 {
     const char *holder = g_hash_table_lookup(
-        taking->current, GUINT_TO_POINTER(engine->data_centre));
+        context->current_holders, GUINT_TO_POINTER(engine->data_centre));
     engine_fail_waits(engine, CH_NOT_READY);
     g_array_set_size(engine->items, 0);
     for (size_t i = 0; i < state->n_models; i++) {
         engine_add_item(engine, g_quark_from_string(state->models[i]), 0,
-                        CH_ITEM_RESIDENT, taking->now);
+                        CH_ITEM_RESIDENT, context->now);
     }
     for (size_t i = 0; i < state->n_adapters; i++) {
         GQuark adapter = g_quark_from_string(state->adapters[i]);
         engine_add_item(engine, adapter, controller_model_of(adapter),
-                        CH_ITEM_RESIDENT, taking->now);
+                        CH_ITEM_RESIDENT, context->now);
     }
     for (size_t i = 0; i < state->n_coming; i++) {
         struct item *item =
             engine_add_item(engine, g_quark_from_string(state->coming[i]), 0,
-                            CH_ITEM_LOADING, taking->now);
+                            CH_ITEM_LOADING, context->now);
         item->told = true;
     }
     engine->mirrored = true;
     engine->told_busy = state->busy;
-    if (strcmp(holder, taking->from) == 0) {
+    if (strcmp(holder, context->from) == 0) {
         engine->news |= 1U << AUDIENCE_NODES;
     }
 }
 
-/* Whether two numbers of a teller are of one engine; the later one counts. */
+/* For g_hash_table_foreach_remove: whether an earlier number stands for the
+ * same engine as the later one. */
 static gboolean
-is_renumbered(gpointer key, gpointer value, gpointer data)
+is_same_engine(gpointer key, gpointer value, gpointer data)
 {
     (void)key;
-    return ((struct told_load *)value)->upstream ==
-           ((struct told_load *)data)->upstream;
+    return ((struct reported_load *)value)->upstream ==
+           ((struct reported_load *)data)->upstream;
 }
 
-/* Notes the number by which a teller names an engine, with its load. */
+/* Records the number that a publisher gives an engine, with its load. */
 static void
-take_number(struct teller *teller,
-            const Chestnuthitch__Wire__EngineState *state)
+record_number(struct publisher *publisher,
+              const Chestnuthitch__Wire__EngineState *state)
 {
     gpointer key = GUINT_TO_POINTER(state->number);
-    struct told_load load = {
+    struct reported_load load = {
         .upstream = g_quark_from_string(state->upstream),
         .running = state->running,
-        .unread_ms = state->unread_ms,
+        .prefill_backlog_ms = state->unread_ms,
     };
     if (state->number == 0) {
         return;
     }
-    struct told_load *known = g_hash_table_lookup(teller->loads, key);
+    struct reported_load *known = g_hash_table_lookup(publisher->loads, key);
     if (known == NULL) {
-        g_hash_table_foreach_remove(teller->loads, is_renumbered, &load);
-        if (g_hash_table_size(teller->loads) >= MOST_NUMBERS) {
+        g_hash_table_foreach_remove(publisher->loads, is_same_engine, &load);
+        if (g_hash_table_size(publisher->loads) >= MAX_NUMBERED_ENGINES) {
             return;
         }
-        known = g_new0(struct told_load, 1);
-        g_hash_table_insert(teller->loads, key, known);
+        known = g_new0(struct reported_load, 1);
+        g_hash_table_insert(publisher->loads, key, known);
     }
     *known = load;
 }
 
-/* One engine's state.  Whether the router is to have it. */
+/* Applies one engine's state. Returns whether to pass it to the router. */
 static bool
-take_state(const struct taking *taking,
-           const Chestnuthitch__Wire__EngineState *state)
+apply_state(const struct message_context *context,
+            const Chestnuthitch__Wire__EngineState *state)
 {
     struct controller_engine *engine = g_hash_table_lookup(
-        taking->controller->engines,
+        context->controller->engines,
         GUINT_TO_POINTER(g_quark_from_string(state->upstream)));
-    if (!is_current(taking, engine)) {
+    if (!is_current(context, engine)) {
         return false;
     }
-    take_number(taking->teller, state);
+    record_number(context->publisher, state);
     if (engine != NULL && engine->boot == state->boot &&
-        is_others(taking, engine)) {
-        mirror(taking, engine, state);
+        is_controlled_elsewhere(context, engine)) {
+        apply_peer_state(context, engine, state);
     }
     return true;
 }
 
-/* The loads of a message.  False: one of an engine that is not known by its
- * number. */
+/* Applies the loads of a message. Returns false if an engine number is unknown
+ * or the arrays differ in length. */
 static bool
-take_loads(const struct taking *taking,
-           const Chestnuthitch__Wire__Engines *engines)
+apply_loads(const struct message_context *context,
+            const Chestnuthitch__Wire__Engines *engines)
 {
     size_t count =
         MIN(engines->n_numbers, MIN(engines->n_running, engines->n_unread_ms));
     bool known = count == engines->n_numbers;
     for (size_t i = 0; i < count; i++) {
-        struct told_load *load = g_hash_table_lookup(
-            taking->teller->loads, GUINT_TO_POINTER(engines->numbers[i]));
+        struct reported_load *load = g_hash_table_lookup(
+            context->publisher->loads, GUINT_TO_POINTER(engines->numbers[i]));
         if (load == NULL) {
             known = false;
             continue;
         }
         load->running = engines->running[i];
-        load->unread_ms = engines->unread_ms[i];
+        load->prefill_backlog_ms = engines->unread_ms[i];
     }
     return known;
 }
 
-/* All loads that the teller vouches for as of now: those that it left out are
- * as they were. */
+/* Lists all current loads of the publisher: those that a message leaves out
+ * are unchanged. */
 static GArray *
-list_loads(const struct taking *taking)
+list_loads(const struct message_context *context)
 {
     GArray *loads = g_array_new(FALSE, FALSE, sizeof(struct ch_engine_load));
     GHashTableIter iterator;
     gpointer value = NULL;
-    g_hash_table_iter_init(&iterator, taking->teller->loads);
+    g_hash_table_iter_init(&iterator, context->publisher->loads);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        const struct told_load *told = value;
-        struct controller_engine *engine = g_hash_table_lookup(
-            taking->controller->engines, GUINT_TO_POINTER(told->upstream));
-        if (engine == NULL || !is_current(taking, engine)) {
+        const struct reported_load *reported = value;
+        struct controller_engine *engine =
+            g_hash_table_lookup(context->controller->engines,
+                                GUINT_TO_POINTER(reported->upstream));
+        if (engine == NULL || !is_current(context, engine)) {
             continue;
         }
         const struct ch_engine_load load = {
-            .upstream = told->upstream,
+            .upstream = reported->upstream,
             .data_centre = engine->data_centre,
-            .running = told->running,
-            .unread = (int64_t)told->unread_ms * 1000,
+            .running = reported->running,
+            .unread = (int64_t)reported->prefill_backlog_ms * 1000,
         };
         g_array_append_val(loads, load);
-        if (is_others(taking, engine)) {
+        if (is_controlled_elsewhere(context, engine)) {
             engine->load_running = load.running;
             engine->load_unread = load.unread;
         }
@@ -277,128 +292,136 @@
     return loads;
 }
 
-/* For g_hash_table_foreach_remove. */
+/* For g_hash_table_foreach_remove; data is the current time. */
 static gboolean
-is_gone(gpointer key, gpointer value, gpointer data)
+is_expired(gpointer key, gpointer value, gpointer data)
 {
     (void)key;
-    return *(int64_t *)data - ((struct teller *)value)->heard > TELLER_GONE;
+    return *(int64_t *)data - ((struct publisher *)value)->heard_at >
+           PUBLISHER_RETENTION_US;
 }
 
-/* What is kept of a teller; *fresh: it was not known. */
-static struct teller *
-need_teller(struct ch_controller *controller,
-            const Chestnuthitch__Wire__Frame *frame, int64_t now, bool *fresh)
+/* Finds or creates the state of the sender; *is_new: it was created. */
+static struct publisher *
+get_publisher(struct ch_controller *controller,
+              const Chestnuthitch__Wire__Frame *frame, int64_t now,
+              bool *is_new)
 {
     g_autofree char *key =
         g_strdup_printf("%s %u", frame->from, frame->engines->audience);
-    struct teller *teller = g_hash_table_lookup(controller->tellers, key);
-    *fresh = teller == NULL;
-    if (teller == NULL) {
-        g_hash_table_foreach_remove(controller->tellers, is_gone, &now);
-        teller = g_new0(struct teller, 1);
-        teller->loads = g_hash_table_new_full(NULL, NULL, NULL, g_free);
+    struct publisher *publisher =
+        g_hash_table_lookup(controller->tellers, key);
+    *is_new = publisher == NULL;
+    if (publisher == NULL) {
+        g_hash_table_foreach_remove(controller->tellers, is_expired, &now);
+        publisher = g_new0(struct publisher, 1);
+        publisher->loads = g_hash_table_new_full(NULL, NULL, NULL, g_free);
         g_hash_table_insert(controller->tellers, g_steal_pointer(&key),
-                            teller);
+                            publisher);
     }
-    teller->heard = now;
-    return teller;
+    publisher->heard_at = now;
+    return publisher;
 }
 
-/* How a message comes in a teller's order. */
-enum order {
-    ORDER_NEXT,
-    ORDER_GAP,  /* some before it were not taken */
-    ORDER_LATE, /* it was overtaken by one that was taken */
+/* Position of a message in the sequence of its publisher. */
+enum message_position {
+    MESSAGE_IN_SEQUENCE,
+    MESSAGE_AFTER_GAP, /* earlier messages are missing */
+    MESSAGE_OVERTAKEN, /* a later message was already applied */
 };
 
-/* Notes a message's place in the order. */
-static enum order
-take_sequence(struct teller *teller,
-              const Chestnuthitch__Wire__Engines *engines)
+/* Updates the sequence of a publisher with a message. */
+static enum message_position
+update_sequence(struct publisher *publisher,
+                const Chestnuthitch__Wire__Engines *engines)
 {
-    uint64_t before = teller->sequence;
+    uint64_t last_sequence = publisher->sequence;
     uint64_t sequence = engines->sequence;
     if (sequence == 0 || engines->whole) {
-        teller->missing = 0;
-        teller->sequence = sequence;
-        return ORDER_NEXT;
+        publisher->missing_sequence = 0;
+        publisher->sequence = sequence;
+        return MESSAGE_IN_SEQUENCE;
     }
-    if (sequence == before + 1) {
-        teller->sequence = sequence;
-        return teller->missing == 0 ? ORDER_NEXT : ORDER_GAP;
+    if (sequence == last_sequence + 1) {
+        publisher->sequence = sequence;
+        return publisher->missing_sequence == 0 ? MESSAGE_IN_SEQUENCE
+                                                : MESSAGE_AFTER_GAP;
     }
-    if (sequence == teller->missing) {
-        teller->missing = 0;
-        return ORDER_NEXT;
+    if (sequence == publisher->missing_sequence) {
+        publisher->missing_sequence = 0;
+        return MESSAGE_IN_SEQUENCE;
     }
-    if (sequence <= before && before - sequence < MOST_OVERTAKEN) {
-        return ORDER_LATE;
+    if (sequence <= last_sequence &&
+        last_sequence - sequence < MAX_REORDERED_MESSAGES) {
+        return MESSAGE_OVERTAKEN;
     }
-    teller->sequence = sequence;
-    /* One that is missing may come yet: it was only overtaken. */
-    bool overtaken = sequence == before + 2 && teller->missing == 0;
-    teller->missing = before + 1;
-    return overtaken ? ORDER_NEXT : ORDER_GAP;
+    publisher->sequence = sequence;
+    /* The missing message may still arrive, if it was only overtaken. */
+    bool overtaken =
+        sequence == last_sequence + 2 && publisher->missing_sequence == 0;
+    publisher->missing_sequence = last_sequence + 1;
+    return overtaken ? MESSAGE_IN_SEQUENCE : MESSAGE_AFTER_GAP;
 }
 
-/* Asks a teller for all that it knows. */
+/* Requests the full status from a publisher. */
 static void
-pull(const struct taking *taking, uint32_t audience)
+request_full_status(const struct message_context *context, uint32_t audience)
 {
-    if (taking->now - taking->teller->pulled < PULL_PERIOD) {
+    if (context->now - context->publisher->full_requested_at <
+        FULL_REQUEST_PERIOD_US) {
         return;
     }
-    taking->teller->pulled = taking->now;
-    Chestnuthitch__Wire__EnginesPull ask = WIRE(ENGINES_PULL__INIT);
+    context->publisher->full_requested_at = context->now;
+    Chestnuthitch__Wire__EnginesPull request = WIRE(ENGINES_PULL__INIT);
     Chestnuthitch__Wire__Frame frame = WIRE(FRAME__INIT);
-    ask.audience = audience;
+    request.audience = audience;
     frame.body_case = WIRE(FRAME__BODY_ENGINES_PULL);
-    frame.engines_pull = &ask;
-    ch_peers_send(taking->controller->node->peers, taking->from, &frame);
+    frame.engines_pull = &request;
+    ch_peers_send(context->controller->node->peers, context->from, &frame);
 }
 
-/* Takes a message for the decisions here; the loads that are to be passed to
- * the router, NULL: nothing of it counts.  Sets which states are. */
+/* Applies a message to the state here. Returns the loads to pass to the
+ * router, which the caller frees, or NULL if the message was overtaken. Sets
+ * for_router[i] for each engine state that the router is to get. */
 static GArray *
-take_message(struct ch_controller *controller,
-             const Chestnuthitch__Wire__Frame *frame, bool *passed)
+apply_message(struct ch_controller *controller,
+              const Chestnuthitch__Wire__Frame *frame, bool *for_router)
 {
     const Chestnuthitch__Wire__Engines *engines = frame->engines;
-    struct taking taking = {
+    struct message_context context = {
         .controller = controller,
         .from = frame->from,
-        .current = g_hash_table_new(NULL, NULL),
+        .current_holders = g_hash_table_new(NULL, NULL),
         .now = ch_client_now(controller->node->client),
     };
     GArray *loads = NULL;
-    bool fresh = false;
-    taking.teller = need_teller(controller, frame, taking.now, &fresh);
-    enum order order = take_sequence(taking.teller, engines);
-    if (order != ORDER_LATE) {
-        take_rights(&taking, frame);
+    bool is_new = false;
+    context.publisher = get_publisher(controller, frame, context.now, &is_new);
+    enum message_position position =
+        update_sequence(context.publisher, engines);
+    if (position != MESSAGE_OVERTAKEN) {
+        apply_leases(&context, frame);
         if (engines->whole) {
-            g_hash_table_remove_all(taking.teller->loads);
+            g_hash_table_remove_all(context.publisher->loads);
         }
         for (size_t i = 0; i < engines->n_engines; i++) {
-            passed[i] = take_state(&taking, engines->engines[i]);
+            for_router[i] = apply_state(&context, engines->engines[i]);
         }
-        bool known = take_loads(&taking, engines);
+        bool known = apply_loads(&context, engines);
         if (!engines->whole && engines->sequence != 0 &&
-            (fresh || order == ORDER_GAP || !known)) {
-            pull(&taking, engines->audience);
+            (is_new || position == MESSAGE_AFTER_GAP || !known)) {
+            request_full_status(&context, engines->audience);
         }
-        loads = list_loads(&taking);
+        loads = list_loads(&context);
     }
-    g_hash_table_destroy(taking.current);
+    g_hash_table_destroy(context.current_holders);
     return loads;
 }
 
-/* ---- to the router; lock not held ---- */
+/* ---- passing to the router; lock not held ---- */
 
-/* The quarks of names. */
 static GArray *
-quarks_of(char **names, size_t count)
+make_quarks(char **names, size_t count)
 {
     GArray *quarks = g_array_new(FALSE, FALSE, sizeof(GQuark));
     for (size_t i = 0; i < count; i++) {
@@ -410,44 +433,44 @@
 
 /* Passes one engine's state to the router. */
 static void
-pass_state(struct ch_controller *controller,
-           const Chestnuthitch__Wire__EngineState *state)
+pass_state_to_router(struct ch_controller *controller,
+                     const Chestnuthitch__Wire__EngineState *state)
 {
-    GArray *models = quarks_of(state->models, state->n_models);
-    GArray *adapters = quarks_of(state->adapters, state->n_adapters);
-    GArray *coming = quarks_of(state->coming, state->n_coming);
-    const struct ch_engine_told told = {
+    GArray *models = make_quarks(state->models, state->n_models);
+    GArray *adapters = make_quarks(state->adapters, state->n_adapters);
+    GArray *pending_loads = make_quarks(state->coming, state->n_coming);
+    const struct ch_engine_told reported = {
         .upstream = g_quark_from_string(state->upstream),
         .boot = state->boot,
         .models = (const GQuark *)(void *)models->data,
         .model_count = models->len,
         .adapters = (const GQuark *)(void *)adapters->data,
         .adapter_count = adapters->len,
-        .coming = (const GQuark *)(void *)coming->data,
-        .coming_count = coming->len,
+        .coming = (const GQuark *)(void *)pending_loads->data,
+        .coming_count = pending_loads->len,
         .running = state->running,
         .unread = (int64_t)state->unread_ms * 1000,
         .busy = state->busy,
     };
-    controller->handlers->told(controller->data, &told);
+    controller->handlers->told(controller->data, &reported);
     g_array_free(models, TRUE);
     g_array_free(adapters, TRUE);
-    g_array_free(coming, TRUE);
+    g_array_free(pending_loads, TRUE);
 }
 
-/* A holder tells of engines. */
+/* Handles a message with engine states from a lease holder. */
 static void
 handle_engines(void *data, const Chestnuthitch__Wire__Frame *frame)
 {
     struct ch_controller *controller = data;
     const Chestnuthitch__Wire__Engines *engines = frame->engines;
-    bool *passed = g_new0(bool, engines->n_engines + 1);
+    bool *for_router = g_new0(bool, engines->n_engines + 1);
     pthread_mutex_lock(&controller->lock);
-    GArray *loads = take_message(controller, frame, passed);
+    GArray *loads = apply_message(controller, frame, for_router);
     pthread_mutex_unlock(&controller->lock);
     for (size_t i = 0; loads != NULL && i < engines->n_engines; i++) {
-        if (passed[i]) {
-            pass_state(controller, engines->engines[i]);
+        if (for_router[i]) {
+            pass_state_to_router(controller, engines->engines[i]);
         }
     }
     if (loads != NULL) {
@@ -455,7 +478,7 @@
         controller->handlers->told_all(controller->data);
         g_array_free(loads, TRUE);
     }
-    g_free(passed);
+    g_free(for_router);
 }
 
 /* See controller_internal.h. */
@@ -463,7 +486,7 @@
 controller_hear_init(struct ch_controller *controller)
 {
     controller->tellers =
-        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_teller);
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_publisher);
     ch_peers_handle(controller->node->peers, WIRE(FRAME__BODY_ENGINES),
                     handle_engines, controller);
 }
--- a/libchestnuthitch/node/controller_internal.h
+++ b/libchestnuthitch/node/controller_internal.h
@@ -2,11 +2,12 @@
 #define CH_NODE_CONTROLLER_INTERNAL_H
 
 /*
- * What controller.c (rights, adapters on request), controller_tell.c (what
- * holders tell of engines), controller_hear.c (what is taken of it),
- * controller_demand.c (what requests ask for),
- * controller_engine.c (one engine's orders and reports) and
- * controller_models.c (which models) share.  One lock guards all of it.
+ * Declarations shared by controller.c (leases, loading adapters on request),
+ * controller_publish.c (publishing engine states), controller_receive.c
+ * (receiving engine states), controller_demand.c (demand of requests),
+ * controller_engine.c (orders to one engine, and its reports) and
+ * controller_models.c (placement of models). One lock guards all of this
+ * state.
  */
 
 #include "decide/arrange.h"
@@ -19,29 +20,29 @@
 #include <pthread.h>
 
 enum {
-    /* A bound for orders and reports, microseconds: a worker that is well
-     * answers within a few milliseconds and the way there and back. */
+    /* For orders and reports: a healthy worker answers within a few
+     * milliseconds plus the round trip. */
     CH_CONTROLLER_CALL_LIMIT = 1500 * 1000,
 };
 
-/* Who is told of engines.  Numbers in messages. */
+/* Receivers of engine states. The values are sent in messages. */
 enum audience {
-    AUDIENCE_NODES, /* the nodes that this holder tells, of all engines */
-    AUDIENCE_NEAR,  /* other holders of this region, of this one's engines */
-    AUDIENCE_FAR,   /* ... of other regions */
+    AUDIENCE_NODES, /* nodes for which this holder publishes all engines */
+    AUDIENCE_NEAR,  /* lease holders of this region: this node's engines */
+    AUDIENCE_FAR,   /* lease holders of other regions: this node's engines */
     AUDIENCES,
 };
 
-/* Everything of an engine is news to every audience. */
+/* Bit mask: the change of an engine is unpublished for every audience. */
 #define ALL_NEWS ((1U << AUDIENCES) - 1)
 
-/* An engine's load as it was told. */
+/* An engine's load as last published. */
 struct load {
     uint32_t running;
     uint32_t unread_ms;
 };
 
-/* A request that waits for an adapter, by the frame that asked. */
+/* A request frame that waits for an adapter: who sent it, and its ID. */
 struct adapter_wait {
     char *from;
     uint64_t id;
@@ -51,16 +52,17 @@
 /* A model or adapter on an engine. */
 struct item {
     GQuark name;
-    GQuark model; /* of an adapter; 0: it is a model */
+    GQuark model; /* the adapter's model; 0: the item is a model */
     enum ch_item_state state;
-    int64_t changed;    /* last change of state */
-    int64_t used;       /* an adapter was last asked for */
-    int64_t not_before; /* the order for it is not sent before */
-    bool ordered;       /* the order for its state was taken */
-    bool told;          /* it is to come by another holder's word */
-    bool from_store;    /* its load counts at the weight store */
-    int64_t load_at;    /* ... as begun then */
-    GArray *waits;      /* struct adapter_wait; NULL: none */
+    int64_t changed; /* last change of state, or when its order was accepted */
+    int64_t used;    /* last request for an adapter */
+    int64_t not_before; /* its order is not sent earlier */
+    bool ordered;       /* the engine accepted the order for its state */
+    bool told;          /* loading, as another lease holder reports */
+    bool from_store;    /* its load counts against the limit of loads from the
+                           weight store */
+    int64_t load_at;    /* start of its load as counted against that limit */
+    GArray *waits;      /* struct adapter_waiter; NULL: none */
 };
 
 struct controller_engine {
@@ -72,77 +74,83 @@
     char *address;
     struct ch_upstream *client;
     uint64_t boot;
-    uint64_t taken; /* orders it has taken */
+    uint64_t taken; /* number of orders that the engine has accepted */
     GArray *items;  /* struct item */
     GArray *copies; /* GQuark */
-    /* When what is due, on the client's clock. */
-    int64_t quiet_until; /* no order before then */
+    /* Times on the client's clock. */
+    int64_t quiet_until; /* no order earlier */
     int64_t report_at;
-    int64_t last_order; /* sent at */
+    int64_t last_order; /* when the last order was sent */
     int64_t pledged_until;
-    int64_t pledged_load; /* its load was counted then; 0: there is a copy */
-    /* What all nodes together have sent, as they told. */
+    int64_t pledged_load; /* when the reserved load was counted against the
+                             weight store; 0: there is a local copy */
+    /* Sum of what all nodes report to have sent to this engine; the backlog is
+     * prefill time in microseconds. */
     int64_t load_unread;
     uint32_t load_running;
-    /* By the last report. */
+    /* From the last report. */
     uint32_t running;
     uint32_t waiting;
-    GQuark pledged; /* the model that room was made for; 0: none */
-    /* The order under way. */
+    GQuark pledged; /* the model for which memory was freed; 0: none */
+    /* The order in flight. */
     GQuark ordered_item;
     enum ch_order_action ordered_action;
     bool ordering;
-    bool unsure; /* its answer was lost: it may act yet */
+    bool unsure; /* the order's reply was lost: it may still be executed */
     bool reporting;
     bool listed;
     bool leaving;
-    bool restarted; /* a report showed it; the list does not yet */
-    bool known;    /* its orders and what it holds were read since its start */
-    bool mirrored; /* what it holds is another holder's word */
-    bool told_busy;  /* ... and whether it takes orders */
-    unsigned news;   /* by audience, a bit each: its state is to be told */
-    uint32_t number; /* by which it is named to audiences; 0: none yet */
+    bool restarted;  /* a report showed a restart that the host list does not
+                        show yet */
+    bool known;      /* its order count and items were read since its start */
+    bool mirrored;   /* its items are as another lease holder reports them */
+    bool told_busy;  /* whether it is busy, likewise */
+    unsigned news;   /* bit per audience that has yet to receive its state */
+    uint32_t number; /* identifies the engine in messages; 0: none yet */
     struct load told[AUDIENCES];
 };
 
-/* When an audience is told next, and the number of the last message. */
+/* When an audience gets its next message, and the number of the last one. */
 struct tell_times {
-    int64_t next;       /* news */
-    int64_t next_quiet; /* that there is none */
+    int64_t next;       /* if anything changed */
+    int64_t next_quiet; /* if nothing changed */
     int64_t next_whole;
     uint64_t sequence;
 };
 
-/* A data centre's engines and the right to order them. */
+/* Control of a data centre's engines: the lease to order them, who holds it,
+ * and the limit of loads. */
 struct duty {
     GQuark data_centre;
     GQuark region; /* of the data centre */
     struct ch_claim *claim;
-    char *holder;   /* the node that told last; NULL: none */
-    uint64_t fence; /* of its right */
+    char *holder;   /* the lease holder last heard of; NULL: none */
+    uint64_t fence; /* of the holder's lease */
     int64_t heard;
     bool was_held;
     int64_t held_since;
     int64_t next_arrange;
-    int64_t next_short;     /* lines on models that stay short */
-    struct ch_window loads; /* of models from the weight store */
-    unsigned most_loads;    /* of them in a window */
+    int64_t next_short;     /* next log lines on models with a shortage */
+    struct ch_window loads; /* loads of models from the weight store */
+    unsigned most_loads;    /* loads allowed in a window */
 };
 
-/* What one node told of its requests. */
+/* Demand that one node reported. */
 struct node_demand {
-    GQuark data_centre; /* to whose holder an earlier version told it; 0: of
-                           all that was told by the node */
-    bool collected;     /* the sum of what others told that holder */
+    GQuark data_centre; /* set by nodes of an earlier version, which report to
+                           each data centre's holder; 0: the report is for all
+                           data centres */
+    bool collected;     /* sent by another lease holder: the sum of its nodes'
+                           reports */
     GArray *list;       /* struct ch_model_demand */
     GArray *loads;      /* struct ch_engine_load */
     int64_t at;
 };
 
-/* A model's smoothed demand. */
+/* A model's demand from all nodes, as a sum or as a moving average. */
 struct smoothed {
-    double work;    /* engines' time */
-    double backlog; /* seconds */
+    double work;    /* in engines: 1 is the whole time of one engine */
+    double backlog; /* seconds of engine time not begun */
 };
 
 struct ch_controller {
@@ -159,13 +167,13 @@
     int64_t next_demand;
     int64_t next_demand_far;
     struct tell_times telling[AUDIENCES];
-    uint32_t last_number; /* of an engine */
-    GHashTable *tellers;  /* what other holders told, by name and audience */
-    GHashTable *used;     /* adapters in use, to be passed on */
+    uint32_t last_number; /* last one given to an engine */
+    GHashTable *tellers;  /* states received, by publisher and audience */
+    GHashTable *used; /* adapters in use, to be forwarded to other holders */
     GHashTable *engines;  /* GQuark to struct controller_engine */
-    GHashTable *duties;   /* GQuark of data centre to struct duty */
-    GHashTable *demands;  /* node name to struct node_demand */
-    GHashTable *smoothed; /* GQuark to struct smoothed */
+    GHashTable *duties;   /* GQuark of data centre to struct centre_state */
+    GHashTable *demands;  /* sender and kind to struct node_demand */
+    GHashTable *smoothed; /* GQuark of model to struct fleet_demand */
     int64_t smoothed_at;
 };
 
@@ -174,93 +182,99 @@
 struct controller_engine *engine_new(struct ch_controller *controller,
                                      const struct ch_host *host);
 void engine_unref(struct controller_engine *engine);
-/* What the list says of it; another boot forgets what it held. */
+/* Applies the engine's entry in the host list; a new boot ID discards what the
+ * engine held. */
 void engine_listed(struct controller_engine *engine,
                    const struct ch_host *host, int64_t now);
 struct item *engine_item(struct controller_engine *engine, GQuark name);
 struct item *engine_add_item(struct controller_engine *engine, GQuark name,
                              GQuark model, enum ch_item_state state,
                              int64_t now);
-/* Gives the order that is next, asks for a report that is due. */
-void engine_pump(struct controller_engine *engine, struct duty *duty,
+/* Sends the next order, and requests a report if one is due. */
+void engine_pump(struct controller_engine *engine, struct duty *centre,
                  int64_t now);
-/* Whether it carries out an order that keeps all others from being taken: of a
-   model, or for an adapter that is still used. */
+/* Whether the engine executes an order that makes it refuse all others: an
+ * order for a model, or to unload an adapter that is still in use. */
 bool engine_is_busy(const struct controller_engine *engine);
-/* Whether a model may be ordered now. */
+/* Whether a model may be loaded or unloaded now. */
 bool engine_is_open(const struct controller_engine *engine, int64_t now);
-/* A request asks for an adapter: answered when it is there, or cannot come. */
-void engine_prepare(struct controller_engine *engine, struct duty *duty,
+/* Has an adapter loaded for a request; the waiter gets its reply when the
+ * adapter is ready or cannot be loaded. */
+void engine_prepare(struct controller_engine *engine, struct duty *centre,
                     GQuark model, GQuark adapter,
-                    const struct adapter_wait *wait, int64_t now);
-/* Ends what waits for adapters, with a code. */
+                    const struct adapter_wait *waiter, int64_t now);
+/* Replies with an error code to everything that waits for adapters. */
 void engine_fail_waits(struct controller_engine *engine, enum ch_code code);
-/* Memory of a model or adapter by the configuration in force; 0: unknown. */
+/* Memory of a model or adapter in MB, from the configuration in force; 0:
+ * unknown. */
 uint32_t controller_memory(struct ch_controller *controller, GQuark name);
 /* The model of an adapter "model/adapter"; 0 for a model. */
 GQuark controller_model_of(GQuark name);
-/* Places for adapters of the engine. */
+/* The engine's adapter slots. */
 uint32_t engine_adapter_places(const struct controller_engine *engine);
-/* Memory of the engine for weights; 0: unknown. */
+/* Memory of the engine for weights in MB; 0: unknown. */
 uint32_t engine_memory(const struct controller_engine *engine);
-/* Memory kept for adapters. */
+/* Memory in MB to be kept free for adapters. */
 uint32_t engine_reserve(const struct controller_engine *engine,
                         uint32_t adapter_mb);
 
 /* ---- controller_models.c; lock held ---- */
 
-/* Decides on models, and begins what was decided. */
-void controller_arrange(struct ch_controller *controller, struct duty *duty,
+/* Runs a placement round for the models, and starts the loads and unloads that
+ * it decides on. */
+void controller_arrange(struct ch_controller *controller, struct duty *centre,
                         int64_t now);
 
-/* Loads adapters that stand nowhere where places are free. */
+/* Loads adapters that no engine has into free adapter slots. */
 void controller_fill_places(struct ch_controller *controller,
-                            struct duty *duty, int64_t now);
+                            struct duty *centre, int64_t now);
 
-/* ---- controller_tell.c; lock held ---- */
+/* ---- controller_publish.c; lock held ---- */
 
 void controller_tell_init(struct ch_controller *controller);
-/* Tells all audiences what is due, where this node holds a right. */
+/* Publishes what is due to all audiences, if this node holds a lease. */
 void controller_tell(struct ch_controller *controller, int64_t now);
-/* Whether this node has the right now. */
-bool controller_holds(const struct duty *duty);
-/* ... any right. */
+/* Whether this node holds the lease now. */
+bool controller_holds(const struct duty *centre);
+/* Whether this node holds any lease now. */
 bool controller_holds_any(struct ch_controller *controller);
-/* The holder that tells this node, and takes its demand; a new string, NULL:
-   none is known. */
+/* The lease holder that publishes to this node and collects its demand, as a
+ * new string; NULL: none is known. */
 char *controller_teller(struct ch_controller *controller, int64_t now);
-/* The names of the other holders that were heard lately, of this region or of
-   others. */
+/* The names of the other lease holders that were heard lately, of this region
+ * (near) or of other regions. */
 GPtrArray *controller_other_holders(struct ch_controller *controller,
                                     bool near, int64_t now);
 
-/* ---- controller_hear.c ---- */
+/* ---- controller_receive.c ---- */
 
 void controller_hear_init(struct ch_controller *controller);
 
 /* ---- controller_demand.c ---- */
 
 void controller_demand_init(struct ch_controller *controller);
-/* Tells what requests ask for when it is due.  Lock not held. */
+/* Sends this node's demand, and forwards that of other nodes, when due. Lock
+ * not held. */
 void controller_demand_step(struct ch_controller *controller);
-/* What all nodes ask of each model, struct smoothed by its quark; lock held,
-   like the next. */
+/* All nodes' demand by model, as struct fleet_demand keyed by quark; the
+ * caller destroys the table. Lock held, as for the next function. */
 GHashTable *controller_sum_demands(struct ch_controller *controller,
-                                   const struct duty *duty, int64_t now);
-/* Adds up what all nodes have sent to the engines of a data centre. */
+                                   const struct duty *centre, int64_t now);
+/* Sums what all nodes have sent to each engine of a data centre. */
 void controller_sum_loads(struct ch_controller *controller,
-                          const struct duty *duty, int64_t now);
+                          const struct duty *centre, int64_t now);
 
 /* ---- controller.c; lock held ---- */
 
 struct duty *controller_duty(struct ch_controller *controller,
                              GQuark data_centre);
-/* Loads from the weight store that one of the data centres' holders may begin
-   in a window: its part of what is allowed, rounded up to one at least. */
+/* Loads from the weight store that the lease holder of one data centre may
+ * start in a window: its share of the weight store's limit, rounded up to at
+ * least one. */
 unsigned controller_loads_in_window(const struct ch_controller *controller,
                                     const struct ch_declaration *declaration);
-/* Answers who waits for an adapter. */
+/* Sends the reply to a waiter for an adapter. */
 void controller_answer(struct ch_controller *controller,
-                       const struct adapter_wait *wait, enum ch_code code);
+                       const struct adapter_wait *waiter, enum ch_code code);
 
 #endif
--- a/libchestnuthitch/node/controller_models.c
+++ b/libchestnuthitch/node/controller_models.c
@@ -1,4 +1,4 @@
-/* Which models are to come and go for what requests ask for. */
+/* Placement of models: which ones to load and unload for the demand. */
 
 #include "node/controller_internal.h"
 
@@ -6,39 +6,44 @@
 #include <string.h>
 
 enum {
-    /* Demand is smoothed over this time: it moves every few seconds, and a
-     * load takes one at least. */
-    SMOOTH = 500 * 1000,
-    /* A model that is to go gets no new requests for this long before the
-     * order for it is sent: the time in which every node has been told. */
-    LEAVE_FIRST = 250 * 1000,
-    /* ... and a report is asked for so much sooner, to tell what waits. */
-    ASK_EARLIER = 50 * 1000,
-    /* Room that was made for a model is kept for it this long: its victim's
-     * last requests have ended by then, or something went wrong. */
-    PLEDGE = 8 * 1000 * 1000,
-    /* A holder that told nothing for this long orders nothing either: it tells
-     * other regions each second. */
-    HOLDER_QUIET = 1500 * 1000,
-    /* Places on an engine that stay free for adapters which are asked for. */
-    SPARE_PLACES = 1,
-    /* Memory of an adapter where no model states more. */
-    USUAL_ADAPTER_MB = 100,
-    /* Lines on models that stay short: no more often, and no more of them. */
-    SHORT_PERIOD = 1000 * 1000,
-    MOST_SHORT = 8,
-    MOST_ADAPTER_NAME = 96, /* a model's name has 64 bytes at most */
+    /* Time constant of the moving average of demand: demand changes every few
+     * seconds, and a load takes one second at least. */
+    DEMAND_AVERAGE_US = 500 * 1000,
+    /* A model to be evicted gets no new requests for this long before the
+     * order to unload it is sent: by then every node has been told. */
+    UNLOAD_DELAY_US = 250 * 1000,
+    /* A report is requested this much before that order, to show what is still
+     * waiting. */
+    REPORT_LEAD_US = 50 * 1000,
+    /* Freed memory stays reserved for a model for this long: by then the last
+     * requests of the evicted model have ended, or something went wrong. */
+    RESERVATION_US = 8 * 1000 * 1000,
+    /* A lease holder not heard of for this long counts as giving no orders: it
+     * reports to other regions each second. */
+    OTHER_HOLDER_SILENCE_US = 1500 * 1000,
+    /* Adapter slots on an engine that stay free for adapters that requests
+     * need. */
+    SPARE_ADAPTER_SLOTS = 1,
+    /* Memory of an adapter unless a model states more. */
+    DEFAULT_ADAPTER_MB = 100,
+    /* Log lines on models with a shortage: the least time between them, and
+     * the most of them at a time. */
+    SHORTAGE_LOG_PERIOD_US = 1000 * 1000,
+    MAX_SHORTAGE_LOGS = 8,
+    ADAPTER_NAME_BYTES = 96, /* a model's name has 64 bytes at most */
 };
 
 /* ---- demand ---- */
 
-/* Lets the smoothed demand follow what is told now. */
+/* Updates the moving average of demand from the current reports. */
 static void
-smooth(struct ch_controller *controller, const struct duty *duty, int64_t now)
+update_average_demand(struct ch_controller *controller,
+                      const struct duty *centre, int64_t now)
 {
-    GHashTable *sums = controller_sum_demands(controller, duty, now);
-    double age = (double)(now - controller->smoothed_at) / SMOOTH;
-    double weight = 1 - exp(-age);
+    GHashTable *sums = controller_sum_demands(controller, centre, now);
+    double elapsed =
+        (double)(now - controller->smoothed_at) / DEMAND_AVERAGE_US;
+    double weight = 1 - exp(-elapsed);
     controller->smoothed_at = now;
     GHashTableIter iterator;
     gpointer key = NULL;
@@ -52,46 +57,50 @@
     }
     g_hash_table_iter_init(&iterator, controller->smoothed);
     while (g_hash_table_iter_next(&iterator, &key, &value)) {
-        struct smoothed *smoothed = value;
+        struct smoothed *average = value;
         const struct smoothed *sum = g_hash_table_lookup(sums, key);
-        double work = sum == NULL ? 0 : sum->work;
-        double backlog = sum == NULL ? 0 : sum->backlog;
-        smoothed->work += (work - smoothed->work) * weight;
-        smoothed->backlog += (backlog - smoothed->backlog) * weight;
+        double demand = sum == NULL ? 0 : sum->work;
+        double backlog_s = sum == NULL ? 0 : sum->backlog;
+        average->work += (demand - average->work) * weight;
+        average->backlog += (backlog_s - average->backlog) * weight;
     }
     g_hash_table_destroy(sums);
 }
 
-/* ---- the state that is decided upon ---- */
+/* ---- input of a placement round ---- */
 
-/* What the decision is given; its lists are freed after it. */
-struct picture {
+/* Input of a placement round, freed after the round. */
+struct placement_input {
     GArray *engines;  /* struct ch_arrange_engine */
     GArray *models;   /* struct ch_arrange_model */
-    GPtrArray *lists; /* GArray, to be freed */
+    GPtrArray *lists; /* GArray that entries point into */
 };
 
-/* Whether an engine of another data centre takes a change, as far as is known:
- * its holder tells, and no model is on its way there. */
+/* Whether an engine of another data centre accepts a change, as far as is
+ * known: its lease holder was heard lately, and no model is being loaded or
+ * unloaded there. */
 static bool
-is_open_elsewhere(const struct controller_engine *engine, int64_t now)
+other_centre_accepts_change(const struct controller_engine *engine,
+                            int64_t now)
 {
-    const struct duty *duty =
+    const struct duty *centre =
         controller_duty(engine->controller, engine->data_centre);
-    bool open = engine->listed && duty->holder != NULL &&
-                now - duty->heard < HOLDER_QUIET;
+    bool accepts = engine->listed && centre->holder != NULL &&
+                   now - centre->heard < OTHER_HOLDER_SILENCE_US;
     for (guint i = 0; i < engine->items->len; i++) {
         const struct item *item =
             &g_array_index(engine->items, struct item, i);
-        open = open && (item->model != 0 || item->state == CH_ITEM_RESIDENT);
+        accepts =
+            accepts && (item->model != 0 || item->state == CH_ITEM_RESIDENT);
     }
-    return open;
+    return accepts;
 }
 
 /* Adds an engine with its models. */
 static void
-add_engine(struct picture *picture, const struct controller_engine *engine,
-           const struct duty *duty, uint32_t adapter_mb, int64_t now)
+add_engine(struct placement_input *input,
+           const struct controller_engine *engine, const struct duty *centre,
+           uint32_t adapter_mb, int64_t now)
 {
     GArray *items = g_array_new(FALSE, FALSE, sizeof(struct ch_arrange_item));
     for (guint i = 0; i < engine->items->len; i++) {
@@ -102,15 +111,15 @@
             g_array_append_val(items, copy);
         }
     }
-    g_ptr_array_add(picture->lists, items);
+    g_ptr_array_add(input->lists, items);
     const struct ch_arrange_engine entry = {
         .name = engine->name,
         .service = engine->service,
         .data_centre = engine->data_centre,
-        .mine = engine->data_centre == duty->data_centre,
-        .open = engine->data_centre == duty->data_centre
+        .mine = engine->data_centre == centre->data_centre,
+        .open = engine->data_centre == centre->data_centre
                     ? engine_is_open(engine, now)
-                    : is_open_elsewhere(engine, now),
+                    : other_centre_accepts_change(engine, now),
         .leaving = engine->leaving,
         .memory_mb = engine_memory(engine),
         .reserve_mb = engine_reserve(engine, adapter_mb),
@@ -120,17 +129,17 @@
         .copy_count = engine->copies->len,
         .pledged = now < engine->pledged_until ? engine->pledged : 0,
     };
-    g_array_append_val(picture->engines, entry);
+    g_array_append_val(input->engines, entry);
 }
 
-/* Adds a model of the configuration with what is asked of it. */
+/* Adds a model of the configuration with its demand. */
 static void
-add_model(struct picture *picture, struct ch_controller *controller,
+add_model(struct placement_input *input, struct ch_controller *controller,
           const struct ch_declaration *declaration, size_t index)
 {
     const struct ch_model *model = &declaration->models[index];
     GQuark name = g_quark_from_string(model->name);
-    const struct smoothed *smoothed =
+    const struct smoothed *average =
         g_hash_table_lookup(controller->smoothed, GUINT_TO_POINTER(name));
     GArray *services = g_array_new(FALSE, FALSE, sizeof(GQuark));
     for (size_t i = 0; i < declaration->service_count; i++) {
@@ -139,60 +148,60 @@
             g_array_append_val(services, service);
         }
     }
-    g_ptr_array_add(picture->lists, services);
+    g_ptr_array_add(input->lists, services);
     const struct ch_arrange_model entry = {
         .name = name,
         .memory_mb = model->memory_mb,
-        .work = smoothed == NULL ? 0 : smoothed->work,
-        .backlog = smoothed == NULL ? 0 : smoothed->backlog,
+        .work = average == NULL ? 0 : average->work,
+        .backlog = average == NULL ? 0 : average->backlog,
         .services = (const GQuark *)(void *)services->data,
         .service_count = services->len,
         .adapters = model->numbered_adapters > 0,
     };
-    g_array_append_val(picture->models, entry);
+    g_array_append_val(input->models, entry);
 }
 
-/* The memory to count on for an adapter: the largest of any model. */
+/* The memory in MB to reserve for an adapter: the largest of any model. */
 static uint32_t
-largest_adapter(const struct ch_declaration *declaration)
+find_largest_adapter_mb(const struct ch_declaration *declaration)
 {
-    uint32_t largest = USUAL_ADAPTER_MB;
+    uint32_t largest_mb = DEFAULT_ADAPTER_MB;
     for (size_t i = 0; i < declaration->model_count; i++) {
-        largest = MAX(largest, declaration->models[i].adapter_memory_mb);
+        largest_mb = MAX(largest_mb, declaration->models[i].adapter_memory_mb);
     }
-    return largest;
+    return largest_mb;
 }
 
-/* For g_ptr_array_new_with_free_func. */
+/* For g_ptr_array_new_with_free_func(). */
 static void
 free_list(void *data)
 {
     g_array_free(data, TRUE);
 }
 
-/* Engines of the data centre: all of them may change at a time.  An engine
- * serves what it holds meanwhile, only its adapters stay as they are; with a
- * limit of half of them, a model in demand waited for ten seconds behind loads
- * that took eight each. */
+/* Returns how many engines may change at a time: all controlled ones, at least
+ * 1. An engine serves the models that it holds during a change, and only its
+ * adapters can't change; with a limit of half the engines, a model in demand
+ * waited ten seconds behind loads of eight seconds each. */
 static uint32_t
-most_changes(const struct picture *picture)
+count_changeable_engines(const struct placement_input *input)
 {
-    uint32_t mine = 0;
-    for (guint i = 0; i < picture->engines->len; i++) {
-        mine +=
-            g_array_index(picture->engines, struct ch_arrange_engine, i).mine
+    uint32_t controlled = 0;
+    for (guint i = 0; i < input->engines->len; i++) {
+        controlled +=
+            g_array_index(input->engines, struct ch_arrange_engine, i).mine
                 ? 1
                 : 0;
     }
-    return MAX(mine, 1);
+    return MAX(controlled, 1);
 }
 
-/* ---- doing what was decided ---- */
+/* ---- starting actions ---- */
 
-/* Begins a load or an unload; the orders follow when they can be sent. */
+/* Starts a load or an unload; the orders are sent when they are due. */
 static void
-begin(struct ch_controller *controller, struct duty *duty,
-      const struct ch_arrange_action *action, int64_t now)
+start_action(struct ch_controller *controller, struct duty *centre,
+             const struct ch_arrange_action *action, int64_t now)
 {
     struct controller_engine *engine = g_hash_table_lookup(
         controller->engines, GUINT_TO_POINTER(action->engine));
@@ -207,16 +216,17 @@
         CH_F_BOOL("from_store", action->from_store),
         CH_F_STR("reason", action->reason), CH_F_END);
     if (action->from_store) {
-        ch_window_take(&duty->loads, now);
+        ch_window_take(&centre->loads, now);
     }
-    GQuark comes =
+    GQuark loaded_model =
         action->kind == CH_ACTION_LOAD ? action->model : action->pledged;
-    bool keeps = comes != 0 && engine->pledged == comes;
-    int64_t load_at = action->from_store ? now
-                      : keeps            ? engine->pledged_load
-                                         : 0;
+    bool keeps_reservation =
+        loaded_model != 0 && engine->pledged == loaded_model;
+    int64_t load_at = action->from_store  ? now
+                      : keeps_reservation ? engine->pledged_load
+                                          : 0;
     engine->pledged = action->pledged;
-    engine->pledged_until = now + PLEDGE;
+    engine->pledged_until = now + RESERVATION_US;
     engine->pledged_load = load_at;
     if (action->kind == CH_ACTION_LOAD) {
         struct item *item =
@@ -229,30 +239,31 @@
         item->state = CH_ITEM_UNLOADING;
         item->ordered = false;
         item->changed = now;
-        item->not_before = now + LEAVE_FIRST;
-        engine->report_at = now + LEAVE_FIRST - ASK_EARLIER;
+        item->not_before = now + UNLOAD_DELAY_US;
+        engine->report_at = now + UNLOAD_DELAY_US - REPORT_LEAD_US;
     }
     engine->news = ALL_NEWS;
-    engine_pump(engine, duty, now);
+    engine_pump(engine, centre, now);
 }
 
-/* Tells of models that stay short, and what stands in the way, now and then.
- */
+/* Logs models that still have a shortage, and the reasons, at most once per
+ * SHORTAGE_LOG_PERIOD_US. */
 static void
-log_short(struct ch_controller *controller, struct duty *duty,
-          const struct ch_arrange_state *state, GArray *actions, int64_t now)
+log_shortages(struct ch_controller *controller, struct duty *centre,
+              const struct ch_arrange_state *state, GArray *actions,
+              int64_t now)
 {
-    if (now < duty->next_short) {
+    if (now < centre->next_short) {
         return;
     }
     GArray *entries =
         g_array_new(FALSE, FALSE, sizeof(struct ch_arrange_short));
     ch_arrange_find_short(state, actions, entries);
-    for (guint i = 0; i < entries->len && i < MOST_SHORT; i++) {
+    for (guint i = 0; i < entries->len && i < MAX_SHORTAGE_LOGS; i++) {
         const struct ch_arrange_short *entry =
             &g_array_index(entries, struct ch_arrange_short, i);
         ch_log(controller->node->client, CH_LOG_INFO, "model-short",
-               CH_F_STR("data_centre", g_quark_to_string(duty->data_centre)),
+               CH_F_STR("data_centre", g_quark_to_string(centre->data_centre)),
                CH_F_STR("model", g_quark_to_string(entry->model)),
                CH_F_INT("asked_thousandths", (int64_t)(entry->asked * 1000)),
                CH_F_INT("replicas", entry->replicas),
@@ -260,14 +271,14 @@
                CH_F_INT("changing", entry->changing),
                CH_F_INT("no_room", entry->no_room),
                CH_F_INT("no_load", entry->no_load), CH_F_END);
-        duty->next_short = now + SHORT_PERIOD;
+        centre->next_short = now + SHORTAGE_LOG_PERIOD_US;
     }
     g_array_free(entries, TRUE);
 }
 
 /* See controller_internal.h. */
 void
-controller_arrange(struct ch_controller *controller, struct duty *duty,
+controller_arrange(struct ch_controller *controller, struct duty *centre,
                    int64_t now)
 {
     struct ch_config *config =
@@ -275,11 +286,11 @@
     if (config == NULL) {
         return;
     }
-    smooth(controller, duty, now);
-    duty->most_loads =
+    update_average_demand(controller, centre, now);
+    centre->most_loads =
         controller_loads_in_window(controller, config->declaration);
-    uint32_t adapter_mb = largest_adapter(config->declaration);
-    struct picture picture = {
+    uint32_t adapter_mb = find_largest_adapter_mb(config->declaration);
+    struct placement_input input = {
         .engines = g_array_new(FALSE, FALSE, sizeof(struct ch_arrange_engine)),
         .models = g_array_new(FALSE, FALSE, sizeof(struct ch_arrange_model)),
         .lists = g_ptr_array_new_with_free_func(free_list),
@@ -288,45 +299,46 @@
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, controller->engines);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        add_engine(&picture, value, duty, adapter_mb, now);
+        add_engine(&input, value, centre, adapter_mb, now);
     }
     for (size_t i = 0; i < config->declaration->model_count; i++) {
-        add_model(&picture, controller, config->declaration, i);
+        add_model(&input, controller, config->declaration, i);
     }
     const struct ch_arrange_state state = {
         .engines =
-            (const struct ch_arrange_engine *)(void *)picture.engines->data,
-        .engine_count = picture.engines->len,
-        .models =
-            (const struct ch_arrange_model *)(void *)picture.models->data,
-        .model_count = picture.models->len,
-        .data_centre = duty->data_centre,
-        .loads_left = ch_window_left(&duty->loads, duty->most_loads, now),
-        .most_changes = most_changes(&picture),
+            (const struct ch_arrange_engine *)(void *)input.engines->data,
+        .engine_count = input.engines->len,
+        .models = (const struct ch_arrange_model *)(void *)input.models->data,
+        .model_count = input.models->len,
+        .data_centre = centre->data_centre,
+        .loads_left = ch_window_left(&centre->loads, centre->most_loads, now),
+        .most_changes = count_changeable_engines(&input),
         .without = controller->node->settings->without,
     };
     GArray *actions =
         g_array_new(FALSE, FALSE, sizeof(struct ch_arrange_action));
     ch_arrange(&state, actions);
-    log_short(controller, duty, &state, actions, now);
+    log_shortages(controller, centre, &state, actions, now);
     for (guint i = 0; i < actions->len; i++) {
-        begin(controller, duty,
-              &g_array_index(actions, struct ch_arrange_action, i), now);
+        start_action(controller, centre,
+                     &g_array_index(actions, struct ch_arrange_action, i),
+                     now);
     }
     g_array_free(actions, TRUE);
-    g_array_free(picture.engines, TRUE);
-    g_array_free(picture.models, TRUE);
-    g_ptr_array_free(picture.lists, TRUE);
+    g_array_free(input.engines, TRUE);
+    g_array_free(input.models, TRUE);
+    g_ptr_array_free(input.lists, TRUE);
     ch_config_unref(config);
 }
 
-/* ---- adapters before they are asked for ---- */
+/* ---- preloading adapters ---- */
 
-/* The adapters that some engine has or is loading; GQuark to itself. */
+/* Returns the set of adapters that some engine has or is loading, as quarks.
+ */
 static GHashTable *
-standing_adapters(const struct ch_controller *controller)
+list_present_adapters(const struct ch_controller *controller)
 {
-    GHashTable *standing = g_hash_table_new(NULL, NULL);
+    GHashTable *present = g_hash_table_new(NULL, NULL);
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, controller->engines);
@@ -336,31 +348,31 @@
             const struct item *item =
                 &g_array_index(engine->items, struct item, i);
             if (item->model != 0) {
-                g_hash_table_add(standing, GUINT_TO_POINTER(item->name));
+                g_hash_table_add(present, GUINT_TO_POINTER(item->name));
             }
         }
     }
-    return standing;
+    return present;
 }
 
-/* The adapter of a model that stands nowhere, if there is one; 0: none. */
+/* Returns an adapter of a model that no engine has; 0: none. */
 static GQuark
-missing_adapter(GHashTable *standing, const struct ch_model *model)
+find_missing_adapter(GHashTable *present, const struct ch_model *model)
 {
-    char name[MOST_ADAPTER_NAME];
+    char name[ADAPTER_NAME_BYTES];
     for (unsigned i = 1; i <= model->numbered_adapters; i++) {
         (void)g_snprintf(name, sizeof(name), "%s/a%u", model->name, i);
         GQuark adapter = g_quark_from_string(name);
-        if (!g_hash_table_contains(standing, GUINT_TO_POINTER(adapter))) {
+        if (!g_hash_table_contains(present, GUINT_TO_POINTER(adapter))) {
             return adapter;
         }
     }
     return 0;
 }
 
-/* Places for adapters that are taken on an engine, or will be. */
+/* Adapter slots of an engine that are used or reserved by pending loads. */
 static uint32_t
-places_taken(const struct controller_engine *engine)
+count_used_slots(const struct controller_engine *engine)
 {
     uint32_t count = 0;
     for (guint i = 0; i < engine->items->len; i++) {
@@ -370,14 +382,15 @@
     return count;
 }
 
-/* Begins to load one adapter on an engine that has places free. */
+/* Starts to load one adapter on an engine with free adapter slots. */
 static void
-fill_places(struct duty *duty, struct controller_engine *engine,
-            const struct ch_declaration *declaration, GHashTable *standing,
-            int64_t now)
+preload_adapter(struct duty *centre, struct controller_engine *engine,
+                const struct ch_declaration *declaration, GHashTable *present,
+                int64_t now)
 {
     if (!engine_is_open(engine, now) || engine->ordering ||
-        places_taken(engine) + SPARE_PLACES >= engine_adapter_places(engine)) {
+        count_used_slots(engine) + SPARE_ADAPTER_SLOTS >=
+            engine_adapter_places(engine)) {
         return;
     }
     for (size_t i = 0; i < declaration->model_count; i++) {
@@ -387,28 +400,30 @@
         if (item == NULL || item->state != CH_ITEM_RESIDENT) {
             continue;
         }
-        GQuark adapter = missing_adapter(standing, model);
+        GQuark adapter = find_missing_adapter(present, model);
         if (adapter != 0) {
             struct item *added =
                 engine_add_item(engine, adapter, name, CH_ITEM_LOADING, now);
             added->used = 0;
-            g_hash_table_add(standing, GUINT_TO_POINTER(adapter));
-            engine_pump(engine, duty, now);
+            g_hash_table_add(present, GUINT_TO_POINTER(adapter));
+            engine_pump(engine, centre, now);
             return;
         }
     }
 }
 
 /*
- * Load: an adapter is asked for that stands nowhere, while the key-value
- * service is away and nobody has the right to order.  Harm prevented: all
- * requests for it are refused until the service is back; else the first of
- * them waits for the load.  So places that are free take adapters that stand
- * nowhere, one at a time on each engine; each goes again as soon as another is
- * asked for, as nobody has used it.
+ * See controller_internal.h. Loads adapters that no engine has into free
+ * adapter slots, one at a time on each engine. Each is unloaded as soon as
+ * another adapter is needed, because no request has used it.
+ *
+ * Load: a request needs an adapter that no engine has, while the key-value
+ * store is unavailable and nobody holds the lease to order engines. Harm
+ * prevented: all requests for that adapter are refused until the store is
+ * back. Without that outage, the first request would wait for the load.
  */
 void
-controller_fill_places(struct ch_controller *controller, struct duty *duty,
+controller_fill_places(struct ch_controller *controller, struct duty *centre,
                        int64_t now)
 {
     if (controller->node->settings->without.adapters_ahead) {
@@ -421,14 +436,14 @@
     if (config == NULL) {
         return;
     }
-    GHashTable *standing = standing_adapters(controller);
+    GHashTable *present = list_present_adapters(controller);
     g_hash_table_iter_init(&iterator, controller->engines);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct controller_engine *engine = value;
-        if (engine->data_centre == duty->data_centre) {
-            fill_places(duty, engine, config->declaration, standing, now);
+        if (engine->data_centre == centre->data_centre) {
+            preload_adapter(centre, engine, config->declaration, present, now);
         }
     }
-    g_hash_table_destroy(standing);
+    g_hash_table_destroy(present);
     ch_config_unref(config);
 }
--- a/libchestnuthitch/node/controller_tell.c
+++ b/libchestnuthitch/node/controller_tell.c
@@ -1,4 +1,5 @@
-/* What holders of rights tell of their engines, one another and the nodes. */
+/* Publishing of engine states by lease holders, to one another and to the
+ * nodes. */
 
 #include "decide/tell.h"
 #include "node/controller_internal.h"
@@ -8,39 +9,40 @@
 #define WIRE(name) CHESTNUTHITCH__WIRE__##name
 
 enum {
-    /* A holder that was not heard for this long tells nobody: one of the
-     * others tells the nodes of its data centre.  Far holders tell each
-     * second. */
-    TELLER_SILENT = 1700 * 1000,
-    /* A prompt's reading time that changed by less is not news. */
-    UNREAD_STEP_MS = 16,
+    /* A lease holder not heard of for this long no longer counts as a
+     * publisher: another lease holder publishes to the nodes of its data
+     * centre. Holders of other regions send a message each second. */
+    PUBLISHER_SILENCE_US = 1700 * 1000,
+    /* A smaller change of prefill backlog is not published. */
+    PREFILL_BACKLOG_STEP_MS = 16,
 };
 
 /*
- * How often each audience is told: when there is news, when there is none, and
- * of all engines, for what was missed without a trace.  Nodes route by the
- * first, and hold a holder to be lost after some of the second.  Requests go
- * to another region only when their own has no room, so that a second between
- * regions costs little and saves most of what their link carried.
+ * How often each audience gets a message: when something changed, when nothing
+ * changed (a heartbeat), and with the full status, for changes whose loss went
+ * unnoticed. Nodes route requests by the first, and take a lease holder for
+ * lost after some missing heartbeats. Requests go to another region only when
+ * their own has no capacity left, so a period of one second between regions
+ * costs little and saves most of the volume on their link.
  */
 static const struct {
-    int news_ms;
-    int quiet_ms;
-    int whole_ms;
+    int change_ms;
+    int heartbeat_ms;
+    int full_ms;
 } periods[AUDIENCES] = {
     [AUDIENCE_NODES] = {100, 800, 16000},
     [AUDIENCE_NEAR] = {100, 400, 4000},
     [AUDIENCE_FAR] = {1000, 1000, 8000},
 };
 
-/* ---- who tells whom; lock held ---- */
+/* ---- publishers and subscribers; lock held ---- */
 
 /* See controller_internal.h. */
 bool
-controller_holds(const struct duty *duty)
+controller_holds(const struct duty *centre)
 {
-    uint64_t fence = 0;
-    return duty->was_held && ch_claim_held(duty->claim, &fence);
+    uint64_t fencing_token = 0;
+    return centre->was_held && ch_claim_held(centre->claim, &fencing_token);
 }
 
 /* See controller_internal.h. */
@@ -58,31 +60,32 @@
     return false;
 }
 
-/* The rights whose holders are known and were heard lately. */
+/* The leases whose holders are known and were heard lately. */
 static GArray *
-list_rights(struct ch_controller *controller, int64_t now)
+list_leases(struct ch_controller *controller, int64_t now)
 {
     const struct ch_settings *settings = controller->node->settings;
-    GArray *rights = g_array_new(FALSE, FALSE, sizeof(struct ch_tell_right));
+    GArray *leases = g_array_new(FALSE, FALSE, sizeof(struct ch_tell_right));
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, controller->duties);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        const struct duty *duty = value;
-        bool own = controller_holds(duty);
-        if (!own &&
-            (duty->holder == NULL || now - duty->heard >= TELLER_SILENT ||
-             strcmp(duty->holder, settings->name) == 0)) {
+        const struct duty *centre = value;
+        bool own = controller_holds(centre);
+        if (!own && (centre->holder == NULL ||
+                     now - centre->heard >= PUBLISHER_SILENCE_US ||
+                     strcmp(centre->holder, settings->name) == 0)) {
             continue;
         }
-        const struct ch_tell_right right = {
-            .data_centre = duty->data_centre,
-            .holder = g_quark_from_string(own ? settings->name : duty->holder),
-            .region = duty->region,
+        const struct ch_tell_right lease = {
+            .data_centre = centre->data_centre,
+            .holder =
+                g_quark_from_string(own ? settings->name : centre->holder),
+            .region = centre->region,
         };
-        g_array_append_val(rights, right);
+        g_array_append_val(leases, lease);
     }
-    return rights;
+    return leases;
 }
 
 /* See controller_internal.h. */
@@ -90,13 +93,13 @@
 controller_teller(struct ch_controller *controller, int64_t now)
 {
     const struct ch_settings *settings = controller->node->settings;
-    GArray *rights = list_rights(controller, now);
-    GQuark teller =
-        ch_tell_teller((const struct ch_tell_right *)(void *)rights->data,
-                       rights->len, g_quark_from_string(settings->data_centre),
+    GArray *leases = list_leases(controller, now);
+    GQuark publisher =
+        ch_tell_teller((const struct ch_tell_right *)(void *)leases->data,
+                       leases->len, g_quark_from_string(settings->data_centre),
                        g_quark_from_string(settings->region));
-    g_array_free(rights, TRUE);
-    return teller == 0 ? NULL : g_strdup(g_quark_to_string(teller));
+    g_array_free(leases, TRUE);
+    return publisher == 0 ? NULL : g_strdup(g_quark_to_string(publisher));
 }
 
 /* See controller_internal.h. */
@@ -106,10 +109,10 @@
 {
     const char *self = controller->node->settings->name;
     GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
-    GArray *rights = list_rights(controller, now);
-    for (guint i = 0; i < rights->len; i++) {
+    GArray *leases = list_leases(controller, now);
+    for (guint i = 0; i < leases->len; i++) {
         const char *name = g_quark_to_string(
-            g_array_index(rights, struct ch_tell_right, i).holder);
+            g_array_index(leases, struct ch_tell_right, i).holder);
         if (strcmp(name, self) != 0 &&
             ch_peers_is_near(controller->node->peers, name) == near &&
             !g_ptr_array_find_with_equal_func(names, name, g_str_equal,
@@ -117,51 +120,51 @@
             g_ptr_array_add(names, g_strdup(name));
         }
     }
-    g_array_free(rights, TRUE);
+    g_array_free(leases, TRUE);
     return names;
 }
 
-struct listening {
-    const GArray *rights;
+struct subscriber_search {
+    const GArray *leases;
     GQuark self;
     GPtrArray *names;
 };
 
-/* Adds a node that this one tells. */
+/* Adds a node to which this one publishes. */
 static void
-add_listener(void *data, const char *name, const char *data_centre,
-             const char *region)
+add_subscriber(void *data, const char *name, const char *data_centre,
+               const char *region)
 {
-    const struct listening *listening = data;
-    GQuark teller = ch_tell_teller(
-        (const struct ch_tell_right *)(void *)listening->rights->data,
-        listening->rights->len, g_quark_from_string(data_centre),
+    const struct subscriber_search *search = data;
+    GQuark publisher = ch_tell_teller(
+        (const struct ch_tell_right *)(void *)search->leases->data,
+        search->leases->len, g_quark_from_string(data_centre),
         g_quark_from_string(region));
-    if (teller == listening->self) {
-        g_ptr_array_add(listening->names, g_strdup(name));
+    if (publisher == search->self) {
+        g_ptr_array_add(search->names, g_strdup(name));
     }
 }
 
-/* The nodes that this holder tells, itself among them. */
+/* The nodes to which this lease holder publishes, itself included. */
 static GPtrArray *
-list_listeners(struct ch_controller *controller, int64_t now)
+list_subscribers(struct ch_controller *controller, int64_t now)
 {
     const char *self = controller->node->settings->name;
-    const struct listening listening = {
-        .rights = list_rights(controller, now),
+    const struct subscriber_search search = {
+        .leases = list_leases(controller, now),
         .self = g_quark_from_string(self),
         .names = g_ptr_array_new_with_free_func(g_free),
     };
-    g_ptr_array_add(listening.names, g_strdup(self));
-    ch_peers_each_other(controller->node->peers, add_listener,
-                        (void *)&listening);
-    g_array_free((GArray *)listening.rights, TRUE);
-    return listening.names;
+    g_ptr_array_add(search.names, g_strdup(self));
+    ch_peers_each_other(controller->node->peers, add_subscriber,
+                        (void *)&search);
+    g_array_free((GArray *)search.leases, TRUE);
+    return search.names;
 }
 
 /* ---- messages; lock held ---- */
 
-/* Appends the names of an engine's items of a kind. */
+/* Appends the names of an engine's models or adapters in a state. */
 static void
 add_names(const struct controller_engine *engine, bool models,
           enum ch_item_state state, GPtrArray *names)
@@ -175,10 +178,11 @@
     }
 }
 
-/* The names of an engine's items of a kind. */
+/* Lists the names of an engine's models or adapters in a state; the caller
+ * frees the array, not the names. */
 static char **
-names_of(const struct controller_engine *engine, bool models,
-         enum ch_item_state state, size_t *count)
+list_names(const struct controller_engine *engine, bool models,
+           enum ch_item_state state, size_t *count)
 {
     GPtrArray *names = g_ptr_array_new();
     add_names(engine, models, state, names);
@@ -187,13 +191,17 @@
 }
 
 /*
- * The models that an engine is loading, or makes room for.  Load: demand that
- * moves, seen by the holders of all data centres at once.  Harm prevented:
- * each of them makes room for the same model, as nothing is loading it yet;
- * and callers are refused who could wait for it.
+ * The models that an engine is loading or has reserved memory for; the caller
+ * frees the array, not the names.
+ *
+ * Load: changing demand, seen by the lease holders of all data centres at
+ * once. Harm prevented: each of them frees memory for the same model, as no
+ * engine is loading it yet; and callers that could wait for the model are
+ * refused.
  */
 static char **
-coming_of(const struct controller_engine *engine, int64_t now, size_t *count)
+list_pending_loads(const struct controller_engine *engine, int64_t now,
+                   size_t *count)
 {
     GPtrArray *names = g_ptr_array_new();
     add_names(engine, true, CH_ITEM_LOADING, names);
@@ -204,7 +212,8 @@
     return (char **)g_ptr_array_free(names, FALSE);
 }
 
-/* One engine's state as a message; the names are the quarks' own. */
+/* Creates the message of one engine's state; it points to the names of quarks.
+ */
 static Chestnuthitch__Wire__EngineState *
 make_state(struct ch_controller *controller, struct controller_engine *engine,
            int64_t now)
@@ -217,10 +226,11 @@
     }
     state->upstream = (char *)g_quark_to_string(engine->name);
     state->boot = engine->boot;
-    state->models = names_of(engine, true, CH_ITEM_RESIDENT, &state->n_models);
+    state->models =
+        list_names(engine, true, CH_ITEM_RESIDENT, &state->n_models);
     state->adapters =
-        names_of(engine, false, CH_ITEM_RESIDENT, &state->n_adapters);
-    state->coming = coming_of(engine, now, &state->n_coming);
+        list_names(engine, false, CH_ITEM_RESIDENT, &state->n_adapters);
+    state->coming = list_pending_loads(engine, now, &state->n_coming);
     state->running = engine->load_running;
     state->unread_ms = (uint32_t)(engine->load_unread / 1000);
     state->busy =
@@ -229,7 +239,6 @@
     return state;
 }
 
-/* Frees a state made by make_state. */
 static void
 free_state(void *data)
 {
@@ -240,68 +249,71 @@
     g_free(state);
 }
 
-/* What is put together for one audience. */
+/* A message for one audience. */
 struct message {
     enum audience audience;
-    bool whole;
-    bool answer;       /* to one node alone: news stays news to the others */
+    bool full;
+    bool is_reply;     /* to one node: others still need the changes */
     GPtrArray *states; /* Chestnuthitch__Wire__EngineState */
-    GArray *numbers;   /* uint32_t, like the next two */
+    GArray *numbers;   /* uint32_t, as in the next two */
     GArray *running;
-    GArray *unread;
-    GPtrArray *rights; /* Chestnuthitch__Wire__Right */
+    GArray *prefill_backlog_ms;
+    GPtrArray *leases; /* Chestnuthitch__Wire__Right */
 };
 
-/* Whether an audience is to know of the engines of a data centre: nodes of all
- * whose holder is heard, other holders of this one's own. */
+/* Whether an audience gets the engines of a data centre: nodes get those of
+ * all data centres whose lease holder was heard lately, other lease holders
+ * those that this node controls. */
 static bool
-is_told_of(const struct duty *duty, enum audience audience, int64_t now)
+covers_centre(const struct duty *centre, enum audience audience, int64_t now)
 {
-    return controller_holds(duty) ||
-           (audience == AUDIENCE_NODES && duty->holder != NULL &&
-            now - duty->heard < TELLER_SILENT);
+    return controller_holds(centre) ||
+           (audience == AUDIENCE_NODES && centre->holder != NULL &&
+            now - centre->heard < PUBLISHER_SILENCE_US);
 }
 
-/* Whether an engine's load is news to an audience. */
+/* Whether an engine's load changed enough to be published to an audience. */
 static bool
-is_load_news(const struct controller_engine *engine, enum audience audience)
+is_load_changed(const struct controller_engine *engine, enum audience audience)
 {
-    const struct load *told = &engine->told[audience];
-    uint32_t unread = (uint32_t)(engine->load_unread / 1000);
-    return told->running != engine->load_running ||
-           (told->unread_ms == 0) != (unread == 0) ||
-           MAX(told->unread_ms, unread) - MIN(told->unread_ms, unread) >=
-               UNREAD_STEP_MS;
+    const struct load *published = &engine->told[audience];
+    uint32_t prefill_backlog_ms = (uint32_t)(engine->load_unread / 1000);
+    return published->running != engine->load_running ||
+           (published->unread_ms == 0) != (prefill_backlog_ms == 0) ||
+           MAX(published->unread_ms, prefill_backlog_ms) -
+                   MIN(published->unread_ms, prefill_backlog_ms) >=
+               PREFILL_BACKLOG_STEP_MS;
 }
 
-/* Adds an engine's load by its number. */
+/* Adds an engine's load, identified by its number. */
 static void
 add_load(struct message *message, const struct controller_engine *engine)
 {
-    uint32_t unread = (uint32_t)(engine->load_unread / 1000);
+    uint32_t prefill_backlog_ms = (uint32_t)(engine->load_unread / 1000);
     g_array_append_val(message->numbers, engine->number);
     g_array_append_val(message->running, engine->load_running);
-    g_array_append_val(message->unread, unread);
+    g_array_append_val(message->prefill_backlog_ms, prefill_backlog_ms);
 }
 
-/* Adds what is new of an engine, or all of it. */
+/* Adds an engine's state or load if it changed, or its state if the message
+ * has the full status. */
 static void
 add_engine(struct ch_controller *controller, struct message *message,
            struct controller_engine *engine, int64_t now)
 {
     enum audience audience = message->audience;
     unsigned bit = 1U << audience;
-    bool state = message->whole || (engine->news & bit) != 0;
-    if (state) {
+    bool with_state = message->full || (engine->news & bit) != 0;
+    if (with_state) {
         g_ptr_array_add(message->states, make_state(controller, engine, now));
     }
-    else if (is_load_news(engine, audience)) {
+    else if (is_load_changed(engine, audience)) {
         add_load(message, engine);
     }
     else {
         return;
     }
-    if (message->answer) {
+    if (message->is_reply) {
         return;
     }
     engine->news &= ~bit;
@@ -309,23 +321,24 @@
         engine->load_running, (uint32_t)(engine->load_unread / 1000)};
 }
 
-/* Adds a right, by its data centre's name and holder as they stand. */
+/* Adds the lease of a data centre; it points to the names of the quark, the
+ * settings or the centre state. */
 static void
-add_right(const struct ch_controller *controller, struct message *message,
-          struct duty *duty, int64_t now)
+add_lease(const struct ch_controller *controller, struct message *message,
+          struct duty *centre, int64_t now)
 {
-    uint64_t fence = 0;
-    bool own = ch_claim_held(duty->claim, &fence);
-    Chestnuthitch__Wire__Right *right = g_new(Chestnuthitch__Wire__Right, 1);
-    chestnuthitch__wire__right__init(right);
-    right->data_centre = (char *)g_quark_to_string(duty->data_centre);
-    right->fence = own ? fence : duty->fence;
-    right->holder = own ? controller->node->settings->name : duty->holder;
-    right->age_ms = own ? 0 : (uint32_t)((now - duty->heard) / 1000);
-    g_ptr_array_add(message->rights, right);
+    uint64_t fencing_token = 0;
+    bool own = ch_claim_held(centre->claim, &fencing_token);
+    Chestnuthitch__Wire__Right *lease = g_new(Chestnuthitch__Wire__Right, 1);
+    chestnuthitch__wire__right__init(lease);
+    lease->data_centre = (char *)g_quark_to_string(centre->data_centre);
+    lease->fence = own ? fencing_token : centre->fence;
+    lease->holder = own ? controller->node->settings->name : centre->holder;
+    lease->age_ms = own ? 0 : (uint32_t)((now - centre->heard) / 1000);
+    g_ptr_array_add(message->leases, lease);
 }
 
-/* Gathers what an audience is told. */
+/* Fills a message with what its audience gets now. */
 static void
 message_fill(struct ch_controller *controller, struct message *message,
              int64_t now)
@@ -333,88 +346,87 @@
     GHashTableIter iterator;
     gpointer value = NULL;
     message->states = g_ptr_array_new_with_free_func(free_state);
-    message->rights = g_ptr_array_new_with_free_func(g_free);
+    message->leases = g_ptr_array_new_with_free_func(g_free);
     message->numbers = g_array_new(FALSE, FALSE, sizeof(uint32_t));
     message->running = g_array_new(FALSE, FALSE, sizeof(uint32_t));
-    message->unread = g_array_new(FALSE, FALSE, sizeof(uint32_t));
+    message->prefill_backlog_ms = g_array_new(FALSE, FALSE, sizeof(uint32_t));
     g_hash_table_iter_init(&iterator, controller->duties);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        if (is_told_of(value, message->audience, now)) {
-            add_right(controller, message, value, now);
+        if (covers_centre(value, message->audience, now)) {
+            add_lease(controller, message, value, now);
         }
     }
     g_hash_table_iter_init(&iterator, controller->engines);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct controller_engine *engine = value;
         if ((engine->known || engine->mirrored) &&
-            is_told_of(controller_duty(controller, engine->data_centre),
-                       message->audience, now)) {
+            covers_centre(controller_duty(controller, engine->data_centre),
+                          message->audience, now)) {
             add_engine(controller, message, engine, now);
         }
     }
 }
 
-/* Frees what was gathered. */
 static void
 message_clear(struct message *message)
 {
     g_ptr_array_free(message->states, TRUE);
-    g_ptr_array_free(message->rights, TRUE);
+    g_ptr_array_free(message->leases, TRUE);
     g_array_free(message->numbers, TRUE);
     g_array_free(message->running, TRUE);
-    g_array_free(message->unread, TRUE);
+    g_array_free(message->prefill_backlog_ms, TRUE);
 }
 
-/* Sends what was gathered to nodes. */
+/* Sends a message to nodes. */
 static void
 message_send(struct ch_controller *controller, const struct message *message,
-             uint64_t sequence, const GPtrArray *to)
+             uint64_t sequence, const GPtrArray *recipients)
 {
     Chestnuthitch__Wire__Engines engines = WIRE(ENGINES__INIT);
     Chestnuthitch__Wire__Frame frame = WIRE(FRAME__INIT);
     const Chestnuthitch__Wire__Right *first =
-        g_ptr_array_index(message->rights, 0);
+        g_ptr_array_index(message->leases, 0);
     engines.data_centre = first->data_centre;
     engines.fence = first->fence;
-    engines.whole = message->whole;
+    engines.whole = message->full;
     engines.audience = message->audience;
     engines.sequence = sequence;
     engines.n_engines = message->states->len;
     engines.engines =
         (Chestnuthitch__Wire__EngineState **)message->states->pdata;
-    engines.n_rights = message->rights->len;
-    engines.rights = (Chestnuthitch__Wire__Right **)message->rights->pdata;
+    engines.n_rights = message->leases->len;
+    engines.rights = (Chestnuthitch__Wire__Right **)message->leases->pdata;
     engines.n_numbers = message->numbers->len;
     engines.numbers = (uint32_t *)(void *)message->numbers->data;
     engines.n_running = message->running->len;
     engines.running = (uint32_t *)(void *)message->running->data;
-    engines.n_unread_ms = message->unread->len;
-    engines.unread_ms = (uint32_t *)(void *)message->unread->data;
+    engines.n_unread_ms = message->prefill_backlog_ms->len;
+    engines.unread_ms = (uint32_t *)(void *)message->prefill_backlog_ms->data;
     frame.body_case = WIRE(FRAME__BODY_ENGINES);
     frame.engines = &engines;
-    for (guint i = 0; i < to->len; i++) {
+    for (guint i = 0; i < recipients->len; i++) {
         Chestnuthitch__Wire__Frame copy = frame;
-        ch_peers_send(controller->node->peers, g_ptr_array_index(to, i),
-                      &copy);
+        ch_peers_send(controller->node->peers,
+                      g_ptr_array_index(recipients, i), &copy);
     }
 }
 
-/* ---- telling; lock held ---- */
+/* ---- publishing; lock held ---- */
 
-/* Whom an audience is, now. */
+/* Lists the nodes of an audience. */
 static GPtrArray *
 list_audience(struct ch_controller *controller, enum audience audience,
               int64_t now)
 {
     return audience == AUDIENCE_NODES
-               ? list_listeners(controller, now)
+               ? list_subscribers(controller, now)
                : controller_other_holders(controller,
                                           audience == AUDIENCE_NEAR, now);
 }
 
-/* Tells one audience what is due. */
+/* Publishes to one audience what is due. */
 static void
-tell(struct ch_controller *controller, enum audience audience, int64_t now)
+publish(struct ch_controller *controller, enum audience audience, int64_t now)
 {
     struct tell_times *times = &controller->telling[audience];
     if (now < times->next) {
@@ -422,20 +434,21 @@
     }
     struct message message = {
         .audience = audience,
-        .whole = now >= times->next_whole,
+        .full = now >= times->next_whole,
     };
     message_fill(controller, &message, now);
-    bool news = message.states->len > 0 || message.numbers->len > 0;
-    if (message.rights->len > 0 && (news || now >= times->next_quiet)) {
-        GPtrArray *to = list_audience(controller, audience, now);
+    bool has_changes = message.states->len > 0 || message.numbers->len > 0;
+    if (message.leases->len > 0 && (has_changes || now >= times->next_quiet)) {
+        GPtrArray *recipients = list_audience(controller, audience, now);
         times->sequence++;
-        message_send(controller, &message, times->sequence, to);
-        g_ptr_array_free(to, TRUE);
-        times->next = now + INT64_C(1000) * periods[audience].news_ms;
-        times->next_quiet = now + INT64_C(1000) * periods[audience].quiet_ms;
+        message_send(controller, &message, times->sequence, recipients);
+        g_ptr_array_free(recipients, TRUE);
+        times->next = now + INT64_C(1000) * periods[audience].change_ms;
+        times->next_quiet =
+            now + INT64_C(1000) * periods[audience].heartbeat_ms;
     }
-    if (message.whole) {
-        times->next_whole = now + INT64_C(1000) * periods[audience].whole_ms;
+    if (message.full) {
+        times->next_whole = now + INT64_C(1000) * periods[audience].full_ms;
     }
     message_clear(&message);
 }
@@ -460,13 +473,14 @@
         }
     }
     for (int i = 0; i < AUDIENCES; i++) {
-        tell(controller, (enum audience)i, now);
+        publish(controller, (enum audience)i, now);
     }
 }
 
-/* A node missed something: it is told all, at the sequence of now. */
+/* Handles the request of a node that missed a message: sends it the full
+ * status, under the current sequence number. */
 static void
-handle_pull(void *data, const Chestnuthitch__Wire__Frame *frame)
+handle_full_request(void *data, const Chestnuthitch__Wire__Frame *frame)
 {
     struct ch_controller *controller = data;
     int64_t now = ch_client_now(controller->node->client);
@@ -475,20 +489,21 @@
     }
     struct message message = {
         .audience = (enum audience)frame->engines_pull->audience,
-        .whole = true,
-        .answer = true,
+        .full = true,
+        .is_reply = true,
     };
-    GPtrArray *to = g_ptr_array_new();
-    g_ptr_array_add(to, frame->from);
+    GPtrArray *recipients = g_ptr_array_new();
+    g_ptr_array_add(recipients, frame->from);
     pthread_mutex_lock(&controller->lock);
     message_fill(controller, &message, now);
-    if (message.rights->len > 0) {
+    if (message.leases->len > 0) {
         message_send(controller, &message,
-                     controller->telling[message.audience].sequence, to);
+                     controller->telling[message.audience].sequence,
+                     recipients);
     }
     pthread_mutex_unlock(&controller->lock);
     message_clear(&message);
-    g_ptr_array_free(to, TRUE);
+    g_ptr_array_free(recipients, TRUE);
 }
 
 /* See controller_internal.h. */
@@ -496,5 +511,5 @@
 controller_tell_init(struct ch_controller *controller)
 {
     ch_peers_handle(controller->node->peers, WIRE(FRAME__BODY_ENGINES_PULL),
-                    handle_pull, controller);
+                    handle_full_request, controller);
 }
