--- a/tests/threaded/test_controller.c
+++ b/tests/threaded/test_controller.c
@@ -1,4 +1,5 @@
-/* What a node takes of what holders of rights tell it of engines. */
+/* Tests of the controller: receiving engine states, acquiring leases, and
+ * forwarding demand. */
 
 #include "node/controller_internal.h"
 
@@ -8,13 +9,13 @@
 #define WIRE(name) CHESTNUTHITCH__WIRE__##name
 
 enum {
-    MOST_STEPS = 5,
-    WAIT_US = 3 * 1000 * 1000,
-    /* Long enough for a message that is not to come. */
+    MAX_STEPS = 5,
+    WAIT_TIMEOUT_US = 3 * 1000 * 1000,
+    /* Long enough to notice a message that should not be sent. */
     SETTLE_US = 150 * 1000,
 };
 
-/* ---- the rest of the node, faked ---- */
+/* ---- fakes of the rest of the node ---- */
 
 struct ch_config *
 ch_config_keeper_current(struct ch_config_keeper *keeper)
@@ -43,7 +44,7 @@
     (void)roster;
 }
 
-/* Two engines: e1 in the data centre a, e2 in b. */
+/* Lists two engines: e1 in data centre a, e2 in b. */
 void
 ch_roster_each(struct ch_roster *roster,
                void (*each)(void *data, const struct ch_host *host),
@@ -66,7 +67,7 @@
     }
 }
 
-/* No engine answers. */
+/* No engine replies. */
 static void
 no_report(struct ch_upstream *upstream,
           void (*done)(void *data, enum ch_code code,
@@ -103,31 +104,31 @@
     (void)data, (void)line, (void)length;
 }
 
-/* ---- a node, and one that tells it ---- */
+/* ---- nodes, and what they receive ---- */
 
-struct end {
+struct test_node {
     struct ch_client client;
     struct ch_settings settings;
     struct ch_node node;
 };
 
-/* What reached the router and the teller. */
+/* What the router and the publisher received. */
 static struct {
     int messages;
     int states;
-    int pulls;
-    uint32_t running; /* of e1, by the last loads; 0 at first */
+    int full_requests;
+    uint32_t running; /* requests on e1 in the last loads; 0 until then */
 } seen;
 
 static void
-take_told(void *data, const struct ch_engine_told *engine)
+record_engine_status(void *data, const struct ch_engine_told *engine)
 {
     (void)data, (void)engine;
     g_atomic_int_inc(&seen.states);
 }
 
 static void
-take_loads(void *data, const GArray *loads)
+record_loads(void *data, const GArray *loads)
 {
     (void)data;
     for (guint i = 0; i < loads->len; i++) {
@@ -138,7 +139,7 @@
 }
 
 static void
-take_all(void *data)
+record_status_complete(void *data)
 {
     (void)data;
     g_atomic_int_inc(&seen.messages);
@@ -151,46 +152,47 @@
 }
 
 static void
-no_used(void *data, GPtrArray *out)
+no_used_adapters(void *data, GPtrArray *out)
 {
     (void)data, (void)out;
 }
 
 static void
-take_pull(void *data, const Chestnuthitch__Wire__Frame *frame)
+record_full_request(void *data, const Chestnuthitch__Wire__Frame *frame)
 {
     (void)data, (void)frame;
-    g_atomic_int_inc(&seen.pulls);
+    g_atomic_int_inc(&seen.full_requests);
 }
 
-static struct end *
-end_new(const char *name)
+static struct test_node *
+test_node_new(const char *name)
 {
     static const struct ch_dialect dialect = {.upstream_new = fake_upstream};
-    struct end *end = g_new0(struct end, 1);
+    struct test_node *node = g_new0(struct test_node, 1);
     struct ch_error error = {0};
-    ch_client_init(&end->client, name);
-    end->client.log_write = no_log;
-    end->settings.name = (char *)name;
-    end->settings.region = (char *)"r1";
-    end->settings.data_centre = (char *)"a";
-    end->settings.peers = (char *)"127.0.0.1:0";
-    end->settings.peer_silent_ms = 600;
-    end->settings.idle_connection_ms = 60000;
-    end->settings.lease_ms = 3000;
-    end->node.client = &end->client;
-    end->node.settings = &end->settings;
-    end->node.dialect = &dialect;
-    end->node.incarnation = 1;
-    end->node.pool = ch_pool_new(1);
-    end->node.peers = ch_peers_new(&end->node, &error);
-    g_assert_nonnull(end->node.peers);
-    return end;
-}
-
-/* Tells an end of some others. */
+    ch_client_init(&node->client, name);
+    node->client.log_write = no_log;
+    node->settings.name = (char *)name;
+    node->settings.region = (char *)"r1";
+    node->settings.data_centre = (char *)"a";
+    node->settings.peers = (char *)"127.0.0.1:0";
+    node->settings.peer_silent_ms = 600;
+    node->settings.idle_connection_ms = 60000;
+    node->settings.lease_ms = 3000;
+    node->node.client = &node->client;
+    node->node.settings = &node->settings;
+    node->node.dialect = &dialect;
+    node->node.incarnation = 1;
+    node->node.pool = ch_pool_new(1);
+    node->node.peers = ch_peers_new(&node->node, &error);
+    g_assert_nonnull(node->node.peers);
+    return node;
+}
+
+/* Gives a node a host list of other nodes. */
 static void
-introduce_all(struct end *end, struct end *const *others, size_t count)
+set_known_nodes(struct test_node *node, struct test_node *const *others,
+                size_t count)
 {
     struct ch_host hosts[2] = {{0}};
     struct ch_host_list list = {.hosts = hosts, .count = count};
@@ -205,30 +207,30 @@
             .data_centre = others[i]->settings.data_centre,
         };
     }
-    ch_peers_list(end->node.peers, &list);
+    ch_peers_list(node->node.peers, &list);
     for (size_t i = 0; i < count; i++) {
         g_free(hosts[i].address);
     }
 }
 
 static void
-introduce(struct end *end, struct end *other)
+set_known_node(struct test_node *node, struct test_node *other)
 {
-    introduce_all(end, &other, 1);
+    set_known_nodes(node, &other, 1);
 }
 
 static void
-end_free(struct end *end)
+test_node_free(struct test_node *node)
 {
-    ch_peers_stop(end->node.peers);
-    ch_pool_free(end->node.pool);
-    ch_peers_free(end->node.peers);
-    g_free(end);
+    ch_peers_stop(node->node.peers);
+    ch_pool_free(node->node.pool);
+    ch_peers_free(node->node.peers);
+    g_free(node);
 }
 
-/* Ends a node whose controller has begun. */
+/* Stops and frees a node whose controller was started. */
 static void
-stop_controller(struct end *node, struct ch_controller *controller)
+stop_controller(struct test_node *node, struct ch_controller *controller)
 {
     ch_controller_stop(controller);
     ch_peers_stop(node->node.peers);
@@ -242,42 +244,42 @@
 
 /* ---- messages ---- */
 
-/* One message of the teller. */
+/* One message of the publisher. */
 struct step {
-    uint64_t sequence; /* 0: of a node of an earlier version */
+    uint64_t sequence; /* 0: from a node of an earlier version */
     uint64_t fence;
     bool whole;
-    bool state;    /* e1's state, as number 1 */
-    uint32_t load; /* e1's, by its number; 0: not told */
+    bool state;    /* contains e1's state, under number 1 */
+    uint32_t load; /* load of e1, by its number; 0: not included */
 };
 
-static const struct told_case {
+static const struct status_case {
     const char *name;
-    struct step steps[MOST_STEPS];
-    int messages; /* that count */
+    struct step steps[MAX_STEPS];
+    int messages; /* messages accepted */
     int states;
-    int pulls;
+    int full_requests;
     uint32_t running;
-} told_cases[] = {
+} status_cases[] = {
     {"in order",
      {{1, 5, true, true, 0}, {2, 5, false, false, 7}, {3, 5, false, true, 0}},
      3,
      2,
      0,
      2},
-    {"the first that is heard is not whole",
+    {"the first message received is not whole",
      {{8, 5, false, true, 0}, {9, 5, true, true, 0}},
      2,
      2,
      1,
      2},
-    {"some were missed",
+    {"some messages were missed",
      {{1, 5, true, true, 0}, {5, 5, false, false, 7}},
      2,
      1,
      1,
      7},
-    {"one was overtaken by the next",
+    {"one message was overtaken by the next",
      {{1, 5, true, true, 0},
       {3, 5, false, false, 9},
       {2, 5, false, true, 0},
@@ -286,19 +288,19 @@
      2,
      0,
      7},
-    {"one was missed, as the next but one shows",
+    {"one message was missed, as the next but one shows",
      {{1, 5, true, true, 0}, {3, 5, false, false, 9}, {4, 5, false, false, 7}},
      3,
      1,
      1,
      7},
-    {"a load of an engine that was not told",
+    {"a load of an engine whose state was not sent",
      {{1, 5, true, false, 0}, {2, 5, false, false, 7}},
      2,
      0,
      1,
      0},
-    {"a holder that lost its right",
+    {"a holder that lost its lease",
      {{1, 5, true, true, 0}, {2, 4, false, true, 9}},
      2,
      1,
@@ -312,12 +314,13 @@
      2},
 };
 
-/* Sends one message of the holder of a data centre. */
+/* Sends one message as the lease holder of a data centre. */
 static void
-tell_of(struct end *teller, const struct step *step, const char *centre)
+send_status(struct test_node *publisher, const struct step *step,
+            const char *centre)
 {
-    Chestnuthitch__Wire__Right right = WIRE(RIGHT__INIT);
-    Chestnuthitch__Wire__Right *rights[] = {&right};
+    Chestnuthitch__Wire__Right lease = WIRE(RIGHT__INIT);
+    Chestnuthitch__Wire__Right *leases[] = {&lease};
     Chestnuthitch__Wire__EngineState state = WIRE(ENGINE_STATE__INIT);
     Chestnuthitch__Wire__EngineState *states[] = {&state};
     Chestnuthitch__Wire__Engines engines = WIRE(ENGINES__INIT);
@@ -325,19 +328,19 @@
     uint32_t number = 1;
     uint32_t running = step->load;
     uint32_t unread = 0;
-    right.data_centre = (char *)centre;
-    right.fence = step->fence;
-    right.holder = teller->settings.name;
+    lease.data_centre = (char *)centre;
+    lease.fence = step->fence;
+    lease.holder = publisher->settings.name;
     state.upstream = (char *)"e1";
     state.boot = 1;
     state.number = 1;
     state.running = 2;
-    engines.data_centre = right.data_centre;
+    engines.data_centre = lease.data_centre;
     engines.fence = step->fence;
     engines.whole = step->whole;
     engines.sequence = step->sequence;
     engines.n_rights = step->sequence != 0 ? 1 : 0;
-    engines.rights = rights;
+    engines.rights = leases;
     engines.n_engines = step->state ? 1 : 0;
     engines.engines = states;
     engines.n_numbers = step->load != 0 ? 1 : 0;
@@ -348,54 +351,55 @@
     engines.unread_ms = &unread;
     frame.body_case = WIRE(FRAME__BODY_ENGINES);
     frame.engines = &engines;
-    ch_peers_send(teller->node.peers, "n1", &frame);
+    ch_peers_send(publisher->node.peers, "n1", &frame);
 }
 
-/* Waits until a count is reached, for a while at most. */
+/* Waits until a count is reached, for WAIT_TIMEOUT_US at most. */
 static void
 await(const int *count, int wanted)
 {
-    int64_t until = g_get_monotonic_time() + WAIT_US;
+    int64_t until = g_get_monotonic_time() + WAIT_TIMEOUT_US;
     while (g_atomic_int_get(count) < wanted &&
            g_get_monotonic_time() < until) {
         g_usleep(1000);
     }
 }
 
-/* Plays one row. */
+/* Runs one test case. */
 static void
-play(const struct told_case *test)
+run_status_case(const struct status_case *test)
 {
     static const struct ch_controller_handlers handlers = {
-        .told = take_told,
-        .loads = take_loads,
-        .told_all = take_all,
+        .told = record_engine_status,
+        .loads = record_loads,
+        .told_all = record_status_complete,
     };
-    struct end *node = end_new("n1");
-    struct end *teller = end_new("n2");
+    struct test_node *node = test_node_new("n1");
+    struct test_node *publisher = test_node_new("n2");
     memset(&seen, 0, sizeof(seen));
     struct ch_controller *controller =
         ch_controller_new(&node->node, NULL, &handlers, NULL);
     ch_controller_changed(controller);
-    ch_peers_handle(teller->node.peers, WIRE(FRAME__BODY_ENGINES_PULL),
-                    take_pull, NULL);
+    ch_peers_handle(publisher->node.peers, WIRE(FRAME__BODY_ENGINES_PULL),
+                    record_full_request, NULL);
     ch_peers_start(node->node.peers);
-    ch_peers_start(teller->node.peers);
-    introduce(node, teller);
-    introduce(teller, node);
-    for (int i = 0; i < MOST_STEPS && test->steps[i].fence != 0; i++) {
-        tell_of(teller, &test->steps[i], "a");
+    ch_peers_start(publisher->node.peers);
+    set_known_node(node, publisher);
+    set_known_node(publisher, node);
+    for (int i = 0; i < MAX_STEPS && test->steps[i].fence != 0; i++) {
+        send_status(publisher, &test->steps[i], "a");
         await(&seen.messages, i + 1);
     }
-    await(&seen.pulls, test->pulls);
+    await(&seen.full_requests, test->full_requests);
     g_usleep(SETTLE_US);
     g_test_message("%s", test->name);
     g_assert_cmpint(g_atomic_int_get(&seen.messages), ==, test->messages);
     g_assert_cmpint(g_atomic_int_get(&seen.states), ==, test->states);
-    g_assert_cmpint(g_atomic_int_get(&seen.pulls), ==, test->pulls);
+    g_assert_cmpint(g_atomic_int_get(&seen.full_requests), ==,
+                    test->full_requests);
     g_assert_cmpint(g_atomic_int_get((int *)&seen.running), ==,
                     (int)test->running);
-    end_free(teller);
+    test_node_free(publisher);
     ch_peers_stop(node->node.peers);
     ch_pool_free(node->node.pool);
     ch_controller_free(controller);
@@ -404,78 +408,79 @@
 }
 
 /*
- * Load: loads of engines told by number, in messages of which some are missed
- * or overtaken.  Harm prevented: a node that missed an engine's state goes on
- * with what it held before, or takes a load for another engine's; a node that
- * missed nothing asks for all again.
+ * Load: loads of engines, identified by number, in messages of which some are
+ * lost or overtaken. Harm prevented: a node that missed the state of an engine
+ * continues with an outdated one, or applies a load to the wrong engine; a
+ * node that missed nothing requests the full status again.
  */
 static void
-test_told(void)
+test_engine_status(void)
 {
-    for (size_t i = 0; i < G_N_ELEMENTS(told_cases); i++) {
-        play(&told_cases[i]);
+    for (size_t i = 0; i < G_N_ELEMENTS(status_cases); i++) {
+        run_status_case(&status_cases[i]);
     }
 }
 
-/* ---- the right to order ---- */
+/* ---- the lease to order engines ---- */
 
-static int claims;
+static int lease_lookups;
 
-/* Counts those that look for a right, and answers nothing. */
+/* Counts the lookups of a lease; every lookup fails. */
 static void
-count_look(struct ch_kv *kv, const char *key,
-           void (*done)(void *data, const struct ch_kv_answer *answer),
-           void *data)
+count_lookup(struct ch_kv *kv, const char *key,
+             void (*done)(void *data, const struct ch_kv_answer *answer),
+             void *data)
 {
     const struct ch_kv_answer answer = {.code = CH_KV_UNREACHABLE};
     (void)kv, (void)key;
-    g_atomic_int_inc(&claims);
+    g_atomic_int_inc(&lease_lookups);
     done(data, &answer);
 }
 
 /*
- * Guards against rights that go to whichever node starts first: before it knew
- * the others each found itself the first in order.  A small host had the right
- * then, and when all were restarted at once nobody could order engines until
- * its lease had run out.
+ * Guards against leases that go to whichever node starts first: a node that
+ * did not know the others yet ranked itself first. A host with little capacity
+ * then held the lease, and when all nodes restarted at once, nobody could
+ * order engines until that lease expired.
  */
 static void
-test_claims_when_listed(void)
+test_lease_needs_host_list(void)
 {
-    static const struct ch_kv_ops ops = {.get = count_look};
+    static const struct ch_kv_ops ops = {.get = count_lookup};
     static const struct ch_controller_handlers handlers = {
-        .told = take_told,
-        .loads = take_loads,
-        .told_all = take_all,
+        .told = record_engine_status,
+        .loads = record_loads,
+        .told_all = record_status_complete,
         .demand = no_demand,
-        .used = no_used,
+        .used = no_used_adapters,
     };
     struct ch_kv kv = {.ops = &ops};
-    struct end *node = end_new("n1");
+    struct test_node *node = test_node_new("n1");
     const struct ch_host_list nobody = {0};
     node->node.kv = &kv;
     node->node.timers = ch_timers_new(node->node.pool);
-    claims = 0;
+    lease_lookups = 0;
     struct ch_controller *controller =
         ch_controller_new(&node->node, NULL, &handlers, NULL);
     ch_peers_start(node->node.peers);
     ch_controller_changed(controller);
     ch_controller_start(controller);
     g_usleep((gulong)3 * SETTLE_US);
-    g_assert_cmpint(g_atomic_int_get(&claims), ==, 0);
+    g_assert_cmpint(g_atomic_int_get(&lease_lookups), ==, 0);
     ch_peers_list(node->node.peers, &nobody);
-    await(&claims, 1);
-    g_assert_cmpint(g_atomic_int_get(&claims), >=, 1);
+    await(&lease_lookups, 1);
+    g_assert_cmpint(g_atomic_int_get(&lease_lookups), >=, 1);
     stop_controller(node, controller);
 }
 
-/* ---- what requests ask for ---- */
+/* ---- demand of requests ---- */
 
-/* A service that gives each lease and takes each write. */
+/* A key-value store that grants each lease, and accepts the write of the lease
+ * of data centre a alone. */
 static void
-get_none(struct ch_kv *kv, const char *key,
-         void (*done)(void *data, const struct ch_kv_answer *answer),
-         void *data)
+find_no_key(struct ch_kv *kv, const char *key,
+            void (*done)(void *data, const struct ch_kv_answer *answer),
+            void *data)
 {
     const struct ch_kv_answer answer = {.code = CH_KV_MISSING};
     (void)kv, (void)key;
@@ -483,9 +488,9 @@
 }
 
 static void
-give_lease(struct ch_kv *kv, int64_t ttl,
-           void (*done)(void *data, const struct ch_kv_answer *answer),
-           void *data)
+grant_lease(struct ch_kv *kv, int64_t ttl,
+            void (*done)(void *data, const struct ch_kv_answer *answer),
+            void *data)
 {
     const struct ch_kv_answer answer = {.code = CH_OK, .revision = 7};
     (void)kv, (void)ttl;
@@ -493,10 +498,10 @@
 }
 
 static void
-take_write(struct ch_kv *kv, const char *key, const void *value, size_t length,
-           uint64_t revision, uint64_t lease,
-           void (*done)(void *data, const struct ch_kv_answer *answer),
-           void *data)
+accept_write(struct ch_kv *kv, const char *key, const void *value,
+             size_t length, uint64_t revision, uint64_t lease,
+             void (*done)(void *data, const struct ch_kv_answer *answer),
+             void *data)
 {
     const struct ch_kv_answer answer = {.code = CH_OK, .revision = 9};
     (void)kv, (void)value, (void)length, (void)revision, (void)lease;
@@ -514,36 +519,38 @@
     done(data, &answer);
 }
 
-/* What reached the other holder. */
+/* What the other lease holder received. */
 static struct {
-    int right; /* messages with what is asked for below */
-    int wrong; /* with what it told itself, or of others' engines */
-} passed;
+    int expected;   /* messages with the demand below */
+    int unexpected; /* messages with its own demand, or loads of other holders'
+                       engines */
+} forwarded;
 
 static void
-take_passed(void *data, const Chestnuthitch__Wire__Frame *frame)
+record_forwarded(void *data, const Chestnuthitch__Wire__Frame *frame)
 {
     const Chestnuthitch__Wire__Demand *demand = frame->demand;
     (void)data;
-    bool right = demand->collected && demand->n_models == 1 &&
-                 strcmp(demand->models[0], "m1") == 0 &&
-                 demand->work[0] == 500 && demand->n_loads == 1 &&
-                 strcmp(demand->loads[0]->upstream, "e2") == 0 &&
-                 demand->loads[0]->running == 3;
-    bool wrong = false;
+    bool expected = demand->collected && demand->n_models == 1 &&
+                    strcmp(demand->models[0], "m1") == 0 &&
+                    demand->work[0] == 500 && demand->n_loads == 1 &&
+                    strcmp(demand->loads[0]->upstream, "e2") == 0 &&
+                    demand->loads[0]->running == 3;
+    bool unexpected = false;
     for (size_t i = 0; i < demand->n_models; i++) {
-        wrong = wrong || strcmp(demand->models[i], "m9") == 0;
+        unexpected = unexpected || strcmp(demand->models[i], "m9") == 0;
     }
     for (size_t i = 0; i < demand->n_loads; i++) {
-        wrong = wrong || strcmp(demand->loads[i]->upstream, "e1") == 0;
+        unexpected =
+            unexpected || strcmp(demand->loads[i]->upstream, "e1") == 0;
     }
-    g_atomic_int_add(&passed.right, right ? 1 : 0);
-    g_atomic_int_add(&passed.wrong, wrong ? 1 : 0);
+    g_atomic_int_add(&forwarded.expected, expected ? 1 : 0);
+    g_atomic_int_add(&forwarded.unexpected, unexpected ? 1 : 0);
 }
 
 /* Sends a demand for one model, and a load of each engine. */
 static void
-ask_for(struct end *from, const char *model, bool collected)
+send_demand(struct test_node *from, const char *model, bool collected)
 {
     Chestnuthitch__Wire__EngineLoad rows[2] = {
         WIRE(ENGINE_LOAD__INIT),
@@ -572,72 +579,74 @@
 }
 
 /*
- * Load: hundreds of nodes whose requests ask for models that every holder
- * decides upon.  Harm prevented: each of them tells each holder; or a sum that
- * is told on and on between holders, so that demand grows by itself.  The
- * holder of a data centre passes on what its nodes told, once, and to each
- * holder the loads of that one's engines alone.
+ * Load: hundreds of nodes with demand for models that every lease holder
+ * decides on. Harm prevented: every node reports to every lease holder; or a
+ * sum goes back and forth between lease holders, so that demand grows by
+ * itself. The lease holder of a data centre forwards the demand of its nodes
+ * once, and to each other holder only the loads of that holder's engines.
  */
 static void
-test_demand_passed_once(void)
+test_demand_forwarded_once(void)
 {
     static const struct ch_kv_ops ops = {
-        .get = get_none,
-        .lease = give_lease,
-        .put_leased = take_write,
+        .get = find_no_key,
+        .lease = grant_lease,
+        .put_leased = accept_write,
         .renew = renew_lease,
     };
     static const struct ch_controller_handlers handlers = {
-        .told = take_told,
-        .loads = take_loads,
-        .told_all = take_all,
+        .told = record_engine_status,
+        .loads = record_loads,
+        .told_all = record_status_complete,
         .demand = no_demand,
-        .used = no_used,
+        .used = no_used_adapters,
     };
-    static const struct step word = {
+    static const struct step status = {
         .sequence = 1, .fence = 5, .whole = true, .state = false};
     struct ch_kv kv = {.ops = &ops};
-    struct end *node = end_new("n1");
-    struct end *near = end_new("n2");
-    struct end *holder = end_new("n3");
-    struct end *const others[] = {near, holder};
-    holder->settings.data_centre = (char *)"b";
+    struct test_node *node = test_node_new("n1");
+    struct test_node *local_node = test_node_new("n2");
+    struct test_node *remote_holder = test_node_new("n3");
+    struct test_node *const others[] = {local_node, remote_holder};
+    remote_holder->settings.data_centre = (char *)"b";
     node->node.kv = &kv;
     node->node.timers = ch_timers_new(node->node.pool);
-    memset(&passed, 0, sizeof(passed));
+    memset(&forwarded, 0, sizeof(forwarded));
     struct ch_controller *controller =
         ch_controller_new(&node->node, NULL, &handlers, NULL);
     ch_controller_changed(controller);
-    ch_peers_handle(holder->node.peers, WIRE(FRAME__BODY_DEMAND), take_passed,
-                    NULL);
+    ch_peers_handle(remote_holder->node.peers, WIRE(FRAME__BODY_DEMAND),
+                    record_forwarded, NULL);
     for (size_t i = 0; i < G_N_ELEMENTS(others); i++) {
         ch_peers_start(others[i]->node.peers);
-        introduce(others[i], node);
+        set_known_node(others[i], node);
     }
     ch_peers_start(node->node.peers);
-    introduce_all(node, others, G_N_ELEMENTS(others));
+    set_known_nodes(node, others, G_N_ELEMENTS(others));
     ch_controller_start(controller);
-    int64_t until = g_get_monotonic_time() + WAIT_US;
-    while (g_atomic_int_get(&passed.right) < 3 &&
+    int64_t until = g_get_monotonic_time() + WAIT_TIMEOUT_US;
+    while (g_atomic_int_get(&forwarded.expected) < 3 &&
            g_get_monotonic_time() < until) {
-        tell_of(holder, &word, "b");
-        ask_for(holder, "m9", true);
-        ask_for(near, "m1", false);
+        send_status(remote_holder, &status, "b");
+        send_demand(remote_holder, "m9", true);
+        send_demand(local_node, "m1", false);
         g_usleep((gulong)50 * 1000);
     }
-    g_assert_cmpint(g_atomic_int_get(&passed.right), >=, 3);
-    g_assert_cmpint(g_atomic_int_get(&passed.wrong), ==, 0);
+    g_assert_cmpint(g_atomic_int_get(&forwarded.expected), >=, 3);
+    g_assert_cmpint(g_atomic_int_get(&forwarded.unexpected), ==, 0);
     stop_controller(node, controller);
-    end_free(near);
-    end_free(holder);
+    test_node_free(local_node);
+    test_node_free(remote_holder);
 }
 
 int
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/controller/told", test_told);
-    g_test_add_func("/controller/claims-when-listed", test_claims_when_listed);
-    g_test_add_func("/controller/demand-passed-once", test_demand_passed_once);
+    g_test_add_func("/controller/told", test_engine_status);
+    g_test_add_func("/controller/claims-when-listed",
+                    test_lease_needs_host_list);
+    g_test_add_func("/controller/demand-passed-once",
+                    test_demand_forwarded_once);
     return g_test_run();
 }
