--- a/libchestnuthitch/node/balancer.c
+++ b/libchestnuthitch/node/balancer.c
@@ -1,7 +1,8 @@
 /*
- * Routes the requests of this node's callers by its own view of the upstreams:
- * what the roster lists, and what this node has sent.  Nobody is asked for
- * leave, so that no other node's trouble holds a request up.
+ * Routes the requests of this node's callers by this node's own knowledge of
+ * the upstreams: the roster's list, the engine status that lease holders
+ * publish, and the requests that this node has sent. No other node is asked
+ * for permission, so that a fault of another node delays no request.
  */
 
 #include "node/balancer.h"
@@ -17,62 +18,68 @@
 #include <string.h>
 
 enum {
-    /* A bound for orders and reports to upstreams. */
-    CALL_LIMIT = 2 * 1000 * 1000,
-    /* What a holder told stands against the list for this long, and for as
-     * long as the list's word is older. */
-    TOLD_FRESH = 6 * 1000 * 1000,
-    /* How long a request waits for its model, in times the target of its
-     * class: callers give up a stream that brings nothing for four. */
-    WAIT_TARGETS = 3,
-    /* ... and for somebody to begin with a model that nobody is loading. */
-    WAIT_BEGIN = 1500 * 1000,
-    /* When a caller may come back whose model is not there: a copy near by
-     * loads in two seconds. */
-    MODEL_RETRY_AFTER = 2000 * 1000,
-    ADAPTER_RETRY_AFTER = 500 * 1000,
-    /* A request that is held for its engine to rest keeps this part of its
-     * target free, and is looked at again after so long. */
-    PACE_MARGIN = 4,
-    PACE_LOOK = 15 * 1000,
-    /* Engines at which an adapter is asked for in vain. */
-    MOST_PREPARED = 2,
+    /* Timeout of load orders, unload orders and reports to upstreams. */
+    UPSTREAM_ORDER_TIMEOUT_US = 2 * 1000 * 1000,
+    /* A lease holder's status of an engine is preferred to the host list for
+     * this long, and for as long as the list's report of the engine is
+     * older. */
+    STATUS_FRESH_US = 6 * 1000 * 1000,
+    /* How long a request waits for its model, in multiples of its class's
+     * target: callers give up a stream that brings no data for four
+     * targets. */
+    MODEL_WAIT_TARGETS = 3,
+    /* How long a request waits for an engine to begin loading its model. Any
+     * wait for a model also ends this long before the deadline for the whole
+     * response. */
+    LOAD_START_WAIT_US = 1500 * 1000,
+    /* When a caller whose model is not loaded may retry: a local copy loads in
+     * two seconds. */
+    MODEL_RETRY_AFTER_US = 2000 * 1000,
+    ADAPTER_RETRY_AFTER_US = 500 * 1000,
+    /* A request is deferred only while this fraction of its target (one
+     * divided by the divisor) remains free, and is routed again after the
+     * recheck time. */
+    DEFER_MARGIN_DIVISOR = 4,
+    DEFER_RECHECK_US = 15 * 1000,
+    /* Limit of engines that are asked in vain to load a request's adapter. */
+    MAX_ADAPTER_LOADS = 2,
 };
 
-/* An upstream's client, for as long as it is listed or a call uses it. */
-struct seat_client {
+/* The client of an upstream, kept while the upstream is listed or a call uses
+ * the client. */
+struct upstream_client {
     int references;
     struct ch_upstream *client;
     char *address;
 };
 
 enum request_state {
-    REQUEST_PREPARING, /* its adapter is being loaded */
-    REQUEST_WAITING,   /* no engine has its model yet */
-    REQUEST_PACED,     /* sent a little later; see is_too_dense */
+    REQUEST_LOADING_ADAPTER,   /* waiting until its adapter is loaded */
+    REQUEST_WAITING_FOR_MODEL, /* no engine can take the request yet */
+    REQUEST_DEFERRED, /* deferred to limit prefill bursts; see may_defer() */
     REQUEST_GRANTED,
 };
 
-/* A request that was routed, or waits for what it needs. */
+/* A request that was granted an upstream or is waiting for one. */
 struct request {
     uint64_t handle;
     enum request_state state;
-    struct ch_work work;
+    struct ch_work info;
     GArray *excluded; /* GQuark */
     const struct ch_router_handlers *handlers;
     void *data;
     struct ch_choice choice;
-    struct seat_client *client; /* of a granted one */
-    unsigned prepared;          /* adapters asked for in vain */
-    bool begun;
-    int64_t at;    /* granted */
-    int64_t until; /* waits so long at most */
+    struct upstream_client *client; /* when granted */
+    unsigned failed_adapter_loads;
+    bool has_first_byte;
+    int64_t granted_time;
+    int64_t wait_limit; /* time when the wait ends at the latest */
 };
 
-/* What a holder told of an engine, for as long as it is fresh. */
-struct told_engine {
-    uint64_t boot;
-    int64_t at;
+/* The last status of an engine that a lease holder published. */
+struct received_status {
+    uint64_t engine_boot_id;
+    int64_t received_time;
     GArray *models;   /* GQuark */
     GArray *adapters; /* GQuark */
 };
@@ -83,23 +90,24 @@
     struct ch_roster *roster;
     struct ch_controller *controller;
     pthread_mutex_t lock;
-    struct ch_balance *balance; /* guarded by lock, like the rest */
-    GHashTable *clients;        /* GQuark to struct seat_client */
-    GHashTable *listed;         /* of the update that runs: GQuark */
-    GHashTable *told;           /* GQuark to struct told_engine */
-    struct ch_coming *coming;   /* models that are being loaded */
-    GHashTable *used;           /* "UPSTREAM MODEL/ADAPTER" */
+    struct ch_balance *balance; /* guarded by lock, like the members below */
+    GHashTable *clients;        /* GQuark to struct upstream_client */
+    /* GQuark; NULL except during an update from the roster */
+    GHashTable *listed_upstreams;
+    GHashTable *statuses;             /* GQuark to struct received_status */
+    struct ch_coming *loading_models; /* which engines load which models */
+    GHashTable *adapters_in_use;      /* set of "UPSTREAM MODEL/ADAPTER" */
     struct ch_table *requests;
-    bool looking; /* what waits will be looked at soon */
+    bool recheck_scheduled;
 };
 
 /* ---- clients ---- */
 
-/* One owner less; the last frees the client.  Lock held. */
+/* Drops a reference; the last one frees the client. Lock held. */
 static void
 client_unref(void *data)
 {
-    struct seat_client *client = data;
+    struct upstream_client *client = data;
     if (--client->references > 0) {
         return;
     }
@@ -108,27 +116,28 @@
     g_free(client);
 }
 
-/* Makes sure of a client for a listed upstream; one with another address is
- * another process.  Lock held. */
+/* Ensures that a listed upstream has a client. A changed address means another
+ * process, which gets a new client. Lock held. */
 static void
-need_client(struct balancer *balancer, GQuark name, const struct ch_host *host)
+ensure_client(struct balancer *balancer, GQuark name,
+              const struct ch_host *host)
 {
     struct ch_node *node = balancer->node;
     gpointer key = GUINT_TO_POINTER(name);
-    const struct seat_client *known =
+    const struct upstream_client *known =
         g_hash_table_lookup(balancer->clients, key);
     if (known != NULL && strcmp(known->address, host->address) == 0) {
         return;
     }
-    struct seat_client *client = g_new0(struct seat_client, 1);
+    struct upstream_client *client = g_new0(struct upstream_client, 1);
     client->references = 1;
     client->address = g_strdup(host->address);
-    client->client = node->dialect->upstream_new(node->client, node->http,
-                                                 host, CALL_LIMIT);
+    client->client = node->dialect->upstream_new(
+        node->client, node->http, host, UPSTREAM_ORDER_TIMEOUT_US);
     g_hash_table_replace(balancer->clients, key, client);
 }
 
-/* ---- the list ---- */
+/* ---- updates from the roster ---- */
 
 struct update {
     struct balancer *balancer;
@@ -136,7 +145,8 @@
     GArray *listed;           /* struct ch_crash_listed */
 };
 
-/* Splits what an upstream holds into models and adapters. */
+/* Splits the names of an upstream's resident items into models and
+ * adapters. */
 static void
 split_resident(char **names, GArray *models, GArray *adapters)
 {
@@ -147,9 +157,9 @@
     }
 }
 
-/* The declaration of an upstream's service, or NULL. */
+/* Returns the declaration of a service, or NULL. */
 static const struct ch_service *
-service_of(const struct ch_config *config, const char *name)
+find_service(const struct ch_config *config, const char *name)
 {
     if (config == NULL) {
         return NULL;
@@ -158,38 +168,39 @@
     return index < 0 ? NULL : &config->declaration->services[index];
 }
 
-/* What its holder told of a listed upstream, if that is newer than what the
- * upstream says of itself: it does so only now and then, and not at all of
- * adapters.  Lock held. */
-static const struct told_engine *
-fresh_told(const struct balancer *balancer, const struct ch_host *host)
+/* Returns the lease holder's status of a listed upstream if it is fresh or
+ * newer than the upstream's own report, which comes only now and then and
+ * never lists adapters; otherwise NULL. Lock held. */
+static const struct received_status *
+find_fresh_status(const struct balancer *balancer, const struct ch_host *host)
 {
     int64_t now = ch_client_now(balancer->node->client);
-    const struct told_engine *told = g_hash_table_lookup(
-        balancer->told, GUINT_TO_POINTER(g_quark_try_string(host->name)));
-    return told != NULL && told->boot == host->boot &&
-                   (now - told->at < TOLD_FRESH || told->at > host->read_at)
-               ? told
+    const struct received_status *status = g_hash_table_lookup(
+        balancer->statuses, GUINT_TO_POINTER(g_quark_try_string(host->name)));
+    return status != NULL && status->engine_boot_id == host->boot &&
+                   (now - status->received_time < STATUS_FRESH_US ||
+                    status->received_time > host->read_at)
+               ? status
                : NULL;
 }
 
-/* Takes one upstream of the list.  Lock held. */
+/* Updates one upstream from the list. Lock held. */
 static void
-take_host(void *data, const struct ch_host *host)
+update_upstream(void *data, const struct ch_host *host)
 {
     const struct update *update = data;
     struct balancer *balancer = update->balancer;
     const struct ch_service *service =
-        service_of(update->config, host->service);
+        find_service(update->config, host->service);
     GArray *models = g_array_new(FALSE, FALSE, sizeof(GQuark));
     GArray *adapters = g_array_new(FALSE, FALSE, sizeof(GQuark));
     split_resident(host->resident, models, adapters);
-    const struct told_engine *told = fresh_told(balancer, host);
-    if (told != NULL) {
+    const struct received_status *status = find_fresh_status(balancer, host);
+    if (status != NULL) {
         g_array_set_size(models, 0);
-        g_array_append_vals(models, told->models->data, told->models->len);
+        g_array_append_vals(models, status->models->data, status->models->len);
     }
-    const struct ch_seat_facts facts = {
+    const struct ch_seat_facts upstream = {
         .name = g_quark_from_string(host->name),
         .service = g_quark_from_string(host->service),
         .region = g_quark_from_string(host->region),
@@ -203,14 +214,15 @@
         .resident = (const GQuark *)(void *)models->data,
         .resident_count = models->len,
     };
-    need_client(balancer, facts.name, host);
-    const struct ch_crash_listed listed = {facts.name, facts.boot,
-                                           facts.leaving};
+    ensure_client(balancer, upstream.name, host);
+    const struct ch_crash_listed listed = {upstream.name, upstream.boot,
+                                           upstream.leaving};
     g_array_append_val(update->listed, listed);
-    g_hash_table_add(balancer->listed, GUINT_TO_POINTER(facts.name));
-    ch_balance_listed(balancer->balance, &facts);
-    if (told == NULL) {
-        ch_balance_adapters(balancer->balance, facts.name,
+    g_hash_table_add(balancer->listed_upstreams,
+                     GUINT_TO_POINTER(upstream.name));
+    ch_balance_listed(balancer->balance, &upstream);
+    if (status == NULL) {
+        ch_balance_adapters(balancer->balance, upstream.name,
                             (const GQuark *)(void *)adapters->data,
                             adapters->len);
     }
@@ -218,26 +230,26 @@
     g_array_free(adapters, TRUE);
 }
 
-/* Whether a client's upstream is not listed any more: what it was loading will
- * not come.  Lock held. */
+/* Whether to remove the client of an upstream that is no longer listed. The
+ * models that this upstream was loading are no longer expected. Lock held. */
 static gboolean
-drop_unlisted(gpointer key, gpointer value, gpointer data)
+remove_unlisted(gpointer key, gpointer value, gpointer data)
 {
     (void)value;
     struct balancer *balancer = data;
-    if (g_hash_table_contains(balancer->listed, key)) {
+    if (g_hash_table_contains(balancer->listed_upstreams, key)) {
         return FALSE;
     }
-    ch_coming_told(balancer->coming, GPOINTER_TO_UINT(key), NULL, 0, NULL, 0,
-                   ch_client_now(balancer->node->client));
+    ch_coming_told(balancer->loading_models, GPOINTER_TO_UINT(key), NULL, 0,
+                   NULL, 0, ch_client_now(balancer->node->client));
     return TRUE;
 }
 
 static void route_waiting(struct balancer *balancer);
 
-/* The roster changed, on the pool. */
+/* Takes over the roster's list after a change; runs on the pool. */
 static void
-roster_changed(void *data)
+handle_roster_change(void *data)
 {
     struct balancer *balancer = data;
     struct update update = {
@@ -246,13 +258,13 @@
         .listed = g_array_new(FALSE, FALSE, sizeof(struct ch_crash_listed)),
     };
     pthread_mutex_lock(&balancer->lock);
-    balancer->listed = g_hash_table_new(NULL, NULL);
+    balancer->listed_upstreams = g_hash_table_new(NULL, NULL);
     ch_balance_begin_update(balancer->balance);
-    ch_roster_each(balancer->roster, take_host, &update);
+    ch_roster_each(balancer->roster, update_upstream, &update);
     ch_balance_end_update(balancer->balance);
-    g_hash_table_foreach_remove(balancer->clients, drop_unlisted, balancer);
-    g_hash_table_destroy(balancer->listed);
-    balancer->listed = NULL;
+    g_hash_table_foreach_remove(balancer->clients, remove_unlisted, balancer);
+    g_hash_table_destroy(balancer->listed_upstreams);
+    balancer->listed_upstreams = NULL;
     pthread_mutex_unlock(&balancer->lock);
     ch_config_unref(update.config);
     ch_crash_keeper_listed(
@@ -266,7 +278,7 @@
 
 /* ---- requests ---- */
 
-/* Frees a request that is out of the table.  Lock held. */
+/* Frees a request that was removed from the table. Lock held. */
 static void
 free_request(struct request *request)
 {
@@ -277,14 +289,14 @@
     g_free(request);
 }
 
-/* What is to be done for a request without the lock. */
-struct step {
+/* An action for a request, to be run without the lock. */
+struct action {
     enum {
-        STEP_NONE,
-        STEP_GRANT,
-        STEP_REFUSE,
-        STEP_PREPARE,
-        STEP_PACE,
+        ACTION_NONE,
+        ACTION_GRANT,
+        ACTION_REFUSE,
+        ACTION_LOAD_ADAPTER,
+        ACTION_DEFER,
     } kind;
     const struct ch_router_handlers *handlers;
     void *data;
@@ -295,13 +307,13 @@
     GQuark adapter;
 };
 
-/* Refuses a request: it is out of the table.  Lock held. */
-static struct step
+/* Removes a request from the table and refuses it. Lock held. */
+static struct action
 refuse(struct balancer *balancer, struct request *request, enum ch_code code,
        int64_t retry_after, const char *message)
 {
-    const struct step step = {
-        .kind = STEP_REFUSE,
+    const struct action action = {
+        .kind = ACTION_REFUSE,
         .handlers = request->handlers,
         .data = request->data,
         .choice = {.code = code,
@@ -310,35 +322,35 @@
     };
     ch_table_remove(balancer->requests, request->handle);
     free_request(request);
-    return step;
+    return action;
 }
 
-/* Notes that a request's adapter is used where it runs.  Lock held. */
+/* Records that a request's adapter is in use at its upstream. Lock held. */
 static void
-note_used(struct balancer *balancer, const struct request *request)
+record_adapter_use(struct balancer *balancer, const struct request *request)
 {
     g_hash_table_add(
-        balancer->used,
+        balancer->adapters_in_use,
         g_strdup_printf("%s %s", g_quark_to_string(request->choice.upstream),
-                        g_quark_to_string(request->work.adapter)));
+                        g_quark_to_string(request->info.adapter)));
 }
 
-/* Lets a request go out as chosen.  Lock held. */
-static struct step
+/* Grants a request the chosen upstream. Lock held. */
+static struct action
 grant(struct balancer *balancer, struct request *request, int64_t now)
 {
     const struct ch_choice *choice = &request->choice;
     request->state = REQUEST_GRANTED;
-    request->at = now;
+    request->granted_time = now;
     request->client = g_hash_table_lookup(balancer->clients,
                                           GUINT_TO_POINTER(choice->upstream));
     request->client->references++;
-    ch_balance_sent(balancer->balance, &request->work, choice, now);
-    if (request->work.adapter != 0) {
-        note_used(balancer, request);
+    ch_balance_sent(balancer->balance, &request->info, choice, now);
+    if (request->info.adapter != 0) {
+        record_adapter_use(balancer, request);
     }
-    return (struct step){
-        .kind = STEP_GRANT,
+    return (struct action){
+        .kind = ACTION_GRANT,
         .handlers = request->handlers,
         .data = request->data,
         .grant =
@@ -348,218 +360,227 @@
                 .boot = choice->boot,
                 .client = request->client->client,
                 .address = request->client->address,
-                .priority = request->work.priority,
+                .priority = request->info.priority,
                 .other_region = choice->other_region,
                 .expected = choice->expected,
             },
     };
 }
 
-/* When an engine is likely to have the model that it is loading; 0: none is
- * waited for.  Lock held. */
+/* Time at which an engine that is loading the model is expected to have it; 0:
+ * no engine is loading it, or requests are not to wait for models. Lock
+ * held. */
 static int64_t
-coming_at(const struct balancer *balancer, GQuark model, int64_t now)
+estimate_model_ready(const struct balancer *balancer, GQuark model,
+                     int64_t now)
 {
     return balancer->node->settings->without.wait_for_model
                ? 0
-               : ch_coming_at(balancer->coming, model, now);
+               : ch_coming_at(balancer->loading_models, model, now);
 }
 
 /*
- * What becomes of a request that no upstream can take.  One whose model is on
- * its way waits for it, as long as its caller would; one that nobody brings is
- * refused soon, with when to come back.
+ * Decides about a request that no upstream can take. A request whose model is
+ * being loaded waits for it, for as long as its caller would wait. If no
+ * engine is loading the model, the request is refused soon, with a time to
+ * retry. Lock held.
  */
-static struct step
+static struct action
 wait_or_refuse(struct balancer *balancer, struct request *request, int64_t now)
 {
-    const struct ch_work *work = &request->work;
+    const struct ch_work *info = &request->info;
     int64_t limit =
-        work->arrived + WAIT_TARGETS * (work->first_by - work->arrived);
-    if (work->service || request->excluded->len > 0) {
+        info->arrived + MODEL_WAIT_TARGETS * (info->first_by - info->arrived);
+    if (info->service || request->excluded->len > 0) {
         return refuse(balancer, request, CH_NO_UPSTREAM,
                       request->choice.retry_after, request->choice.message);
     }
-    if (coming_at(balancer, work->model, now) == 0) {
-        limit = MIN(limit, work->arrived + WAIT_BEGIN);
+    if (estimate_model_ready(balancer, info->model, now) == 0) {
+        limit = MIN(limit, info->arrived + LOAD_START_WAIT_US);
     }
-    limit = MIN(limit, work->whole_by - WAIT_BEGIN);
+    limit = MIN(limit, info->whole_by - LOAD_START_WAIT_US);
     if (now >= limit) {
-        return refuse(balancer, request, CH_NO_UPSTREAM, MODEL_RETRY_AFTER,
+        return refuse(balancer, request, CH_NO_UPSTREAM, MODEL_RETRY_AFTER_US,
                       "no engine has the model");
     }
-    request->state = REQUEST_WAITING;
-    request->until = limit;
-    return (struct step){.kind = STEP_NONE};
+    request->state = REQUEST_WAITING_FOR_MODEL;
+    request->wait_limit = limit;
+    return (struct action){.kind = ACTION_NONE};
 }
 
-/* What becomes of a request that the chosen engine would begin with too late.
- * Lock held. */
-static struct step
+/* Decides about a request that the chosen engine would start too late. Lock
+ * held. */
+static struct action
 wait_or_refuse_late(struct balancer *balancer, struct request *request,
                     int64_t now)
 {
-    const struct ch_late late =
-        ch_late_decide(&request->work, request->choice.expected,
-                       coming_at(balancer, request->work.model, now), now);
+    const struct ch_late late = ch_late_decide(
+        &request->info, request->choice.expected,
+        estimate_model_ready(balancer, request->info.model, now), now);
     if (late.waits) {
-        request->state = REQUEST_WAITING;
-        request->until = late.until;
-        return (struct step){.kind = STEP_NONE};
+        request->state = REQUEST_WAITING_FOR_MODEL;
+        request->wait_limit = late.until;
+        return (struct action){.kind = ACTION_NONE};
     }
     return refuse(balancer, request, CH_LATE, late.back,
                   "the model's engines are full");
 }
 
-/* Whether a request may wait for its engine to rest: not for longer than
- * leaves the rest of its target for what is expected. */
+/* Whether a request may be deferred so that its prefill does not pause the
+ * engine's streams for too long: the expected latency and a margin must still
+ * fit into the time to the request's target. Lock held. */
 static bool
-may_pace(const struct request *request, int64_t now)
+may_defer(const struct request *request, int64_t now)
 {
-    const struct ch_work *work = &request->work;
-    int64_t target = work->first_by - work->arrived;
-    return now + request->choice.expected + target / PACE_MARGIN <
-           work->first_by;
+    const struct ch_work *info = &request->info;
+    int64_t target = info->first_by - info->arrived;
+    return now + request->choice.expected + target / DEFER_MARGIN_DIVISOR <
+           info->first_by;
 }
 
-/* Chooses an upstream for a request.  Lock held. */
-static struct step
+/* Chooses an upstream for a request. Lock held. */
+static struct action
 route(struct balancer *balancer, struct request *request, int64_t now)
 {
-    const struct ch_work *work = &request->work;
-    bool ready = request->prepared >= MOST_PREPARED;
-    request->choice = ch_balance_choose(balancer->balance, work,
+    const struct ch_work *info = &request->info;
+    bool ready = request->failed_adapter_loads >= MAX_ADAPTER_LOADS;
+    request->choice = ch_balance_choose(balancer->balance, info,
                                         request->excluded, ready, now);
     if (request->choice.code != CH_OK && ready) {
-        return refuse(balancer, request, CH_NO_UPSTREAM, ADAPTER_RETRY_AFTER,
+        return refuse(balancer, request, CH_NO_UPSTREAM,
+                      ADAPTER_RETRY_AFTER_US,
                       "the adapter cannot be loaded now");
     }
     if (request->choice.code != CH_OK) {
         return wait_or_refuse(balancer, request, now);
     }
     if (!balancer->node->settings->without.refuse_late &&
-        ch_late_is(work, request->choice.expected, now)) {
+        ch_late_is(info, request->choice.expected, now)) {
         return wait_or_refuse_late(balancer, request, now);
     }
-    if (request->choice.too_dense && may_pace(request, now)) {
-        request->state = REQUEST_PACED;
-        return (struct step){.kind = STEP_PACE};
+    if (request->choice.too_dense && may_defer(request, now)) {
+        request->state = REQUEST_DEFERRED;
+        return (struct action){.kind = ACTION_DEFER};
     }
     if (!request->choice.adapter_missing) {
         return grant(balancer, request, now);
     }
-    request->state = REQUEST_PREPARING;
-    return (struct step){
-        .kind = STEP_PREPARE,
+    request->state = REQUEST_LOADING_ADAPTER;
+    return (struct action){
+        .kind = ACTION_LOAD_ADAPTER,
         .handle = request->handle,
         .choice = request->choice,
-        .model = work->model,
-        .adapter = work->adapter,
+        .model = info->model,
+        .adapter = info->adapter,
     };
 }
 
-/* ---- steps without the lock ---- */
+/* ---- actions, without the lock ---- */
 
-/* A request whose adapter was asked for. */
-struct preparation {
+/* A request whose adapter is being loaded. */
+struct adapter_load {
     struct balancer *balancer;
     uint64_t handle;
 };
 
-static void run_step(struct balancer *balancer, const struct step *step);
+static void run_action(struct balancer *balancer, const struct action *action);
 
-/* Goes on with a request whose adapter is there, or cannot be. */
+/* Continues with a request whose adapter was loaded or could not be loaded. */
 static void
-take_prepared(struct balancer *balancer, uint64_t handle, bool good)
+continue_after_adapter_load(struct balancer *balancer, uint64_t handle,
+                            bool loaded)
 {
-    struct step step = {.kind = STEP_NONE};
+    struct action action = {.kind = ACTION_NONE};
     int64_t now = ch_client_now(balancer->node->client);
     pthread_mutex_lock(&balancer->lock);
     struct request *request = ch_table_get(balancer->requests, handle);
-    if (request != NULL && request->state == REQUEST_PREPARING) {
+    if (request != NULL && request->state == REQUEST_LOADING_ADAPTER) {
         GQuark upstream = request->choice.upstream;
         bool listed = g_hash_table_contains(balancer->clients,
                                             GUINT_TO_POINTER(upstream));
-        ch_balance_adapter(balancer->balance, upstream, request->work.adapter,
-                           good);
-        if (good && listed) {
-            step = grant(balancer, request, now);
+        ch_balance_adapter(balancer->balance, upstream, request->info.adapter,
+                           loaded);
+        if (loaded && listed) {
+            action = grant(balancer, request, now);
         }
         else {
-            request->prepared++;
+            request->failed_adapter_loads++;
             g_array_append_val(request->excluded, upstream);
-            step = route(balancer, request, now);
+            action = route(balancer, request, now);
         }
     }
     pthread_mutex_unlock(&balancer->lock);
-    run_step(balancer, &step);
+    run_action(balancer, &action);
 }
 
-/* The holder's word on an adapter. */
+/* Handles the lease holder's reply to an adapter load. */
 static void
-prepare_done(void *data, enum ch_code code,
-             const Chestnuthitch__Wire__Frame *reply)
+handle_adapter_loaded(void *data, enum ch_code code,
+                      const Chestnuthitch__Wire__Frame *reply)
 {
-    struct preparation *preparation = data;
-    bool good = code == CH_OK && reply != NULL &&
-                reply->body_case == CHESTNUTHITCH__WIRE__FRAME__BODY_DONE;
-    take_prepared(preparation->balancer, preparation->handle, good);
-    g_free(preparation);
+    struct adapter_load *adapter_load = data;
+    bool loaded = code == CH_OK && reply != NULL &&
+                  reply->body_case == CHESTNUTHITCH__WIRE__FRAME__BODY_DONE;
+    continue_after_adapter_load(adapter_load->balancer, adapter_load->handle,
+                                loaded);
+    g_free(adapter_load);
 }
 
-/* Looks at what waits, on the pool. */
+/* Routes the waiting requests again; runs on the pool. */
 static void
-run_look(void *data)
+recheck_waiting(void *data)
 {
     struct balancer *balancer = data;
     pthread_mutex_lock(&balancer->lock);
-    balancer->looking = false;
+    balancer->recheck_scheduled = false;
     pthread_mutex_unlock(&balancer->lock);
     route_waiting(balancer);
 }
 
-/* Has what waits looked at again soon. */
+/* Schedules a recheck of the waiting requests unless one is pending. */
 static void
-look_again(struct balancer *balancer)
+schedule_recheck(struct balancer *balancer)
 {
     pthread_mutex_lock(&balancer->lock);
-    bool begin = !balancer->looking;
-    balancer->looking = true;
+    bool must_schedule = !balancer->recheck_scheduled;
+    balancer->recheck_scheduled = true;
     pthread_mutex_unlock(&balancer->lock);
-    if (begin) {
-        ch_timers_after(balancer->node->timers, PACE_LOOK, run_look, balancer);
+    if (must_schedule) {
+        ch_timers_after(balancer->node->timers, DEFER_RECHECK_US,
+                        recheck_waiting, balancer);
     }
 }
 
-/* Does what was found to be done for a request. */
+/* Runs the action that was chosen for a request. */
 static void
-run_step(struct balancer *balancer, const struct step *step)
+run_action(struct balancer *balancer, const struct action *action)
 {
-    struct preparation *preparation = NULL;
-    switch (step->kind) {
-    case STEP_GRANT:
-        step->handlers->granted(step->data, &step->grant);
+    struct adapter_load *adapter_load = NULL;
+    switch (action->kind) {
+    case ACTION_GRANT:
+        action->handlers->granted(action->data, &action->grant);
         return;
-    case STEP_REFUSE:
-        step->handlers->refused(step->data, step->choice.code,
-                                step->choice.retry_after,
-                                step->choice.message);
+    case ACTION_REFUSE:
+        action->handlers->refused(action->data, action->choice.code,
+                                  action->choice.retry_after,
+                                  action->choice.message);
         return;
-    case STEP_PREPARE:
-        preparation = g_new0(struct preparation, 1);
-        preparation->balancer = balancer;
-        preparation->handle = step->handle;
+    case ACTION_LOAD_ADAPTER:
+        adapter_load = g_new0(struct adapter_load, 1);
+        adapter_load->balancer = balancer;
+        adapter_load->handle = action->handle;
         if (!ch_controller_has_holder(balancer->controller,
-                                      step->choice.data_centre) ||
-            !ch_controller_prepare(balancer->controller, step->choice.upstream,
-                                   step->choice.data_centre, step->model,
-                                   step->adapter, prepare_done, preparation)) {
-            g_free(preparation);
-            take_prepared(balancer, step->handle, false);
+                                      action->choice.data_centre) ||
+            !ch_controller_prepare(
+                balancer->controller, action->choice.upstream,
+                action->choice.data_centre, action->model, action->adapter,
+                handle_adapter_loaded, adapter_load)) {
+            g_free(adapter_load);
+            continue_after_adapter_load(balancer, action->handle, false);
         }
         return;
-    case STEP_PACE:
-        look_again(balancer);
+    case ACTION_DEFER:
+        schedule_recheck(balancer);
         return;
     default:
         return;
@@ -568,14 +589,14 @@
 
 /* Routes a request; see struct ch_router_ops. */
 static uint64_t
-balancer_request(struct ch_router *router, const struct ch_work *work,
+balancer_request(struct ch_router *router, const struct ch_work *info,
                  const GArray *excluded,
                  const struct ch_router_handlers *handlers, void *data)
 {
     struct balancer *balancer = (struct balancer *)router;
     int64_t now = ch_client_now(balancer->node->client);
     struct request *request = g_new0(struct request, 1);
-    request->work = *work;
+    request->info = *info;
     request->handlers = handlers;
     request->data = data;
     request->excluded = g_array_new(FALSE, FALSE, sizeof(GQuark));
@@ -583,14 +604,14 @@
         g_array_append_vals(request->excluded, excluded->data, excluded->len);
     }
     pthread_mutex_lock(&balancer->lock);
-    if (!work->service && work->attempt == 0 && work->refusals == 0) {
-        ch_balance_asked(balancer->balance, work, now);
+    if (!info->service && info->attempt == 0 && info->refusals == 0) {
+        ch_balance_asked(balancer->balance, info, now);
     }
     uint64_t handle = ch_table_add(balancer->requests, request);
     request->handle = handle;
-    struct step step = route(balancer, request, now);
+    struct action action = route(balancer, request, now);
     pthread_mutex_unlock(&balancer->lock);
-    run_step(balancer, &step);
+    run_action(balancer, &action);
     return handle;
 }
 
@@ -610,54 +631,54 @@
     return waits;
 }
 
-/* ---- requests that wait for their model ---- */
+/* ---- requests that wait for an upstream ---- */
 
-/* Gathers what waits. */
+/* Collects the handles of waiting requests. */
 static void
 collect_waiting(void *item, uint64_t handle, void *data)
 {
     const struct request *request = item;
-    if (request->state == REQUEST_WAITING || request->state == REQUEST_PACED) {
+    if (request->state == REQUEST_WAITING_FOR_MODEL ||
+        request->state == REQUEST_DEFERRED) {
         g_array_append_val(data, handle);
     }
 }
 
-/* Looks at all that wait: something may have come, or their time is over. */
+/* Routes all waiting requests again: their model may have been loaded, or
+ * their wait may be over. */
 static void
 route_waiting(struct balancer *balancer)
 {
     GArray *handles = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-    GArray *steps = g_array_new(FALSE, FALSE, sizeof(struct step));
+    GArray *actions = g_array_new(FALSE, FALSE, sizeof(struct action));
     int64_t now = ch_client_now(balancer->node->client);
     pthread_mutex_lock(&balancer->lock);
     ch_table_each(balancer->requests, collect_waiting, handles);
     for (guint i = 0; i < handles->len; i++) {
         struct request *request = ch_table_get(
             balancer->requests, g_array_index(handles, uint64_t, i));
-        const struct step step = route(balancer, request, now);
-        g_array_append_val(steps, step);
+        const struct action action = route(balancer, request, now);
+        g_array_append_val(actions, action);
     }
     pthread_mutex_unlock(&balancer->lock);
-    for (guint i = 0; i < steps->len; i++) {
-        run_step(balancer, &g_array_index(steps, struct step, i));
+    for (guint i = 0; i < actions->len; i++) {
+        run_action(balancer, &g_array_index(actions, struct action, i));
     }
     g_array_free(handles, TRUE);
-    g_array_free(steps, TRUE);
+    g_array_free(actions, TRUE);
 }
 
-/* ---- what the holders tell, and are told ---- */
+/* ---- engine status from lease holders, demand to lease holders ---- */
 
-/* Frees what was told of an engine. */
 static void
-free_told(void *data)
+free_status(void *data)
 {
-    struct told_engine *told = data;
-    g_array_free(told->models, TRUE);
-    g_array_free(told->adapters, TRUE);
-    g_free(told);
+    struct received_status *status = data;
+    g_array_free(status->models, TRUE);
+    g_array_free(status->adapters, TRUE);
+    g_free(status);
 }
 
-/* A list of names, copied. */
 static GArray *
 copy_names(const GQuark *names, size_t count)
 {
@@ -668,35 +689,36 @@
     return copy;
 }
 
-/* A holder's word on one engine. */
+/* Handles a lease holder's status of one engine. */
 static void
-engine_told(void *data, const struct ch_engine_told *engine)
+handle_engine_status(void *data, const struct ch_engine_told *engine)
 {
     struct balancer *balancer = data;
-    struct told_engine *told = g_new0(struct told_engine, 1);
-    told->boot = engine->boot;
-    told->at = ch_client_now(balancer->node->client);
-    told->models = copy_names(engine->models, engine->model_count);
-    told->adapters = copy_names(engine->adapters, engine->adapter_count);
+    struct received_status *status = g_new0(struct received_status, 1);
+    status->engine_boot_id = engine->boot;
+    status->received_time = ch_client_now(balancer->node->client);
+    status->models = copy_names(engine->models, engine->model_count);
+    status->adapters = copy_names(engine->adapters, engine->adapter_count);
     pthread_mutex_lock(&balancer->lock);
-    g_hash_table_replace(balancer->told, GUINT_TO_POINTER(engine->upstream),
-                         told);
-    ch_coming_told(balancer->coming, engine->upstream, engine->models,
+    g_hash_table_replace(balancer->statuses,
+                         GUINT_TO_POINTER(engine->upstream), status);
+    ch_coming_told(balancer->loading_models, engine->upstream, engine->models,
                    engine->model_count, engine->coming, engine->coming_count,
-                   told->at);
+                   status->received_time);
     ch_balance_models(balancer->balance, engine->upstream, engine->models,
                       engine->model_count);
     ch_balance_adapters(balancer->balance, engine->upstream, engine->adapters,
                         engine->adapter_count);
     ch_balance_busy(balancer->balance, engine->upstream, engine->busy);
     ch_balance_all(balancer->balance, engine->upstream, engine->running,
-                   engine->unread, told->at);
+                   engine->unread, status->received_time);
     pthread_mutex_unlock(&balancer->lock);
 }
 
-/* The loads of engines as of now, by the word of a holder. */
+/* Handles a lease holder's current loads of engines; the rest of their status
+ * is unchanged, so it becomes fresh again. */
 static void
-engines_loaded(void *data, const GArray *loads)
+handle_engine_loads(void *data, const GArray *loads)
 {
     struct balancer *balancer = data;
     int64_t now = ch_client_now(balancer->node->client);
@@ -704,10 +726,10 @@
     for (guint i = 0; i < loads->len; i++) {
         const struct ch_engine_load *load =
             &g_array_index(loads, struct ch_engine_load, i);
-        struct told_engine *told = g_hash_table_lookup(
-            balancer->told, GUINT_TO_POINTER(load->upstream));
-        if (told != NULL) {
-            told->at = now;
+        struct received_status *status = g_hash_table_lookup(
+            balancer->statuses, GUINT_TO_POINTER(load->upstream));
+        if (status != NULL) {
+            status->received_time = now;
         }
         ch_balance_all(balancer->balance, load->upstream, load->running,
                        load->unread, now);
@@ -715,22 +737,23 @@
     pthread_mutex_unlock(&balancer->lock);
 }
 
-/* A whole message was taken. */
+/* Handles the end of a status message: the status of all its engines was
+ * applied. */
 static void
-all_told(void *data)
+handle_status_complete(void *data)
 {
     route_waiting(data);
 }
 
-/* What is gathered for the holders. */
-struct gathered {
+/* The demand that is gathered for the lease holders. */
+struct gathered_demand {
     const struct balancer *balancer;
     GArray *models; /* struct ch_model_demand */
 };
 
-/* The entry of a model, added when there is none. */
+/* Returns the entry of a model, added if there is none. */
 static struct ch_model_demand *
-demand_of(GArray *models, GQuark model)
+find_or_add_demand(GArray *models, GQuark model)
 {
     for (guint i = 0; i < models->len; i++) {
         struct ch_model_demand *demand =
@@ -744,33 +767,34 @@
     return &g_array_index(models, struct ch_model_demand, models->len - 1);
 }
 
-/* Adds what is asked of a model, unless it is next to nothing. */
+/* Adds the demand for a model unless it rounds down to zero. */
 static void
-add_asked(void *data, GQuark model, double work)
+add_model_demand(void *data, GQuark model, double demand)
 {
-    uint32_t thousandths = (uint32_t)(work * 1000);
+    uint32_t thousandths = (uint32_t)(demand * 1000);
     if (thousandths > 0) {
-        demand_of(data, model)->work = thousandths;
+        find_or_add_demand(data, model)->work = thousandths;
     }
 }
 
-/* Adds a request that no engine has begun with. */
+/* Adds the prefill time of a request that has no first byte yet to the backlog
+ * of its model. */
 static void
 add_backlog(void *item, uint64_t handle, void *data)
 {
     (void)handle;
     const struct request *request = item;
-    const struct gathered *gathered = data;
-    if (request->work.service || request->begun) {
+    const struct gathered_demand *gathered_demand = data;
+    if (request->info.service || request->has_first_byte) {
         return;
     }
-    int64_t reading =
-        ch_balance_reading(gathered->balancer->balance, &request->work);
-    demand_of(gathered->models, request->work.model)->backlog +=
-        (uint32_t)(reading / 1000);
+    int64_t prefill_time =
+        ch_balance_reading(gathered_demand->balancer->balance, &request->info);
+    find_or_add_demand(gathered_demand->models, request->info.model)
+        ->backlog += (uint32_t)(prefill_time / 1000);
 }
 
-/* Adds what this node has sent to one engine. */
+/* Adds the load of this node's requests on one engine. */
 static void
 add_load(void *data, GQuark upstream, GQuark data_centre, uint32_t running,
          int64_t unread)
@@ -780,73 +804,76 @@
     g_array_append_val((GArray *)data, load);
 }
 
-/* What this node's requests ask for, and where they run. */
+/* Gathers the demand of this node's requests and the load that they put on
+ * each engine. */
 static void
-tell_demand(void *data, GArray *out, GArray *loads)
+gather_demand(void *data, GArray *out, GArray *loads)
 {
     struct balancer *balancer = data;
     pthread_mutex_lock(&balancer->lock);
-    const struct gathered gathered = {balancer, out};
+    const struct gathered_demand gathered_demand = {balancer, out};
     ch_balance_tell(balancer->balance, add_load, loads);
     ch_balance_each_asked(balancer->balance,
-                          ch_client_now(balancer->node->client), add_asked,
-                          out);
-    ch_table_each(balancer->requests, add_backlog, (void *)&gathered);
+                          ch_client_now(balancer->node->client),
+                          add_model_demand, out);
+    ch_table_each(balancer->requests, add_backlog, (void *)&gathered_demand);
     pthread_mutex_unlock(&balancer->lock);
     route_waiting(balancer);
 }
 
-/* Adds the adapter that a request runs on. */
+/* Records the adapter that a granted request uses. */
 static void
-add_used(void *item, uint64_t handle, void *data)
+add_used_adapter(void *item, uint64_t handle, void *data)
 {
     (void)handle;
     const struct request *request = item;
-    if (request->state == REQUEST_GRANTED && request->work.adapter != 0) {
-        note_used(data, request);
+    if (request->state == REQUEST_GRANTED && request->info.adapter != 0) {
+        record_adapter_use(data, request);
     }
 }
 
-/* Which adapters are in use, or were since this was last asked. */
+/* Gathers the adapters that are in use or were used since the last call. */
 static void
-tell_used(void *data, GPtrArray *out)
+gather_used_adapters(void *data, GPtrArray *out)
 {
     struct balancer *balancer = data;
     GHashTableIter iterator;
     gpointer key = NULL;
     pthread_mutex_lock(&balancer->lock);
-    ch_table_each(balancer->requests, add_used, balancer);
-    g_hash_table_iter_init(&iterator, balancer->used);
+    ch_table_each(balancer->requests, add_used_adapter, balancer);
+    g_hash_table_iter_init(&iterator, balancer->adapters_in_use);
     while (g_hash_table_iter_next(&iterator, &key, NULL)) {
         g_ptr_array_add(out, g_strdup(key));
     }
-    g_hash_table_remove_all(balancer->used);
+    g_hash_table_remove_all(balancer->adapters_in_use);
     pthread_mutex_unlock(&balancer->lock);
 }
 
 /* See struct ch_router_ops. */
 static void
-balancer_first(struct ch_router *router, uint64_t handle)
+balancer_first_byte(struct ch_router *router, uint64_t handle)
 {
     struct balancer *balancer = (struct balancer *)router;
     int64_t now = ch_client_now(balancer->node->client);
     pthread_mutex_lock(&balancer->lock);
     struct request *request = ch_table_get(balancer->requests, handle);
-    if (request != NULL && !request->begun) {
-        request->begun = true;
-        ch_balance_first(balancer->balance, &request->work, &request->choice,
-                         now - request->at, now);
+    if (request != NULL && !request->has_first_byte) {
+        request->has_first_byte = true;
+        ch_balance_first(balancer->balance, &request->info, &request->choice,
+                         now - request->granted_time, now);
     }
     pthread_mutex_unlock(&balancer->lock);
 }
 
-/* Learns from a refusal by an upstream that does not hold what was asked. */
+/* An upstream that refused a request may not hold the request's adapter: the
+ * adapter counts as not resident from now on. Lock held. */
 static void
-note_refused(struct balancer *balancer, const struct request *request)
+record_refused_adapter(struct balancer *balancer,
+                       const struct request *request)
 {
-    if (request->work.adapter != 0) {
+    if (request->info.adapter != 0) {
         ch_balance_adapter(balancer->balance, request->choice.upstream,
-                           request->work.adapter, false);
+                           request->info.adapter, false);
     }
 }
 
@@ -860,10 +887,10 @@
     pthread_mutex_lock(&balancer->lock);
     struct request *request = ch_table_remove(balancer->requests, handle);
     if (request != NULL) {
-        ch_balance_ended(balancer->balance, &request->work, &request->choice,
-                         request->begun, sample, now);
+        ch_balance_ended(balancer->balance, &request->info, &request->choice,
+                         request->has_first_byte, sample, now);
         if (sample->code == CH_UPSTREAM_REFUSED) {
-            note_refused(balancer, request);
+            record_refused_adapter(balancer, request);
         }
         free_request(request);
     }
@@ -872,9 +899,8 @@
 
 /* ---- status ---- */
 
-/* One upstream in the status. */
 static void
-status_host(void *data, const struct ch_host *host)
+add_host_status(void *data, const struct ch_host *host)
 {
     JsonBuilder *builder = data;
     json_builder_begin_object(builder);
@@ -903,12 +929,12 @@
     struct balancer *balancer = (struct balancer *)router;
     json_builder_set_member_name(builder, "upstreams");
     json_builder_begin_array(builder);
-    ch_roster_each(balancer->roster, status_host, builder);
+    ch_roster_each(balancer->roster, add_host_status, builder);
     json_builder_end_array(builder);
     ch_controller_status(balancer->controller, builder);
 }
 
-/* ---- life ---- */
+/* ---- lifecycle ---- */
 
 /* See struct ch_router_ops. */
 static void
@@ -944,9 +970,9 @@
     ch_roster_stop(balancer->roster);
 }
 
-/* Gathers what is left in a table. */
+/* Collects the requests that are left in the table. */
 static void
-collect(void *item, uint64_t handle, void *data)
+collect_request(void *item, uint64_t handle, void *data)
 {
     (void)handle;
     g_ptr_array_add(data, item);
@@ -958,7 +984,7 @@
 {
     struct balancer *balancer = (struct balancer *)router;
     GPtrArray *left = g_ptr_array_new();
-    ch_table_each(balancer->requests, collect, left);
+    ch_table_each(balancer->requests, collect_request, left);
     for (guint i = 0; i < left->len; i++) {
         free_request(g_ptr_array_index(left, i));
     }
@@ -966,16 +992,16 @@
     ch_table_free(balancer->requests);
     ch_controller_free(balancer->controller);
     ch_roster_free(balancer->roster);
-    g_hash_table_destroy(balancer->told);
-    g_hash_table_destroy(balancer->used);
-    ch_coming_free(balancer->coming);
+    g_hash_table_destroy(balancer->statuses);
+    g_hash_table_destroy(balancer->adapters_in_use);
+    ch_coming_free(balancer->loading_models);
     ch_balance_free(balancer->balance);
     g_hash_table_destroy(balancer->clients);
     pthread_mutex_destroy(&balancer->lock);
     g_free(balancer);
 }
 
-/* A router that knows no upstreams yet; node outlives it. */
+/* Creates a router that knows no upstreams yet; node must outlive it. */
 struct ch_router *
 ch_balancer_new(struct ch_node *node)
 {
@@ -984,7 +1010,7 @@
         .ready = balancer_ready,
         .request = balancer_request,
         .withdraw = balancer_withdraw,
-        .first = balancer_first,
+        .first = balancer_first_byte,
         .release = balancer_release,
         .drain = balancer_drain,
         .stop = balancer_stop,
@@ -992,11 +1018,11 @@
         .status = balancer_status,
     };
     static const struct ch_controller_handlers handlers = {
-        .told = engine_told,
-        .loads = engines_loaded,
-        .told_all = all_told,
-        .demand = tell_demand,
-        .used = tell_used,
+        .told = handle_engine_status,
+        .loads = handle_engine_loads,
+        .told_all = handle_status_complete,
+        .demand = gather_demand,
+        .used = gather_used_adapters,
     };
     struct balancer *balancer = g_new0(struct balancer, 1);
     balancer->router.ops = &ops;
@@ -1005,14 +1031,14 @@
         ch_balance_new(g_quark_from_string(node->settings->region),
                        g_quark_from_string(node->settings->data_centre));
     ch_balance_do_without(balancer->balance, &node->settings->without);
-    balancer->coming = ch_coming_new();
+    balancer->loading_models = ch_coming_new();
     balancer->clients = g_hash_table_new_full(NULL, NULL, NULL, client_unref);
     balancer->requests = ch_table_new();
     pthread_mutex_init(&balancer->lock, NULL);
-    balancer->told = g_hash_table_new_full(NULL, NULL, NULL, free_told);
-    balancer->used =
+    balancer->statuses = g_hash_table_new_full(NULL, NULL, NULL, free_status);
+    balancer->adapters_in_use =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    balancer->roster = ch_roster_new(node, roster_changed, balancer);
+    balancer->roster = ch_roster_new(node, handle_roster_change, balancer);
     balancer->controller =
         ch_controller_new(node, balancer->roster, &handlers, balancer);
     return &balancer->router;
--- a/libchestnuthitch/node/balancer.h
+++ b/libchestnuthitch/node/balancer.h
@@ -1,7 +1,8 @@
 #ifndef CH_NODE_BALANCER_H
 #define CH_NODE_BALANCER_H
 
-/* The router of nodes that choose by their own view; decide/balance.h. */
+/* The router of nodes that choose upstreams from their own knowledge; see
+ * decide/balance.h. */
 
 #include "node/node.h"
 
