--- a/libchestnuthitch/node/exchange.c
+++ b/libchestnuthitch/node/exchange.c
@@ -1,17 +1,19 @@
-/* The course of one request, step by step. */
+/* The steps of an exchange; see exchange.h. */
 
 #include "node/exchange.h"
 
 #include "node/crash_keeper.h"
 
 enum {
-    /* What crashed upstreams once does so again soon: its caller need not come
-     * back before an operator had a look. */
-    CRASHER_RETRY_AFTER = 60 * 1000 * 1000,
+    /* A request that crashed upstreams is likely to crash others if it is
+     * repeated soon, so its caller is asked to wait until an operator can
+     * act. */
+    BARRED_RETRY_AFTER_US = 60 * 1000 * 1000,
 };
 
-/* Ends the course: the record is written, and the reply let go, which also
- * breaks the ring of references between the two. */
+/* Finishes the exchange: writes the log, returns an unused retry to the
+ * budget, and drops the response, which also breaks the reference cycle
+ * between the exchange and its response. */
 void
 ch_exchange_over(struct ch_exchange *exchange)
 {
@@ -26,22 +28,22 @@
                        &exchange->try_held);
     pthread_mutex_unlock(&front->lock);
     pthread_mutex_lock(&exchange->lock);
-    struct ch_reply *reply = exchange->reply;
+    struct ch_reply *response = exchange->reply;
     exchange->reply = NULL;
     pthread_mutex_unlock(&exchange->lock);
-    ch_reply_unref(reply);
+    ch_reply_unref(response);
     ch_front_leave(front, exchange);
     ch_exchange_unref(exchange);
 }
 
-/* ---- the end of the once record ---- */
+/* ---- finishing the at-most-once record ---- */
 
-/* The once record was finished, or could not be: the caller is answered
- * either way, with what the upstream said. */
+/* The at-most-once record was finished, or could not be. The caller gets the
+ * upstream's response in both cases. */
 static void
-once_finished(void *data, bool kept)
+handle_once_finished(void *data, bool stored)
 {
-    (void)kept;
+    (void)stored;
     struct ch_exchange *exchange = data;
     pthread_mutex_lock(&exchange->lock);
     if (exchange->whole) {
@@ -52,12 +54,12 @@
     ch_exchange_over(exchange);
 }
 
-/* Hands the whole answer to the once record before the caller has it: a
- * caller that repeats after losing this answer gets the same one.  Without an
- * answer the key is given free.  On the pool; nothing writes to the answer in
- * this step, so that the lock is not needed. */
+/* Stores the complete response in the at-most-once record before the caller
+ * gets it, so that a caller that loses the response and repeats the request
+ * gets the same one. Without a response the key is released. Runs on the pool;
+ * nothing writes to the response in this step, so the lock is not needed. */
 static void
-finish_once(void *data)
+finish_once_record(void *data)
 {
     struct ch_exchange *exchange = data;
     const struct ch_request *request = exchange->request;
@@ -67,73 +69,77 @@
         exchange->once_attempt, !whole, whole ? exchange->status : 0,
         whole ? exchange->content_type : NULL,
         whole ? exchange->body->data : NULL, whole ? exchange->body->len : 0,
-        once_finished, exchange);
+        handle_once_finished, exchange);
 }
 
-/* Goes on to the end of the once record.  Lock held. */
+/* Starts to finish the at-most-once record. Lock held. */
 static void
-keep(struct ch_exchange *exchange)
+store_response(struct ch_exchange *exchange)
 {
     exchange->step = CH_STEP_KEEP;
-    ch_pool_submit(exchange->front->node->pool, finish_once, exchange);
+    ch_pool_submit(exchange->front->node->pool, finish_once_record, exchange);
 }
 
-/* Ends a course without an answer; the caller was told before.  A key whose
- * request may have run is left as it is: a repeat then learns that the
- * outcome is unknown.  Lock held; true when the course is over. */
+/* Ends an exchange without a response; the caller has been told before. The
+ * key of a request that may have run is left as it is: a repeat then learns
+ * that the outcome is unknown. Lock held; returns true when the exchange can
+ * be finished. */
 static bool
-wind_up(struct ch_exchange *exchange)
+end_without_response(struct ch_exchange *exchange)
 {
     if (exchange->once_created && !exchange->may_have_run) {
-        keep(exchange);
+        store_response(exchange);
         return false;
     }
     exchange->step = CH_STEP_OVER;
     return true;
 }
 
-/* ---- leave from a home ---- */
+/* ---- grants from the router ---- */
 
-/* Tells the caller that it is out, and winds up.  Lock held. */
+/* Sends the caller a failure and ends the exchange. Lock held; returns true
+ * when the exchange can be finished. */
 static bool
 fail(struct ch_exchange *exchange, enum ch_code code, const char *message,
      int64_t retry_after)
 {
     ch_exchange_tell_failure(exchange, code, message, retry_after);
-    return wind_up(exchange);
+    return end_without_response(exchange);
 }
 
 /*
- * The gate that each dispatch passes, first or not: a request under which
- * upstreams crashed goes to no other, and nothing is loaded for it.  True when
- * it may not go on; *over when its course is over.  Lock held.
+ * Checks every dispatch, the first as well as retries: a request under which
+ * upstreams crashed is sent to no other upstream, and no adapter or model is
+ * loaded for it. Returns true when the request must not go on, with *over set
+ * when the exchange can be finished. Lock held.
  */
 static bool
-refuse_crasher(struct ch_exchange *exchange, bool *over)
+refuse_if_barred(struct ch_exchange *exchange, bool *over)
 {
     struct ch_node *node = exchange->front->node;
     if (!ch_crash_keeper_bars(node->crashes, exchange->request)) {
         return false;
     }
     ch_metrics_count(node->client->metrics, CH_COUNT_CRASHERS_REFUSED, 1);
-    *over = fail(exchange, CH_CRASHES_UPSTREAMS,
-                 "upstreams crashed under this request", CRASHER_RETRY_AFTER);
+    *over =
+        fail(exchange, CH_CRASHES_UPSTREAMS,
+             "upstreams crashed under this request", BARRED_RETRY_AFTER_US);
     return true;
 }
 
-/* Gives a grant back unused.  Lock held. */
+/* Lock held. */
 static void
-give_grant_back(struct ch_exchange *exchange)
+release_unused_grant(struct ch_exchange *exchange)
 {
     const struct ch_sample sample = {.code = CH_CANCELLED};
     struct ch_router *router = exchange->front->node->router;
     router->ops->release(router, exchange->grant.handle, &sample);
 }
 
-/* A home gave leave.  Leave that comes after the caller gave up is given back
- * unused. */
+/* The router granted an upstream. A grant that comes after the caller gave up
+ * is released unused. */
 static void
-home_granted(void *data, const struct ch_grant *grant)
+handle_grant(void *data, const struct ch_grant *grant)
 {
     struct ch_exchange *exchange = data;
     struct ch_front *front = exchange->front;
@@ -145,11 +151,11 @@
         exchange->first_grant = ch_client_now(front->node->client);
     }
     if (exchange->abandoned) {
-        give_grant_back(exchange);
-        over = wind_up(exchange);
+        release_unused_grant(exchange);
+        over = end_without_response(exchange);
     }
-    else if (refuse_crasher(exchange, &over)) {
-        give_grant_back(exchange);
+    else if (refuse_if_barred(exchange, &over)) {
+        release_unused_grant(exchange);
     }
     else {
         ch_exchange_call(exchange);
@@ -160,15 +166,16 @@
     }
 }
 
-static void ask_home(void *data);
+static void request_grant(void *data);
 
 /*
- * True when a refusal comes only of what this request itself excluded, and was
- * not asked without that yet.  A model with one replica whose connection was
- * lost would else be refused although its engine is well.
+ * Allows the excluded upstreams once more when a refusal is due only to the
+ * exclusions of this request; returns true when the router should be asked
+ * again. Without this, a model with one replica whose connection was lost
+ * would be refused although its engine is well.
  */
 static bool
-should_ask_anew(struct ch_exchange *exchange, enum ch_code code)
+drop_exclusions(struct ch_exchange *exchange, enum ch_code code)
 {
     if (exchange->abandoned || exchange->asked_anew ||
         exchange->excluded->len == 0 || code != CH_NO_UPSTREAM) {
@@ -179,78 +186,80 @@
     return true;
 }
 
-/* Whether a further try may begin now; counted once for each call.  Lock
- * held. */
+/* Takes a retry from the budget, unless the exchange holds one that no call
+ * has used; returns false when the budget is used up. Lock held. */
 static bool
-hold_try(struct ch_exchange *exchange)
+take_retry(struct ch_exchange *exchange)
 {
     struct ch_front *front = exchange->front;
     pthread_mutex_lock(&front->lock);
-    bool held =
+    bool taken =
         ch_retry_hold(ch_front_budget(front, exchange->request->work.pool),
                       &exchange->try_held);
     pthread_mutex_unlock(&front->lock);
-    return held;
+    return taken;
 }
 
-static void ask_later(struct ch_exchange *exchange);
+static void request_grant_later(struct ch_exchange *exchange);
 
-/* On the pool, CH_RETRY_WAIT later: asks again, if the budget allows. */
+/* Runs on the pool after CH_RETRY_DELAY_US: asks again if the budget
+ * allows. */
 static void
-ask_again(void *data)
+request_grant_again(void *data)
 {
     struct ch_exchange *exchange = data;
     pthread_mutex_lock(&exchange->lock);
-    bool wait = !exchange->abandoned && !hold_try(exchange);
-    if (wait) {
-        ask_later(exchange);
+    bool waits = !exchange->abandoned && !take_retry(exchange);
+    if (waits) {
+        request_grant_later(exchange);
     }
     pthread_mutex_unlock(&exchange->lock);
-    if (!wait) {
-        ask_home(exchange);
+    if (!waits) {
+        request_grant(exchange);
     }
 }
 
-/* Goes back to the homes a little later.  A caller that gives up meanwhile is
- * found when it asks.  Lock held. */
+/* Asks the router again after a delay. Whether the caller has given up
+ * meanwhile is checked then. Lock held. */
 static void
-ask_later(struct ch_exchange *exchange)
+request_grant_later(struct ch_exchange *exchange)
 {
     exchange->step = CH_STEP_HOME;
     exchange->home_handle = 0;
     exchange->home_answered = true;
     g_array_set_size(exchange->excluded, 0);
-    ch_timers_after(exchange->front->node->timers, CH_RETRY_WAIT, ask_again,
-                    exchange);
+    ch_timers_after(exchange->front->node->timers, CH_RETRY_WAIT,
+                    request_grant_again, exchange);
 }
 
-/* Whether a stream that was begun waits for its turn at an upstream: the one
- * that just refused it, or any while more may have it.  Lock held. */
+/* Whether a stream that has started waits until an upstream can take it: the
+ * upstream that has just refused it, or any upstream while more may become
+ * available. Lock held. */
 static bool
-waits_for_turn(struct ch_exchange *exchange, enum ch_code code,
-               bool may_have_run)
+should_wait_for_upstream(struct ch_exchange *exchange, enum ch_code code,
+                         bool may_have_run)
 {
-    const struct ch_work *work = &exchange->request->work;
-    bool gone = work->only != 0 && code == CH_NO_UPSTREAM;
-    return !exchange->abandoned && exchange->stream_begun && !gone &&
-           ch_retry_waits(work, code, may_have_run, exchange->events);
+    const struct ch_work *info = &exchange->request->work;
+    bool upstream_gone = info->only != 0 && code == CH_NO_UPSTREAM;
+    return !exchange->abandoned && exchange->stream_begun && !upstream_gone &&
+           ch_retry_waits(info, code, may_have_run, exchange->events);
 }
 
-/* A home refused, or none serves this: final, and told at once, unless the
- * caller has the beginning of a stream. */
+/* The router refused the request, or no upstream serves it. The refusal is
+ * final and sent at once, unless the caller has the start of a stream. */
 static void
-home_refused(void *data, enum ch_code code, int64_t retry_after,
-             const char *message)
+handle_refusal(void *data, enum ch_code code, int64_t retry_after,
+               const char *message)
 {
     struct ch_exchange *exchange = data;
     bool over = false;
     pthread_mutex_lock(&exchange->lock);
     exchange->home_answered = true;
-    if (should_ask_anew(exchange, code)) {
-        ch_pool_submit(exchange->front->node->pool, ask_home, exchange);
+    if (drop_exclusions(exchange, code)) {
+        ch_pool_submit(exchange->front->node->pool, request_grant, exchange);
     }
-    else if (waits_for_turn(exchange, code, false)) {
-        ask_later(exchange);
+    else if (should_wait_for_upstream(exchange, code, false)) {
+        request_grant_later(exchange);
     }
     else {
         over = fail(exchange, code, message, retry_after);
@@ -261,10 +270,11 @@
     }
 }
 
-/* Withdraws what waits at a home.  True when no handler will run any more and
- * the course is over; else the handler that comes ends it.  Lock held. */
+/* Withdraws a request that waits at the router. Returns true when no handler
+ * will run any more and the exchange can be finished; otherwise the handler
+ * that is about to run ends the exchange. Lock held. */
 static bool
-withdraw(struct ch_exchange *exchange)
+withdraw_request(struct ch_exchange *exchange)
 {
     if (exchange->home_answered || exchange->home_handle == 0) {
         return false;
@@ -274,20 +284,22 @@
     if (!router->ops->withdraw(router, exchange->home_handle)) {
         return false;
     }
-    return wind_up(exchange);
+    return end_without_response(exchange);
 }
 
-/* Notes the handle of what was asked, unless it was answered meanwhile.  A
- * caller may have given up before there was a handle to withdraw. */
+/* Stores the router's handle of a request, unless the router has replied
+ * meanwhile. The caller may have given up before there was a handle to
+ * withdraw. */
 static void
-note_home_handle(struct ch_exchange *exchange, unsigned round, uint64_t handle)
+store_router_handle(struct ch_exchange *exchange, unsigned round,
+                    uint64_t handle)
 {
     bool over = false;
     pthread_mutex_lock(&exchange->lock);
     if (exchange->step == CH_STEP_HOME && exchange->round == round &&
         !exchange->home_answered) {
         exchange->home_handle = handle;
-        over = exchange->abandoned && withdraw(exchange);
+        over = exchange->abandoned && withdraw_request(exchange);
     }
     pthread_mutex_unlock(&exchange->lock);
     if (over) {
@@ -295,27 +307,27 @@
     }
 }
 
-/* Asks for leave to dispatch; on the pool, the lock not held, since the answer
- * may come before the call returns. */
+/* Asks the router for a grant. Runs on the pool without the lock held, since
+ * the router may reply before the call returns. */
 static void
-ask_home(void *data)
+request_grant(void *data)
 {
     static const struct ch_router_handlers handlers = {
-        .granted = home_granted,
-        .refused = home_refused,
+        .granted = handle_grant,
+        .refused = handle_refusal,
     };
     struct ch_exchange *exchange = data;
     struct ch_router *router = exchange->front->node->router;
     bool over = false;
     pthread_mutex_lock(&exchange->lock);
-    bool stops = exchange->abandoned;
-    if (stops) {
-        over = wind_up(exchange);
+    bool should_stop = exchange->abandoned;
+    if (should_stop) {
+        over = end_without_response(exchange);
     }
     else {
-        stops = refuse_crasher(exchange, &over);
+        should_stop = refuse_if_barred(exchange, &over);
     }
-    if (stops) {
+    if (should_stop) {
         pthread_mutex_unlock(&exchange->lock);
         if (over) {
             ch_exchange_over(exchange);
@@ -325,24 +337,25 @@
     unsigned round = ++exchange->round;
     exchange->home_answered = false;
     exchange->home_handle = 0;
-    struct ch_work work = exchange->request->work;
-    work.begun = exchange->stream_begun;
+    struct ch_work info = exchange->request->work;
+    info.begun = exchange->stream_begun;
     GArray *excluded = g_array_copy(exchange->excluded);
-    /* The course may be over when the call returns. */
+    /* The exchange may be finished before the call returns. */
     ch_exchange_ref(exchange);
     pthread_mutex_unlock(&exchange->lock);
     uint64_t handle =
-        router->ops->request(router, &work, excluded, &handlers, exchange);
-    note_home_handle(exchange, round, handle);
+        router->ops->request(router, &info, excluded, &handlers, exchange);
+    store_router_handle(exchange, round, handle);
     g_array_free(excluded, TRUE);
     ch_exchange_unref(exchange);
 }
 
-/* ---- the call's end ---- */
+/* ---- end of the call ---- */
 
-/* A call's end as the policy sees it. */
+/* Describes a failed call for the retry policy. */
 static struct ch_retry_failure
-failure_of(const struct ch_exchange *exchange, const struct ch_call_end *end)
+describe_failure(const struct ch_exchange *exchange,
+                 const struct ch_call_end *end)
 {
     return (struct ch_retry_failure){
         .code = end->code,
@@ -352,24 +365,24 @@
     };
 }
 
-/* Whether a failed call is tried again, by the policy and the node's budget.
- * A non-idempotent request without a key has one dispatch and no other: there
- * is no record that would tell a repeat from a first try. */
+/* Decides by the policy and the node's retry budget whether a failed call is
+ * retried. A non-idempotent request without a key is dispatched only once:
+ * there is no record that would tell a repeat from a first attempt. */
 static enum ch_retry
 decide_retry(struct ch_exchange *exchange, const struct ch_call_end *end)
 {
     struct ch_front *front = exchange->front;
-    const struct ch_work *work = &exchange->request->work;
-    bool repeatable = work->idempotent || exchange->once_created ||
-                      (work->tries > 0 && !exchange->may_have_run);
+    const struct ch_work *info = &exchange->request->work;
+    bool repeatable = info->idempotent || exchange->once_created ||
+                      (info->tries > 0 && !exchange->may_have_run);
     if (exchange->abandoned || exchange->too_large || !repeatable ||
         ch_crash_keeper_bars(front->node->crashes, exchange->request)) {
         return CH_RETRY_NO;
     }
-    const struct ch_retry_failure failure = failure_of(exchange, end);
+    const struct ch_retry_failure failure = describe_failure(exchange, end);
     pthread_mutex_lock(&front->lock);
-    enum ch_retry retry = ch_retry_decide(ch_front_budget(front, work->pool),
-                                          &exchange->try_held, work, &failure,
+    enum ch_retry retry = ch_retry_decide(ch_front_budget(front, info->pool),
+                                          &exchange->try_held, info, &failure,
                                           ch_client_now(front->node->client));
     pthread_mutex_unlock(&front->lock);
     if (retry == CH_RETRY_AGAIN && exchange->stream_begun) {
@@ -378,10 +391,10 @@
     return retry;
 }
 
-/* Goes back to the homes for another upstream.  Lock held. */
+/* Asks the router for another upstream. Lock held. */
 static void
-try_elsewhere(struct ch_exchange *exchange, enum ch_retry retry,
-              const struct ch_call_end *end)
+retry_elsewhere(struct ch_exchange *exchange, enum ch_retry retry,
+                const struct ch_call_end *end)
 {
     struct ch_metrics *metrics = exchange->front->node->client->metrics;
     ch_metrics_count(metrics, CH_COUNT_RETRIES, 1);
@@ -393,21 +406,22 @@
     }
     GQuark failed = exchange->grant.upstream;
     g_array_append_val(exchange->excluded, failed);
-    struct ch_work *work = &exchange->request->work;
-    const struct ch_retry_failure failure = failure_of(exchange, end);
-    bool refused = ch_retry_is_refusal(work, &failure);
-    bool counts = work->tries == 0 || exchange->was_sent;
-    work->refusals += refused ? 1 : 0;
-    work->attempt += counts && !refused ? 1 : 0;
+    struct ch_work *info = &exchange->request->work;
+    const struct ch_retry_failure failure = describe_failure(exchange, end);
+    bool refused = ch_retry_is_refusal(info, &failure);
+    bool counts_as_attempt = info->tries == 0 || exchange->was_sent;
+    info->refusals += refused ? 1 : 0;
+    info->attempt += counts_as_attempt && !refused ? 1 : 0;
     exchange->step = CH_STEP_HOME;
     exchange->home_handle = 0;
     exchange->home_answered = false;
-    ch_pool_submit(exchange->front->node->pool, ask_home, exchange);
+    ch_pool_submit(exchange->front->node->pool, request_grant, exchange);
 }
 
-/* A whole answer came.  Lock held; true when the course is over. */
+/* Handles a complete response. Lock held; returns true when the exchange can
+ * be finished. */
 static bool
-take_answer(struct ch_exchange *exchange)
+handle_response(struct ch_exchange *exchange)
 {
     exchange->whole = true;
     if (exchange->told) {
@@ -415,7 +429,7 @@
                          CH_COUNT_LATE_ANSWERS, 1);
     }
     if (exchange->once_created) {
-        keep(exchange);
+        store_response(exchange);
         return false;
     }
     ch_exchange_tell_answer(exchange);
@@ -423,20 +437,22 @@
     return true;
 }
 
-/* Whether a whole answer tells of a failure of the upstream that another one
- * may not show.  It is the caller's answer all the same when there is no other
- * try. */
+/* Whether a complete response reports a failure of the upstream that another
+ * upstream may not have. The caller gets this response all the same when it
+ * can't be retried. */
 static bool
-is_failure_of_upstream(const struct ch_exchange *exchange,
-                       const struct ch_call_end *end)
+is_upstream_failure(const struct ch_exchange *exchange,
+                    const struct ch_call_end *end)
 {
     return end->code == CH_OK && exchange->request->routed &&
            !exchange->is_stream && exchange->status >= 500;
 }
 
-/* Tells what the call's end shows of its upstream.  Lock held. */
+/* Reports to the crash guard what the end of the call shows about the
+ * upstream. Lock held. */
 static void
-note_end(struct ch_exchange *exchange, const struct ch_call_end *end)
+report_crash_evidence(struct ch_exchange *exchange,
+                      const struct ch_call_end *end)
 {
     struct ch_crash_keeper *crashes = exchange->front->node->crashes;
     const struct ch_grant *grant = &exchange->grant;
@@ -453,8 +469,8 @@
     }
 }
 
-/* The upstream's call is over, well or not.  The grant is given back here and
- * nowhere else once it was used. */
+/* Handles the end of a call, successful or not. A grant that was used is
+ * released here and nowhere else. */
 bool
 ch_exchange_call_ended(struct ch_exchange *exchange,
                        const struct ch_call_end *end)
@@ -462,33 +478,33 @@
     struct ch_node *node = exchange->front->node;
     exchange->may_have_run = exchange->ran_before || end->may_have_run;
     exchange->was_sent = end->code != CH_UPSTREAM_CONNECT;
-    struct ch_call_end judged = *end;
-    if (is_failure_of_upstream(exchange, end)) {
-        judged.code = CH_UPSTREAM_ANSWER;
-        judged.may_have_run = true;
+    struct ch_call_end effective_end = *end;
+    if (is_upstream_failure(exchange, end)) {
+        effective_end.code = CH_UPSTREAM_ANSWER;
+        effective_end.may_have_run = true;
     }
-    note_end(exchange, end);
-    struct ch_sample sample = ch_exchange_sample(exchange, judged.code);
+    report_crash_evidence(exchange, end);
+    struct ch_sample sample = ch_exchange_sample(exchange, effective_end.code);
     node->router->ops->release(node->router, exchange->grant.handle, &sample);
-    bool answers = end->code == CH_OK && !exchange->too_large;
-    if (answers && judged.code == CH_OK) {
-        return take_answer(exchange);
+    bool has_response = end->code == CH_OK && !exchange->too_large;
+    if (has_response && effective_end.code == CH_OK) {
+        return handle_response(exchange);
     }
-    enum ch_retry retry = decide_retry(exchange, &judged);
+    enum ch_retry retry = decide_retry(exchange, &effective_end);
     if (retry != CH_RETRY_NO) {
-        try_elsewhere(exchange, retry, &judged);
+        retry_elsewhere(exchange, retry, &effective_end);
         return false;
     }
-    if (answers) {
-        return take_answer(exchange);
+    if (has_response) {
+        return handle_response(exchange);
     }
     if (exchange->too_large) {
         return fail(exchange, CH_UPSTREAM_ANSWER,
-                    "the upstream's answer is over the limit", 0);
+                    "the upstream's response is over the limit", 0);
     }
-    if (waits_for_turn(exchange, end->code, end->may_have_run)) {
+    if (should_wait_for_upstream(exchange, end->code, end->may_have_run)) {
         exchange->request->work.only = exchange->grant.upstream;
-        ask_later(exchange);
+        request_grant_later(exchange);
         return false;
     }
     return fail(exchange, end->code, end->message,
@@ -496,23 +512,23 @@
                                                    : 0);
 }
 
-/* ---- the caller gives up ---- */
+/* ---- callers that give up ---- */
 
-/* Whether what an upstream goes on with is of no use without the caller: work
- * that may be done again, and a stream that nobody else will hear.  Another
- * request's work takes effect once it is done. */
+/* Whether the rest of a call is useless without its caller: idempotent work,
+ * which can be repeated, and a stream that nobody else will receive. The work
+ * of any other request takes effect when it is done. */
 static bool
-is_of_no_use(const struct ch_exchange *exchange)
+is_useless_without_caller(const struct ch_exchange *exchange)
 {
     return exchange->request->work.idempotent ||
            (exchange->request->stream && !exchange->once_created);
 }
 
 /*
- * Ends what is done for a caller that is gone or whose deadline has passed.
- * What may not be repeated is left to run to its end once it was dispatched:
- * cutting it would not undo it, and a repeat with the same key can be given
- * the answer.
+ * Ends the work for a caller that has disconnected or whose deadline has
+ * passed. A request that must not be repeated is left to run to its end once
+ * it was dispatched: cancelling the call would not undo the work, and a repeat
+ * with the same key can get the stored response.
  */
 bool
 ch_exchange_abandon(struct ch_exchange *exchange, enum ch_code code,
@@ -528,23 +544,24 @@
         }
         return false;
     }
-    /* What an earlier try with this key did is not known yet. */
+    /* It is not known yet whether an earlier attempt with this key ran. */
     exchange->may_have_run =
         exchange->may_have_run || exchange->step == CH_STEP_ONCE;
     ch_exchange_tell_failure(exchange, code, message, 0);
     if (exchange->step == CH_STEP_HOME) {
-        return withdraw(exchange);
+        return withdraw_request(exchange);
     }
-    if (exchange->step == CH_STEP_CALL && is_of_no_use(exchange)) {
+    if (exchange->step == CH_STEP_CALL &&
+        is_useless_without_caller(exchange)) {
         exchange->grant.client->ops->cancel(exchange->grant.client,
                                             exchange->call_handle);
     }
     return false;
 }
 
-/* The caller's deadline has passed; on the pool. */
+/* The caller's deadline has passed; runs on the pool. */
 static void
-deadline_passed(void *data)
+handle_deadline(void *data)
 {
     struct ch_exchange *exchange = data;
     pthread_mutex_lock(&exchange->lock);
@@ -565,7 +582,7 @@
     bool calling = exchange->step == CH_STEP_CALL;
     bool over =
         ch_exchange_abandon(exchange, CH_STOPPING, "the node has to stop");
-    /* The node ends, so that nobody would hear the rest. */
+    /* The node stops, so nobody would receive the rest of the response. */
     if (calling && !exchange->request->work.idempotent) {
         exchange->grant.client->ops->cancel(exchange->grant.client,
                                             exchange->call_handle);
@@ -595,7 +612,7 @@
 
 /* The caller closed its connection. */
 static void
-caller_gone(void *data)
+handle_disconnect(void *data)
 {
     struct ch_exchange *exchange = data;
     pthread_mutex_lock(&exchange->lock);
@@ -607,33 +624,36 @@
     }
 }
 
-/* ---- the beginning ---- */
+/* ---- start ---- */
 
-/* Gives the caller what the first try with this key was answered.  Lock
+/* Sends the caller the response to the first attempt with this key. Lock
  * held. */
 static void
-tell_kept(struct ch_exchange *exchange, const struct ch_once_answer *answer)
+send_stored_response(struct ch_exchange *exchange,
+                     const struct ch_once_answer *result)
 {
     exchange->may_have_run = true;
-    if (!answer->kept) {
+    if (!result->kept) {
         ch_exchange_tell_failure(
             exchange, CH_OUTCOME_UNKNOWN,
-            "an earlier try with this key ran; its answer was not kept", 0);
+            "an earlier attempt with this key ran; its response was not kept",
+            0);
         return;
     }
-    exchange->status = answer->status;
-    exchange->content_type = g_strdup(answer->content_type);
-    g_byte_array_append(exchange->body, answer->body, (guint)answer->length);
+    exchange->status = result->status;
+    exchange->content_type = g_strdup(result->content_type);
+    g_byte_array_append(exchange->body, result->body, (guint)result->length);
     ch_exchange_tell_answer(exchange);
 }
 
-/* Answers a caller whose key gives no leave to dispatch.  Lock held. */
+/* Responds to a caller whose key does not permit a dispatch. Lock held. */
 static void
-tell_once(struct ch_exchange *exchange, const struct ch_once_answer *answer)
+send_once_state(struct ch_exchange *exchange,
+                const struct ch_once_answer *result)
 {
-    switch (answer->state) {
+    switch (result->state) {
     case CH_ONCE_DONE:
-        tell_kept(exchange, answer);
+        send_stored_response(exchange, result);
         return;
     case CH_ONCE_RUNNING:
         exchange->may_have_run = true;
@@ -650,22 +670,23 @@
     }
 }
 
-/* The once record's answer.  CREATED alone gives leave to dispatch. */
+/* Handles the state of the at-most-once record. Only CH_ONCE_CREATED permits a
+ * dispatch. */
 static void
-once_begun(void *data, const struct ch_once_answer *answer)
+handle_once_begun(void *data, const struct ch_once_answer *result)
 {
     struct ch_exchange *exchange = data;
     bool over = false;
     pthread_mutex_lock(&exchange->lock);
-    if (answer->state == CH_ONCE_CREATED) {
+    if (result->state == CH_ONCE_CREATED) {
         exchange->may_have_run = false;
         exchange->once_created = true;
-        exchange->once_attempt = answer->attempt;
+        exchange->once_attempt = result->attempt;
         exchange->step = CH_STEP_HOME;
-        ch_pool_submit(exchange->front->node->pool, ask_home, exchange);
+        ch_pool_submit(exchange->front->node->pool, request_grant, exchange);
     }
     else {
-        tell_once(exchange, answer);
+        send_once_state(exchange, result);
         exchange->step = CH_STEP_OVER;
         over = true;
     }
@@ -675,25 +696,25 @@
     }
 }
 
-/* First step, on the pool: the once record before anything else, so that
- * nothing is queued for a key that has run. */
+/* First step, on the pool: gets the at-most-once record before anything else,
+ * so that a request whose key has run is never queued. */
 static void
-begin(void *data)
+begin_exchange(void *data)
 {
     struct ch_exchange *exchange = data;
     const struct ch_request *request = exchange->request;
     if (!request->work.idempotent && request->key != NULL) {
         ch_once_keeper_begin(exchange->front->node->once, request->caller,
-                             request->key, request->fingerprint, once_begun,
-                             exchange);
+                             request->key, request->fingerprint,
+                             handle_once_begun, exchange);
         return;
     }
-    ask_home(exchange);
+    request_grant(exchange);
 }
 
-/* Arms the timer for a caller that states how long it waits. */
+/* Starts the timer if the caller states a deadline. */
 static void
-arm_deadline(struct ch_exchange *exchange)
+start_deadline_timer(struct ch_exchange *exchange)
 {
     int64_t deadline = exchange->request->deadline;
     if (deadline == 0) {
@@ -702,25 +723,26 @@
     ch_exchange_ref(exchange);
     exchange->timer = ch_timers_after(exchange->front->node->timers,
                                       deadline - exchange->arrived,
-                                      deadline_passed, exchange);
+                                      handle_deadline, exchange);
 }
 
-/* Begins the course of a request that was parsed and found good.  Called
- * before the reply is given to the library, so that nothing runs early. */
+/* Starts the exchange of a request that was parsed and is valid. Must be
+ * called before the response is passed to the HTTP library, so that no handler
+ * runs too early. */
 void
 ch_exchange_start(struct ch_front *front, struct ch_request *request,
-                  struct ch_reply *reply)
+                  struct ch_reply *response)
 {
     static const struct ch_reply_watcher watcher = {
-        .gone = caller_gone,
+        .gone = handle_disconnect,
         .drop = ch_exchange_unref,
     };
-    struct ch_exchange *exchange = ch_exchange_new(front, request, reply);
-    ch_reply_watch(reply, &watcher, ch_exchange_ref(exchange));
+    struct ch_exchange *exchange = ch_exchange_new(front, request, response);
+    ch_reply_watch(response, &watcher, ch_exchange_ref(exchange));
     ch_front_enter(front, exchange);
     pthread_mutex_lock(&front->lock);
     ch_retry_budget_fresh(ch_front_budget(front, request->work.pool));
     pthread_mutex_unlock(&front->lock);
-    arm_deadline(exchange);
-    ch_pool_submit(front->node->pool, begin, exchange);
+    start_deadline_timer(exchange);
+    ch_pool_submit(front->node->pool, begin_exchange, exchange);
 }
--- a/libchestnuthitch/node/exchange_call.c
+++ b/libchestnuthitch/node/exchange_call.c
@@ -1,5 +1,5 @@
-/* The upstream's side of an exchange: the call, what comes of it, and what its
- * home learns from it.  The handlers run on the loop of HTTP calls out. */
+/* The call to the upstream: its limits, its response, and the timing sample
+ * for the router. The handlers run on the thread of outgoing HTTP calls. */
 
 #include "node/exchange.h"
 
@@ -8,32 +8,34 @@
 #include <string.h>
 
 enum {
-    /* A plain model answer comes in one piece after its last token: the bound
-     * to its first byte is one for all its tokens, each four times what the
-     * home has measured there, so that a batch that fills meanwhile does not
-     * look silent.  Until something was measured: twice the class's target
-     * between tokens, or this when it states none. */
-    MEASURED_TIMES = 4,
-    USUAL_TOKEN = 100 * 1000,
-    MOST_FIRST_BYTE = 600 * G_USEC_PER_SEC,
+    /* A plain model response arrives in one piece after its last token, so the
+     * limit to its first byte covers the time of all its tokens. Each token is
+     * allowed four times the time measured at that upstream, so that an
+     * upstream whose batch fills meanwhile is not taken for silent. Without a
+     * measurement a token is allowed twice the class's target between tokens,
+     * or the default when the class states no target. */
+    TOKEN_TIME_FACTOR = 4,
+    DEFAULT_TOKEN_US = 100 * 1000,
+    MAX_FIRST_BYTE_US = 600 * G_USEC_PER_SEC,
     /*
-     * An upstream that is full answers late and not never: a request that is
-     * taken away from it begins at the end of another queue, and what it read
-     * of the prompt is read twice.  So it is left there until four times what
-     * the load explains, and some more, have passed.
+     * A fully loaded upstream responds late, but it does respond. A request
+     * that is moved away from it starts at the end of another queue, and its
+     * prompt is prefilled a second time. So it stays until four times the
+     * latency expected from the load, and a margin, have passed.
      */
-    EXPECTED_TIMES = 4,
-    EXPECTED_MORE = 500 * 1000,
-    /* A call that is waited for ends this long after its caller's deadline at
-     * the latest: the deadline's own timer, which tells the caller so, runs
-     * first. */
-    AFTER_DEADLINE = 100 * 1000,
+    EXPECTED_LATENCY_FACTOR = 4,
+    EXPECTED_LATENCY_MARGIN_US = 500 * 1000,
+    /* A call ends this long after its caller's deadline at the latest. The
+     * margin lets the deadline's own timer run first, which tells the caller
+     * that the deadline passed. */
+    DEADLINE_MARGIN_US = 100 * 1000,
 };
 
-/* The headers of an answer that is ours.  A stream that was begun keeps those
- * of its first upstream. */
+/* Keeps the headers to pass on to the caller. A resumed stream keeps those of
+ * its first upstream. This handler and handle_head() run only for a response
+ * that was found to belong to this request. */
 static void
-call_headers(void *data, const struct ch_http_header *headers, size_t count)
+handle_headers(void *data, const struct ch_http_header *headers, size_t count)
 {
     struct ch_exchange *exchange = data;
     pthread_mutex_lock(&exchange->lock);
@@ -45,9 +47,8 @@
     pthread_mutex_unlock(&exchange->lock);
 }
 
-/* The head of an answer that is ours. */
 static void
-call_head(void *data, int status, const char *content_type)
+handle_head(void *data, int status, const char *content_type)
 {
     struct ch_exchange *exchange = data;
     pthread_mutex_lock(&exchange->lock);
@@ -59,9 +60,9 @@
     pthread_mutex_unlock(&exchange->lock);
 }
 
-/* Notes when data came.  Lock held. */
+/* Records the time of received data. Lock held. */
 static void
-note_times(struct ch_exchange *exchange)
+record_data_time(struct ch_exchange *exchange)
 {
     int64_t now = ch_client_now(exchange->front->node->client);
     if (exchange->call_first == 0) {
@@ -85,7 +86,7 @@
     exchange->last = now;
 }
 
-/* Cancels the call: its on_end then ends the course.  Lock held. */
+/* Cancels the call; its on_end handler then ends the exchange. Lock held. */
 static void
 cancel_call(struct ch_exchange *exchange)
 {
@@ -93,10 +94,10 @@
                                         exchange->call_handle);
 }
 
-/* Adds bytes of a plain answer, or of a stream whose text is to be kept.  Lock
- * held. */
+/* Appends to the body of a plain response, or to a stream's text that will be
+ * stored. Lock held. */
 static void
-gather(struct ch_exchange *exchange, const char *bytes, size_t length)
+append_body(struct ch_exchange *exchange, const char *bytes, size_t length)
 {
     if (exchange->too_large) {
         return;
@@ -109,9 +110,10 @@
     g_byte_array_append(exchange->body, (const guint8 *)bytes, (guint)length);
 }
 
-/* The number on the event's "id" line; false when it has none. */
+/* Parses the number on the event's "id" line; returns false when the event has
+ * none. */
 static bool
-event_id(const char *text, size_t length, uint64_t *id)
+parse_event_id(const char *text, size_t length, uint64_t *id)
 {
     const char *line = text;
     const char *end = text + length;
@@ -128,15 +130,17 @@
 }
 
 /*
- * Whether an event goes on where the caller's stream stands, for streams that
- * are resumed by the id of their last event.  A resumed call that began
- * somewhere else would leave a gap or a repeat in the caller's answer.
+ * Whether an event continues the caller's stream; if so, its ID is recorded.
+ * Streams that are resumed by the ID of their last event are checked; an event
+ * without an ID is accepted. A resumed call that starts elsewhere would leave
+ * a gap or a repeat in the caller's response.
  */
 static bool
-goes_on(struct ch_exchange *exchange, const char *bytes, size_t length)
+check_event_sequence(struct ch_exchange *exchange, const char *bytes,
+                     size_t length)
 {
     uint64_t id = 0;
-    if (!exchange->request->routed || !event_id(bytes, length, &id)) {
+    if (!exchange->request->routed || !parse_event_id(bytes, length, &id)) {
         return true;
     }
     if (exchange->last_event != NULL &&
@@ -148,11 +152,12 @@
     return true;
 }
 
-/* Passes one event on.  Lock held. */
+/* Forwards one event to the caller. Lock held. */
 static void
-pass_event(struct ch_exchange *exchange, const char *bytes, size_t length)
+forward_event(struct ch_exchange *exchange, const char *bytes, size_t length)
 {
-    if (exchange->out_of_order || !goes_on(exchange, bytes, length)) {
+    if (exchange->out_of_order ||
+        !check_event_sequence(exchange, bytes, length)) {
         exchange->out_of_order = true;
         cancel_call(exchange);
         return;
@@ -161,7 +166,7 @@
     exchange->call_events++;
     exchange->made_tokens = exchange->events;
     if (exchange->once_created) {
-        gather(exchange, bytes, length);
+        append_body(exchange, bytes, length);
     }
     if (exchange->told) {
         return;
@@ -179,15 +184,15 @@
     }
 }
 
-/* Bytes of a plain answer, or one event.  They are dropped when nobody waits
- * for them any more. */
+/* Handles a part of a plain response, or one event. The data is dropped when
+ * nobody needs it any more. */
 static void
-call_data(void *data, const char *bytes, size_t length)
+handle_data(void *data, const char *bytes, size_t length)
 {
     struct ch_exchange *exchange = data;
     struct ch_metrics *metrics = exchange->front->node->client->metrics;
     pthread_mutex_lock(&exchange->lock);
-    note_times(exchange);
+    record_data_time(exchange);
     if (exchange->grant.other_region) {
         ch_metrics_count(metrics, CH_COUNT_LINK_BYTES, length);
     }
@@ -197,45 +202,48 @@
     }
     if (exchange->is_stream) {
         ch_metrics_count(metrics, CH_COUNT_TOKENS, 1);
-        pass_event(exchange, bytes, length);
+        forward_event(exchange, bytes, length);
     }
     else {
-        gather(exchange, bytes, length);
+        append_body(exchange, bytes, length);
     }
     pthread_mutex_unlock(&exchange->lock);
 }
 
 /*
- * An upstream that is cut off, or works slowly, may answer yet.  It is given
- * up only for another try, which is held from here on: a caller who may have
- * none waits for this one until the deadline.
+ * Decides whether a silent call is given up; returns true to end it. An
+ * upstream that is unreachable or slow may still respond, so the call is given
+ * up only in favour of a retry, which is taken from the budget here. Without a
+ * retry the call is waited for until the deadline.
  */
 static bool
-call_silent(void *data)
+handle_silence(void *data)
 {
     struct ch_exchange *exchange = data;
     struct ch_front *front = exchange->front;
-    const struct ch_work *work = &exchange->request->work;
+    const struct ch_work *info = &exchange->request->work;
     if (!exchange->request->routed) {
         return false;
     }
     pthread_mutex_lock(&exchange->lock);
-    /* One that is abandoned is being cancelled, or left to run to its end. */
-    bool held = false;
+    /* Takes no retry for an abandoned call, which is being cancelled or left
+     * to run to its end. */
+    bool taken = false;
     if (!exchange->abandoned) {
         int64_t now = ch_client_now(front->node->client);
         pthread_mutex_lock(&front->lock);
-        held = ch_retry_reserve(ch_front_budget(front, work->pool),
-                                &exchange->try_held, work, now);
+        taken = ch_retry_reserve(ch_front_budget(front, info->pool),
+                                 &exchange->try_held, info, now);
         pthread_mutex_unlock(&front->lock);
     }
     pthread_mutex_unlock(&exchange->lock);
-    return !held;
+    return !taken;
 }
 
-/* The number of tokens in a plain answer's usage, 0 when it has none. */
+/* The number of tokens in the usage of a plain response; 0 when it states
+ * none. */
 static uint32_t
-tokens_of_answer(const GByteArray *body)
+parse_completion_tokens(const GByteArray *body)
 {
     static const char member[] = "\"completion_tokens\"";
     const char *text = (const char *)body->data;
@@ -259,38 +267,38 @@
     return (uint32_t)MIN(tokens, CH_REQUEST_MOST_TOKENS);
 }
 
-/* The call is over. */
 static void
-call_end(void *data, const struct ch_call_end *end)
+handle_call_end(void *data, const struct ch_call_end *end)
 {
     struct ch_exchange *exchange = data;
     pthread_mutex_lock(&exchange->lock);
-    /* What a resumed call answers in another shape than the stream that was
-     * begun can't go on in it. */
-    struct ch_call_end judged = *end;
+    /* A plain response to a resumed call can't continue the stream that has
+     * started. */
+    struct ch_call_end effective_end = *end;
     if (end->code == CH_OK && exchange->stream_begun && !exchange->is_stream) {
-        judged.code = CH_UPSTREAM_ANSWER;
-        g_strlcpy(judged.message, "the stream was not resumed",
-                  sizeof(judged.message));
+        effective_end.code = CH_UPSTREAM_ANSWER;
+        g_strlcpy(effective_end.message,
+                  "the upstream did not resume the stream",
+                  sizeof(effective_end.message));
     }
     if (end->code == CH_OK && !exchange->is_stream &&
         !exchange->request->work.service) {
-        exchange->made_tokens = tokens_of_answer(exchange->body);
+        exchange->made_tokens = parse_completion_tokens(exchange->body);
     }
     if (exchange->out_of_order) {
-        judged.code = CH_UPSTREAM_ANSWER;
-        judged.may_have_run = true;
-        g_strlcpy(judged.message, "an event is missing or came twice",
-                  sizeof(judged.message));
+        effective_end.code = CH_UPSTREAM_ANSWER;
+        effective_end.may_have_run = true;
+        g_strlcpy(effective_end.message, "an event is missing or was repeated",
+                  sizeof(effective_end.message));
     }
-    bool over = ch_exchange_call_ended(exchange, &judged);
+    bool over = ch_exchange_call_ended(exchange, &effective_end);
     pthread_mutex_unlock(&exchange->lock);
     if (over) {
         ch_exchange_over(exchange);
     }
 }
 
-/* The bound to the first byte of the answer; see USUAL_TOKEN. */
+/* The time limit to the first byte of the response; see TOKEN_TIME_FACTOR. */
 static int64_t
 first_byte_limit(const struct ch_exchange *exchange)
 {
@@ -299,20 +307,21 @@
         (int64_t)exchange->front->node->settings->first_byte_ms * 1000;
     if (request->first_byte_limit > 0) {
         return MAX(request->first_byte_limit,
-                   EXPECTED_TIMES * exchange->grant.expected + EXPECTED_MORE);
+                   EXPECTED_LATENCY_FACTOR * exchange->grant.expected +
+                       EXPECTED_LATENCY_MARGIN_US);
     }
     if (request->stream || request->work.service) {
         return limit;
     }
     int64_t token = request->between_tokens > 0 ? 2 * request->between_tokens
-                                                : USUAL_TOKEN;
+                                                : DEFAULT_TOKEN_US;
     if (exchange->grant.token > 0) {
-        token = MIN(token, MEASURED_TIMES * exchange->grant.token);
+        token = MIN(token, TOKEN_TIME_FACTOR * exchange->grant.token);
     }
-    return MIN(limit + token * request->work.output_tokens, MOST_FIRST_BYTE);
+    return MIN(limit + token * request->work.output_tokens, MAX_FIRST_BYTE_US);
 }
 
-/* Sets the exchange back to before the first byte of a call. */
+/* Resets what is known of the previous call before a new one. */
 static void
 reset_call(struct ch_exchange *exchange)
 {
@@ -342,8 +351,9 @@
                : ch_reply_id(exchange->reply);
 }
 
-/* See exchange.h.  Leave may come after the deadline and before its timer has
- * run: a call that began then with no time stated would have no limit. */
+/* See exchange.h. The grant may come after the deadline but before the
+ * deadline's timer has run: the result is then 1, since a call with 0 would
+ * have no limit. */
 int64_t
 ch_exchange_time_left(const struct ch_request *request, int64_t now)
 {
@@ -353,17 +363,17 @@
     return MAX(request->deadline - now, 1);
 }
 
-/* Calls the granted upstream.  A second try goes out on a fresh connection:
- * the first may have failed because kept-alive ones have gone silent. */
+/* Calls the granted upstream. A retry uses a fresh connection: the first call
+ * may have failed because the kept-alive connections have gone silent. */
 void
 ch_exchange_call(struct ch_exchange *exchange)
 {
     static const struct ch_call_handlers handlers = {
-        .on_headers = call_headers,
-        .on_head = call_head,
-        .on_data = call_data,
-        .on_silent = call_silent,
-        .on_end = call_end,
+        .on_headers = handle_headers,
+        .on_head = handle_head,
+        .on_data = handle_data,
+        .on_silent = handle_silence,
+        .on_end = handle_call_end,
     };
     const struct ch_request *request = exchange->request;
     const struct ch_settings *settings = exchange->front->node->settings;
@@ -392,14 +402,14 @@
                            : (int64_t)settings->stall_ms * 1000,
     };
     call.total_limit =
-        call.time_left > 0 ? call.time_left + AFTER_DEADLINE : 0;
+        call.time_left > 0 ? call.time_left + DEADLINE_MARGIN_US : 0;
     struct ch_upstream *client = exchange->grant.client;
     exchange->call_handle =
         client->ops->call(client, &call, &handlers, exchange);
 }
 
-/* Of a plain model answer all tokens come at once, so that the time for one is
- * taken from the whole. */
+/* All tokens of a plain model response arrive at once, so the time of one
+ * token is computed from the whole. */
 struct ch_sample
 ch_exchange_sample(const struct ch_exchange *exchange, enum ch_code code)
 {
--- a/libchestnuthitch/node/exchange_life.c
+++ b/libchestnuthitch/node/exchange_life.c
@@ -1,8 +1,8 @@
-/* How long an exchange lives: as long as anyone may still call it back. */
+/* Creation and reference counting of exchanges. Every pending callback holds a
+ * reference. */
 
 #include "node/exchange.h"
 
-/* Frees the strings of one of the answer's headers. */
 static void
 clear_header(void *data)
 {
@@ -11,16 +11,16 @@
     g_free((char *)header->value);
 }
 
-/* An exchange that has taken the request over and not yet begun. */
+/* Takes ownership of request. The new exchange has not begun. */
 struct ch_exchange *
 ch_exchange_new(struct ch_front *front, struct ch_request *request,
-                struct ch_reply *reply)
+                struct ch_reply *response)
 {
     struct ch_exchange *exchange = g_new0(struct ch_exchange, 1);
     exchange->references = 1;
     exchange->front = front;
     exchange->request = request;
-    exchange->reply = ch_reply_ref(reply);
+    exchange->reply = ch_reply_ref(response);
     exchange->excluded = g_array_new(FALSE, FALSE, sizeof(GQuark));
     exchange->headers =
         g_array_new(FALSE, FALSE, sizeof(struct ch_http_header));
@@ -37,7 +37,7 @@
     return exchange;
 }
 
-/* One more holder. */
+/* Adds a reference. */
 struct ch_exchange *
 ch_exchange_ref(struct ch_exchange *exchange)
 {
@@ -45,7 +45,7 @@
     return exchange;
 }
 
-/* Gives a reference back; the last one frees the exchange. */
+/* Drops a reference; the last one frees the exchange. */
 void
 ch_exchange_unref(void *data)
 {
--- a/libchestnuthitch/node/exchange_tell.c
+++ b/libchestnuthitch/node/exchange_tell.c
@@ -1,4 +1,4 @@
-/* What the caller is told, and what is recorded of an exchange. */
+/* Responses to the caller, and the log and metrics of an exchange. */
 
 #include "node/exchange.h"
 
@@ -6,12 +6,12 @@
 
 #include <string.h>
 
-static const char done_event[] = "data: [DONE]\n\n";
+static const char stream_end_event[] = "data: [DONE]\n\n";
 
-/* Notes that the caller has its answer.  Lock held. */
+/* Records that the caller was sent its result. Lock held. */
 static void
-note_told(struct ch_exchange *exchange, enum ch_code code,
-          enum ch_outcome outcome)
+record_response(struct ch_exchange *exchange, enum ch_code code,
+                enum ch_outcome outcome)
 {
     exchange->told = true;
     exchange->code = code;
@@ -19,10 +19,10 @@
     exchange->told_at = ch_client_now(exchange->front->node->client);
 }
 
-/* Ends a stream whose head the caller has with the error as its last event,
- * and without the end mark. */
+/* Ends a stream that the caller has begun to receive: the error is its last
+ * event, and the end marker is left out. */
 static void
-end_with_error(struct ch_exchange *exchange, const char *json)
+end_stream_with_error(struct ch_exchange *exchange, const char *json)
 {
     char *event = g_strdup_printf("data: %s\n\n", json);
     ch_reply_event(exchange->reply, event, strlen(event));
@@ -31,11 +31,12 @@
 }
 
 /*
- * The status for callers who take 503 for a promise that the request was not
- * run and never will be: said of what surely was not, and of nothing else.
+ * The HTTP status for callers that take 503 as a promise that the request was
+ * not run and never will be. So 503 is sent only for requests that certainly
+ * did not run.
  */
 static int
-routed_status(enum ch_code code, enum ch_outcome outcome)
+get_routed_status(enum ch_code code, enum ch_outcome outcome)
 {
     int status = ch_code_http(code);
     if (outcome == CH_NOT_RUN) {
@@ -45,9 +46,9 @@
 }
 
 /*
- * Tells the caller that there will be no answer.  "not-run" is said only when
- * no try may have run, whatever the code: a refusal by the second upstream
- * says nothing of the first.
+ * Tells the caller that there will be no response. The outcome "not-run" is
+ * sent only when no attempt may have run, whatever the code: a refusal by the
+ * second upstream says nothing about the first.
  */
 void
 ch_exchange_tell_failure(struct ch_exchange *exchange, enum ch_code code,
@@ -56,8 +57,8 @@
     if (exchange->told) {
         return;
     }
-    note_told(exchange, code,
-              exchange->may_have_run ? CH_UNKNOWN : CH_NOT_RUN);
+    record_response(exchange, code,
+                    exchange->may_have_run ? CH_UNKNOWN : CH_NOT_RUN);
     const struct ch_refusal refusal = {
         .code = code,
         .outcome = exchange->outcome,
@@ -67,20 +68,20 @@
     };
     char *json = ch_refusal_print(&refusal);
     if (exchange->stream_begun && exchange->request->routed) {
-        /* Whatever came after the upstream's events would not be its answer.
-         */
+        /* Text after the upstream's events would be taken for a part of its
+         * response. */
         ch_reply_cut(exchange->reply);
         g_free(json);
         return;
     }
     if (exchange->stream_begun) {
-        end_with_error(exchange, json);
+        end_stream_with_error(exchange, json);
         g_free(json);
         return;
     }
-    const struct ch_reply_answer answer = {
+    const struct ch_reply_answer response = {
         .status = exchange->request->routed
-                      ? routed_status(code, exchange->outcome)
+                      ? get_routed_status(code, exchange->outcome)
                       : ch_code_http(code),
         .content_type = "application/json",
         .outcome = exchange->outcome,
@@ -89,57 +90,59 @@
         .body = json,
         .length = strlen(json),
     };
-    ch_reply_whole(exchange->reply, &answer);
+    ch_reply_whole(exchange->reply, &response);
 }
 
-/* The headers that go on from the upstream. */
+/* The headers passed on from the upstream. */
 static const struct ch_http_header *
-headers_of(const struct ch_exchange *exchange)
+get_response_headers(const struct ch_exchange *exchange)
 {
     return (const struct ch_http_header *)(void *)exchange->headers->data;
 }
 
-/* Begins the stream to the caller, if that was not done. */
+/* Starts the stream to the caller unless it has started. */
 static void
-begin_stream(struct ch_exchange *exchange)
+start_stream(struct ch_exchange *exchange)
 {
-    ch_reply_begin(exchange->reply, headers_of(exchange),
+    ch_reply_begin(exchange->reply, get_response_headers(exchange),
                    exchange->headers->len);
 }
 
-/* Passes on the upstream's whole answer.  An error of a plain service's own is
- * an answer too, but not one that says whether the work was done. */
+/* Passes the upstream's complete response on. A 5xx status of a plain service
+ * is a response too, but it does not show whether the work was done, so its
+ * outcome is unknown. */
 void
 ch_exchange_tell_answer(struct ch_exchange *exchange)
 {
     if (exchange->told) {
         return;
     }
-    note_told(exchange, CH_OK, exchange->status >= 500 ? CH_UNKNOWN : CH_RAN);
+    record_response(exchange, CH_OK,
+                    exchange->status >= 500 ? CH_UNKNOWN : CH_RAN);
     if (exchange->is_stream) {
-        begin_stream(exchange);
+        start_stream(exchange);
         if (!exchange->request->routed) {
-            ch_reply_event(exchange->reply, done_event,
-                           sizeof(done_event) - 1);
+            ch_reply_event(exchange->reply, stream_end_event,
+                           sizeof(stream_end_event) - 1);
         }
         ch_reply_end(exchange->reply);
         return;
     }
-    const struct ch_reply_answer answer = {
+    const struct ch_reply_answer response = {
         .status = exchange->status,
         .content_type = exchange->content_type,
         .outcome = exchange->outcome,
         .body = g_memdup2(exchange->body->data, exchange->body->len),
         .length = exchange->body->len,
-        .headers = headers_of(exchange),
+        .headers = get_response_headers(exchange),
         .header_count = exchange->headers->len,
     };
-    ch_reply_whole(exchange->reply, &answer);
+    ch_reply_whole(exchange->reply, &response);
 }
 
-/* Mean time between the tokens that the caller got; 0: fewer than two. */
+/* Mean time between the tokens of a stream; 0: fewer than two. */
 static int64_t
-between_tokens(const struct ch_exchange *exchange)
+mean_token_gap(const struct ch_exchange *exchange)
 {
     if (exchange->events < 2) {
         return 0;
@@ -147,10 +150,10 @@
     return (exchange->last - exchange->first) / (exchange->events - 1);
 }
 
-/* True when every target that the class states was met.  The first token and
- * those after it can be seen by the caller of a stream alone. */
+/* Whether every target that the class states was met. Only the caller of a
+ * stream can see when the first token and the later ones arrive. */
 static bool
-was_met(const struct ch_exchange *exchange)
+has_met_targets(const struct ch_exchange *exchange)
 {
     const struct ch_request *request = exchange->request;
     int64_t total = exchange->told_at - exchange->arrived;
@@ -164,7 +167,7 @@
         return (request->first_token == 0 ||
                 exchange->first - exchange->arrived <= request->first_token) &&
                (request->between_tokens == 0 ||
-                between_tokens(exchange) <= request->between_tokens);
+                mean_token_gap(exchange) <= request->between_tokens);
     }
     if (request->whole_answer > 0 || request->first_token == 0) {
         return true;
@@ -173,16 +176,15 @@
                         request->between_tokens * exchange->made_tokens;
 }
 
-/* Time from arrival, 0 when it did not come. */
+/* Time since the request's arrival; 0 when it did not happen. */
 static int64_t
-since_arrival(const struct ch_exchange *exchange, int64_t at)
+time_since_arrival(const struct ch_exchange *exchange, int64_t at)
 {
     return at == 0 ? 0 : at - exchange->arrived;
 }
 
-/* Counters and histograms. */
 static void
-count(const struct ch_exchange *exchange)
+update_metrics(const struct ch_exchange *exchange)
 {
     struct ch_metrics *metrics = exchange->front->node->client->metrics;
     const char *class_name = exchange->request->class_name;
@@ -196,26 +198,28 @@
     }
     ch_metrics_count(metrics, counter, 1);
     ch_metrics_outcome(metrics, class_name, tenant, exchange->code,
-                       was_met(exchange));
+                       has_met_targets(exchange));
     if (exchange->first_grant != 0) {
-        ch_metrics_observe(metrics, CH_HIST_QUEUED, class_name, tenant,
-                           since_arrival(exchange, exchange->first_grant));
+        ch_metrics_observe(
+            metrics, CH_HIST_QUEUED, class_name, tenant,
+            time_since_arrival(exchange, exchange->first_grant));
     }
     if (exchange->is_stream && exchange->first != 0) {
         ch_metrics_observe(metrics, CH_HIST_FIRST_TOKEN, class_name, tenant,
-                           since_arrival(exchange, exchange->first));
+                           time_since_arrival(exchange, exchange->first));
     }
     if (exchange->events > 1) {
         ch_metrics_observe(metrics, CH_HIST_BETWEEN_TOKENS, class_name, tenant,
-                           between_tokens(exchange));
+                           mean_token_gap(exchange));
     }
     if (exchange->code == CH_OK) {
         ch_metrics_observe(metrics, CH_HIST_WHOLE_ANSWER, class_name, tenant,
-                           since_arrival(exchange, exchange->told_at));
+                           time_since_arrival(exchange, exchange->told_at));
     }
 }
 
-/* Writes the line "request", by which the log replays as a trace. */
+/* Writes the log event "request", from which the log can be replayed as a
+ * trace. */
 void
 ch_exchange_record(const struct ch_exchange *exchange)
 {
@@ -225,7 +229,7 @@
         g_snprintf(prefix, sizeof(prefix), "%016" G_GINT64_MODIFIER "x",
                    request->work.prefix);
     }
-    count(exchange);
+    update_metrics(exchange);
     ch_log(
         exchange->front->node->client, CH_LOG_INFO, "request",
         CH_F_STR("request_id", ch_exchange_id(exchange)),
@@ -248,10 +252,11 @@
         CH_F_INT("attempts", exchange->calls),
         CH_F_INT("at_ms", exchange->at_wall_ms),
         CH_F_INT("target_us", request->work.first_by - request->work.arrived),
-        CH_F_INT("queued_us", since_arrival(exchange, exchange->first_grant)),
-        CH_F_INT("first_us", since_arrival(exchange, exchange->first)),
-        CH_F_INT("between_us", between_tokens(exchange)),
+        CH_F_INT("queued_us",
+                 time_since_arrival(exchange, exchange->first_grant)),
+        CH_F_INT("first_us", time_since_arrival(exchange, exchange->first)),
+        CH_F_INT("between_us", mean_token_gap(exchange)),
         CH_F_INT("longest_gap_us", exchange->longest_gap),
-        CH_F_INT("total_us", since_arrival(exchange, exchange->told_at)),
+        CH_F_INT("total_us", time_since_arrival(exchange, exchange->told_at)),
         CH_F_END);
 }
