--- a/libchestnuthitch/node/hangup.c
+++ b/libchestnuthitch/node/hangup.c
@@ -1,4 +1,4 @@
-/* One thread around an epoll set of the sockets of callers that wait. */
+/* One thread with an epoll set of the sockets of waiting callers. */
 
 #include "node/hangup.h"
 
@@ -9,25 +9,26 @@
 #include <unistd.h>
 
 enum {
-    EVENTS_AT_ONCE = 64,
+    MAX_EVENTS_PER_WAIT = 64,
 };
 
 struct ch_hangups {
-    void (*gone)(void *data, uint64_t mark);
+    void (*disconnected)(void *data, uint64_t handle);
     void *data;
     pthread_t thread;
-    int set;
-    int stop; /* an eventfd, in the set with mark 0 */
+    int epoll_fd;
+    int stop_fd; /* an eventfd, in the set with handle 0 */
 };
 
-/* Waits for sockets whose other end has closed. */
+/* Waits for sockets whose peer has closed. */
 static void *
 run_watch(void *data)
 {
-    struct ch_hangups *hangups = data;
-    struct epoll_event events[EVENTS_AT_ONCE];
+    struct ch_hangups *watch = data;
+    struct epoll_event events[MAX_EVENTS_PER_WAIT];
     for (;;) {
-        int count = epoll_wait(hangups->set, events, EVENTS_AT_ONCE, -1);
+        int count =
+            epoll_wait(watch->epoll_fd, events, MAX_EVENTS_PER_WAIT, -1);
         if (count < 0 && errno != EINTR) {
             return NULL;
         }
@@ -35,61 +36,62 @@
             if (events[i].data.u64 == 0) {
                 return NULL;
             }
-            hangups->gone(hangups->data, events[i].data.u64);
+            watch->disconnected(watch->data, events[i].data.u64);
         }
     }
 }
 
-/* Starts the watch. */
+/* Starts the thread; aborts the process when there are no resources for it. */
 struct ch_hangups *
-ch_hangups_new(void (*gone)(void *data, uint64_t mark), void *data)
+ch_hangups_new(void (*disconnected)(void *data, uint64_t handle), void *data)
 {
-    struct ch_hangups *hangups = g_new0(struct ch_hangups, 1);
-    hangups->gone = gone;
-    hangups->data = data;
-    hangups->set = epoll_create1(EPOLL_CLOEXEC);
-    hangups->stop = eventfd(0, EFD_CLOEXEC);
-    if (hangups->set < 0 || hangups->stop < 0) {
-        g_error("no descriptors for the watch of callers");
+    struct ch_hangups *watch = g_new0(struct ch_hangups, 1);
+    watch->disconnected = disconnected;
+    watch->data = data;
+    watch->epoll_fd = epoll_create1(EPOLL_CLOEXEC);
+    watch->stop_fd = eventfd(0, EFD_CLOEXEC);
+    if (watch->epoll_fd < 0 || watch->stop_fd < 0) {
+        g_error(
+            "can't create the epoll set or the eventfd that watches callers");
     }
     struct epoll_event event = {.events = EPOLLIN, .data.u64 = 0};
-    epoll_ctl(hangups->set, EPOLL_CTL_ADD, hangups->stop, &event);
-    if (pthread_create(&hangups->thread, NULL, run_watch, hangups) != 0) {
-        g_error("no thread for the watch of callers");
+    epoll_ctl(watch->epoll_fd, EPOLL_CTL_ADD, watch->stop_fd, &event);
+    if (pthread_create(&watch->thread, NULL, run_watch, watch) != 0) {
+        g_error("can't start the thread that watches callers");
     }
-    return hangups;
+    return watch;
 }
 
-/* Ends the watch; gone does not run any more. */
+/* Stops the thread; disconnected does not run afterwards. */
 void
-ch_hangups_free(struct ch_hangups *hangups)
+ch_hangups_free(struct ch_hangups *watch)
 {
-    if (hangups == NULL) {
+    if (watch == NULL) {
         return;
     }
-    eventfd_write(hangups->stop, 1);
-    pthread_join(hangups->thread, NULL);
-    close(hangups->stop);
-    close(hangups->set);
-    g_free(hangups);
+    eventfd_write(watch->stop_fd, 1);
+    pthread_join(watch->thread, NULL);
+    close(watch->stop_fd);
+    close(watch->epoll_fd);
+    g_free(watch);
 }
 
-/* Watches a socket under a mark that is not 0, until it is removed.  A caller
- * that closes only its sending side counts as gone too: it can't be told from
- * one that is. */
+/* Watches a socket until it is removed; handle must not be 0. A caller that
+ * closes only its sending side is reported as disconnected too: it can't be
+ * told from one that has closed its connection. */
 void
-ch_hangups_add(struct ch_hangups *hangups, int fd, uint64_t mark)
+ch_hangups_add(struct ch_hangups *watch, int fd, uint64_t handle)
 {
     struct epoll_event event = {
         .events = EPOLLRDHUP | EPOLLONESHOT,
-        .data.u64 = mark,
+        .data.u64 = handle,
     };
-    epoll_ctl(hangups->set, EPOLL_CTL_ADD, fd, &event);
+    epoll_ctl(watch->epoll_fd, EPOLL_CTL_ADD, fd, &event);
 }
 
-/* Ends the watch of a socket; to be called before the socket is closed. */
+/* Ends the watch of a socket; must be called before the socket is closed. */
 void
-ch_hangups_remove(struct ch_hangups *hangups, int fd)
+ch_hangups_remove(struct ch_hangups *watch, int fd)
 {
-    epoll_ctl(hangups->set, EPOLL_CTL_DEL, fd, NULL);
+    epoll_ctl(watch->epoll_fd, EPOLL_CTL_DEL, fd, NULL);
 }
--- a/libchestnuthitch/node/refusal.c
+++ b/libchestnuthitch/node/refusal.c
@@ -1,17 +1,17 @@
-/* The JSON by which callers learn why there is no answer. */
+/* The JSON body of error responses. */
 
 #include "node/refusal.h"
 #include "base/json.h"
 
-/* Adds a string member. */
 static void
-add_text(JsonBuilder *builder, const char *name, const char *text)
+add_string_member(JsonBuilder *builder, const char *name, const char *text)
 {
     json_builder_set_member_name(builder, name);
     json_builder_add_string_value(builder, text);
 }
 
-/* Prints {"error": {...}}; the caller frees it. */
+/* See refusal.h. An invalid message is made valid UTF-8; the retry time is
+ * rounded up to milliseconds. */
 char *
 ch_refusal_print(const struct ch_refusal *refusal)
 {
@@ -20,26 +20,26 @@
     if (message == NULL || message[0] == '\0') {
         message = ch_code_meaning(refusal->code);
     }
-    char *valid = g_utf8_make_valid(message, -1);
+    char *valid_message = g_utf8_make_valid(message, -1);
     json_builder_begin_object(builder);
     json_builder_set_member_name(builder, "error");
     json_builder_begin_object(builder);
     json_builder_set_member_name(builder, "code");
     json_builder_add_int_value(builder, refusal->code);
-    add_text(builder, "name", ch_code_name(refusal->code));
-    add_text(builder, "message", valid);
+    add_string_member(builder, "name", ch_code_name(refusal->code));
+    add_string_member(builder, "message", valid_message);
     if (refusal->field != NULL && refusal->field[0] != '\0') {
-        add_text(builder, "field", refusal->field);
+        add_string_member(builder, "field", refusal->field);
     }
-    add_text(builder, "outcome", ch_outcome_name(refusal->outcome));
+    add_string_member(builder, "outcome", ch_outcome_name(refusal->outcome));
     if (refusal->retry_after > 0) {
         json_builder_set_member_name(builder, "retry_after_ms");
         json_builder_add_int_value(builder,
                                    (refusal->retry_after + 999) / 1000);
     }
-    add_text(builder, "request_id", refusal->request_id);
+    add_string_member(builder, "request_id", refusal->request_id);
     json_builder_end_object(builder);
     json_builder_end_object(builder);
-    g_free(valid);
+    g_free(valid_message);
     return ch_json_print(builder);
 }
--- a/libchestnuthitch/node/refusal.h
+++ b/libchestnuthitch/node/refusal.h
@@ -3,17 +3,18 @@
 
 #include "base/base.h"
 
-/* What a caller is told in place of an answer. */
+/* An error response to a caller. */
 struct ch_refusal {
     enum ch_code code;
     enum ch_outcome outcome;
-    const char *message; /* NULL or "": the code's meaning */
+    const char *message; /* NULL or "": the code's description */
     const char *field;   /* NULL or "": none */
-    int64_t retry_after; /* 0: none */
+    int64_t retry_after; /* microseconds; 0: none */
     const char *request_id;
 };
 
-/* {"error": {...}} as docs/INTERFACES.md has it; a new string. */
+/* Returns {"error": {...}} as described in docs/INTERFACES.md; the caller
+ * frees the string. */
 char *ch_refusal_print(const struct ch_refusal *refusal);
 
 #endif
