--- a/tests/threaded/test_exchange.c
+++ b/tests/threaded/test_exchange.c
@@ -1,6 +1,7 @@
 /*
- * The callers' listener and the course of a request, over real sockets to the
- * caller, with homes, once records and upstreams that do as they are told.
+ * Tests the callers' listener and the exchange of a request, over real sockets
+ * to the caller, with a fake router, fake at-most-once records and fake
+ * upstreams that do as each test states.
  */
 
 #include "node/exchange.h"
@@ -16,143 +17,147 @@
 #include <unistd.h>
 
 enum {
-    PATIENCE_S = 20,
-    MOST_TRIES = 4,
-    MOST_CALLERS = 12,
-    EVENTS = 5, /* of a whole stream */
-    MOST_QUESTIONS = 100,
+    TIMEOUT_S = 20,
+    MAX_ACTIONS = 4,
+    MAX_CALLERS = 12,
+    EVENT_COUNT = 5, /* of a complete stream */
+    NEVER_BARRED = 100,
 };
 
-/* What a home does with a request. */
-enum home_act {
+/* What the router does with a request. */
+enum router_action {
     GRANTS,
     REFUSES,
-    HOLDS_BACK, /* neither, until it is withdrawn */
+    KEEPS_WAITING, /* no reply until the request is withdrawn */
 };
 
 /* What an upstream does with a call. */
-enum call_act {
-    WHOLE,
-    CUT,          /* after two events, or in the middle of a plain answer */
-    NO_CONNECT,   /* certainly not run */
-    SAYS_NOT_RUN, /* 429 or 503 with X-Not-Run */
-    CROSSED,
-    SILENT,       /* until it is cancelled or released by the test */
-    FLOODS,       /* events without an end, until it is cancelled */
-    PAUSES,       /* silent after two events; whole when it is resumed */
-    SERVER_ERROR, /* a failure of its own, whole */
-    CUT_BEFORE,   /* before any of the answer */
+enum upstream_action {
+    COMPLETES,
+    INTERRUPTED,   /* loses the connection after two events, or within a plain
+                      response */
+    NOT_CONNECTED, /* the request certainly did not run */
+    REFUSED_NOT_RUN, /* responds 429 or 503 with X-Not-Run */
+    CROSSED,         /* the response belongs to another request */
+    SILENT,          /* until it is cancelled or completed by the test */
+    FLOODING,        /* sends events until it is cancelled */
+    PAUSED,       /* silent after two events; completes when it is resumed */
+    SERVER_ERROR, /* a complete response with status 500 */
+    INTERRUPTED_EARLY, /* loses the connection before any of the response */
 };
 
 struct ch_homes {
     struct ch_router router;
-    struct world *world;
+    struct fixture *fixture;
 };
 
 struct ch_once_keeper {
-    struct world *world;
+    struct fixture *fixture;
 };
 
 struct ch_config_keeper {
-    struct world *world;
+    struct fixture *fixture;
 };
 
-struct held_call {
-    struct world *world;
+struct fake_call {
+    struct fixture *fixture;
     struct ch_call_handlers handlers;
     void *data;
-    enum call_act act;
+    enum upstream_action action;
     bool stream;
     uint32_t resume_from;
     bool cancelled;
     char id[CH_REPLY_ID];
 };
 
-/* The node's other parts, and what they saw. */
-struct world {
-    struct ch_upstream upstream; /* first: the fake upstream is the world */
+/* The fakes for the node's other parts, with counters of their use. */
+struct fixture {
+    struct ch_upstream upstream; /* first: the fixture is the fake upstream */
     struct ch_client client;
     struct ch_settings settings;
     struct ch_node node;
-    struct ch_homes homes;
+    struct ch_homes fake_router;
     struct ch_once_keeper once;
     struct ch_config_keeper config_keeper;
     struct ch_config *config;
     pthread_mutex_t lock;
     pthread_cond_t changed;
-    enum home_act home_acts[MOST_TRIES];
-    enum call_act call_acts[MOST_TRIES];
-    struct ch_once_answer once_answer;
-    unsigned asked;
+    enum router_action router_actions[MAX_ACTIONS];
+    enum upstream_action upstream_actions[MAX_ACTIONS];
+    struct ch_once_answer once_result;
+    unsigned router_requests;
     unsigned granted;
     unsigned released;
     unsigned withdrawn;
     unsigned calls;
-    unsigned fresh; /* calls that may not be repeated by libcurl */
+    unsigned fresh_calls; /* calls that libcurl may not repeat */
     unsigned cancelled;
-    unsigned begun;    /* once records asked for */
-    unsigned finished; /* with an answer */
-    unsigned freed;    /* as not run */
-    unsigned excluded; /* upstreams that the last request left out */
+    unsigned once_begins;    /* at-most-once records asked for */
+    unsigned once_stored;    /* records finished with a response */
+    unsigned once_released;  /* records finished as not run */
+    unsigned excluded_count; /* upstreams that the last request excluded */
     unsigned resumed_from;
-    bool once_waits; /* the record's answer is held back */
-    bool asks_again; /* asked for without another attempt */
-    GQuark only;     /* upstream that the last request is bound to */
-    bool told_begun; /* the last request's caller has the beginning */
+    bool once_delayed;        /* the record's state is held back */
+    bool allows_same_attempt; /* the router may be asked again with the same
+                                 attempt number */
+    GQuark last_required;     /* upstream that the last request requires */
+    bool stream_had_started;  /* whether the caller of the last request had the
+                                 start of a stream */
     struct once_job *once_job;
-    struct held_call *held;
-    struct held_call *paused[MOST_CALLERS];
+    struct fake_call *last_call;
+    struct fake_call *paused[MAX_CALLERS];
     unsigned paused_count;
     int port;
 };
 
 static void
-notify(struct world *world)
+unlock_and_notify(struct fixture *fixture)
 {
-    pthread_cond_broadcast(&world->changed);
-    pthread_mutex_unlock(&world->lock);
+    pthread_cond_broadcast(&fixture->changed);
+    pthread_mutex_unlock(&fixture->lock);
 }
 
 /* Waits until a counter has reached a value. */
 static void
-wait_for(struct world *world, const unsigned *counter, unsigned value)
+wait_for_count(struct fixture *fixture, const unsigned *counter,
+               unsigned value)
 {
     struct timespec until;
     clock_gettime(CLOCK_REALTIME, &until);
-    until.tv_sec += PATIENCE_S;
-    pthread_mutex_lock(&world->lock);
+    until.tv_sec += TIMEOUT_S;
+    pthread_mutex_lock(&fixture->lock);
     while (*counter < value) {
         g_assert_cmpint(
-            pthread_cond_timedwait(&world->changed, &world->lock, &until), ==,
-            0);
+            pthread_cond_timedwait(&fixture->changed, &fixture->lock, &until),
+            ==, 0);
     }
-    pthread_mutex_unlock(&world->lock);
+    pthread_mutex_unlock(&fixture->lock);
 }
 
-/* ---- homes ---- */
+/* ---- fake router ---- */
 
-struct home_job {
-    struct world *world;
+struct router_job {
+    struct fixture *fixture;
     struct ch_router_handlers handlers;
     void *data;
-    enum home_act act;
+    enum router_action action;
     uint64_t handle;
 };
 
 static void
-run_home(void *data)
+run_router_job(void *data)
 {
-    struct home_job *job = data;
-    if (job->act == GRANTS) {
+    struct router_job *job = data;
+    if (job->action == GRANTS) {
         const struct ch_grant grant = {
             .handle = job->handle,
             .upstream = g_quark_from_string("w01"),
-            .client = &job->world->upstream,
+            .client = &job->fixture->upstream,
             .priority = 3,
         };
-        pthread_mutex_lock(&job->world->lock);
-        job->world->granted++;
-        notify(job->world);
+        pthread_mutex_lock(&job->fixture->lock);
+        job->fixture->granted++;
+        unlock_and_notify(job->fixture);
         job->handlers.granted(job->data, &grant);
     }
     else {
@@ -162,64 +167,66 @@
 }
 
 static uint64_t
-home_request(struct ch_router *router, const struct ch_work *work,
-             const GArray *excluded, const struct ch_router_handlers *handlers,
-             void *data)
+router_request(struct ch_router *router, const struct ch_work *info,
+               const GArray *excluded,
+               const struct ch_router_handlers *handlers, void *data)
 {
-    struct world *world = ((struct ch_homes *)router)->world;
-    pthread_mutex_lock(&world->lock);
-    unsigned number = world->asked++;
-    enum home_act act = world->home_acts[MIN(number, MOST_TRIES - 1)];
-    world->excluded = excluded == NULL ? 0 : excluded->len;
-    g_assert_true(world->asks_again || work->attempt == number);
-    world->only = work->only;
-    world->told_begun = work->begun;
-    notify(world);
-    if (act != HOLDS_BACK) {
-        struct home_job *job = g_new(struct home_job, 1);
-        *job = (struct home_job){world, *handlers, data, act, number + 1};
-        ch_pool_submit(world->node.pool, run_home, job);
+    struct fixture *fixture = ((struct ch_homes *)router)->fixture;
+    pthread_mutex_lock(&fixture->lock);
+    unsigned number = fixture->router_requests++;
+    enum router_action action =
+        fixture->router_actions[MIN(number, MAX_ACTIONS - 1)];
+    fixture->excluded_count = excluded == NULL ? 0 : excluded->len;
+    g_assert_true(fixture->allows_same_attempt || info->attempt == number);
+    fixture->last_required = info->only;
+    fixture->stream_had_started = info->begun;
+    unlock_and_notify(fixture);
+    if (action != KEEPS_WAITING) {
+        struct router_job *job = g_new(struct router_job, 1);
+        *job =
+            (struct router_job){fixture, *handlers, data, action, number + 1};
+        ch_pool_submit(fixture->node.pool, run_router_job, job);
     }
     return number + 1;
 }
 
 static bool
-home_withdraw(struct ch_router *router, uint64_t handle)
+router_withdraw(struct ch_router *router, uint64_t handle)
 {
-    struct world *world = ((struct ch_homes *)router)->world;
-    pthread_mutex_lock(&world->lock);
-    bool held = world->home_acts[handle - 1] == HOLDS_BACK;
-    world->withdrawn += held;
-    notify(world);
-    return held;
+    struct fixture *fixture = ((struct ch_homes *)router)->fixture;
+    pthread_mutex_lock(&fixture->lock);
+    bool waits = fixture->router_actions[handle - 1] == KEEPS_WAITING;
+    fixture->withdrawn += waits;
+    unlock_and_notify(fixture);
+    return waits;
 }
 
 static void
-home_release(struct ch_router *router, uint64_t handle,
-             const struct ch_sample *sample)
+router_release(struct ch_router *router, uint64_t handle,
+               const struct ch_sample *sample)
 {
-    struct world *world = ((struct ch_homes *)router)->world;
+    struct fixture *fixture = ((struct ch_homes *)router)->fixture;
     g_assert_cmpuint(handle, >, 0);
     g_assert_cmpint(sample->first, >=, 0);
-    pthread_mutex_lock(&world->lock);
-    world->released++;
-    notify(world);
+    pthread_mutex_lock(&fixture->lock);
+    fixture->released++;
+    unlock_and_notify(fixture);
 }
 
 static bool
-home_ready(struct ch_router *router)
+router_ready(struct ch_router *router)
 {
-    return ((struct ch_homes *)router)->world != NULL;
+    return ((struct ch_homes *)router)->fixture != NULL;
 }
 
 static const struct ch_router_ops router_ops = {
-    .ready = home_ready,
-    .request = home_request,
-    .withdraw = home_withdraw,
-    .release = home_release,
+    .ready = router_ready,
+    .request = router_request,
+    .withdraw = router_withdraw,
+    .release = router_release,
 };
 
-/* The node is alone. */
+/* The node has no peers. */
 char **
 ch_peers_live(struct ch_peers *peers)
 {
@@ -227,24 +234,24 @@
     return g_strdupv((char *[]){"alone", NULL});
 }
 
-/* ---- once records and configuration ---- */
+/* ---- fake at-most-once records and configuration ---- */
 
 struct once_job {
-    struct world *world;
-    void (*begun)(void *data, const struct ch_once_answer *answer);
-    void (*finished)(void *data, bool kept);
+    struct fixture *fixture;
+    void (*handle_begun)(void *data, const struct ch_once_answer *result);
+    void (*handle_finished)(void *data, bool stored);
     void *data;
 };
 
 static void
-run_once(void *data)
+run_once_job(void *data)
 {
     struct once_job *job = data;
-    if (job->begun != NULL) {
-        job->begun(job->data, &job->world->once_answer);
+    if (job->handle_begun != NULL) {
+        job->handle_begun(job->data, &job->fixture->once_result);
     }
     else {
-        job->finished(job->data, true);
+        job->handle_finished(job->data, true);
     }
     g_free(job);
 }
@@ -253,22 +260,23 @@
 ch_once_keeper_begin(struct ch_once_keeper *keeper, const char *caller,
                      const char *key, uint64_t fingerprint,
                      void (*done)(void *data,
-                                  const struct ch_once_answer *answer),
+                                  const struct ch_once_answer *result),
                      void *data)
 {
-    struct world *world = keeper->world;
+    struct fixture *fixture = keeper->fixture;
     g_assert_cmpstr(caller, ==, "llanelli");
     g_assert_cmpstr(key, ==, "k1");
     g_assert_cmpuint(fingerprint, !=, 0);
-    pthread_mutex_lock(&world->lock);
+    pthread_mutex_lock(&fixture->lock);
     struct once_job *job = g_new0(struct once_job, 1);
-    *job = (struct once_job){.world = world, .begun = done, .data = data};
-    world->begun++;
-    world->once_job = job;
-    bool waits = world->once_waits;
-    notify(world);
+    *job = (struct once_job){
+        .fixture = fixture, .handle_begun = done, .data = data};
+    fixture->once_begins++;
+    fixture->once_job = job;
+    bool waits = fixture->once_delayed;
+    unlock_and_notify(fixture);
     if (!waits) {
-        ch_pool_submit(world->node.pool, run_once, job);
+        ch_pool_submit(fixture->node.pool, run_once_job, job);
     }
 }
 
@@ -276,10 +284,10 @@
 ch_once_keeper_finish(struct ch_once_keeper *keeper, const char *caller,
                       const char *key, uint64_t attempt, bool not_run,
                       int status, const char *content_type, const void *body,
-                      size_t length, void (*done)(void *data, bool kept),
+                      size_t length, void (*done)(void *data, bool stored),
                       void *data)
 {
-    struct world *world = keeper->world;
+    struct fixture *fixture = keeper->fixture;
     (void)caller;
     (void)key;
     (void)content_type;
@@ -288,26 +296,27 @@
         g_assert_cmpint(status, ==, 200);
         g_assert_cmpmem(body, length, "whole answer", 12);
     }
-    pthread_mutex_lock(&world->lock);
-    world->finished += !not_run;
-    world->freed += not_run;
-    notify(world);
+    pthread_mutex_lock(&fixture->lock);
+    fixture->once_stored += !not_run;
+    fixture->once_released += not_run;
+    unlock_and_notify(fixture);
     struct once_job *job = g_new0(struct once_job, 1);
-    *job = (struct once_job){.world = world, .finished = done, .data = data};
-    ch_pool_submit(world->node.pool, run_once, job);
+    *job = (struct once_job){
+        .fixture = fixture, .handle_finished = done, .data = data};
+    ch_pool_submit(fixture->node.pool, run_once_job, job);
 }
 
 struct ch_config *
 ch_config_keeper_current(struct ch_config_keeper *keeper)
 {
-    struct ch_config *config = keeper->world->config;
+    struct ch_config *config = keeper->fixture->config;
     return config == NULL ? NULL : ch_config_ref(config);
 }
 
-/* ---- upstreams ---- */
+/* ---- fake upstreams ---- */
 
 static void
-end_call(struct held_call *call, enum ch_code code, bool may_have_run)
+end_call(struct fake_call *call, enum ch_code code, bool may_have_run)
 {
     struct ch_call_end end = {
         .code = code,
@@ -319,7 +328,7 @@
 }
 
 static void
-send_events(struct held_call *call, uint32_t upto)
+send_events(struct fake_call *call, uint32_t upto)
 {
     call->handlers.on_head(call->data, 200, "text/event-stream");
     for (uint32_t i = call->resume_from; i < upto; i++) {
@@ -330,15 +339,14 @@
 }
 
 static void
-send_plain(struct held_call *call, const char *bytes)
+send_plain_response(struct fake_call *call, const char *bytes)
 {
     call->handlers.on_head(call->data, 200, "application/json");
     call->handlers.on_data(call->data, bytes, strlen(bytes));
 }
 
-/* Sends events until the call is cancelled. */
 static void
-flood(struct held_call *call)
+flood(struct fake_call *call)
 {
     const size_t length = 65536;
     char *event = g_strnfill(length, 'x');
@@ -346,50 +354,50 @@
     call->handlers.on_head(call->data, 200, "text/event-stream");
     for (unsigned i = 0; i < 100000 && !cancelled; i++) {
         call->handlers.on_data(call->data, event, length);
-        pthread_mutex_lock(&call->world->lock);
+        pthread_mutex_lock(&call->fixture->lock);
         cancelled = call->cancelled;
-        pthread_mutex_unlock(&call->world->lock);
+        pthread_mutex_unlock(&call->fixture->lock);
     }
     g_free(event);
     g_assert_true(cancelled);
 }
 
-/* Sends the beginning of a stream, and leaves the rest to the test. */
+/* Sends the start of a stream and leaves the rest to the test. */
 static void
-pause_call(struct held_call *call)
+pause_call(struct fake_call *call)
 {
-    struct world *world = call->world;
+    struct fixture *fixture = call->fixture;
     send_events(call, 2);
-    pthread_mutex_lock(&world->lock);
-    world->paused[world->paused_count++] = call;
-    notify(world);
+    pthread_mutex_lock(&fixture->lock);
+    fixture->paused[fixture->paused_count++] = call;
+    unlock_and_notify(fixture);
 }
 
 static void
 run_call(void *data)
 {
-    struct held_call *call = data;
-    if (call->act == PAUSES && call->resume_from == 0) {
+    struct fake_call *call = data;
+    if (call->action == PAUSED && call->resume_from == 0) {
         pause_call(call);
         return;
     }
-    switch (call->act) {
-    case PAUSES:
-    case WHOLE:
+    switch (call->action) {
+    case PAUSED:
+    case COMPLETES:
         if (call->stream) {
-            send_events(call, EVENTS);
+            send_events(call, EVENT_COUNT);
         }
         else {
-            send_plain(call, "whole answer");
+            send_plain_response(call, "whole answer");
         }
         end_call(call, CH_OK, true);
         return;
-    case CUT:
+    case INTERRUPTED:
         if (call->stream) {
             send_events(call, 2);
         }
         else {
-            send_plain(call, "half an");
+            send_plain_response(call, "half an");
         }
         end_call(call, CH_UPSTREAM_CUT, true);
         return;
@@ -398,19 +406,19 @@
         call->handlers.on_data(call->data, "the upstream's word", 19);
         end_call(call, CH_OK, true);
         return;
-    case CUT_BEFORE:
+    case INTERRUPTED_EARLY:
         end_call(call, CH_UPSTREAM_CUT, true);
         return;
-    case NO_CONNECT:
+    case NOT_CONNECTED:
         end_call(call, CH_UPSTREAM_CONNECT, false);
         return;
-    case SAYS_NOT_RUN:
+    case REFUSED_NOT_RUN:
         end_call(call, CH_UPSTREAM_REFUSED, false);
         return;
     case CROSSED:
         end_call(call, CH_UPSTREAM_CROSSED, true);
         return;
-    case FLOODS:
+    case FLOODING:
         flood(call);
         end_call(call, CH_CANCELLED, true);
         return;
@@ -425,23 +433,24 @@
 upstream_call(struct ch_upstream *upstream, const struct ch_call *call,
               const struct ch_call_handlers *handlers, void *data)
 {
-    struct world *world = (struct world *)upstream;
-    struct held_call *held = g_new0(struct held_call, 1);
-    held->world = world;
-    held->handlers = *handlers;
-    held->data = data;
-    held->stream = call->stream;
-    held->resume_from = call->resume_from;
-    pthread_mutex_lock(&world->lock);
-    held->act = world->call_acts[MIN(world->calls, MOST_TRIES - 1)];
-    world->calls++;
-    world->fresh += !call->may_repeat || call->fresh;
-    world->resumed_from = call->resume_from;
-    world->held = held;
-    bool runs = held->act != SILENT;
-    notify(world);
+    struct fixture *fixture = (struct fixture *)upstream;
+    struct fake_call *new_call = g_new0(struct fake_call, 1);
+    new_call->fixture = fixture;
+    new_call->handlers = *handlers;
+    new_call->data = data;
+    new_call->stream = call->stream;
+    new_call->resume_from = call->resume_from;
+    pthread_mutex_lock(&fixture->lock);
+    new_call->action =
+        fixture->upstream_actions[MIN(fixture->calls, MAX_ACTIONS - 1)];
+    fixture->calls++;
+    fixture->fresh_calls += !call->may_repeat || call->fresh;
+    fixture->resumed_from = call->resume_from;
+    fixture->last_call = new_call;
+    bool runs = new_call->action != SILENT;
+    unlock_and_notify(fixture);
     if (runs) {
-        ch_pool_submit(world->node.pool, run_call, held);
+        ch_pool_submit(fixture->node.pool, run_call, new_call);
     }
     return 1;
 }
@@ -449,34 +458,34 @@
 static void
 upstream_cancel(struct ch_upstream *upstream, uint64_t handle)
 {
-    struct world *world = (struct world *)upstream;
+    struct fixture *fixture = (struct fixture *)upstream;
     (void)handle;
-    pthread_mutex_lock(&world->lock);
-    struct held_call *held = world->held;
-    held->cancelled = true;
-    world->cancelled++;
-    bool silent = held->act == SILENT;
-    notify(world);
+    pthread_mutex_lock(&fixture->lock);
+    struct fake_call *call = fixture->last_call;
+    call->cancelled = true;
+    fixture->cancelled++;
+    bool silent = call->action == SILENT;
+    unlock_and_notify(fixture);
     if (silent) {
-        ch_pool_submit(world->node.pool, run_call, held);
+        ch_pool_submit(fixture->node.pool, run_call, call);
     }
 }
 
-/* Lets a silent call answer after all. */
+/* Lets a silent call complete. */
 static void
-answer_late(struct world *world)
+complete_silent_call(struct fixture *fixture)
 {
-    pthread_mutex_lock(&world->lock);
-    world->held->act = WHOLE;
-    struct held_call *held = world->held;
-    pthread_mutex_unlock(&world->lock);
-    ch_pool_submit(world->node.pool, run_call, held);
+    pthread_mutex_lock(&fixture->lock);
+    fixture->last_call->action = COMPLETES;
+    struct fake_call *call = fixture->last_call;
+    pthread_mutex_unlock(&fixture->lock);
+    ch_pool_submit(fixture->node.pool, run_call, call);
 }
 
-/* ---- the world ---- */
+/* ---- fixture ---- */
 
 static void
-no_log(void *data, const char *line, size_t length)
+discard_log(void *data, const char *line, size_t length)
 {
     (void)data;
     (void)line;
@@ -493,20 +502,20 @@
                                        "idempotent = false\n"
                                        "callers = llanelli\n";
 
-static struct world *
-world_new(void)
+static struct fixture *
+fixture_new(void)
 {
     static const struct ch_upstream_ops ops = {
         .call = upstream_call,
         .cancel = upstream_cancel,
     };
-    struct world *world = g_new0(struct world, 1);
+    struct fixture *fixture = g_new0(struct fixture, 1);
     struct ch_error error = {.code = CH_OK};
-    world->upstream.ops = &ops;
-    ch_client_init(&world->client, "n1");
-    world->client.log_write = no_log;
-    world->client.metrics = ch_metrics_new();
-    world->settings = (struct ch_settings){
+    fixture->upstream.ops = &ops;
+    ch_client_init(&fixture->client, "n1");
+    fixture->client.log_write = discard_log;
+    fixture->client.metrics = ch_metrics_new();
+    fixture->settings = (struct ch_settings){
         .name = (char *)"n1",
         .callers = (char *)"127.0.0.1:0",
         .workers = 2,
@@ -518,96 +527,97 @@
         .first_byte_ms = 1000,
         .stall_ms = 1000,
     };
-    world->homes.world = world;
-    world->once.world = world;
-    world->config_keeper.world = world;
-    pthread_mutex_init(&world->lock, NULL);
-    pthread_cond_init(&world->changed, NULL);
+    fixture->fake_router.fixture = fixture;
+    fixture->once.fixture = fixture;
+    fixture->config_keeper.fixture = fixture;
+    pthread_mutex_init(&fixture->lock, NULL);
+    pthread_cond_init(&fixture->changed, NULL);
     struct ch_declaration *declaration =
         ch_declaration_parse(declaration_text, "test", &error);
     g_assert_nonnull(declaration);
-    world->config = ch_config_new(1, "t", "a", declaration);
-    world->once_answer = (struct ch_once_answer){
+    fixture->config = ch_config_new(1, "t", "a", declaration);
+    fixture->once_result = (struct ch_once_answer){
         .state = CH_ONCE_CREATED,
         .attempt = 77,
     };
-    return world;
+    return fixture;
 }
 
-/* Opens the listener; what the fakes are to do was set before. */
+/* Opens the listener; the actions of the fakes must be set before. */
 static void
-world_start(struct world *world)
+fixture_start(struct fixture *fixture)
 {
     struct ch_error error = {.code = CH_OK};
-    struct ch_node *node = &world->node;
-    node->client = &world->client;
-    node->settings = &world->settings;
+    struct ch_node *node = &fixture->node;
+    node->client = &fixture->client;
+    node->settings = &fixture->settings;
     node->incarnation = 1;
     node->pool = ch_pool_new(4);
     node->timers = ch_timers_new(node->pool);
-    world->homes.router.ops = &router_ops;
-    node->router = &world->homes.router;
-    node->once = &world->once;
-    node->config = &world->config_keeper;
+    fixture->fake_router.router.ops = &router_ops;
+    node->router = &fixture->fake_router.router;
+    node->once = &fixture->once;
+    node->config = &fixture->config_keeper;
     node->front = ch_front_new(node, &error);
     g_assert_cmpstr(error.message, ==, "");
-    world->port = ch_listener_port(node->front->listener);
+    fixture->port = ch_listener_port(node->front->listener);
 }
 
-/* Stops as a node does.  Threads are joined: the counters may be read. */
+/* Stops as a node does. The threads are joined, so the counters may be read
+ * without the lock. */
 static void
-world_stop(struct world *world)
+fixture_stop(struct fixture *fixture)
 {
-    ch_front_stop(world->node.front);
-    ch_timers_stop(world->node.timers);
-    ch_pool_free(world->node.pool);
-    world->node.pool = NULL;
+    ch_front_stop(fixture->node.front);
+    ch_timers_stop(fixture->node.timers);
+    ch_pool_free(fixture->node.pool);
+    fixture->node.pool = NULL;
 }
 
-/* Checks what must hold after any course, that each grant was given back once,
- * and frees all. */
+/* Checks that each grant was released once, which must hold after every
+ * exchange, and frees the fixture. */
 static void
-world_free(struct world *world)
+fixture_free(struct fixture *fixture)
 {
-    if (world->node.pool != NULL) {
-        world_stop(world);
+    if (fixture->node.pool != NULL) {
+        fixture_stop(fixture);
     }
-    ch_timers_free(world->node.timers);
-    ch_front_free(world->node.front);
-    g_assert_cmpuint(world->granted, ==, world->released);
-    if (world->config != NULL) {
-        ch_config_unref(world->config);
+    ch_timers_free(fixture->node.timers);
+    ch_front_free(fixture->node.front);
+    g_assert_cmpuint(fixture->granted, ==, fixture->released);
+    if (fixture->config != NULL) {
+        ch_config_unref(fixture->config);
     }
-    ch_metrics_free(world->client.metrics);
-    pthread_mutex_destroy(&world->lock);
-    pthread_cond_destroy(&world->changed);
-    g_free(world);
+    ch_metrics_free(fixture->client.metrics);
+    pthread_mutex_destroy(&fixture->lock);
+    pthread_cond_destroy(&fixture->changed);
+    g_free(fixture);
 }
 
 /* ---- the caller ---- */
 
 static int
-dial(const struct world *world)
+connect_to_node(const struct fixture *fixture)
 {
     struct sockaddr_in address = {
         .sin_family = AF_INET,
-        .sin_port = htons((uint16_t)world->port),
+        .sin_port = htons((uint16_t)fixture->port),
         .sin_addr.s_addr = htonl(INADDR_LOOPBACK),
     };
-    struct timeval patience = {.tv_sec = PATIENCE_S};
+    struct timeval timeout = {.tv_sec = TIMEOUT_S};
     int fd = socket(AF_INET, SOCK_STREAM, 0);
-    setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof(patience));
+    setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof(timeout));
     g_assert_cmpint(connect(fd, (struct sockaddr *)&address, sizeof(address)),
                     ==, 0);
     return fd;
 }
 
-/* Sends a request; headers are lines that end in CR LF. */
+/* Sends a request; each header line must end in CR LF. */
 static int
-ask(const struct world *world, const char *line, const char *headers,
-    const char *body)
+send_request(const struct fixture *fixture, const char *line,
+             const char *headers, const char *body)
 {
-    int fd = dial(world);
+    int fd = connect_to_node(fixture);
     char *text = g_strdup_printf("%s HTTP/1.1\r\nHost: n1\r\n%s"
                                  "Connection: close\r\n"
                                  "Content-Length: %zu\r\n\r\n%s",
@@ -618,9 +628,10 @@
     return fd;
 }
 
-/* The whole answer as text, chunks as they are; closes the connection. */
+/* Returns the whole response as text, with the chunk sizes of a chunked body;
+ * closes the connection. */
 static char *
-hear(int fd)
+read_response(int fd)
 {
     GString *text = g_string_new(NULL);
     char bytes[4096];
@@ -636,164 +647,175 @@
 static const char stream_call[] =
     "{\"model\":\"m01\",\"prompt\":\"x\",\"stream\":true}";
 
-enum asked_for {
+enum request_kind {
     PLAIN,
     STREAM,
-    ORDER,     /* non-idempotent, with a key */
-    BARE_ORDER /* the same without */
+    ORDER,            /* non-idempotent, with a key */
+    ORDER_WITHOUT_KEY /* the same without a key */
 };
 
 static int
-ask_for(const struct world *world, enum asked_for what, const char *headers)
+send_request_kind(const struct fixture *fixture, enum request_kind kind,
+                  const char *headers)
 {
     char *all = NULL;
     int fd = -1;
-    switch (what) {
+    switch (kind) {
     case PLAIN:
     case STREAM:
         all = g_strconcat("Chestnuthitch-Caller: cardiff\r\n", headers, NULL);
-        fd = ask(world, "POST /v1/completions", all,
-                 what == STREAM ? stream_call : plain_call);
+        fd = send_request(fixture, "POST /v1/completions", all,
+                          kind == STREAM ? stream_call : plain_call);
         break;
     default:
         all = g_strconcat("Chestnuthitch-Caller: llanelli\r\n",
-                          what == ORDER ? "Idempotency-Key: k1\r\n" : "",
+                          kind == ORDER ? "Idempotency-Key: k1\r\n" : "",
                           headers, NULL);
-        fd = ask(world, "POST /services/orders/cut", all, "jacket");
+        fd = send_request(fixture, "POST /services/orders/cut", all, "jacket");
         break;
     }
     g_free(all);
     return fd;
 }
 
-/* Every text of the list, parted by '|', is in the answer; after a '!', none
- * is. */
+/* Checks that the response has every text of the list, which is separated by
+ * '|', and none of the texts that begin with '!'. */
 static void
-check_texts(const char *answer, const char *list)
+check_texts(const char *response, const char *list)
 {
     char **texts = g_strsplit(list, "|", -1);
     for (size_t i = 0; texts[i] != NULL; i++) {
         bool absent = texts[i][0] == '!';
         const char *text = texts[i] + absent;
-        if ((strstr(answer, text) != NULL) == absent) {
+        if ((strstr(response, text) != NULL) == absent) {
             g_test_message("'%s' %s in: %s", text, absent ? "is" : "is not",
-                           answer);
+                           response);
             g_test_fail();
         }
     }
     g_strfreev(texts);
 }
 
-/* The same of an answer in our own interface, which bears an id. */
+/* The same for a response of the node's own interface, which has a request
+ * ID. */
 static void
-check_answer(const char *answer, const char *list)
+check_response(const char *response, const char *list)
 {
-    check_texts(answer, list);
-    g_assert_nonnull(strstr(answer, "Chestnuthitch-Request-Id: "));
+    check_texts(response, list);
+    g_assert_nonnull(strstr(response, "Chestnuthitch-Request-Id: "));
 }
 
-/* ---- courses that end by themselves ---- */
+/* ---- exchanges that end without further action of the caller ---- */
 
-struct course_case {
+struct exchange_case {
     const char *name;
-    enum asked_for what;
-    enum home_act home[MOST_TRIES];
-    enum call_act call[MOST_TRIES];
+    enum request_kind kind;
+    enum router_action router[MAX_ACTIONS];
+    enum upstream_action upstream[MAX_ACTIONS];
     unsigned calls;
-    unsigned finished;
-    unsigned freed;
-    const char *answer;
+    unsigned once_stored;
+    unsigned once_released;
+    const char *response;
 };
 
 #define RAN "Chestnuthitch-Outcome: ran"
 #define NOT_RUN "Chestnuthitch-Outcome: not-run"
 #define UNKNOWN "Chestnuthitch-Outcome: unknown"
 
-#define HOMES(...)                                                            \
+#define ROUTER(...)                                                           \
     {                                                                         \
         __VA_ARGS__                                                           \
     }
-#define CALLS(...)                                                            \
+#define UPSTREAMS(...)                                                        \
     {                                                                         \
         __VA_ARGS__                                                           \
     }
 
-static const struct course_case course_cases[] = {
-    {"plain", PLAIN, HOMES(GRANTS), CALLS(WHOLE), 1, 0, 0,
+static const struct exchange_case exchange_cases[] = {
+    {"plain", PLAIN, ROUTER(GRANTS), UPSTREAMS(COMPLETES), 1, 0, 0,
      "HTTP/1.1 200|" RAN "|whole answer"},
-    {"stream", STREAM, HOMES(GRANTS), CALLS(WHOLE), 1, 0, 0,
+    {"stream", STREAM, ROUTER(GRANTS), UPSTREAMS(COMPLETES), 1, 0, 0,
      "HTTP/1.1 200|" RAN "|text/event-stream|{\"n\":0}|{\"n\":4}|[DONE]"},
-    {"refused by the home", PLAIN, HOMES(REFUSES), CALLS(WHOLE), 0, 0, 0,
+    {"refused by the home", PLAIN, ROUTER(REFUSES), UPSTREAMS(COMPLETES), 0, 0,
+     0,
      "HTTP/1.1 503|" NOT_RUN "|Retry-After: 2|Chestnuthitch-Code: 201|"
      "\"retry_after_ms\":1500"},
-    {"no connection, then elsewhere", PLAIN, HOMES(GRANTS, GRANTS),
-     CALLS(NO_CONNECT, WHOLE), 2, 0, 0, "HTTP/1.1 200|whole answer"},
-    {"no connection, then refused", PLAIN, HOMES(GRANTS, REFUSES),
-     CALLS(NO_CONNECT), 1, 0, 0, "HTTP/1.1 503|" NOT_RUN},
-    {"cut, then refused: it may have run", PLAIN, HOMES(GRANTS, REFUSES),
-     CALLS(CUT), 1, 0, 0, "HTTP/1.1 503|" UNKNOWN "|!half an"},
+    {"no connection, then elsewhere", PLAIN, ROUTER(GRANTS, GRANTS),
+     UPSTREAMS(NOT_CONNECTED, COMPLETES), 2, 0, 0,
+     "HTTP/1.1 200|whole answer"},
+    {"no connection, then refused", PLAIN, ROUTER(GRANTS, REFUSES),
+     UPSTREAMS(NOT_CONNECTED), 1, 0, 0, "HTTP/1.1 503|" NOT_RUN},
+    {"cut, then refused: it may have run", PLAIN, ROUTER(GRANTS, REFUSES),
+     UPSTREAMS(INTERRUPTED), 1, 0, 0, "HTTP/1.1 503|" UNKNOWN "|!half an"},
     {"cut, then no connection: it may have run", PLAIN,
-     HOMES(GRANTS, GRANTS, GRANTS), CALLS(CUT, NO_CONNECT, NO_CONNECT), 3, 0,
-     0, "HTTP/1.1 502|" UNKNOWN "|!half an"},
-    {"cut, then elsewhere from the start", PLAIN, HOMES(GRANTS, GRANTS),
-     CALLS(CUT, WHOLE), 2, 0, 0, "HTTP/1.1 200|whole answer|!half an"},
-    {"crossed, then elsewhere", PLAIN, HOMES(GRANTS, GRANTS),
-     CALLS(CROSSED, WHOLE), 2, 0, 0, "HTTP/1.1 200|whole answer"},
-    {"stream cut and resumed", STREAM, HOMES(GRANTS, GRANTS),
-     CALLS(CUT, WHOLE), 2, 0, 0,
+     ROUTER(GRANTS, GRANTS, GRANTS),
+     UPSTREAMS(INTERRUPTED, NOT_CONNECTED, NOT_CONNECTED), 3, 0, 0,
+     "HTTP/1.1 502|" UNKNOWN "|!half an"},
+    {"cut, then elsewhere from the start", PLAIN, ROUTER(GRANTS, GRANTS),
+     UPSTREAMS(INTERRUPTED, COMPLETES), 2, 0, 0,
+     "HTTP/1.1 200|whole answer|!half an"},
+    {"crossed, then elsewhere", PLAIN, ROUTER(GRANTS, GRANTS),
+     UPSTREAMS(CROSSED, COMPLETES), 2, 0, 0, "HTTP/1.1 200|whole answer"},
+    {"stream cut and resumed", STREAM, ROUTER(GRANTS, GRANTS),
+     UPSTREAMS(INTERRUPTED, COMPLETES), 2, 0, 0,
      "HTTP/1.1 200|{\"n\":0}|{\"n\":1}|{\"n\":2}|{\"n\":4}|[DONE]|!error"},
-    {"stream cut for good", STREAM, HOMES(GRANTS, REFUSES), CALLS(CUT), 1, 0,
-     0, "HTTP/1.1 200|{\"n\":1}|!{\"n\":2}|!DONE|\"outcome\":\"unknown\""},
-    {"order", ORDER, HOMES(GRANTS), CALLS(WHOLE), 1, 1, 0,
+    {"stream cut for good", STREAM, ROUTER(GRANTS, REFUSES),
+     UPSTREAMS(INTERRUPTED), 1, 0, 0,
+     "HTTP/1.1 200|{\"n\":1}|!{\"n\":2}|!DONE|\"outcome\":\"unknown\""},
+    {"order", ORDER, ROUTER(GRANTS), UPSTREAMS(COMPLETES), 1, 1, 0,
      "HTTP/1.1 200|" RAN "|whole answer"},
-    {"order refused by the home", ORDER, HOMES(REFUSES), CALLS(WHOLE), 0, 0, 1,
-     "HTTP/1.1 503|" NOT_RUN},
-    {"order cut: never again", ORDER, HOMES(GRANTS, GRANTS), CALLS(CUT, WHOLE),
-     1, 0, 0, "HTTP/1.1 502|" UNKNOWN "|!half an"},
-    {"order crossed: never again", ORDER, HOMES(GRANTS, GRANTS),
-     CALLS(CROSSED, WHOLE), 1, 0, 0, "HTTP/1.1 502|" UNKNOWN},
-    {"order not connected, then elsewhere", ORDER, HOMES(GRANTS, GRANTS),
-     CALLS(NO_CONNECT, WHOLE), 2, 1, 0, "HTTP/1.1 200|" RAN},
+    {"order refused by the home", ORDER, ROUTER(REFUSES), UPSTREAMS(COMPLETES),
+     0, 0, 1, "HTTP/1.1 503|" NOT_RUN},
+    {"order cut: never again", ORDER, ROUTER(GRANTS, GRANTS),
+     UPSTREAMS(INTERRUPTED, COMPLETES), 1, 0, 0,
+     "HTTP/1.1 502|" UNKNOWN "|!half an"},
+    {"order crossed: never again", ORDER, ROUTER(GRANTS, GRANTS),
+     UPSTREAMS(CROSSED, COMPLETES), 1, 0, 0, "HTTP/1.1 502|" UNKNOWN},
+    {"order not connected, then elsewhere", ORDER, ROUTER(GRANTS, GRANTS),
+     UPSTREAMS(NOT_CONNECTED, COMPLETES), 2, 1, 0, "HTTP/1.1 200|" RAN},
     {"order never connected: the key is free", ORDER,
-     HOMES(GRANTS, GRANTS, GRANTS),
-     CALLS(NO_CONNECT, SAYS_NOT_RUN, NO_CONNECT), 3, 0, 1,
+     ROUTER(GRANTS, GRANTS, GRANTS),
+     UPSTREAMS(NOT_CONNECTED, REFUSED_NOT_RUN, NOT_CONNECTED), 3, 0, 1,
+     "HTTP/1.1 502|" NOT_RUN},
+    {"order without a key", ORDER_WITHOUT_KEY, ROUTER(GRANTS),
+     UPSTREAMS(COMPLETES), 1, 0, 0, "HTTP/1.1 200|" RAN},
+    {"order without a key: one dispatch", ORDER_WITHOUT_KEY,
+     ROUTER(GRANTS, GRANTS), UPSTREAMS(NOT_CONNECTED, COMPLETES), 1, 0, 0,
      "HTTP/1.1 502|" NOT_RUN},
-    {"order without a key", BARE_ORDER, HOMES(GRANTS), CALLS(WHOLE), 1, 0, 0,
-     "HTTP/1.1 200|" RAN},
-    {"order without a key: one dispatch", BARE_ORDER, HOMES(GRANTS, GRANTS),
-     CALLS(NO_CONNECT, WHOLE), 1, 0, 0, "HTTP/1.1 502|" NOT_RUN},
 };
 
-/* A caller sends one request; homes and upstreams do as the row says.  It gets
- * the whole answer or an error with the true outcome, and what may have run
- * and may not run twice is never dispatched again. */
+/* Sends one request while the router and the upstreams act as the row states.
+ * The caller must get the complete response or an error with the true outcome,
+ * and a request that may have run and must not run twice must not be
+ * dispatched again. */
 static void
-test_course(gconstpointer data)
+test_exchange(gconstpointer data)
 {
-    const struct course_case *row = data;
-    struct world *world = world_new();
-    memcpy(world->home_acts, row->home, sizeof(row->home));
-    memcpy(world->call_acts, row->call, sizeof(row->call));
-    world_start(world);
-    char *answer = hear(ask_for(world, row->what, ""));
-    check_answer(answer, row->answer);
-    g_free(answer);
-    world_stop(world);
-    g_assert_cmpuint(world->calls, ==, row->calls);
-    g_assert_cmpuint(world->finished, ==, row->finished);
-    g_assert_cmpuint(world->freed, ==, row->freed);
-    /* All but the first try of what may be repeated are on fresh ones. */
-    bool repeats = row->what == PLAIN || row->what == STREAM;
-    g_assert_cmpuint(world->fresh, ==,
+    const struct exchange_case *row = data;
+    struct fixture *fixture = fixture_new();
+    memcpy(fixture->router_actions, row->router, sizeof(row->router));
+    memcpy(fixture->upstream_actions, row->upstream, sizeof(row->upstream));
+    fixture_start(fixture);
+    char *response = read_response(send_request_kind(fixture, row->kind, ""));
+    check_response(response, row->response);
+    g_free(response);
+    fixture_stop(fixture);
+    g_assert_cmpuint(fixture->calls, ==, row->calls);
+    g_assert_cmpuint(fixture->once_stored, ==, row->once_stored);
+    g_assert_cmpuint(fixture->once_released, ==, row->once_released);
+    /* All calls use a fresh connection except the first call of an idempotent
+     * request. */
+    bool repeats = row->kind == PLAIN || row->kind == STREAM;
+    g_assert_cmpuint(fixture->fresh_calls, ==,
                      row->calls - (repeats && row->calls > 0));
-    if (row->what == STREAM && row->calls == 2) {
-        g_assert_cmpuint(world->resumed_from, ==, 2);
-        g_assert_cmpuint(world->excluded, ==, 1);
+    if (row->kind == STREAM && row->calls == 2) {
+        g_assert_cmpuint(fixture->resumed_from, ==, 2);
+        g_assert_cmpuint(fixture->excluded_count, ==, 1);
     }
-    world_free(world);
+    fixture_free(fixture);
 }
 
-/* ---- streams that have begun, of classes chosen by host and path ---- */
+/* ---- streams that have started, of classes chosen by host and path ---- */
 
 static const char routed_text[] =
     "[class advice]\nhost = h\npath = /r/\nshares = models:1\n"
@@ -814,9 +836,10 @@
     return true;
 }
 
-/* Puts a configuration in force whose class may be repeated or not. */
+/* Applies a configuration whose class is resumable and idempotent or
+ * neither. */
 static void
-set_idempotent(struct world *world, const char *value)
+set_idempotent(struct fixture *fixture, const char *value)
 {
     struct ch_error error = {0};
     g_auto(GStrv) parts = g_strsplit(routed_text,
@@ -826,37 +849,37 @@
     g_autofree char *text =
         g_strdup_printf("%sresumable = %s\nidempotent = %s%s", parts[0], value,
                         value, parts[1]);
-    ch_config_unref(world->config);
-    world->config =
+    ch_config_unref(fixture->config);
+    fixture->config =
         ch_config_new(1, "t", "a", ch_declaration_parse(text, "test", &error));
     g_assert_cmpstr(error.message, ==, "");
 }
 
-/* A world whose classes are chosen by host and path. */
-static struct world *
-routed_world(void)
+/* Creates a fixture whose classes are chosen by host and path. */
+static struct fixture *
+routed_fixture(void)
 {
     static const struct ch_dialect dialect = {
         .request_id_header = "Id",
         .read_headers = read_headers,
     };
-    struct world *world = world_new();
+    struct fixture *fixture = fixture_new();
     struct ch_error error = {.code = CH_OK};
-    ch_config_unref(world->config);
-    world->config = ch_config_new(
+    ch_config_unref(fixture->config);
+    fixture->config = ch_config_new(
         1, "t", "a", ch_declaration_parse(routed_text, "test", &error));
     g_assert_cmpstr(error.message, ==, "");
-    world->asks_again = true;
-    world->settings.retry_slack = 54;
-    world->node.dialect = &dialect;
-    return world;
+    fixture->allows_same_attempt = true;
+    fixture->settings.retry_slack = 54;
+    fixture->node.dialect = &dialect;
+    return fixture;
 }
 
-/* The tries that are left for the service's requests. */
+/* The retries that are left in the budget of the service's requests. */
 static double
-tries_left(struct world *world)
+retries_left(struct fixture *fixture)
 {
-    struct ch_front *front = world->node.front;
+    struct ch_front *front = fixture->node.front;
     pthread_mutex_lock(&front->lock);
     double left = ch_front_budget(front, g_quark_from_string("models"))->level;
     pthread_mutex_unlock(&front->lock);
@@ -864,299 +887,319 @@
 }
 
 enum {
-    TRIES = 3, /* of a node that has had few requests */
+    INITIAL_RETRIES = 3, /* of a node that has had few requests */
 };
 
 static const struct {
     const char *name;
-    enum home_act home[MOST_TRIES];
-    enum call_act call[MOST_TRIES];
+    enum router_action router[MAX_ACTIONS];
+    enum upstream_action upstream[MAX_ACTIONS];
     unsigned calls;
-    bool whole;
-    bool bound; /* to the upstream that refused it */
-} routed_cases[] = {
-    {"cut, then refused as full, then whole", HOMES(GRANTS, GRANTS, GRANTS),
-     CALLS(CUT, SAYS_NOT_RUN, WHOLE), 3, true, true},
-    {"cut, refused twice, then whole", HOMES(GRANTS, GRANTS, GRANTS, GRANTS),
-     CALLS(CUT, SAYS_NOT_RUN, SAYS_NOT_RUN, WHOLE), 4, true, true},
-    {"cut, no upstream at that moment, then whole",
-     HOMES(GRANTS, REFUSES, GRANTS), CALLS(CUT, WHOLE), 2, true, false},
-    {"cut twice: no third upstream", HOMES(GRANTS, GRANTS, GRANTS),
-     CALLS(CUT, CUT, WHOLE), 2, false, false},
+    bool complete;
+    bool bound_to_upstream; /* the last request required the upstream that
+                               refused it */
+} started_stream_cases[] = {
+    {"interrupted, then refused as full, then whole",
+     ROUTER(GRANTS, GRANTS, GRANTS),
+     UPSTREAMS(INTERRUPTED, REFUSED_NOT_RUN, COMPLETES), 3, true, true},
+    {"interrupted, refused twice, then whole",
+     ROUTER(GRANTS, GRANTS, GRANTS, GRANTS),
+     UPSTREAMS(INTERRUPTED, REFUSED_NOT_RUN, REFUSED_NOT_RUN, COMPLETES), 4,
+     true, true},
+    {"interrupted, no upstream at that moment, then whole",
+     ROUTER(GRANTS, REFUSES, GRANTS), UPSTREAMS(INTERRUPTED, COMPLETES), 2,
+     true, false},
+    {"interrupted twice: no third upstream", ROUTER(GRANTS, GRANTS, GRANTS),
+     UPSTREAMS(INTERRUPTED, INTERRUPTED, COMPLETES), 2, false, false},
 };
 
 /*
- * A golfer's report stops in the middle: its engine fell silent and was given
- * up, the engine that was asked next was full at that moment, and the answer
- * was cut though its caller would have waited for seconds.  It is asked for
- * again at the engine that refused it, which has not run it.
+ * Guards against a stream that is ended early although its caller would have
+ * waited for seconds: its engine fell silent and was given up, and the next
+ * engine was full at that moment. The node must ask again for the engine that
+ * refused the request, which has not run it.
  */
 static void
-test_begun(void)
+test_started_stream(void)
 {
-    for (size_t i = 0; i < G_N_ELEMENTS(routed_cases); i++) {
-        struct world *world = routed_world();
-        g_test_message("%s", routed_cases[i].name);
-        memcpy(world->home_acts, routed_cases[i].home,
-               sizeof(world->home_acts));
-        memcpy(world->call_acts, routed_cases[i].call,
-               sizeof(world->call_acts));
-        world_start(world);
-        char *answer = hear(ask(world, "POST /r/1", "", ""));
-        bool whole = strstr(answer, "{\"n\":4}") != NULL &&
-                     g_str_has_suffix(answer, "\r\n0\r\n\r\n");
-        g_test_message("%s", answer);
-        g_assert_cmpint(whole, ==, routed_cases[i].whole);
-        g_free(answer);
-        world_stop(world);
-        g_assert_cmpuint(world->calls, ==, routed_cases[i].calls);
-        g_assert_cmpint(world->only != 0, ==, routed_cases[i].bound);
-        g_assert_true(world->told_begun);
-        world_free(world);
+    for (size_t i = 0; i < G_N_ELEMENTS(started_stream_cases); i++) {
+        struct fixture *fixture = routed_fixture();
+        g_test_message("%s", started_stream_cases[i].name);
+        memcpy(fixture->router_actions, started_stream_cases[i].router,
+               sizeof(fixture->router_actions));
+        memcpy(fixture->upstream_actions, started_stream_cases[i].upstream,
+               sizeof(fixture->upstream_actions));
+        fixture_start(fixture);
+        char *response =
+            read_response(send_request(fixture, "POST /r/1", "", ""));
+        bool complete = strstr(response, "{\"n\":4}") != NULL &&
+                        g_str_has_suffix(response, "\r\n0\r\n\r\n");
+        g_test_message("%s", response);
+        g_assert_cmpint(complete, ==, started_stream_cases[i].complete);
+        g_free(response);
+        fixture_stop(fixture);
+        g_assert_cmpuint(fixture->calls, ==, started_stream_cases[i].calls);
+        g_assert_cmpint(fixture->last_required != 0, ==,
+                        started_stream_cases[i].bound_to_upstream);
+        g_assert_true(fixture->stream_had_started);
+        fixture_free(fixture);
     }
 }
 
 static const struct {
     const char *name;
     const char *idempotent;
-    enum call_act call[MOST_TRIES];
+    enum upstream_action upstream[MAX_ACTIONS];
     unsigned calls;
-    bool whole;
+    bool complete;
 } refused_cases[] = {
     {"refused twice, then whole", "true",
-     CALLS(SAYS_NOT_RUN, SAYS_NOT_RUN, WHOLE), 3, true},
+     UPSTREAMS(REFUSED_NOT_RUN, REFUSED_NOT_RUN, COMPLETES), 3, true},
     {"refused three times: no fourth upstream", "true",
-     CALLS(SAYS_NOT_RUN, SAYS_NOT_RUN, SAYS_NOT_RUN, WHOLE), 3, false},
-    {"refused, then cut, then whole", "true", CALLS(SAYS_NOT_RUN, CUT, WHOLE),
-     3, true},
+     UPSTREAMS(REFUSED_NOT_RUN, REFUSED_NOT_RUN, REFUSED_NOT_RUN, COMPLETES),
+     3, false},
+    {"refused, then interrupted, then whole", "true",
+     UPSTREAMS(REFUSED_NOT_RUN, INTERRUPTED, COMPLETES), 3, true},
     {"given up before it began, refused, then whole", "true",
-     CALLS(CROSSED, SAYS_NOT_RUN, WHOLE), 3, true},
-    {"refused, then cut twice: it ran on two", "true",
-     CALLS(SAYS_NOT_RUN, CUT, CUT, WHOLE), 3, false},
+     UPSTREAMS(CROSSED, REFUSED_NOT_RUN, COMPLETES), 3, true},
+    {"refused, then interrupted twice: it ran on two", "true",
+     UPSTREAMS(REFUSED_NOT_RUN, INTERRUPTED, INTERRUPTED, COMPLETES), 3,
+     false},
     {"not to run twice: refused twice, then whole", "false",
-     CALLS(SAYS_NOT_RUN, SAYS_NOT_RUN, WHOLE), 3, true},
+     UPSTREAMS(REFUSED_NOT_RUN, REFUSED_NOT_RUN, COMPLETES), 3, true},
     {"not to run twice: refused, then cut", "false",
-     CALLS(SAYS_NOT_RUN, CUT, WHOLE), 2, false},
+     UPSTREAMS(REFUSED_NOT_RUN, INTERRUPTED, COMPLETES), 2, false},
 };
 
 /*
- * Guards against callers who are refused beside engines with places free: an
- * engine that had been filled by others meanwhile, or had just given up the
- * model, used up a try of the class although it ran nothing.
+ * Guards against callers that are refused while engines have free slots: an
+ * engine that had been filled by other nodes meanwhile, or had just unloaded
+ * the model, used up an attempt of the class although it ran nothing.
  */
 static void
 test_refused(void)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(refused_cases); i++) {
-        struct world *world = routed_world();
+        struct fixture *fixture = routed_fixture();
         g_test_message("%s", refused_cases[i].name);
-        set_idempotent(world, refused_cases[i].idempotent);
-        memcpy(world->call_acts, refused_cases[i].call,
-               sizeof(world->call_acts));
-        world_start(world);
-        char *answer = hear(ask(world, "POST /r/1", "", ""));
-        bool whole = strstr(answer, "{\"n\":4}") != NULL &&
-                     g_str_has_suffix(answer, "\r\n0\r\n\r\n");
-        g_test_message("%s", answer);
-        g_assert_cmpint(whole, ==, refused_cases[i].whole);
-        g_free(answer);
-        world_stop(world);
-        g_assert_cmpuint(world->calls, ==, refused_cases[i].calls);
-        world_free(world);
+        set_idempotent(fixture, refused_cases[i].idempotent);
+        memcpy(fixture->upstream_actions, refused_cases[i].upstream,
+               sizeof(fixture->upstream_actions));
+        fixture_start(fixture);
+        char *response =
+            read_response(send_request(fixture, "POST /r/1", "", ""));
+        bool complete = strstr(response, "{\"n\":4}") != NULL &&
+                        g_str_has_suffix(response, "\r\n0\r\n\r\n");
+        g_test_message("%s", response);
+        g_assert_cmpint(complete, ==, refused_cases[i].complete);
+        g_free(response);
+        fixture_stop(fixture);
+        g_assert_cmpuint(fixture->calls, ==, refused_cases[i].calls);
+        fixture_free(fixture);
     }
 }
 
 static const struct {
     const char *name;
     const char *idempotent;
-    enum call_act call[MOST_TRIES];
+    enum upstream_action upstream[MAX_ACTIONS];
     unsigned calls;
-    const char *answer; /* has this */
-} server_error_cases[] = {
-    {"fails at one, another answers", "true", CALLS(SERVER_ERROR, WHOLE), 2,
-     "{\"n\":4}"},
-    {"fails at both", "true", CALLS(SERVER_ERROR, SERVER_ERROR), 2,
-     "HTTP/1.1 500"},
-    {"may not run twice", "false", CALLS(SERVER_ERROR, WHOLE), 1,
+    const char *response; /* text in the response */
+} upstream_failure_cases[] = {
+    {"fails at one, another answers", "true",
+     UPSTREAMS(SERVER_ERROR, COMPLETES), 2, "{\"n\":4}"},
+    {"fails at both upstreams", "true", UPSTREAMS(SERVER_ERROR, SERVER_ERROR),
+     2, "HTTP/1.1 500"},
+    {"may not run twice", "false", UPSTREAMS(SERVER_ERROR, COMPLETES), 1,
      "HTTP/1.1 500"},
 };
 
 /*
- * Guards against an upstream's own failure that is told as one of the node's:
- * a request that fails wherever it runs was tried at a second upstream, whose
- * answer was thrown away for a 502.  The last try's answer goes to the caller
- * as it is.
+ * Guards against an upstream's own failure that is reported as a failure of
+ * the node: a request that fails at every upstream was tried at a second one,
+ * whose response was replaced by a 502. The response to the last attempt must
+ * reach the caller unchanged.
  */
 static void
-test_server_error(void)
+test_upstream_failure(void)
 {
-    for (size_t i = 0; i < G_N_ELEMENTS(server_error_cases); i++) {
-        struct world *world = routed_world();
-        g_test_message("%s", server_error_cases[i].name);
-        set_idempotent(world, server_error_cases[i].idempotent);
-        memcpy(world->call_acts, server_error_cases[i].call,
-               sizeof(world->call_acts));
-        world_start(world);
-        char *answer = hear(ask(world, "POST /r/1", "", ""));
-        g_test_message("%s", answer);
-        g_assert_nonnull(strstr(answer, server_error_cases[i].answer));
-        g_assert_cmpint(strstr(answer, "HTTP/1.1 500") != NULL, ==,
-                        strstr(answer, "the upstream's word") != NULL);
-        g_free(answer);
-        world_stop(world);
-        g_assert_cmpuint(world->calls, ==, server_error_cases[i].calls);
-        world_free(world);
+    for (size_t i = 0; i < G_N_ELEMENTS(upstream_failure_cases); i++) {
+        struct fixture *fixture = routed_fixture();
+        g_test_message("%s", upstream_failure_cases[i].name);
+        set_idempotent(fixture, upstream_failure_cases[i].idempotent);
+        memcpy(fixture->upstream_actions, upstream_failure_cases[i].upstream,
+               sizeof(fixture->upstream_actions));
+        fixture_start(fixture);
+        char *response =
+            read_response(send_request(fixture, "POST /r/1", "", ""));
+        g_test_message("%s", response);
+        g_assert_nonnull(strstr(response, upstream_failure_cases[i].response));
+        g_assert_cmpint(strstr(response, "HTTP/1.1 500") != NULL, ==,
+                        strstr(response, "the upstream's word") != NULL);
+        g_free(response);
+        fixture_stop(fixture);
+        g_assert_cmpuint(fixture->calls, ==, upstream_failure_cases[i].calls);
+        fixture_free(fixture);
     }
 }
 
 /*
- * Guards against an engine that goes on with a stream whose caller has left:
- * one that may not be repeated was left to run to its end, like an order, and
- * took a place that others waited for.
+ * Guards against an engine that continues a stream whose caller has
+ * disconnected: a stream of a non-idempotent class was left to run to its end,
+ * like an order, and took a slot that others waited for.
  */
 static void
-test_stream_left(void)
+test_caller_disconnects_from_stream(void)
 {
-    struct world *world = routed_world();
-    set_idempotent(world, "false");
-    world->call_acts[0] = SILENT;
-    world_start(world);
-    int fd = ask(world, "POST /r/1", "", "");
-    wait_for(world, &world->calls, 1);
+    struct fixture *fixture = routed_fixture();
+    set_idempotent(fixture, "false");
+    fixture->upstream_actions[0] = SILENT;
+    fixture_start(fixture);
+    int fd = send_request(fixture, "POST /r/1", "", "");
+    wait_for_count(fixture, &fixture->calls, 1);
     shutdown(fd, SHUT_RDWR);
-    wait_for(world, &world->cancelled, 1);
+    wait_for_count(fixture, &fixture->cancelled, 1);
     close(fd);
-    world_free(world);
+    fixture_free(fixture);
 }
 
 static const struct {
     const char *name;
-    int allowed; /* questions whether it is barred that are answered with no */
-    enum call_act call[MOST_TRIES];
-    unsigned asked;
+    int allowed; /* number of checks after which the request is barred */
+    enum upstream_action upstream[MAX_ACTIONS];
+    unsigned router_requests;
     unsigned calls;
-    const char *answer; /* has this */
-} crasher_cases[] = {
-    {"barred before it came", 0, CALLS(WHOLE), 0, 0,
+    const char *response; /* texts in the response */
+} barred_cases[] = {
+    {"barred before it arrived", 0, UPSTREAMS(COMPLETES), 0, 0,
      "HTTP/1.1 503 Service Unavailable|Retry-After: 60.00"},
-    {"barred while it waited for an upstream", 1, CALLS(WHOLE), 1, 0,
+    {"barred while it waited for an upstream", 1, UPSTREAMS(COMPLETES), 1, 0,
      "HTTP/1.1 503 Service Unavailable|Retry-After: 60.00"},
-    {"barred when its first call failed", 2, CALLS(CROSSED, WHOLE), 1, 1,
-     "HTTP/1.1 502 Bad Gateway"},
-    {"barred before its second call", 3, CALLS(CROSSED, WHOLE), 1, 1,
+    {"barred when its first call failed", 2, UPSTREAMS(CROSSED, COMPLETES), 1,
+     1, "HTTP/1.1 502 Bad Gateway"},
+    {"barred before its second call", 3, UPSTREAMS(CROSSED, COMPLETES), 1, 1,
      "HTTP/1.1 502 Bad Gateway|Retry-After: 60.00"},
-    {"barred while its second call waited", 4, CALLS(CROSSED, WHOLE), 2, 1,
-     "HTTP/1.1 502 Bad Gateway|Retry-After: 60.00"},
-    {"not barred", MOST_QUESTIONS, CALLS(CROSSED, WHOLE), 2, 2, "{\"n\":4}"},
+    {"barred while its second call waited", 4, UPSTREAMS(CROSSED, COMPLETES),
+     2, 1, "HTTP/1.1 502 Bad Gateway|Retry-After: 60.00"},
+    {"not barred", NEVER_BARRED, UPSTREAMS(CROSSED, COMPLETES), 2, 2,
+     "{\"n\":4}"},
 };
 
 /*
- * Guards against a request that crashes upstreams and still gets to one, as it
- * was let through before it was barred: by a queue, or for another try.  Its
- * caller is told at once, and "not run" only when no upstream had it.
+ * Guards against a request that crashes upstreams and still reaches another
+ * upstream because it was let through before it was barred: by a queue, or for
+ * a retry. Its caller must be told at once, with outcome "not run" only when
+ * no upstream had the request.
  */
 static void
-test_crasher(void)
+test_barred(void)
 {
-    for (size_t i = 0; i < G_N_ELEMENTS(crasher_cases); i++) {
-        struct world *world = routed_world();
-        struct ch_crash_keeper keeper = {.allowed = crasher_cases[i].allowed};
-        world->node.crashes = &keeper;
-        g_test_message("%s", crasher_cases[i].name);
-        memcpy(world->call_acts, crasher_cases[i].call,
-               sizeof(world->call_acts));
-        world_start(world);
-        char *answer = hear(ask(world, "POST /r/1", "", ""));
-        check_texts(answer, crasher_cases[i].answer);
-        g_free(answer);
-        world_stop(world);
-        g_assert_cmpuint(world->asked, ==, crasher_cases[i].asked);
-        g_assert_cmpuint(world->calls, ==, crasher_cases[i].calls);
-        g_assert_cmpuint(world->released, ==, world->granted);
-        world_free(world);
+    for (size_t i = 0; i < G_N_ELEMENTS(barred_cases); i++) {
+        struct fixture *fixture = routed_fixture();
+        struct ch_crash_keeper keeper = {.allowed = barred_cases[i].allowed};
+        fixture->node.crashes = &keeper;
+        g_test_message("%s", barred_cases[i].name);
+        memcpy(fixture->upstream_actions, barred_cases[i].upstream,
+               sizeof(fixture->upstream_actions));
+        fixture_start(fixture);
+        char *response =
+            read_response(send_request(fixture, "POST /r/1", "", ""));
+        check_texts(response, barred_cases[i].response);
+        g_free(response);
+        fixture_stop(fixture);
+        g_assert_cmpuint(fixture->router_requests, ==,
+                         barred_cases[i].router_requests);
+        g_assert_cmpuint(fixture->calls, ==, barred_cases[i].calls);
+        g_assert_cmpuint(fixture->released, ==, fixture->granted);
+        fixture_free(fixture);
     }
 }
 
 static const struct {
     const char *name;
-    enum home_act home;
+    enum router_action router;
     int allowed;
     unsigned calls;
     unsigned cancelled;
     unsigned withdrawn;
-    const char *answer; /* has this */
-} under_way_cases[] = {
-    {"waits for an upstream", HOLDS_BACK, 1, 0, 0, 1,
+    const char *response; /* texts in the response */
+} barred_later_cases[] = {
+    {"waits for an upstream", KEEPS_WAITING, 1, 0, 0, 1,
      "HTTP/1.1 503 Service Unavailable|\"code\":208"},
     {"waits at an upstream", GRANTS, 2, 1, 1, 0,
      "HTTP/1.1 502 Bad Gateway|\"code\":208"},
-    {"is not barred", GRANTS, MOST_QUESTIONS, 1, 0, 0, "{\"n\":4}"},
+    {"not barred", GRANTS, NEVER_BARRED, 1, 0, 0, "{\"n\":4}"},
 };
 
 /* Guards against one more crash by a request that waits at an upstream, or for
- * one, when it is barred. */
+ * an upstream, at the time when it is barred. */
 static void
-test_barred_under_way(void)
+test_barred_later(void)
 {
-    for (size_t i = 0; i < G_N_ELEMENTS(under_way_cases); i++) {
-        struct world *world = routed_world();
+    for (size_t i = 0; i < G_N_ELEMENTS(barred_later_cases); i++) {
+        struct fixture *fixture = routed_fixture();
         struct ch_crash_keeper keeper = {.allowed =
-                                             under_way_cases[i].allowed};
-        world->node.crashes = &keeper;
-        world->home_acts[0] = under_way_cases[i].home;
-        world->call_acts[0] = SILENT;
-        g_test_message("%s", under_way_cases[i].name);
-        world_start(world);
-        int fd = ask(world, "POST /r/1", "", "");
-        wait_for(world, &world->asked, 1);
-        wait_for(world, &world->calls, under_way_cases[i].calls);
-        ch_front_drop_barred(world->node.front);
-        if (under_way_cases[i].allowed == MOST_QUESTIONS) {
-            answer_late(world);
+                                             barred_later_cases[i].allowed};
+        fixture->node.crashes = &keeper;
+        fixture->router_actions[0] = barred_later_cases[i].router;
+        fixture->upstream_actions[0] = SILENT;
+        g_test_message("%s", barred_later_cases[i].name);
+        fixture_start(fixture);
+        int fd = send_request(fixture, "POST /r/1", "", "");
+        wait_for_count(fixture, &fixture->router_requests, 1);
+        wait_for_count(fixture, &fixture->calls, barred_later_cases[i].calls);
+        ch_front_drop_barred(fixture->node.front);
+        if (barred_later_cases[i].allowed == NEVER_BARRED) {
+            complete_silent_call(fixture);
         }
-        char *answer = hear(fd);
-        check_texts(answer, under_way_cases[i].answer);
-        g_free(answer);
-        world_stop(world);
-        g_assert_cmpuint(world->cancelled, ==, under_way_cases[i].cancelled);
-        g_assert_cmpuint(world->withdrawn, ==, under_way_cases[i].withdrawn);
-        world_free(world);
+        char *response = read_response(fd);
+        check_texts(response, barred_later_cases[i].response);
+        g_free(response);
+        fixture_stop(fixture);
+        g_assert_cmpuint(fixture->cancelled, ==,
+                         barred_later_cases[i].cancelled);
+        g_assert_cmpuint(fixture->withdrawn, ==,
+                         barred_later_cases[i].withdrawn);
+        fixture_free(fixture);
     }
 }
 
 static const struct {
     const char *name;
-    enum call_act call[MOST_TRIES];
-    int cuts;
-    int fresh;
-    int whole;
+    enum upstream_action upstream[MAX_ACTIONS];
+    int interruptions;
+    int early_interruptions;
+    int complete;
 } evidence_cases[] = {
-    {"cut before any of the answer", CALLS(CUT_BEFORE, WHOLE), 1, 1, 1},
-    {"cut in the middle", CALLS(CUT, WHOLE), 1, 0, 1},
-    {"cut twice", CALLS(CUT_BEFORE, CUT), 2, 1, 0},
-    {"whole at once", CALLS(WHOLE), 0, 0, 1},
-    {"crossed, then whole", CALLS(CROSSED, WHOLE), 0, 0, 1},
-    {"refused, then whole", CALLS(SAYS_NOT_RUN, WHOLE), 0, 0, 1},
+    {"interrupted before any of the response",
+     UPSTREAMS(INTERRUPTED_EARLY, COMPLETES), 1, 1, 1},
+    {"interrupted in the middle", UPSTREAMS(INTERRUPTED, COMPLETES), 1, 0, 1},
+    {"interrupted twice", UPSTREAMS(INTERRUPTED_EARLY, INTERRUPTED), 2, 1, 0},
+    {"whole at once", UPSTREAMS(COMPLETES), 0, 0, 1},
+    {"crossed, then whole", UPSTREAMS(CROSSED, COMPLETES), 0, 0, 1},
+    {"refused, then whole", UPSTREAMS(REFUSED_NOT_RUN, COMPLETES), 0, 0, 1},
 };
 
-/* Guards against crashes that go unnoticed, and against answers that do. */
+/* Guards against crashes, and against complete responses, that the crash
+ * guard is not told of. */
 static void
 test_crash_evidence(void)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(evidence_cases); i++) {
-        struct world *world = routed_world();
-        struct ch_crash_keeper keeper = {.allowed = MOST_QUESTIONS};
-        world->node.crashes = &keeper;
+        struct fixture *fixture = routed_fixture();
+        struct ch_crash_keeper keeper = {.allowed = NEVER_BARRED};
+        fixture->node.crashes = &keeper;
         g_test_message("%s", evidence_cases[i].name);
-        memcpy(world->call_acts, evidence_cases[i].call,
-               sizeof(world->call_acts));
-        world_start(world);
-        g_free(hear(ask(world, "POST /r/1", "", "")));
-        world_stop(world);
-        g_assert_cmpint(keeper.cuts, ==, evidence_cases[i].cuts);
-        g_assert_cmpint(keeper.fresh_cuts, ==, evidence_cases[i].fresh);
-        g_assert_cmpint(keeper.whole, ==, evidence_cases[i].whole);
-        world_free(world);
+        memcpy(fixture->upstream_actions, evidence_cases[i].upstream,
+               sizeof(fixture->upstream_actions));
+        fixture_start(fixture);
+        g_free(read_response(send_request(fixture, "POST /r/1", "", "")));
+        fixture_stop(fixture);
+        g_assert_cmpint(keeper.cuts, ==, evidence_cases[i].interruptions);
+        g_assert_cmpint(keeper.fresh_cuts, ==,
+                        evidence_cases[i].early_interruptions);
+        g_assert_cmpint(keeper.whole, ==, evidence_cases[i].complete);
+        fixture_free(fixture);
     }
 }
 
@@ -1167,15 +1210,15 @@
     int64_t now;
     int64_t left;
 } time_cases[] = {
-    {"our own interface", false, 500, 100, 0},
+    {"the node's own interface", false, 500, 100, 0},
     {"no deadline", true, 0, 100, 0},
-    {"before it", true, 500, 100, 400},
-    {"at it", true, 500, 500, 1},
-    {"after it", true, 500, 900, 1},
+    {"before the deadline", true, 500, 100, 400},
+    {"at the deadline", true, 500, 500, 1},
+    {"after the deadline", true, 500, 900, 1},
 };
 
-/* Guards against a call without a limit: leave for it came after its caller's
- * deadline, whose timer had not run yet. */
+/* Guards against a call without a time limit: its grant came after the
+ * caller's deadline, before the deadline's timer had run. */
 static void
 test_time_left(void)
 {
@@ -1190,133 +1233,136 @@
     }
 }
 
-/* Ends the calls that are silent for too long as the loop of calls out does:
- * all are asked for first, and those that are given up end after that. */
+/* Ends the calls that are silent for too long, as the thread of outgoing calls
+ * does: asks about all of them first, then ends those that were given up. */
 static unsigned
-sweep_paused(struct world *world)
+end_silent_calls(struct fixture *fixture)
 {
-    bool ends[MOST_CALLERS] = {false};
+    bool ends[MAX_CALLERS] = {false};
     unsigned ended = 0;
-    for (unsigned i = 0; i < world->paused_count; i++) {
-        struct held_call *call = world->paused[i];
+    for (unsigned i = 0; i < fixture->paused_count; i++) {
+        struct fake_call *call = fixture->paused[i];
         ends[i] = !call->handlers.on_silent(call->data);
     }
-    for (unsigned i = 0; i < world->paused_count; i++) {
+    for (unsigned i = 0; i < fixture->paused_count; i++) {
         if (ends[i]) {
-            end_call(world->paused[i], CH_UPSTREAM_STALLED, true);
-            world->paused[i] = NULL;
+            end_call(fixture->paused[i], CH_UPSTREAM_STALLED, true);
+            fixture->paused[i] = NULL;
             ended++;
         }
     }
     return ended;
 }
 
-/* The calls that are still waited for go on after all. */
+/* Completes the calls that were not given up. */
 static void
-finish_paused(struct world *world)
+complete_paused_calls(struct fixture *fixture)
 {
-    for (unsigned i = 0; i < world->paused_count; i++) {
-        struct held_call *call = world->paused[i];
+    for (unsigned i = 0; i < fixture->paused_count; i++) {
+        struct fake_call *call = fixture->paused[i];
         if (call != NULL) {
             call->resume_from = 2;
-            send_events(call, EVENTS);
+            send_events(call, EVENT_COUNT);
             end_call(call, CH_OK, true);
         }
     }
 }
 
 /*
- * Guards against streams that are cut as more fall silent at once than there
- * are tries left: a node that stood still found all its streams silent, gave
- * all of them up for another try, and had two tries.  What can't be tried
- * elsewhere is waited for.
+ * Guards against streams that are ended early when more of them fall silent at
+ * once than there are retries left: a node that had been suspended found all
+ * its streams silent and gave all of them up for a retry, but had only two
+ * retries. A call that can't be retried must be waited for.
  */
 static void
-test_silent_together(void)
+test_many_silent(void)
 {
     enum {
         CALLERS = 8,
     };
-    struct world *world = routed_world();
+    struct fixture *fixture = routed_fixture();
     int callers[CALLERS];
-    for (size_t i = 0; i < MOST_TRIES; i++) {
-        world->call_acts[i] = PAUSES;
+    for (size_t i = 0; i < MAX_ACTIONS; i++) {
+        fixture->upstream_actions[i] = PAUSED;
     }
-    world_start(world);
+    fixture_start(fixture);
     for (size_t i = 0; i < CALLERS; i++) {
-        callers[i] = ask(world, "POST /r/1", "", "");
+        callers[i] = send_request(fixture, "POST /r/1", "", "");
     }
-    wait_for(world, &world->paused_count, CALLERS);
-    unsigned ended = sweep_paused(world);
-    finish_paused(world);
+    wait_for_count(fixture, &fixture->paused_count, CALLERS);
+    unsigned ended = end_silent_calls(fixture);
+    complete_paused_calls(fixture);
     for (size_t i = 0; i < CALLERS; i++) {
-        char *answer = hear(callers[i]);
-        g_test_message("%s", answer);
-        g_assert_nonnull(strstr(answer, "{\"n\":4}"));
-        g_assert_true(g_str_has_suffix(answer, "\r\n0\r\n\r\n"));
-        g_free(answer);
+        char *response = read_response(callers[i]);
+        g_test_message("%s", response);
+        g_assert_nonnull(strstr(response, "{\"n\":4}"));
+        g_assert_true(g_str_has_suffix(response, "\r\n0\r\n\r\n"));
+        g_free(response);
     }
-    world_stop(world);
-    g_assert_cmpuint(ended, ==, TRIES);
-    g_assert_cmpuint(world->calls, ==, CALLERS + ended);
-    world_free(world);
+    fixture_stop(fixture);
+    g_assert_cmpuint(ended, ==, INITIAL_RETRIES);
+    g_assert_cmpuint(fixture->calls, ==, CALLERS + ended);
+    fixture_free(fixture);
 }
 
 /*
- * Guards against tries that are drawn for nothing: a stream that waited for an
- * upstream drew one each time that it asked, although nobody had it meanwhile,
- * and the other streams of its node had none left.
+ * Guards against retries that are taken for nothing: a stream that waited for
+ * an upstream took a retry each time that it asked the router, although no
+ * upstream had it meanwhile, so that none were left for the node's other
+ * streams.
  */
 static void
-test_try_drawn_once(void)
+test_retry_taken_once(void)
 {
-    struct world *world = routed_world();
-    const enum home_act acts[MOST_TRIES] = {GRANTS, REFUSES, REFUSES, GRANTS};
-    memcpy(world->home_acts, acts, sizeof(acts));
-    world->call_acts[0] = CUT;
-    world_start(world);
-    double before = tries_left(world);
-    char *answer = hear(ask(world, "POST /r/1", "", ""));
-    g_assert_nonnull(strstr(answer, "{\"n\":4}"));
-    g_free(answer);
-    world_stop(world);
-    g_assert_cmpuint(world->asked, ==, 4);
-    g_assert_cmpuint(world->calls, ==, 2);
-    g_assert_cmpfloat(tries_left(world), >=, before - 1);
-    g_assert_cmpfloat(tries_left(world), <, before);
-    world_free(world);
+    struct fixture *fixture = routed_fixture();
+    const enum router_action actions[MAX_ACTIONS] = {GRANTS, REFUSES, REFUSES,
+                                                     GRANTS};
+    memcpy(fixture->router_actions, actions, sizeof(actions));
+    fixture->upstream_actions[0] = INTERRUPTED;
+    fixture_start(fixture);
+    double before = retries_left(fixture);
+    char *response = read_response(send_request(fixture, "POST /r/1", "", ""));
+    g_assert_nonnull(strstr(response, "{\"n\":4}"));
+    g_free(response);
+    fixture_stop(fixture);
+    g_assert_cmpuint(fixture->router_requests, ==, 4);
+    g_assert_cmpuint(fixture->calls, ==, 2);
+    g_assert_cmpfloat(retries_left(fixture), >=, before - 1);
+    g_assert_cmpfloat(retries_left(fixture), <, before);
+    fixture_free(fixture);
 }
 
 /*
- * Guards against tries that are lost: a silent call was to be given up for
- * another try, its caller left before that, and the try was in no hand.
+ * Guards against a retry that is lost: a silent call was to be given up for a
+ * retry, its caller left before that, and the retry was not returned to the
+ * budget.
  */
 static void
-test_try_given_back(void)
+test_retry_returned(void)
 {
-    struct world *world = routed_world();
-    world->call_acts[0] = PAUSES;
-    world_start(world);
-    double before = tries_left(world);
-    int caller = ask(world, "POST /r/1", "", "");
-    wait_for(world, &world->paused_count, 1);
-    struct held_call *call = world->paused[0];
+    struct fixture *fixture = routed_fixture();
+    fixture->upstream_actions[0] = PAUSED;
+    fixture_start(fixture);
+    double before = retries_left(fixture);
+    int caller = send_request(fixture, "POST /r/1", "", "");
+    wait_for_count(fixture, &fixture->paused_count, 1);
+    struct fake_call *call = fixture->paused[0];
     g_assert_false(call->handlers.on_silent(call->data));
-    g_assert_cmpfloat(tries_left(world), <, before);
+    g_assert_cmpfloat(retries_left(fixture), <, before);
     close(caller);
-    wait_for(world, &world->cancelled, 1);
+    wait_for_count(fixture, &fixture->cancelled, 1);
     end_call(call, CH_CANCELLED, true);
-    world_stop(world);
-    g_assert_cmpfloat(tries_left(world), >=, before);
-    g_assert_cmpuint(world->calls, ==, 1);
-    world_free(world);
+    fixture_stop(fixture);
+    g_assert_cmpfloat(retries_left(fixture), >=, before);
+    g_assert_cmpuint(fixture->calls, ==, 1);
+    fixture_free(fixture);
 }
 
-/* ---- the once record's answers ---- */
+/* ---- states of the at-most-once record ---- */
 
 struct once_case {
     const char *name;
-    struct ch_once_answer answer;
+    struct ch_once_answer result;
     const char *expected;
 };
 
@@ -1340,188 +1386,194 @@
      "HTTP/1.1 503|" NOT_RUN "|\"code\":206|Retry-After: 1"},
 };
 
-/* A repeat of an order, or an order while the key-value service is away: it is
- * answered from the record, and nothing is queued or sent. */
+/* A repeat of an order, or an order while the key-value store is unavailable:
+ * the response comes from the record, and nothing is queued or sent. */
 static void
 test_once(gconstpointer data)
 {
     const struct once_case *row = data;
-    struct world *world = world_new();
-    world->once_answer = row->answer;
-    world_start(world);
-    char *answer = hear(ask_for(world, ORDER, ""));
-    check_answer(answer, row->expected);
-    g_free(answer);
-    world_stop(world);
-    g_assert_cmpuint(world->asked, ==, 0);
-    g_assert_cmpuint(world->calls, ==, 0);
-    g_assert_cmpuint(world->finished + world->freed, ==, 0);
-    world_free(world);
+    struct fixture *fixture = fixture_new();
+    fixture->once_result = row->result;
+    fixture_start(fixture);
+    char *response = read_response(send_request_kind(fixture, ORDER, ""));
+    check_response(response, row->expected);
+    g_free(response);
+    fixture_stop(fixture);
+    g_assert_cmpuint(fixture->router_requests, ==, 0);
+    g_assert_cmpuint(fixture->calls, ==, 0);
+    g_assert_cmpuint(fixture->once_stored + fixture->once_released, ==, 0);
+    fixture_free(fixture);
 }
 
 /* ---- callers that give up ---- */
 
 struct give_up_case {
     const char *name;
-    enum asked_for what;
-    enum home_act home;
-    enum call_act call;
-    bool hangs_up; /* else its deadline passes */
-    bool answers_late;
-    const char *answer;
+    enum request_kind kind;
+    enum router_action router;
+    enum upstream_action upstream;
+    bool disconnects; /* otherwise its deadline passes */
+    bool completes_late;
+    const char *response;
     unsigned withdrawn;
     unsigned cancelled;
-    unsigned finished;
-    unsigned freed;
+    unsigned once_stored;
+    unsigned once_released;
 };
 
 static const struct give_up_case give_up_cases[] = {
-    {"deadline in the queue", PLAIN, HOLDS_BACK, WHOLE, false, false,
+    {"deadline in the queue", PLAIN, KEEPS_WAITING, COMPLETES, false, false,
      "HTTP/1.1 504|" NOT_RUN "|\"code\":308", 1, 0, 0, 0},
-    {"deadline of an order in the queue", ORDER, HOLDS_BACK, WHOLE, false,
-     false, "HTTP/1.1 504|" NOT_RUN, 1, 0, 0, 1},
+    {"deadline of an order in the queue", ORDER, KEEPS_WAITING, COMPLETES,
+     false, false, "HTTP/1.1 504|" NOT_RUN, 1, 0, 0, 1},
     {"deadline at a silent engine", PLAIN, GRANTS, SILENT, false, false,
      "HTTP/1.1 504|" UNKNOWN, 0, 1, 0, 0},
     {"deadline at a silent service", ORDER, GRANTS, SILENT, false, true,
      "HTTP/1.1 504|" UNKNOWN, 0, 0, 1, 0},
-    {"hang-up in the queue", PLAIN, HOLDS_BACK, WHOLE, true, false, NULL, 1, 0,
-     0, 0},
+    {"hang-up in the queue", PLAIN, KEEPS_WAITING, COMPLETES, true, false,
+     NULL, 1, 0, 0, 0},
     {"hang-up at a silent engine", STREAM, GRANTS, SILENT, true, false, NULL,
      0, 1, 0, 0},
     {"hang-up at a silent service", ORDER, GRANTS, SILENT, true, true, NULL, 0,
      0, 1, 0},
-    {"reads nothing of a long stream", STREAM, GRANTS, FLOODS, false, false,
+    {"reads nothing of a long stream", STREAM, GRANTS, FLOODING, false, false,
      NULL, 0, 1, 0, 0},
 };
 
 /*
- * A caller hangs up, stops reading, or its deadline passes, while its request
- * waits at a home or is silent at an upstream.  It is told at once; the place
- * in the queue is given up and the idempotent call cancelled.  An order that
- * is out runs to its end, and its answer is kept for the repeat.
+ * A caller closes its connection, stops reading, or its deadline passes, while
+ * its request waits at the router or is silent at an upstream. The caller must
+ * be told at once, the request withdrawn, and an idempotent call cancelled. An
+ * order that was dispatched must run to its end, with its response stored for
+ * a repeat.
  */
 static void
 test_give_up(gconstpointer data)
 {
     const struct give_up_case *row = data;
-    struct world *world = world_new();
-    world->home_acts[0] = row->home;
-    world->call_acts[0] = row->call;
-    world_start(world);
-    bool waits = row->answer != NULL;
-    int fd = ask_for(world, row->what,
-                     waits ? "Chestnuthitch-Deadline-Ms: 60\r\n" : "");
+    struct fixture *fixture = fixture_new();
+    fixture->router_actions[0] = row->router;
+    fixture->upstream_actions[0] = row->upstream;
+    fixture_start(fixture);
+    bool waits = row->response != NULL;
+    int fd = send_request_kind(
+        fixture, row->kind, waits ? "Chestnuthitch-Deadline-Ms: 60\r\n" : "");
     if (waits) {
-        char *answer = hear(fd);
-        check_answer(answer, row->answer);
-        g_free(answer);
+        char *response = read_response(fd);
+        check_response(response, row->response);
+        g_free(response);
         fd = -1;
     }
-    else if (row->hangs_up) {
-        wait_for(world, row->home == GRANTS ? &world->calls : &world->asked,
-                 1);
+    else if (row->disconnects) {
+        wait_for_count(fixture,
+                       row->router == GRANTS ? &fixture->calls
+                                             : &fixture->router_requests,
+                       1);
         shutdown(fd, SHUT_RDWR);
     }
-    if (row->answers_late) {
-        wait_for(world, &world->calls, 1);
-        answer_late(world);
+    if (row->completes_late) {
+        wait_for_count(fixture, &fixture->calls, 1);
+        complete_silent_call(fixture);
     }
-    wait_for(world, &world->withdrawn, row->withdrawn);
-    wait_for(world, &world->cancelled, row->cancelled);
-    wait_for(world, &world->finished, row->finished);
-    wait_for(world, &world->freed, row->freed);
+    wait_for_count(fixture, &fixture->withdrawn, row->withdrawn);
+    wait_for_count(fixture, &fixture->cancelled, row->cancelled);
+    wait_for_count(fixture, &fixture->once_stored, row->once_stored);
+    wait_for_count(fixture, &fixture->once_released, row->once_released);
     if (fd >= 0) {
         close(fd);
     }
-    world_free(world);
+    fixture_free(fixture);
 }
 
 static const struct {
     const char *name;
-    enum asked_for what;
-    enum home_act home;
-    enum call_act call;
-    const char *answer;
+    enum request_kind kind;
+    enum router_action router;
+    enum upstream_action upstream;
+    const char *response;
     unsigned cancelled;
-} cut_cases[] = {
-    {"in the queue", PLAIN, HOLDS_BACK, WHOLE,
+} stop_cases[] = {
+    {"in the queue", PLAIN, KEEPS_WAITING, COMPLETES,
      "HTTP/1.1 503|" NOT_RUN "|\"code\":204", 0},
     {"at a silent engine", PLAIN, GRANTS, SILENT,
      "HTTP/1.1 503|" UNKNOWN "|\"code\":204", 1},
-    {"an order at a silent service", BARE_ORDER, GRANTS, SILENT,
+    {"an order at a silent service", ORDER_WITHOUT_KEY, GRANTS, SILENT,
      "HTTP/1.1 503|" UNKNOWN "|\"code\":204", 1},
 };
 
 /*
- * A node is asked to stop while an upstream hangs.  The stop waited for the
- * upstream; the platform killed the process at the end of its grace, the
- * caller's connection was reset, and the entry and the rights of the node
- * stood until they lapsed.  Now the caller is told before that, and the stop
- * goes on.
+ * Guards against a stop that waits for an upstream which does not respond: the
+ * platform killed the process at the end of its grace period, the caller's
+ * connection was reset, and the node's member entry and leases remained until
+ * they expired. The caller must be told before that, and the stop must
+ * proceed.
  */
 static void
-test_cut_by_stop(void)
+test_stop_silent_upstream(void)
 {
-    for (size_t i = 0; i < G_N_ELEMENTS(cut_cases); i++) {
-        struct world *world = world_new();
-        g_test_message("%s", cut_cases[i].name);
-        world->settings.grace_ms = 600;
-        world->home_acts[0] = cut_cases[i].home;
-        world->call_acts[0] = cut_cases[i].call;
-        world_start(world);
-        int fd = ask_for(world, cut_cases[i].what, "");
-        wait_for(world,
-                 cut_cases[i].home == GRANTS ? &world->calls : &world->asked,
-                 1);
-        int64_t began = g_get_monotonic_time();
-        world_stop(world);
-        g_assert_cmpint(g_get_monotonic_time() - began, >=, 250000);
-        char *answer = hear(fd);
-        check_answer(answer, cut_cases[i].answer);
-        g_assert_cmpuint(world->cancelled, ==, cut_cases[i].cancelled);
-        g_free(answer);
-        world_free(world);
+    for (size_t i = 0; i < G_N_ELEMENTS(stop_cases); i++) {
+        struct fixture *fixture = fixture_new();
+        g_test_message("%s", stop_cases[i].name);
+        fixture->settings.grace_ms = 600;
+        fixture->router_actions[0] = stop_cases[i].router;
+        fixture->upstream_actions[0] = stop_cases[i].upstream;
+        fixture_start(fixture);
+        int fd = send_request_kind(fixture, stop_cases[i].kind, "");
+        wait_for_count(fixture,
+                       stop_cases[i].router == GRANTS
+                           ? &fixture->calls
+                           : &fixture->router_requests,
+                       1);
+        int64_t started_at = g_get_monotonic_time();
+        fixture_stop(fixture);
+        g_assert_cmpint(g_get_monotonic_time() - started_at, >=, 250000);
+        char *response = read_response(fd);
+        check_response(response, stop_cases[i].response);
+        g_assert_cmpuint(fixture->cancelled, ==, stop_cases[i].cancelled);
+        g_free(response);
+        fixture_free(fixture);
     }
 }
 
 /*
- * An order whose record can't be had in time: the key-value service is slow.
- * Nothing was sent, but an earlier try with the key may have run, so that the
- * caller is not told "not-run".  The record that comes late is given back.
+ * An order whose record can't be had before the deadline, since the key-value
+ * store is slow. Nothing was sent, but an earlier attempt with the key may
+ * have run, so the caller must not be told "not-run". The record that comes
+ * late must be released.
  */
 static void
-test_once_late(void)
+test_late_once_record(void)
 {
-    struct world *world = world_new();
-    world->once_waits = true;
-    world_start(world);
-    char *answer =
-        hear(ask_for(world, ORDER, "Chestnuthitch-Deadline-Ms: 60\r\n"));
-    check_answer(answer, "HTTP/1.1 504|" UNKNOWN "|\"code\":308");
-    g_free(answer);
-    pthread_mutex_lock(&world->lock);
-    struct once_job *job = world->once_job;
-    pthread_mutex_unlock(&world->lock);
-    ch_pool_submit(world->node.pool, run_once, job);
-    wait_for(world, &world->freed, 1);
-    world_stop(world);
-    g_assert_cmpuint(world->asked, ==, 0);
-    world_free(world);
+    struct fixture *fixture = fixture_new();
+    fixture->once_delayed = true;
+    fixture_start(fixture);
+    char *response = read_response(send_request_kind(
+        fixture, ORDER, "Chestnuthitch-Deadline-Ms: 60\r\n"));
+    check_response(response, "HTTP/1.1 504|" UNKNOWN "|\"code\":308");
+    g_free(response);
+    pthread_mutex_lock(&fixture->lock);
+    struct once_job *job = fixture->once_job;
+    pthread_mutex_unlock(&fixture->lock);
+    ch_pool_submit(fixture->node.pool, run_once_job, job);
+    wait_for_count(fixture, &fixture->once_released, 1);
+    fixture_stop(fixture);
+    g_assert_cmpuint(fixture->router_requests, ==, 0);
+    fixture_free(fixture);
 }
 
-/* ---- requests that go no further ---- */
+/* ---- requests that are rejected ---- */
 
-struct bounds_case {
+struct rejected_case {
     const char *name;
-    const char *text; /* %s: 5,000 letters */
-    const char *answer;
+    const char *text; /* %s stands for 5,000 letters */
+    const char *response;
 };
 
 #define SIXTY "abcdefghijklmnopqrstuvwxyzabcdefghijklmnopqrstuvwxyzabcdefgh"
 #define LETTERS SIXTY SIXTY SIXTY SIXTY SIXTY
 #define POST "POST /v1/completions HTTP/1.1\r\nHost: n1\r\n"
 
-static const struct bounds_case bounds_cases[] = {
+static const struct rejected_case rejected_cases[] = {
     {"stated length", POST "Content-Length: 5000\r\n\r\n",
      "HTTP/1.1 413|" NOT_RUN "|\"field\":\"body\""},
     {"chunks over the bound",
@@ -1552,31 +1604,31 @@
 };
 
 static void
-test_bounds(gconstpointer data)
+test_rejected(gconstpointer data)
 {
-    const struct bounds_case *row = data;
-    struct world *world = world_new();
-    world_start(world);
+    const struct rejected_case *row = data;
+    struct fixture *fixture = fixture_new();
+    fixture_start(fixture);
     char *letters = g_strnfill(5000, 'a');
     char **parts = g_strsplit(row->text, "%s", 2);
     char *text =
         g_strconcat(parts[0], parts[1] == NULL ? "" : letters, parts[1], NULL);
-    int fd = dial(world);
+    int fd = connect_to_node(fixture);
     ssize_t sent = send(fd, text, strlen(text), MSG_NOSIGNAL);
     g_assert_cmpint(sent, ==, (ssize_t)strlen(text));
-    char *answer = hear(fd);
-    check_answer(answer, row->answer);
-    g_free(answer);
-    world_stop(world);
-    g_assert_cmpuint(world->asked, ==, 0);
+    char *response = read_response(fd);
+    check_response(response, row->response);
+    g_free(response);
+    fixture_stop(fixture);
+    g_assert_cmpuint(fixture->router_requests, ==, 0);
     g_free(letters);
     g_free(text);
     g_strfreev(parts);
-    world_free(world);
+    fixture_free(fixture);
 }
 
-/* A body that ends before its stated length, and a head that does: nothing of
- * it goes on, and the node does not wait for the rest when it stops. */
+/* A body or a head that ends before its full length: nothing may be
+ * dispatched, and a node that stops must not wait for the rest. */
 static void
 test_truncated(void)
 {
@@ -1587,41 +1639,41 @@
         "POST /v1/comp",
     };
     for (size_t i = 0; i < G_N_ELEMENTS(texts); i++) {
-        struct world *world = world_new();
-        world_start(world);
-        int fd = dial(world);
+        struct fixture *fixture = fixture_new();
+        fixture_start(fixture);
+        int fd = connect_to_node(fixture);
         ssize_t sent = send(fd, texts[i], strlen(texts[i]), MSG_NOSIGNAL);
         g_assert_cmpint(sent, ==, (ssize_t)strlen(texts[i]));
         close(fd);
-        world_free(world);
+        fixture_free(fixture);
     }
 }
 
-/* More callers than the node has connections for: those over the limit are
- * closed at once, the others are served as ever. */
+/* More callers than the node accepts connections: those over the limit are
+ * closed at once, and the others are served. */
 static void
-test_full(void)
+test_too_many_connections(void)
 {
-    struct world *world = world_new();
-    int fds[MOST_CALLERS + 1];
+    struct fixture *fixture = fixture_new();
+    int fds[MAX_CALLERS + 1];
     char byte = 0;
-    world->settings.max_connections = MOST_CALLERS;
-    world_start(world);
-    for (unsigned i = 0; i <= MOST_CALLERS; i++) {
-        fds[i] = dial(world);
+    fixture->settings.max_connections = MAX_CALLERS;
+    fixture_start(fixture);
+    for (unsigned i = 0; i <= MAX_CALLERS; i++) {
+        fds[i] = connect_to_node(fixture);
     }
-    g_assert_cmpint(recv(fds[MOST_CALLERS], &byte, 1, 0), <=, 0);
-    close(fds[MOST_CALLERS]);
-    for (unsigned i = 0; i < MOST_CALLERS; i++) {
+    g_assert_cmpint(recv(fds[MAX_CALLERS], &byte, 1, 0), <=, 0);
+    close(fds[MAX_CALLERS]);
+    for (unsigned i = 0; i < MAX_CALLERS; i++) {
         static const char text[] =
             "GET /healthz HTTP/1.1\r\nHost: n1\r\nConnection: close\r\n\r\n";
         ssize_t sent = send(fds[i], text, sizeof(text) - 1, MSG_NOSIGNAL);
         g_assert_cmpint(sent, ==, (ssize_t)sizeof(text) - 1);
-        char *answer = hear(fds[i]);
-        check_answer(answer, "HTTP/1.1 200|ok");
-        g_free(answer);
+        char *response = read_response(fds[i]);
+        check_response(response, "HTTP/1.1 200|ok");
+        g_free(response);
     }
-    world_free(world);
+    fixture_free(fixture);
 }
 
 /* ---- starting and stopping ---- */
@@ -1629,77 +1681,79 @@
 static void
 test_not_ready(void)
 {
-    struct world *world = world_new();
-    ch_config_unref(world->config);
-    world->config = NULL;
-    world_start(world);
-    char *answer = hear(ask_for(world, PLAIN, ""));
-    check_answer(answer, "HTTP/1.1 503|" NOT_RUN "|\"code\":205|Retry-After");
-    g_free(answer);
-    answer = hear(ask(world, "GET /readyz", "", ""));
-    check_answer(answer, "HTTP/1.1 503|\"ready\":false");
-    g_free(answer);
-    answer = hear(ask(world, "GET /healthz", "", ""));
-    check_answer(answer, "HTTP/1.1 200|ok");
-    g_free(answer);
-    world_free(world);
+    struct fixture *fixture = fixture_new();
+    ch_config_unref(fixture->config);
+    fixture->config = NULL;
+    fixture_start(fixture);
+    char *response = read_response(send_request_kind(fixture, PLAIN, ""));
+    check_response(response,
+                   "HTTP/1.1 503|" NOT_RUN "|\"code\":205|Retry-After");
+    g_free(response);
+    response = read_response(send_request(fixture, "GET /readyz", "", ""));
+    check_response(response, "HTTP/1.1 503|\"ready\":false");
+    g_free(response);
+    response = read_response(send_request(fixture, "GET /healthz", "", ""));
+    check_response(response, "HTTP/1.1 200|ok");
+    g_free(response);
+    fixture_free(fixture);
 }
 
 static void *
 run_stop(void *data)
 {
-    struct world *world = data;
-    world_stop(world);
+    struct fixture *fixture = data;
+    fixture_stop(fixture);
     return NULL;
 }
 
 /*
- * SIGTERM while a request is at an engine and another comes in.  The node is
- * no longer ready, the new one is refused with when to come back, and the one
- * that was accepted gets its whole answer before the stop returns.
+ * SIGTERM while one request is at an engine and another arrives. The node must
+ * become not ready, refuse the new request with a time to retry, and complete
+ * the accepted request before the stop returns.
  */
 static void
 test_stop(void)
 {
-    struct world *world = world_new();
+    struct fixture *fixture = fixture_new();
     pthread_t stopper;
-    world->call_acts[0] = SILENT;
-    world_start(world);
-    int accepted = ask_for(world, PLAIN, "");
-    wait_for(world, &world->calls, 1);
-    pthread_create(&stopper, NULL, run_stop, world);
-    char *answer = NULL;
+    fixture->upstream_actions[0] = SILENT;
+    fixture_start(fixture);
+    int accepted = send_request_kind(fixture, PLAIN, "");
+    wait_for_count(fixture, &fixture->calls, 1);
+    pthread_create(&stopper, NULL, run_stop, fixture);
+    char *response = NULL;
     for (unsigned i = 0; i < 2000; i++) {
-        g_free(answer);
-        answer = hear(ask(world, "GET /readyz", "", ""));
-        if (strstr(answer, "HTTP/1.1 503") != NULL) {
+        g_free(response);
+        response = read_response(send_request(fixture, "GET /readyz", "", ""));
+        if (strstr(response, "HTTP/1.1 503") != NULL) {
             break;
         }
     }
-    check_answer(answer, "HTTP/1.1 503|Connection: close");
-    g_free(answer);
-    g_assert_false(ch_node_ready(&world->node));
+    check_response(response, "HTTP/1.1 503|Connection: close");
+    g_free(response);
+    g_assert_false(ch_node_ready(&fixture->node));
     for (unsigned i = 0; i < 2000; i++) {
-        answer = hear(ask(world, "POST /v1/completions", "", ""));
-        if (strstr(answer, "\"code\":204") != NULL) {
+        response = read_response(
+            send_request(fixture, "POST /v1/completions", "", ""));
+        if (strstr(response, "\"code\":204") != NULL) {
             break;
         }
-        g_free(answer);
-        answer = NULL;
+        g_free(response);
+        response = NULL;
     }
-    check_answer(answer,
-                 "HTTP/1.1 503|" NOT_RUN "|Retry-After: 1|Connection: close");
-    g_free(answer);
-    answer_late(world);
-    answer = hear(accepted);
-    check_answer(answer, "HTTP/1.1 200|whole answer");
-    g_free(answer);
+    check_response(response, "HTTP/1.1 503|" NOT_RUN
+                             "|Retry-After: 1|Connection: close");
+    g_free(response);
+    complete_silent_call(fixture);
+    response = read_response(accepted);
+    check_response(response, "HTTP/1.1 200|whole answer");
+    g_free(response);
     pthread_join(stopper, NULL);
-    world_free(world);
+    fixture_free(fixture);
 }
 
 /* Adds a test for each row of a table. */
-#define ADD_TABLE(prefix, table, test)                                        \
+#define ADD_CASES(prefix, table, test)                                        \
     for (size_t i = 0; i < G_N_ELEMENTS(table); i++) {                        \
         char *path = g_strconcat(prefix, (table)[i].name, NULL);              \
         g_test_add_data_func(path, &(table)[i], test);                        \
@@ -1710,25 +1764,26 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    ADD_TABLE("/exchange/course/", course_cases, test_course)
-    ADD_TABLE("/exchange/once/", once_cases, test_once)
-    ADD_TABLE("/exchange/give up/", give_up_cases, test_give_up)
-    ADD_TABLE("/exchange/bounds/", bounds_cases, test_bounds)
-    g_test_add_func("/exchange/begun", test_begun);
+    ADD_CASES("/exchange/course/", exchange_cases, test_exchange)
+    ADD_CASES("/exchange/once/", once_cases, test_once)
+    ADD_CASES("/exchange/give up/", give_up_cases, test_give_up)
+    ADD_CASES("/exchange/bounds/", rejected_cases, test_rejected)
+    g_test_add_func("/exchange/begun", test_started_stream);
     g_test_add_func("/exchange/time-left", test_time_left);
     g_test_add_func("/exchange/refused", test_refused);
-    g_test_add_func("/exchange/server-error", test_server_error);
-    g_test_add_func("/exchange/stream-left", test_stream_left);
-    g_test_add_func("/exchange/crasher", test_crasher);
-    g_test_add_func("/exchange/barred-under-way", test_barred_under_way);
+    g_test_add_func("/exchange/server-error", test_upstream_failure);
+    g_test_add_func("/exchange/stream-left",
+                    test_caller_disconnects_from_stream);
+    g_test_add_func("/exchange/crasher", test_barred);
+    g_test_add_func("/exchange/barred-under-way", test_barred_later);
     g_test_add_func("/exchange/crash-evidence", test_crash_evidence);
-    g_test_add_func("/exchange/silent-together", test_silent_together);
-    g_test_add_func("/exchange/try-drawn-once", test_try_drawn_once);
-    g_test_add_func("/exchange/try-given-back", test_try_given_back);
-    g_test_add_func("/exchange/cut-by-stop", test_cut_by_stop);
-    g_test_add_func("/exchange/once late", test_once_late);
+    g_test_add_func("/exchange/silent-together", test_many_silent);
+    g_test_add_func("/exchange/try-drawn-once", test_retry_taken_once);
+    g_test_add_func("/exchange/try-given-back", test_retry_returned);
+    g_test_add_func("/exchange/cut-by-stop", test_stop_silent_upstream);
+    g_test_add_func("/exchange/once late", test_late_once_record);
     g_test_add_func("/exchange/truncated", test_truncated);
-    g_test_add_func("/exchange/full", test_full);
+    g_test_add_func("/exchange/full", test_too_many_connections);
     g_test_add_func("/exchange/not ready", test_not_ready);
     g_test_add_func("/exchange/stop", test_stop);
     return g_test_run();
