--- a/libchestnuthitch/node/dialect.h
+++ b/libchestnuthitch/node/dialect.h
@@ -2,9 +2,9 @@
 #define CH_NODE_DIALECT_H
 
 /*
- * What a platform of another kind than our own brings: how its services are
- * called, and how its callers say what they want.  A node without one
- * speaks our own interface.
+ * What differs on another platform: the interfaces of its services and the
+ * headers of its callers. A node without a dialect uses Chestnuthitch's own
+ * interfaces.
  */
 
 #include "node/request.h"
@@ -14,26 +14,27 @@
 struct ch_dialect {
     struct ch_kv *(*kv_new)(struct ch_client *client, struct ch_http *http,
                             const char *address, int64_t call_limit);
-    /* The declaration's INI text in the configuration's value; NULL with an
-       error.  It takes long for a large one, and is called for one that is to
-       come into force alone, never on the loop of calls out.  No such handler:
-       the value is our own record. */
+    /* Extracts the declaration's INI text from the configuration's stored
+     * value; NULL with an error. Slow for a large value, so it is called only
+     * for a value that is about to come into force, and never on the loop of
+     * outgoing calls. No handler: the value is Chestnuthitch's own record. */
     char *(*config_text)(const char *value, size_t length,
                          struct ch_error *error);
-    /* Upstreams describe themselves in keys below this prefix. */
+    /* Key prefix below which upstreams register themselves. */
     const char *hosts_prefix;
-    /* Reads one; false with an error for what is no upstream.  Its region is
-       left out. */
+    /* Parses one registration; false with an error if it describes no
+     * upstream. Does not set the region. */
     bool (*host_parse)(const char *key, const char *value, size_t length,
                        struct ch_host *host, struct ch_error *error);
     struct ch_upstream *(*upstream_new)(struct ch_client *client,
                                         struct ch_http *http,
                                         const struct ch_host *host,
                                         int64_t call_limit);
-    /* The header by which a caller's own id comes and goes back. */
+    /* The header with the caller's own request ID, in requests and responses.
+     */
     const char *request_id_header;
-    /* Fills in what the headers say; false with *fault.  The texts point into
-       the headers. */
+    /* Fills in the input from the headers; false with *fault. The strings
+     * point into the headers. */
     bool (*read_headers)(const struct ch_http_header *headers, size_t count,
                          struct ch_request_input *input,
                          struct ch_fault *fault);
--- a/libchestnuthitch/node/node.c
+++ b/libchestnuthitch/node/node.c
@@ -1,4 +1,4 @@
-/* A node's life: what is started in which order, and how it stops. */
+/* Starts and stops the components of a node, in order. */
 
 #include "node/dialect.h"
 #include "node/balancer.h"
@@ -9,12 +9,12 @@
 #include <time.h>
 
 enum {
-    /* A call to the host list that takes longer is given up. */
-    LIST_LIMIT = 2 * 1000 * 1000,
+    /* Timeout of a call for the host list. */
+    LIST_TIMEOUT_US = 2 * 1000 * 1000,
 };
 
-/* Frees everything, in the reverse of its order.  Stopped before, or never
- * started: each part takes NULL. */
+/* Frees all components. They must have been stopped, or never started; each
+ * free function accepts NULL. */
 static void
 free_node(struct ch_node *node)
 {
@@ -37,9 +37,10 @@
     g_free(node);
 }
 
-/* Makes what the settings name, sockets opened but nothing yet served. */
+/* Creates the components that the settings name. Sockets are opened, but
+ * nothing is served yet. */
 static bool
-make_parts(struct ch_node *node, struct ch_error *error)
+create_components(struct ch_node *node, struct ch_error *error)
 {
     const struct ch_settings *settings = node->settings;
     node->pool = ch_pool_new(settings->workers);
@@ -56,7 +57,7 @@
         node->kv =
             ch_kv_http_new(node->client, node->http, settings->kv, kv_limit);
         node->hosts = ch_hosts_http_new(node->client, node->http,
-                                        settings->hosts, LIST_LIMIT);
+                                        settings->hosts, LIST_TIMEOUT_US);
     }
     node->peers = ch_peers_new(node, error);
     if (node->peers == NULL) {
@@ -76,7 +77,7 @@
     return true;
 }
 
-/* Ends threads: those that bring work first, then the pool that does it. */
+/* Ends the threads: first those that hand work to the pool, then the pool. */
 static void
 stop_threads(struct ch_node *node)
 {
@@ -92,8 +93,8 @@
     node->timers = NULL;
 }
 
-/* Starts a node.  The listeners are open and served when this returns; it is
- * ready once a configuration is known. */
+/* Starts a node. The listeners are open and served when this returns; the node
+ * is ready only once it knows a configuration and the upstreams. */
 struct ch_node *
 ch_node_start(struct ch_client *client, const struct ch_settings *settings,
               const struct ch_dialect *dialect, struct ch_error *error)
@@ -103,7 +104,7 @@
     node->settings = settings;
     node->dialect = dialect;
     node->incarnation = (uint64_t)g_get_real_time();
-    if (!make_parts(node, error)) {
+    if (!create_components(node, error)) {
         stop_threads(node);
         free_node(node);
         return NULL;
@@ -112,7 +113,8 @@
     ch_config_keeper_start(node->config);
     ch_crash_keeper_start(node->crashes);
     node->router->ops->start(node->router);
-    /* The front's thread may ask for readiness before this is noted. */
+    /* Stored atomically: the front end's threads may call ch_node_is_ready()
+     * before this assignment. */
     ck_pr_store_ptr(&node->front, ch_front_new(node, error));
     node->admin = node->front != NULL ? ch_admin_new(node, error) : NULL;
     if (node->admin == NULL) {
@@ -122,8 +124,8 @@
     return node;
 }
 
-/* Stops a node without cutting a request short: callers first, while homes,
- * records and peers still work; then what served them. */
+/* Stops a node without aborting a request: the callers' listener first, while
+ * homes, at-most-once records and peers still work; then these. */
 void
 ch_node_stop(struct ch_node *node)
 {
--- a/libchestnuthitch/node/node.h
+++ b/libchestnuthitch/node/node.h
@@ -2,16 +2,18 @@
 #define CH_NODE_H
 
 /*
- * One entry host's process: threads, tables and sockets around the decisions.
+ * The process of one entry node: its threads, tables and sockets. The
+ * decisions themselves are made by decide/.
  *
- * Threads: HTTP to callers (libmicrohttpd's own), HTTP out (ch_http), peers,
- * timers, and the pool of workers.  The first four take events and hand them
- * to the pool; decisions run on the pool.
+ * Threads: one set serves HTTP to callers (libmicrohttpd's threads), others
+ * make outgoing HTTP calls (ch_http), exchange frames with peers, run timers,
+ * and form the worker pool. The first four kinds receive events and pass them
+ * to the pool, on which the decisions are made.
  *
- * Lock order, outermost first; a thread that holds one takes only later ones:
- *   exchange < front < reply < homes < home < config < once < ledger
- *   < crashes < peers < pool, timers, http < metrics.
- * No handler of another package is called with a lock held.
+ * Lock order, outermost first; a thread that holds a lock takes only later
+ * ones: exchange < frontend < response < homes < home < config < once < ledger
+ * < crashes < peers < pool, timers, http < metrics. No handler of another
+ * package is called with a lock held.
  */
 
 #include "base/base.h"
@@ -31,7 +33,7 @@
 
 struct ch_node {
     struct ch_client *client;
-    const struct ch_dialect *dialect; /* NULL: our own interface */
+    const struct ch_dialect *dialect; /* NULL: Chestnuthitch's own interface */
     const struct ch_settings *settings;
     uint64_t incarnation; /* start of the process, wall clock microseconds */
     struct ch_pool *pool;
@@ -44,20 +46,22 @@
     struct ch_once_keeper *once;
     struct ch_ledger_keeper *ledger;
     struct ch_crash_keeper *crashes;
-    struct ch_homes *homes; /* NULL where nodes route by their own view */
+    struct ch_homes *homes; /* NULL where each node routes by its own view of
+                               the upstreams */
     struct ch_router *router;
     struct ch_front *front;
     struct ch_admin *admin;
-    int returns; /* an earlier process of this host is listed still; atomic */
+    int returns; /* atomic: the host list still names an earlier process of
+                    this host */
 };
 
-/* Starts everything; NULL with an error.  settings and dialect (NULL: our own
-   interface) outlive the node. */
+/* Starts all components; NULL with an error. settings and dialect (NULL:
+ * Chestnuthitch's own interface) must outlive the node. */
 struct ch_node *ch_node_start(struct ch_client *client,
                               const struct ch_settings *settings,
                               const struct ch_dialect *dialect,
                               struct ch_error *error);
-/* Graceful: returns when all that was accepted is answered. */
+/* Stops gracefully: returns once every accepted request has its response. */
 void ch_node_stop(struct ch_node *node);
 
 /* ---- peers (peers.c): frames to and from other nodes ---- */
@@ -65,20 +69,21 @@
 struct ch_peers;
 
 struct ch_peers *ch_peers_new(struct ch_node *node, struct ch_error *error);
-/* After the handlers were set. */
+/* To be called once all handlers are set. */
 void ch_peers_start(struct ch_peers *peers);
 void ch_peers_stop(struct ch_peers *peers);
 void ch_peers_free(struct ch_peers *peers);
 /*
- * Sends frame->body to a node by name (this node's own name works too) and
- * forgets it.  The peers fill in version, from, id and config_revision.
+ * Sends frame->body to the node of that name, which may be this node, without
+ * waiting for a reply. Sets version, from, id and config_revision.
  */
 void ch_peers_send(struct ch_peers *peers, const char *to,
                    Chestnuthitch__Wire__Frame *frame);
 /*
- * Sends and waits for the reply: done(data, code, reply) exactly once, on a
- * pool worker.  PEER_LOST: the connection went or fell silent.  limit 0: as
- * long as the connection lives (heartbeats watch over it).  Returns the id.
+ * Sends a frame and calls done(data, code, reply) exactly once, on a pool
+ * worker. PEER_LOST: the connection was closed or no heartbeat came over it.
+ * limit (microseconds) 0: no timeout while the connection lives; heartbeats
+ * detect a dead one. Returns the request's ID.
  */
 uint64_t
 ch_peers_request(struct ch_peers *peers, const char *to,
@@ -86,103 +91,118 @@
                  void (*done)(void *data, enum ch_code code,
                               const Chestnuthitch__Wire__Frame *reply),
                  void *data);
-/* Replies to a frame that was handled; `to` and `id` from that frame.  False:
-   the connection that it came by is gone, and the asker has been told so. */
+/* Replies to a handled frame; `to` and `id` are that frame's. False: the
+ * connection over which the frame came is closed, and the requesting node has
+ * had PEER_LOST. */
 bool ch_peers_reply(struct ch_peers *peers, const char *to, uint64_t id,
                     Chestnuthitch__Wire__Frame *frame);
-/* Replies that nobody waits for any more, on a pool worker. */
+/* Sets the handler of replies to requests that have already ended; the handler
+ * runs on a pool worker. */
 void ch_peers_handle_late(
     struct ch_peers *peers,
     void (*handle)(void *data, const Chestnuthitch__Wire__Frame *frame),
     void *data);
-/* Handles frames of one body case, on a pool worker; before start alone. */
+/* Sets the handler of frames with one body case; the handler runs on a pool
+ * worker. To be called before ch_peers_start() only. */
 void ch_peers_handle(struct ch_peers *peers,
                      Chestnuthitch__Wire__Frame__BodyCase body,
                      void (*handle)(void *data,
                                     const Chestnuthitch__Wire__Frame *frame),
                      void *data);
-/* The live node that is home of a key, in one data centre (NULL: in all).
-   A new string; this node's own name when it is alone. */
+/* The live node that is the home node of a key, in one data centre (NULL: in
+ * all). A new string; this node's own name when no other node is live. */
 char *ch_peers_home(struct ch_peers *peers, uint64_t key,
                     const char *data_centre);
-/* As above for an upstream: its data centre, else its region, else any. */
+/* The home node of an upstream: in its data centre, else in its region, else
+ * anywhere. A new string. */
 char *ch_peers_upstream_home(struct ch_peers *peers, uint64_t key,
                              const char *region, const char *data_centre);
-/* Whether this node is home of it, and whether it should become so: not yet
-   while it is not ready and another node still serves. */
+/* Whether this node is the home node of an upstream. *becomes: whether this
+ * node should become its home node; false while this node is not ready and
+ * another node still serves the upstream. */
 bool ch_peers_is_home(struct ch_peers *peers, uint64_t key, const char *region,
                       const char *data_centre, bool *becomes);
-/* This node's place for a duty among itself and the live nodes of a data
-   centre and a region, NULL for either: of all.  0 is the first; hosts that
-   can do more come before others.  (peers_role.c, like the next) */
+/* This node's rank for a role among itself and the live nodes of a data centre
+ * and a region (NULL for either: all). 0 is first; hosts with more capacity
+ * rank before others. Defined in peers_role.c, like ch_peers_has_role(). */
 size_t ch_peers_rank(struct ch_peers *peers, uint64_t key,
                      const char *data_centre, const char *region);
-/* Whether this node is one of the `count` first that do something for all
-   others.  region NULL: of all nodes; else of those of a region. */
+/* Whether this node ranks among the first `count` nodes for a role: a task
+ * that few nodes do for all. region: the nodes to rank (NULL: all nodes). */
 bool ch_peers_has_role(struct ch_peers *peers, const char *role,
                        unsigned count, const char *region);
-/* Whether a node is of this node's region; true for one that is not known. */
+/* Whether a node is in this node's region; true when the node or its region is
+ * unknown. */
 bool ch_peers_is_near(struct ch_peers *peers, const char *name);
-/* The same number for as long as no home can have moved. */
+/* A number that changes whenever the home node of any key may have changed. */
 uint64_t ch_peers_version(struct ch_peers *peers);
-/* The platform's list, whole. */
+/* Updates the known nodes from a complete host list of the platform. */
 void ch_peers_list(struct ch_peers *peers, const struct ch_host_list *list);
-/* Whether a list came by now: what few nodes do for all is not this node's for
-   want of knowing the others. */
+/* Whether any host list has arrived. Until then this node does not know the
+ * others, so it must not take a role because it ranks first or seems to be
+ * alone. */
 bool ch_peers_listed(struct ch_peers *peers);
-/* Whether a node unpacks messages, as all do that tell their capacity. */
+/* Whether a node can decompress messages, as every node that reports its
+ * capacity can. */
 bool ch_peers_unpacks(struct ch_peers *peers, const char *name);
-/* When anything last came from the node; 0: it is not known.  incarnation
-   (may be NULL): of its process. */
+/* When the last message came from the node; 0: the node is unknown.
+ * *incarnation (may be NULL) is set to that of its process. */
 int64_t ch_peers_heard(struct ch_peers *peers, const char *name,
                        uint64_t *incarnation);
-/* Members to tell of in gossip, and what others tell. */
+/* Adds the names of silent nodes, to be sent in gossip. */
 void ch_peers_hints(struct ch_peers *peers, GPtrArray *silent_names);
+/* Updates the known nodes from the gossip of another node. */
 void ch_peers_told(struct ch_peers *peers,
                    const Chestnuthitch__Wire__Gossip *gossip);
-/* The port that the kernel gave. */
+/* The port in use, also when the kernel chose it. */
 uint16_t ch_peers_port(const struct ch_peers *peers);
-/* This node stops: no key has its home here, unless it is alone. */
+/* Marks this node as stopping: it is no longer the home node of any key,
+ * unless no other node is live. */
 void ch_peers_stopping(struct ch_peers *peers);
-/* Adds the names of the other live nodes, new strings in one order: those of
-   this node's data centre, and those of others. */
-void ch_peers_others(struct ch_peers *peers, GPtrArray *near, GPtrArray *far);
-/* Calls each for every other live node, with the peers' lock held. */
+/* Adds the names of the other live nodes, as new strings in the order of names
+ * that begins after this node's own: those in this node's data centre to
+ * `local`, the rest to `remote`. */
+void ch_peers_others(struct ch_peers *peers, GPtrArray *local,
+                     GPtrArray *remote);
+/* Calls each() for every other live node, with the peers' lock held. */
 void ch_peers_each_other(struct ch_peers *peers,
                          void (*each)(void *data, const char *name,
                                       const char *data_centre,
                                       const char *region),
                          void *data);
-/* Names of the live nodes, this one among them, sorted; g_strfreev. */
+/* Sorted names of all live nodes including this one; free with g_strfreev().
+ */
 char **ch_peers_live(struct ch_peers *peers);
 
-/* ---- configuration in force (config_keeper.c) ---- */
+/* ---- the configuration in force ---- */
 
 struct ch_config_keeper;
 
 struct ch_config_keeper *ch_config_keeper_new(struct ch_node *node);
-void ch_config_keeper_start(struct ch_config_keeper *keeper);
-void ch_config_keeper_stop(struct ch_config_keeper *keeper);
-void ch_config_keeper_free(struct ch_config_keeper *keeper);
-/* A reference, or NULL: none known yet. */
-struct ch_config *ch_config_keeper_current(struct ch_config_keeper *keeper);
-/* Some frame bore a higher revision: pull it from that node. */
-void ch_config_keeper_learn(struct ch_config_keeper *keeper, uint64_t revision,
-                            const char *from);
-/* Compare-and-swap against base: OK, KV_CONFLICT (config is the one in force),
-   KV_UNREACHABLE, KV_AMBIGUOUS or what the declaration fails on. */
-void ch_config_keeper_apply(struct ch_config_keeper *keeper, const char *text,
+void ch_config_keeper_start(struct ch_config_keeper *manager);
+void ch_config_keeper_stop(struct ch_config_keeper *manager);
+void ch_config_keeper_free(struct ch_config_keeper *manager);
+/* A new reference to the configuration in force; NULL while none is known. */
+struct ch_config *ch_config_keeper_current(struct ch_config_keeper *manager);
+/* Reports a revision seen in a frame; a higher one than this node's is fetched
+ * from that node. */
+void ch_config_keeper_learn(struct ch_config_keeper *manager,
+                            uint64_t revision, const char *from);
+/* Writes a new declaration by compare-and-swap against revision `base`. The
+ * error code is OK, KV_CONFLICT (config is then the one in force),
+ * KV_UNREACHABLE, KV_AMBIGUOUS or the code of the declaration's fault. */
+void ch_config_keeper_apply(struct ch_config_keeper *manager, const char *text,
                             const char *author, uint64_t base,
                             void (*done)(void *data,
                                          const struct ch_error *error,
                                          struct ch_config *config),
                             void *data);
 
-/* ---- at most once (once_keeper.c) ---- */
+/* ---- at-most-once records ---- */
 
 struct ch_once_answer {
     enum ch_once_state state;
-    uint64_t attempt; /* to be given to finish */
+    uint64_t attempt; /* to be passed to ch_once_manager_finish() */
     bool kept;
     int status;
     const char *content_type;
@@ -193,29 +213,32 @@
 struct ch_once_keeper;
 
 struct ch_once_keeper *ch_once_keeper_new(struct ch_node *node);
-void ch_once_keeper_stop(struct ch_once_keeper *keeper);
-void ch_once_keeper_free(struct ch_once_keeper *keeper);
-/* done once, on a pool worker.  fingerprint: hash of method, path and body. */
-void ch_once_keeper_begin(struct ch_once_keeper *keeper, const char *caller,
+void ch_once_keeper_stop(struct ch_once_keeper *manager);
+void ch_once_keeper_free(struct ch_once_keeper *manager);
+/* Calls done exactly once, on a pool worker. fingerprint: hash of method, path
+ * and body. */
+void ch_once_keeper_begin(struct ch_once_keeper *manager, const char *caller,
                           const char *key, uint64_t fingerprint,
                           void (*done)(void *data,
                                        const struct ch_once_answer *answer),
                           void *data);
-/* After CREATED: the whole answer, or not_run when it certainly did not run
-   (the key is then free again).  Without a call it stays RUNNING: unknown.
-   done (may be NULL) after it is kept or could not be. */
-void ch_once_keeper_finish(struct ch_once_keeper *keeper, const char *caller,
+/* Ends a request for which ch_once_manager_begin() gave CREATED: stores the
+ * whole response, or, with not_run, frees the key again because the request
+ * certainly did not run. Without this call the record stays in progress and
+ * the outcome unknown. done (may be NULL) runs after the response was stored
+ * or could not be stored. */
+void ch_once_keeper_finish(struct ch_once_keeper *manager, const char *caller,
                            const char *key, uint64_t attempt, bool not_run,
                            int status, const char *content_type,
                            const void *body, size_t length,
                            void (*done)(void *data, bool kept), void *data);
 
-/* ---- ledgers of the upstreams that this node is home of ---- */
+/* ---- ledgers of the upstreams whose home node this is ---- */
 
 struct ch_ledger_keeper;
 
-/* changed: the ledger as now known, after every change; failed: an order that
-   will not be done.  Both on a pool worker. */
+/* changed: the ledger as now known, after every change; failed: a load or
+ * unload order that will not be carried out. Both run on a pool worker. */
 struct ch_ledger_handlers {
     void (*changed)(void *data, GQuark upstream,
                     const struct ch_ledger *ledger);
@@ -226,38 +249,40 @@
 struct ch_ledger_keeper *
 ch_ledger_keeper_new(struct ch_node *node,
                      const struct ch_ledger_handlers *handlers, void *data);
-void ch_ledger_keeper_stop(struct ch_ledger_keeper *keeper);
-void ch_ledger_keeper_free(struct ch_ledger_keeper *keeper);
-/* This node became or ceased to be home; engine lives until close returns. */
-void ch_ledger_keeper_open(struct ch_ledger_keeper *keeper, GQuark upstream,
+void ch_ledger_keeper_stop(struct ch_ledger_keeper *manager);
+void ch_ledger_keeper_free(struct ch_ledger_keeper *manager);
+/* Open and close a ledger when this node becomes the home node of an upstream
+ * and ceases to be. engine must live until close returns. */
+void ch_ledger_keeper_open(struct ch_ledger_keeper *manager, GQuark upstream,
                            struct ch_upstream *engine, uint32_t capacity_mb);
-void ch_ledger_keeper_close(struct ch_ledger_keeper *keeper, GQuark upstream);
-/* Reserves by compare-and-swap, then orders; done shows in `changed`. */
-void ch_ledger_keeper_load(struct ch_ledger_keeper *keeper, GQuark upstream,
+void ch_ledger_keeper_close(struct ch_ledger_keeper *manager, GQuark upstream);
+/* Reserves the memory by compare-and-swap, then sends the load order;
+ * `changed` shows the result. */
+void ch_ledger_keeper_load(struct ch_ledger_keeper *manager, GQuark upstream,
                            GQuark item, uint32_t memory_mb);
-void ch_ledger_keeper_unload(struct ch_ledger_keeper *keeper, GQuark upstream,
+void ch_ledger_keeper_unload(struct ch_ledger_keeper *manager, GQuark upstream,
                              GQuark item);
-/* Evidence from the engine. */
-void ch_ledger_keeper_report(struct ch_ledger_keeper *keeper, GQuark upstream,
+/* Updates the ledger from a report of the engine's state. */
+void ch_ledger_keeper_report(struct ch_ledger_keeper *manager, GQuark upstream,
                              const struct ch_report *report);
 
 /* ---- routers: which upstream a request goes to, and when ---- */
 
 struct ch_grant {
-    uint64_t handle; /* the request's, given back by release */
+    uint64_t handle; /* of the request; to be passed to release */
     GQuark upstream;
-    uint64_t boot;              /* of the upstream; 0: not known */
+    uint64_t boot;              /* of the upstream; 0: unknown */
     struct ch_upstream *client; /* valid until release */
-    const char *address;        /* "ip:port", likewise; NULL: not known */
+    const char *address; /* "ip:port", valid until release; NULL: unknown */
     uint32_t priority;
     bool other_region;
-    int64_t token; /* measured there for one token; 0: not yet */
-    /* Until the first of the answer, by what is known of the load there; 0:
-       nothing is. */
+    int64_t token; /* measured time of a token there; 0: none yet */
+    /* Predicted time until the first byte of the response, from the upstream's
+     * known load; 0: its load is unknown. */
     int64_t expected;
 };
 
-/* One of the two, once, on a pool worker. */
+/* Exactly one of the two handlers runs, once, on a pool worker. */
 struct ch_router_handlers {
     void (*granted)(void *data, const struct ch_grant *grant);
     void (*refused)(void *data, enum ch_code code, int64_t retry_after,
@@ -268,24 +293,27 @@
     void (*start)(struct ch_router *router);
     /* True once this node knows enough of the upstreams to route. */
     bool (*ready)(struct ch_router *router);
-    /* work is copied; excluded: GQuarks of upstreams not to try (may be
-       NULL).  One of the handlers runs once, unless it is withdrawn. */
-    uint64_t (*request)(struct ch_router *router, const struct ch_work *work,
+    /* The request info is copied. excluded: GQuarks of upstreams not to use
+     * (may be NULL). One of the handlers runs once, unless the request is
+     * withdrawn. */
+    uint64_t (*request)(struct ch_router *router, const struct ch_work *info,
                         const GArray *excluded,
                         const struct ch_router_handlers *handlers, void *data);
-    /* True: neither handler will run.  False: one has run or is about to; a
-       grant is then to be released as ever. */
+    /* True: neither handler will run. False: a handler has run or is about to
+     * run; a grant must then be released as usual. */
     bool (*withdraw)(struct ch_router *router, uint64_t handle);
-    /* The granted request's first event came; may be NULL. */
+    /* Reports the first event of a granted request's response; the operation
+     * may be NULL. */
     void (*first)(struct ch_router *router, uint64_t handle);
     /* Exactly once for each grant. */
     void (*release)(struct ch_router *router, uint64_t handle,
                     const struct ch_sample *sample);
-    /* This node stops: what it does for others goes to them. */
+    /* Hands this node's work for other nodes over to them, since this node is
+     * stopping. */
     void (*drain)(struct ch_router *router);
     void (*stop)(struct ch_router *router);
     void (*free)(struct ch_router *router);
-    /* JSON members of an open object. */
+    /* Adds JSON members to an open object. */
     void (*status)(struct ch_router *router, JsonBuilder *builder);
 };
 
@@ -293,11 +321,11 @@
     const struct ch_router_ops *ops;
 };
 
-/* ---- homes (homes.c): leave to dispatch, wherever the home is ---- */
+/* ---- homes (homes.c): get grants from upstreams' home nodes ---- */
 
 struct ch_homes;
 
-/* The homes as a router; they live as long. */
+/* The homes as a router, valid until ch_homes_free(). */
 struct ch_router *ch_homes_router(struct ch_homes *homes);
 
 struct ch_homes *ch_homes_new(struct ch_node *node);
@@ -306,49 +334,53 @@
 void ch_homes_free(struct ch_homes *homes);
 /* True once this node knows enough of the upstreams to route. */
 bool ch_homes_ready(struct ch_homes *homes);
-/* work is copied; excluded: GQuarks of upstreams not to try (may be NULL). */
-uint64_t ch_homes_request(struct ch_homes *homes, const struct ch_work *work,
+/* As `request` in struct ch_router_ops. */
+uint64_t ch_homes_request(struct ch_homes *homes, const struct ch_work *info,
                           const GArray *excluded,
                           const struct ch_router_handlers *handlers,
                           void *data);
-/* This node stops: its homes go to others, what is queued with them. */
+/* Hands the upstreams and their queued requests over to other home nodes,
+ * since this node is stopping. */
 void ch_homes_drain(struct ch_homes *homes);
-/* True: neither handler will run.  False: one has run or is about to; a grant
-   is then to be released as ever. */
+/* True: neither handler will run. False: a handler has run or is about to run;
+ * a grant must then be released as usual. */
 bool ch_homes_withdraw(struct ch_homes *homes, uint64_t handle);
 /* Exactly once for each grant. */
 void ch_homes_release(struct ch_homes *homes, uint64_t handle,
                       const struct ch_sample *sample);
-/* Upstreams, homes, residents as JSON members of an open object. */
+/* Adds upstreams, their home nodes and their resident items as JSON members to
+ * an open object. */
 void ch_homes_status(struct ch_homes *homes, JsonBuilder *builder);
 void ch_peers_status(struct ch_peers *peers, JsonBuilder *builder);
-/* Frames and bytes to and from other nodes, by kind: as metrics' text, and as
-   an array "traffic" of an open object. */
+/* Frames and bytes to and from other nodes, by kind: as Prometheus text, and
+ * as the array "traffic" of an open object. */
 void ch_peers_render(const struct ch_peers *peers, GString *out);
 void ch_peers_traffic_status(const struct ch_peers *peers,
                              JsonBuilder *builder);
 
-/* ---- front (front.c: HTTP; exchange.c: one request's course) ---- */
+/* ---- front end: the callers' listener, and exchanges ---- */
 
 struct ch_front;
 
 struct ch_front *ch_front_new(struct ch_node *node, struct ch_error *error);
-/* Readiness goes false at once; the listener stays for settings->drain_ms,
-   then new requests are refused with STOPPING; returns when none is open. */
-void ch_front_stop(struct ch_front *front);
-/* Ends what is under way of requests that are barred by now. */
-void ch_front_drop_barred(struct ch_front *front);
-void ch_front_free(struct ch_front *front);
+/* Makes the node not ready at once; keeps serving for settings->drain_ms, then
+ * refuses new requests with STOPPING; returns when no request is open. */
+void ch_front_stop(struct ch_front *frontend);
+/* Abandons the running exchanges of requests that have been barred meanwhile.
+ */
+void ch_front_drop_barred(struct ch_front *frontend);
+void ch_front_free(struct ch_front *frontend);
 /* True when a configuration and the upstreams are known and the node is not
    stopping. */
 bool ch_node_ready(struct ch_node *node);
 
-/* ---- admin (admin.c): operators' and platform's listener ---- */
+/* ---- admin (admin.c): the listener for operators and the platform ---- */
 
 /*
- * GET /healthz, /readyz, /metrics, /admin/v1/status, /admin/v1/config; POST
- * /admin/v1/config?base=REVISION&author=NAME.  Not on the callers' listener,
- * but for the first three.
+ * Serves GET /healthz, /readyz, /metrics, /admin/v1/status and
+ * /admin/v1/config; POST /admin/v1/config?base=REVISION&author=NAME and
+ * /admin/v1/release?digest=DIGEST. Only the first three are also on the
+ * callers' listener.
  */
 struct ch_admin;
 
