--- a/libchestnuthitch/node/intake.c
+++ b/libchestnuthitch/node/intake.c
@@ -1,4 +1,4 @@
-/* Takes a request in, head and body, within bounds. */
+/* Receives a request's head and body within size limits. */
 
 #include "node/intake.h"
 
@@ -13,37 +13,37 @@
     [CH_INTAKE_CONTENT_TYPE] = "Content-Type",
 };
 
-/* An intake for a request whose first line has come. */
+/* Creates an incoming request once its first line has arrived. */
 struct ch_intake *
 ch_intake_new(struct MHD_Connection *connection, const char *uri,
               const char *request_id, uint64_t number)
 {
-    struct ch_intake *intake = g_new0(struct ch_intake, 1);
-    intake->reply = ch_reply_new(connection, request_id);
-    intake->number = number;
-    intake->uri = g_strdup(uri);
-    intake->body = g_byte_array_new();
-    intake->repeated = -1;
-    intake->all = g_array_new(FALSE, FALSE, sizeof(struct ch_http_header));
-    return intake;
+    struct ch_intake *incoming = g_new0(struct ch_intake, 1);
+    incoming->reply = ch_reply_new(connection, request_id);
+    incoming->number = number;
+    incoming->uri = g_strdup(uri);
+    incoming->body = g_byte_array_new();
+    incoming->repeated = -1;
+    incoming->all = g_array_new(FALSE, FALSE, sizeof(struct ch_http_header));
+    return incoming;
 }
 
-/* Frees the intake and gives back its reference to the reply. */
+/* Frees the incoming request and its reference to the response. */
 void
-ch_intake_free(struct ch_intake *intake)
+ch_intake_free(struct ch_intake *incoming)
 {
-    ch_reply_unref(intake->reply);
-    g_array_free(intake->all, TRUE);
-    g_byte_array_free(intake->body, TRUE);
+    ch_reply_unref(incoming->reply);
+    g_array_free(incoming->all, TRUE);
+    g_byte_array_free(incoming->body, TRUE);
     for (int i = 0; i < CH_INTAKE_HEADERS; i++) {
-        g_free(intake->headers[i]);
+        g_free(incoming->headers[i]);
     }
-    g_free(intake->method);
-    g_free(intake->uri);
-    g_free(intake);
+    g_free(incoming->method);
+    g_free(incoming->uri);
+    g_free(incoming);
 }
 
-/* Whether a value is what a body's length or coding may be. */
+/* Whether the value of a header that frames the body is valid. */
 static bool
 is_framing(const char *name, const char *value)
 {
@@ -55,15 +55,16 @@
 }
 
 /*
- * Looks for what lets two readers of the same bytes see different requests,
- * one of them hidden in the other's body: a name with a blank, a control byte,
- * two lengths, a length and chunks together, another coding than chunks.  The
- * HTTP library takes several of these and answers what was hidden.  A head of
- * that kind is refused and its connection closed, so that nothing which comes
- * after it is read.
+ * Detects heads that two parsers of the same bytes could read as different
+ * requests, one of them hidden in the other's body (request smuggling): a
+ * blank in a header name, a control byte, two lengths, a length together with
+ * chunked encoding, a transfer coding other than chunked. The HTTP library
+ * accepts several of these and would answer the hidden request. Such a head is
+ * refused and its connection closed, so that nothing after it is read.
  */
 static void
-check_shape(struct ch_intake *intake, const char *name, const char *value)
+check_ambiguity(struct ch_intake *incoming, const char *name,
+                const char *value)
 {
     bool framing = strcasecmp(name, "Content-Length") == 0 ||
                    strcasecmp(name, "Transfer-Encoding") == 0;
@@ -75,143 +76,143 @@
         clean =
             clean && ((unsigned char)*c >= 0x20 || *c == '\t') && *c != 0x7f;
     }
-    intake->lengths += framing ? 1 : 0;
-    if (!clean || intake->lengths > 1 ||
+    incoming->lengths += framing ? 1 : 0;
+    if (!clean || incoming->lengths > 1 ||
         (framing && !is_framing(name, value))) {
-        intake->malformed = true;
+        incoming->malformed = true;
     }
 }
 
-/* Counts a header's bytes as they stood in the request, and keeps those that
- * matter. */
+/* Counts a header's bytes as they were in the request, and stores the headers
+ * in use. */
 static enum MHD_Result
-take_header(void *data, enum MHD_ValueKind kind, const char *name,
-            const char *value)
+add_header(void *data, enum MHD_ValueKind kind, const char *name,
+           const char *value)
 {
     (void)kind;
-    struct ch_intake *intake = data;
+    struct ch_intake *incoming = data;
     const char *text = value == NULL ? "" : value;
     const struct ch_http_header header = {name, text};
-    intake->header_bytes += strlen(name) + strlen(text) + 4;
-    check_shape(intake, name, text);
-    g_array_append_val(intake->all, header);
+    incoming->header_bytes += strlen(name) + strlen(text) + 4;
+    check_ambiguity(incoming, name, text);
+    g_array_append_val(incoming->all, header);
     for (int i = 0; i < CH_INTAKE_HEADERS; i++) {
         if (strcasecmp(name, header_names[i]) != 0) {
             continue;
         }
-        if (intake->headers[i] != NULL) {
-            intake->repeated = i;
+        if (incoming->headers[i] != NULL) {
+            incoming->repeated = i;
         }
-        g_free(intake->headers[i]);
-        intake->headers[i] = g_strdup(text);
+        g_free(incoming->headers[i]);
+        incoming->headers[i] = g_strdup(text);
     }
     return MHD_YES;
 }
 
-/* The stated length of the body; 0 when none is stated, so that a body in
- * chunks is counted as it comes. */
+/* The body's Content-Length; 0 without one, in which case a chunked body is
+ * counted as it arrives. */
 static uint64_t
-stated_length(struct MHD_Connection *connection)
+get_content_length(struct MHD_Connection *connection)
 {
     const char *text = MHD_lookup_connection_value(
         connection, MHD_HEADER_KIND, MHD_HTTP_HEADER_CONTENT_LENGTH);
     return text == NULL ? 0 : g_ascii_strtoull(text, NULL, 10);
 }
 
-/* Looks at the head: a request that is refused for it is refused before its
- * body is sent. */
+/* Checks the head, so that a request that it makes invalid is refused before
+ * its body is sent. */
 bool
-ch_intake_head(struct ch_intake *intake, struct MHD_Connection *connection,
+ch_intake_head(struct ch_intake *incoming, struct MHD_Connection *connection,
                const char *method, const struct ch_settings *settings,
                struct ch_fault *fault)
 {
-    intake->begun = true;
-    intake->method = g_strdup(method);
-    MHD_get_connection_values(connection, MHD_HEADER_KIND, take_header,
-                              intake);
-    intake->header_bytes += strlen(intake->uri) + strlen(method);
-    if (intake->header_bytes > settings->max_headers) {
+    incoming->begun = true;
+    incoming->method = g_strdup(method);
+    MHD_get_connection_values(connection, MHD_HEADER_KIND, add_header,
+                              incoming);
+    incoming->header_bytes += strlen(incoming->uri) + strlen(method);
+    if (incoming->header_bytes > settings->max_headers) {
         ch_fault_set(fault, CH_HEADERS_TOO_LARGE, "headers",
-                     "the headers are over %zu bytes", settings->max_headers);
+                     "the headers exceed %zu bytes", settings->max_headers);
         return false;
     }
-    if (intake->malformed) {
+    if (incoming->malformed) {
         ch_fault_set(fault, CH_BAD_FIELD, "headers",
                      "the head of the request is malformed");
         return false;
     }
-    if (intake->repeated >= 0) {
-        ch_fault_set(fault, CH_BAD_FIELD, header_names[intake->repeated],
-                     "%s came twice", header_names[intake->repeated]);
+    if (incoming->repeated >= 0) {
+        ch_fault_set(fault, CH_BAD_FIELD, header_names[incoming->repeated],
+                     "%s was sent twice", header_names[incoming->repeated]);
         return false;
     }
-    if (stated_length(connection) > settings->max_body) {
+    if (get_content_length(connection) > settings->max_body) {
         ch_fault_set(fault, CH_BODY_TOO_LARGE, "body",
-                     "the body is over %zu bytes", settings->max_body);
+                     "the body exceeds %zu bytes", settings->max_body);
         return false;
     }
     return true;
 }
 
-/* Takes a part of the body.  What is over the bound is dropped and refused at
- * the end; a body without an end is cut off at twice the bound. */
+/* See incoming_request.h. */
 bool
-ch_intake_body(struct ch_intake *intake, const char *bytes, size_t length,
-               size_t most)
+ch_intake_body(struct ch_intake *incoming, const char *bytes, size_t length,
+               size_t max)
 {
-    if (intake->too_large || length > most - intake->body->len) {
-        intake->too_large = true;
-        intake->dropped += length;
-        return intake->body->len + intake->dropped <= 2 * most;
+    if (incoming->too_large || length > max - incoming->body->len) {
+        incoming->too_large = true;
+        incoming->dropped += length;
+        return incoming->body->len + incoming->dropped <= 2 * max;
     }
-    g_byte_array_append(intake->body, (const guint8 *)bytes, (guint)length);
+    g_byte_array_append(incoming->body, (const guint8 *)bytes, (guint)length);
     return true;
 }
 
-/* Looks at the whole request. */
+/* See incoming_request.h. */
 bool
-ch_intake_check(const struct ch_intake *intake, size_t most,
+ch_intake_check(const struct ch_intake *incoming, size_t max,
                 struct ch_fault *fault)
 {
-    if (intake->too_large) {
+    if (incoming->too_large) {
         ch_fault_set(fault, CH_BODY_TOO_LARGE, "body",
-                     "the body is over %zu bytes", most);
+                     "the body exceeds %zu bytes", max);
         return false;
     }
     return true;
 }
 
-/* What the parser is to look at. */
+/* See incoming_request.h. */
 void
-ch_intake_input(const struct ch_intake *intake, struct ch_request_input *input)
+ch_intake_input(const struct ch_intake *incoming,
+                struct ch_request_input *input)
 {
     *input = (struct ch_request_input){
-        .method = intake->method,
-        .uri = intake->uri,
-        .caller = intake->headers[CH_INTAKE_CALLER],
-        .class_name = intake->headers[CH_INTAKE_CLASS],
-        .deadline_ms = intake->headers[CH_INTAKE_DEADLINE],
-        .key = intake->headers[CH_INTAKE_KEY],
-        .content_type = intake->headers[CH_INTAKE_CONTENT_TYPE],
-        .body = intake->body->data,
-        .length = intake->body->len,
+        .method = incoming->method,
+        .uri = incoming->uri,
+        .caller = incoming->headers[CH_INTAKE_CALLER],
+        .class_name = incoming->headers[CH_INTAKE_CLASS],
+        .deadline_ms = incoming->headers[CH_INTAKE_DEADLINE],
+        .key = incoming->headers[CH_INTAKE_KEY],
+        .content_type = incoming->headers[CH_INTAKE_CONTENT_TYPE],
+        .body = incoming->body->data,
+        .length = incoming->body->len,
     };
 }
 
-/* See intake.h. */
+/* See incoming_request.h. */
 bool
-ch_intake_read(const struct ch_intake *intake,
+ch_intake_read(const struct ch_intake *incoming,
                const struct ch_dialect *dialect,
                struct ch_request_input *input, struct ch_fault *fault)
 {
     memset(input, 0, sizeof(*input));
-    input->method = intake->method;
-    input->uri = intake->uri;
-    input->content_type = intake->headers[CH_INTAKE_CONTENT_TYPE];
-    input->body = intake->body->data;
-    input->length = intake->body->len;
+    input->method = incoming->method;
+    input->uri = incoming->uri;
+    input->content_type = incoming->headers[CH_INTAKE_CONTENT_TYPE];
+    input->body = incoming->body->data;
+    input->length = incoming->body->len;
     input->passed = g_array_new(FALSE, FALSE, sizeof(struct ch_http_header));
     return dialect->read_headers(
-        (const struct ch_http_header *)(void *)intake->all->data,
-        intake->all->len, input, fault);
+        (const struct ch_http_header *)(void *)incoming->all->data,
+        incoming->all->len, input, fault);
 }
--- a/libchestnuthitch/node/listener.c
+++ b/libchestnuthitch/node/listener.c
@@ -1,4 +1,4 @@
-/* One thread that accepts connections, until it is told to stop. */
+/* A thread that accepts connections until it is stopped. */
 
 #include "node/listener.h"
 
@@ -11,8 +11,8 @@
 
 enum {
     BACKLOG = 1024,
-    /* Out of descriptors or memory: until some connection closes. */
-    PAUSE_US = 10 * 1000,
+    /* Wait without descriptors or memory, for some connection to close. */
+    RETRY_DELAY_US = 10 * 1000,
 };
 
 struct ch_listener {
@@ -24,7 +24,7 @@
     void *data;
 };
 
-/* Accepts what has connected so far. */
+/* Accepts all connections that are established so far. */
 static void
 accept_all(struct ch_listener *listener)
 {
@@ -41,14 +41,15 @@
             continue;
         }
         if (errno != EAGAIN && errno != EWOULDBLOCK) {
-            g_usleep(PAUSE_US);
+            g_usleep(RETRY_DELAY_US);
         }
         return;
     }
 }
 
-/* Accepts until the stop.  What connected before it is still taken in: the
- * kernel would reset it, and its caller would not be told why. */
+/* Accepts connections until the stop. Those established before the stop are
+ * still accepted: the kernel would reset them, and their callers would not
+ * learn why. */
 static void *
 run_listener(void *data)
 {
@@ -66,8 +67,8 @@
     return NULL;
 }
 
-/* A socket that listens; -1 with errno.  The address may be one that an
- * earlier process has just left. */
+/* Opens a listening socket; -1 with errno. SO_REUSEADDR allows an address that
+ * an earlier process has just released. */
 static int
 listen_on(struct sockaddr_in *address)
 {
@@ -89,7 +90,7 @@
     return fd;
 }
 
-/* Listens and starts the thread; NULL with *error. */
+/* See listener.h. */
 struct ch_listener *
 ch_listener_new(const char *address,
                 void (*accepted)(void *data, int fd,
@@ -118,14 +119,14 @@
     return listener;
 }
 
-/* The port that callers connect to. */
+/* See listener.h. */
 int
 ch_listener_port(const struct ch_listener *listener)
 {
     return listener->port;
 }
 
-/* Stops listening. */
+/* See listener.h. */
 void
 ch_listener_free(struct ch_listener *listener)
 {
--- a/libchestnuthitch/node/local.c
+++ b/libchestnuthitch/node/local.c
@@ -5,9 +5,10 @@
 
 #include <string.h>
 
-/* Answers with a body that is taken over. */
+/* Sends a response; takes ownership of body. */
 static void
-answer(struct ch_reply *reply, int status, const char *type, char *body)
+send_response(struct ch_reply *response, int status, const char *type,
+              char *body)
 {
     const struct ch_reply_answer whole = {
         .status = status,
@@ -16,74 +17,77 @@
         .body = body,
         .length = strlen(body),
     };
-    ch_reply_whole(reply, &whole);
+    ch_reply_whole(response, &whole);
 }
 
-/* The process is alive: it answers. */
+/* Answers 200 whenever the process is alive. */
 static void
-serve_health(struct ch_front *front, struct ch_reply *reply)
+serve_health(struct ch_front *frontend, struct ch_reply *response)
 {
-    (void)front;
-    answer(reply, 200, "text/plain", g_strdup("ok\n"));
+    (void)frontend;
+    send_response(response, 200, "text/plain", g_strdup("ok\n"));
 }
 
-/* Whether the balancer is to send requests here, and if not, why. */
+/* Answers whether the load balancer should send requests here, and if not,
+ * why. */
 static void
-serve_ready(struct ch_front *front, struct ch_reply *reply)
+serve_ready(struct ch_front *frontend, struct ch_reply *response)
 {
-    pthread_mutex_lock(&front->lock);
-    bool stopping = front->stopping;
-    pthread_mutex_unlock(&front->lock);
-    if (ch_node_ready(front->node)) {
-        answer(reply, 200, "application/json", g_strdup("{\"ready\":true}\n"));
+    pthread_mutex_lock(&frontend->lock);
+    bool stopping = frontend->stopping;
+    pthread_mutex_unlock(&frontend->lock);
+    if (ch_node_ready(frontend->node)) {
+        send_response(response, 200, "application/json",
+                      g_strdup("{\"ready\":true}\n"));
         return;
     }
-    answer(reply, 503, "application/json",
-           g_strdup_printf("{\"ready\":false,\"reason\":\"%s\"}\n",
-                           stopping ? ch_code_meaning(CH_STOPPING)
-                                    : ch_code_meaning(CH_NOT_READY)));
+    send_response(response, 503, "application/json",
+                  g_strdup_printf("{\"ready\":false,\"reason\":\"%s\"}\n",
+                                  stopping ? ch_code_meaning(CH_STOPPING)
+                                           : ch_code_meaning(CH_NOT_READY)));
 }
 
-/* Counters and histograms. */
+/* Answers with counters and histograms. */
 static void
-serve_metrics(struct ch_front *front, struct ch_reply *reply)
+serve_metrics(struct ch_front *frontend, struct ch_reply *response)
 {
     GString *text = g_string_new(NULL);
-    ch_metrics_render(front->node->client->metrics, text);
-    ch_peers_render(front->node->peers, text);
-    answer(reply, 200, "text/plain; version=0.0.4",
-           g_string_free(text, FALSE));
+    ch_metrics_render(frontend->node->client->metrics, text);
+    ch_peers_render(frontend->node->peers, text);
+    send_response(response, 200, "text/plain; version=0.0.4",
+                  g_string_free(text, FALSE));
 }
 
 static const struct {
     const char *path;
-    void (*serve)(struct ch_front *front, struct ch_reply *reply);
+    void (*serve)(struct ch_front *frontend, struct ch_reply *response);
 } paths[] = {
     {"/healthz", serve_health},
     {"/readyz", serve_ready},
     {"/metrics", serve_metrics},
 };
 
-/* Serves the path if it is one of this node's own. */
+/* See local.h. */
 bool
-ch_local_serve(struct ch_front *front, const struct ch_intake *intake)
+ch_local_serve(struct ch_front *frontend, const struct ch_intake *incoming)
 {
-    if (strcmp(intake->method, "GET") != 0 &&
-        strcmp(intake->method, "HEAD") != 0) {
+    if (strcmp(incoming->method, "GET") != 0 &&
+        strcmp(incoming->method, "HEAD") != 0) {
         return false;
     }
-    size_t length = strcspn(intake->uri, "?");
+    size_t length = strcspn(incoming->uri, "?");
     for (size_t i = 0; i < G_N_ELEMENTS(paths); i++) {
         if (strlen(paths[i].path) == length &&
-            strncmp(paths[i].path, intake->uri, length) == 0) {
-            paths[i].serve(front, intake->reply);
+            strncmp(paths[i].path, incoming->uri, length) == 0) {
+            paths[i].serve(frontend, incoming->reply);
             return true;
         }
     }
     return false;
 }
 
-/* Adds one entry of the list. */
+/* Adds a model or an adapter to the list. parent: an adapter's model; NULL for
+ * a model. */
 static void
 add_model(JsonBuilder *builder, const char *name, const char *parent)
 {
@@ -101,7 +105,7 @@
     json_builder_end_object(builder);
 }
 
-/* Adds the models that a class may use, each with its adapters. */
+/* Adds the models that a class may use, each followed by its adapters. */
 static void
 add_models(JsonBuilder *builder, const struct ch_declaration *declaration,
            const struct ch_class *class)
@@ -122,7 +126,7 @@
 /* Answers with {"object": "list", "data": [...]}. */
 void
 ch_local_models(const struct ch_declaration *declaration,
-                const struct ch_request *request, struct ch_reply *reply)
+                const struct ch_request *request, struct ch_reply *response)
 {
     int index = ch_declaration_class(declaration, request->class_name);
     JsonBuilder *builder = json_builder_new_immutable();
@@ -136,5 +140,5 @@
     }
     json_builder_end_array(builder);
     json_builder_end_object(builder);
-    answer(reply, 200, "application/json", ch_json_print(builder));
+    send_response(response, 200, "application/json", ch_json_print(builder));
 }
--- a/libchestnuthitch/node/local.h
+++ b/libchestnuthitch/node/local.h
@@ -1,14 +1,16 @@
 #ifndef CH_NODE_LOCAL_H
 #define CH_NODE_LOCAL_H
 
-/* Answers that this node gives by itself. */
+/* Requests that this node answers without an upstream. */
 
 #include "node/intake.h"
 
-/* True when the path was one of these, and is answered. */
-bool ch_local_serve(struct ch_front *front, const struct ch_intake *intake);
-/* GET /v1/models: the models that the request's class may use. */
+/* True when the path is one of the node's own, which is then answered. */
+bool ch_local_serve(struct ch_front *frontend,
+                    const struct ch_intake *incoming);
+/* Answers GET /v1/models with the models that the request's class may use. */
 void ch_local_models(const struct ch_declaration *declaration,
-                     const struct ch_request *request, struct ch_reply *reply);
+                     const struct ch_request *request,
+                     struct ch_reply *response);
 
 #endif
