--- a/libchestnuthitch/node/admin.c
+++ b/libchestnuthitch/node/admin.c
@@ -1,4 +1,5 @@
-/* The operators' listener: health, counters, status and the configuration. */
+/* The operators' HTTP listener: health, metrics, status and the configuration.
+ */
 
 #include "node/crash_keeper.h"
 #include "base/json.h"
@@ -10,38 +11,40 @@
 #include <string.h>
 
 enum {
-    /* Operators, their scripts, a collector and the balancer; not callers. */
-    MOST_CONNECTIONS = 64,
-    /* A connection that asks nothing for so long (seconds) is closed, so that
-       forgotten ones do not use up the 64. */
+    /* For operators, their scripts, a metrics collector and the load balancer;
+     * callers use another listener. */
+    MAX_CONNECTIONS = 64,
+    /* A connection without a request for this long is closed, so that
+     * forgotten connections do not use up the 64. */
     IDLE_SECONDS = 30,
-    CONNECTION_MEMORY = 32 * 1024,
+    CONNECTION_MEMORY_BYTES = 32 * 1024,
 };
 
 struct ch_admin {
     struct ch_node *node;
     struct MHD_Daemon *daemon;
     pthread_mutex_t lock;
-    pthread_cond_t idle; /* pending is 0 */
-    unsigned pending;    /* applies not yet answered to the operator */
+    pthread_cond_t idle; /* signalled when pending reaches 0 */
+    unsigned pending; /* configuration changes whose response the operator does
+                         not have yet */
     bool stopping;
 };
 
-/* One request; lives until MHD says that it is over. */
+/* One request; freed when libmicrohttpd reports its end. */
 struct request {
     struct ch_admin *admin;
     struct MHD_Connection *connection;
     GString *body;
     bool begun;
     bool too_large;
-    bool suspended; /* an answer was asked for, and is there on resume */
+    bool suspended; /* waits for the configuration manager; the response is set
+                       before the resume */
     int status;
-    char *answer;
+    char *response;
 };
 
-/* ---- answers ---- */
+/* ---- responses ---- */
 
-/* Adds a string member. */
 static void
 add_string(JsonBuilder *builder, const char *name, const char *value)
 {
@@ -49,7 +52,6 @@
     json_builder_add_string_value(builder, value);
 }
 
-/* Adds an integer member. */
 static void
 add_int(JsonBuilder *builder, const char *name, int64_t value)
 {
@@ -67,7 +69,8 @@
     add_string(builder, "text", config->declaration->text);
 }
 
-/* {"error": {...}}, and the configuration in force where one is given. */
+/* {"error": {...}} as a new string, with the configuration in force if config
+ * is given. */
 static char *
 error_json(const struct ch_error *error, const struct ch_config *config)
 {
@@ -93,10 +96,10 @@
     return ch_json_print(builder);
 }
 
-/* Queues an answer and takes over its body. */
+/* Queues a response; takes ownership of body. */
 static enum MHD_Result
-send_answer(struct MHD_Connection *connection, int status, const char *type,
-            char *body)
+send_response(struct MHD_Connection *connection, int status, const char *type,
+              char *body)
 {
     struct MHD_Response *response = MHD_create_response_from_buffer(
         strlen(body), body, MHD_RESPMEM_MUST_COPY);
@@ -111,14 +114,15 @@
     return result;
 }
 
-/* Queues a JSON answer and takes over its text. */
+/* Queues a JSON response; takes ownership of json. */
 static enum MHD_Result
 send_json(struct MHD_Connection *connection, int status, char *json)
 {
-    return send_answer(connection, status, "application/json", json);
+    return send_response(connection, status, "application/json", json);
 }
 
-/* Queues an error's answer with the status of its code. */
+/* Queues an error response with the status of its code. message NULL: the
+ * code's meaning. */
 static enum MHD_Result
 send_error(struct MHD_Connection *connection, enum ch_code code,
            const char *message)
@@ -129,9 +133,9 @@
     return send_json(connection, ch_code_http(code), error_json(&error, NULL));
 }
 
-/* ---- what is asked ---- */
+/* ---- GET requests ---- */
 
-/* Alive as long as this thread answers. */
+/* Answers 200 whenever the listener's thread runs. */
 static enum MHD_Result
 get_health(struct request *request)
 {
@@ -149,22 +153,23 @@
                          g_strdup("{\"status\":\"ready\"}"));
     }
     struct ch_config *config = ch_config_keeper_current(node->config);
-    bool knows = config != NULL && node->router->ops->ready(node->router);
-    enum ch_code code = knows ? CH_STOPPING : CH_NOT_READY;
+    bool is_initialized =
+        config != NULL && node->router->ops->ready(node->router);
+    enum ch_code code = is_initialized ? CH_STOPPING : CH_NOT_READY;
     ch_config_unref(config);
     return send_error(request->connection, code, NULL);
 }
 
-/* Counters and histograms as Prometheus reads them. */
+/* Counters and histograms in Prometheus format. */
 static enum MHD_Result
 get_metrics(struct request *request)
 {
     GString *text = g_string_new(NULL);
     ch_metrics_render(request->admin->node->client->metrics, text);
     ch_peers_render(request->admin->node->peers, text);
-    return send_answer(request->connection, MHD_HTTP_OK,
-                       "text/plain; version=0.0.4; charset=utf-8",
-                       g_string_free(text, FALSE));
+    return send_response(request->connection, MHD_HTTP_OK,
+                         "text/plain; version=0.0.4; charset=utf-8",
+                         g_string_free(text, FALSE));
 }
 
 /* Adds one class's outcomes to the open object. */
@@ -190,7 +195,6 @@
     json_builder_end_object(builder);
 }
 
-/* Adds every counter under its name to the open object. */
 static void
 add_counters(JsonBuilder *builder, const struct ch_metrics *metrics)
 {
@@ -207,7 +211,7 @@
     }
 }
 
-/* Adds who this node is and the revision in force here. */
+/* Adds this node's name and place and the revision in force. */
 static void
 add_node(JsonBuilder *builder, struct ch_node *node)
 {
@@ -223,14 +227,14 @@
     ch_config_unref(config);
 }
 
-/* Adds whether a mechanism of decision is on. */
+/* Adds whether a policy mechanism is on. */
 static void
 add_mechanism(void *data, const char *key, bool on)
 {
     add_string(data, key, on ? "on" : "off");
 }
 
-/* The state of this node and what it knows of the others. */
+/* The state of this node and its knowledge of the others. */
 static enum MHD_Result
 get_status(struct request *request)
 {
@@ -257,7 +261,7 @@
     return send_json(request->connection, MHD_HTTP_OK, ch_json_print(builder));
 }
 
-/* A configuration as JSON in a new string. */
+/* A configuration as JSON, in a new string. */
 static char *
 config_json(const struct ch_config *config)
 {
@@ -268,7 +272,6 @@
     return ch_json_print(builder);
 }
 
-/* The configuration in force on this node. */
 static enum MHD_Result
 get_config(struct request *request)
 {
@@ -283,9 +286,10 @@
     return send_json(request->connection, MHD_HTTP_OK, json);
 }
 
-/* ---- a new configuration ---- */
+/* ---- POST requests ---- */
 
-/* Counts an apply in; false when the node is stopping. */
+/* Counts a configuration change as pending; false when the node is stopping.
+ */
 static bool
 begin_apply(struct ch_admin *admin)
 {
@@ -298,7 +302,7 @@
     return open;
 }
 
-/* Counts an apply out. */
+/* Counts a configuration change as answered. */
 static void
 end_apply(struct ch_admin *admin)
 {
@@ -310,10 +314,11 @@
     pthread_mutex_unlock(&admin->lock);
 }
 
-/* The keeper's answer: prepares the HTTP answer and wakes the connection.
- * An accepted configuration always comes with the error's code at OK. */
+/* The configuration manager's result: sets the response and resumes the
+ * connection. With a code of OK there is always a configuration. */
 static void
-apply_done(void *data, const struct ch_error *error, struct ch_config *config)
+handle_applied(void *data, const struct ch_error *error,
+               struct ch_config *config)
 {
     struct request *request = data;
     struct ch_admin *admin = request->admin;
@@ -327,16 +332,18 @@
                         request->connection, MHD_GET_ARGUMENT_KIND, "author")),
            CH_F_STR("message", accepted ? "" : error->message), CH_F_END);
     int status = accepted ? MHD_HTTP_OK : ch_code_http(error->code);
-    char *answer = accepted ? config_json(config) : error_json(error, config);
+    char *response =
+        accepted ? config_json(config) : error_json(error, config);
     pthread_mutex_lock(&admin->lock);
     struct MHD_Connection *connection = request->connection;
     request->status = status;
-    request->answer = answer;
+    request->response = response;
     pthread_mutex_unlock(&admin->lock);
     MHD_resume_connection(connection);
 }
 
-/* The revision that the operator started from; false when it is no number. */
+/* Parses the revision that the operator's change is based on; false when it is
+ * not a number. */
 static bool
 read_base(struct MHD_Connection *connection, uint64_t *base)
 {
@@ -351,7 +358,8 @@
     return true;
 }
 
-/* Hands the whole body to the keeper and lets the connection sleep. */
+/* Passes the complete body to the configuration manager and suspends the
+ * connection. */
 static enum MHD_Result
 post_config(struct request *request)
 {
@@ -371,7 +379,8 @@
                           "author: not 1 to 64 of A-Z a-z 0-9 . _ -");
     }
     if (strlen(request->body->str) != request->body->len) {
-        return send_error(connection, CH_INI_SYNTAX, "a NUL byte in the body");
+        return send_error(connection, CH_INI_SYNTAX,
+                          "the body contains a NUL byte");
     }
     if (!begin_apply(request->admin)) {
         return send_error(connection, CH_STOPPING, NULL);
@@ -379,11 +388,11 @@
     request->suspended = true;
     MHD_suspend_connection(connection);
     ch_config_keeper_apply(request->admin->node->config, request->body->str,
-                           author, base, apply_done, request);
+                           author, base, handle_applied, request);
     return MHD_YES;
 }
 
-/* Lets a request that was barred go to upstreams again, on all nodes. */
+/* Allows a barred request to be sent to upstreams again, on all nodes. */
 static enum MHD_Result
 post_release(struct request *request)
 {
@@ -420,7 +429,7 @@
     {"POST", "/admin/v1/release", post_release},
 };
 
-/* Runs the route of a request whose body is whole. */
+/* Runs the route of a completely received request. */
 static enum MHD_Result
 run_route(struct request *request, const char *method, const char *path)
 {
@@ -443,10 +452,11 @@
                       path_known ? CH_BAD_METHOD : CH_UNKNOWN_PATH, NULL);
 }
 
-/* Keeps what comes of the body, up to the limit; more is read and dropped,
- * so that the operator gets the error and not a reset connection. */
+/* Stores a part of the body, up to the limit. Bytes beyond the limit are read
+ * and discarded, so that the operator gets the error instead of a reset
+ * connection. */
 static void
-keep_body(struct request *request, const char *bytes, size_t length)
+store_body(struct request *request, const char *bytes, size_t length)
 {
     if (request->body->len + length > CH_INI_MOST_WRITTEN) {
         request->too_large = true;
@@ -455,12 +465,12 @@
     g_string_append_len(request->body, bytes, (gssize)length);
 }
 
-/* MHD's handler: once for the head, for each part of the body, at its end and
- * after a resume. */
+/* libmicrohttpd's handler: called for the head, for each part of the body, at
+ * its end and after a resume. */
 static enum MHD_Result
-handle(void *data, struct MHD_Connection *connection, const char *path,
-       const char *method, const char *version, const char *bytes,
-       size_t *length, void **state)
+handle_request(void *data, struct MHD_Connection *connection, const char *path,
+               const char *method, const char *version, const char *bytes,
+               size_t *length, void **state)
 {
     (void)version;
     struct request *request = *state;
@@ -473,7 +483,7 @@
         return MHD_YES;
     }
     if (*length > 0) {
-        keep_body(request, bytes, *length);
+        store_body(request, bytes, *length);
         *length = 0;
         return MHD_YES;
     }
@@ -481,17 +491,17 @@
         return run_route(request, method, path);
     }
     pthread_mutex_lock(&request->admin->lock);
-    char *answer = request->answer;
+    char *response = request->response;
     int status = request->status;
-    request->answer = NULL;
+    request->response = NULL;
     pthread_mutex_unlock(&request->admin->lock);
-    return answer == NULL ? MHD_NO : send_json(connection, status, answer);
+    return response == NULL ? MHD_NO : send_json(connection, status, response);
 }
 
-/* Frees a request that is over, answered or not. */
+/* Frees a request that has ended, with or without a response. */
 static void
-complete(void *data, struct MHD_Connection *connection, void **state,
-         enum MHD_RequestTerminationCode code)
+handle_request_end(void *data, struct MHD_Connection *connection, void **state,
+                   enum MHD_RequestTerminationCode code)
 {
     (void)data;
     (void)connection;
@@ -504,14 +514,14 @@
         end_apply(request->admin);
     }
     g_string_free(request->body, TRUE);
-    g_free(request->answer);
+    g_free(request->response);
     g_free(request);
     *state = NULL;
 }
 
 /* ---- the listener ---- */
 
-/* The socket address of "ip:port", which was checked with the settings. */
+/* Parses "ip:port", which was validated with the settings. */
 static struct sockaddr_in
 socket_address(const char *text)
 {
@@ -526,7 +536,7 @@
     return address;
 }
 
-/* Logs the port, which the kernel may have chosen. */
+/* Logs the address with the port in use, which the kernel may have chosen. */
 static void
 log_listening(const struct ch_admin *admin)
 {
@@ -541,8 +551,9 @@
     g_free(bound);
 }
 
-/* Opens the listener; the node's keeper, peers and homes exist by then and
- * outlive it.  NULL with SYSTEM when the address cannot be bound. */
+/* Opens the listener. The node's configuration manager, crash guard, peers and
+ * router must exist and outlive it. NULL with SYSTEM when the address cannot
+ * be bound. */
 struct ch_admin *
 ch_admin_new(struct ch_node *node, struct ch_error *error)
 {
@@ -553,11 +564,11 @@
     struct sockaddr_in address = socket_address(node->settings->admin);
     admin->daemon = MHD_start_daemon(
         MHD_USE_AUTO_INTERNAL_THREAD | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL,
-        handle, admin, MHD_OPTION_SOCK_ADDR, &address,
-        MHD_OPTION_CONNECTION_LIMIT, (unsigned)MOST_CONNECTIONS,
+        handle_request, admin, MHD_OPTION_SOCK_ADDR, &address,
+        MHD_OPTION_CONNECTION_LIMIT, (unsigned)MAX_CONNECTIONS,
         MHD_OPTION_CONNECTION_TIMEOUT, (unsigned)IDLE_SECONDS,
-        MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)CONNECTION_MEMORY,
-        MHD_OPTION_NOTIFY_COMPLETED, complete, NULL, MHD_OPTION_END);
+        MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)CONNECTION_MEMORY_BYTES,
+        MHD_OPTION_NOTIFY_COMPLETED, handle_request_end, NULL, MHD_OPTION_END);
     if (admin->daemon == NULL) {
         ch_error_set(error, CH_SYSTEM, "[listen] admin: cannot listen on %s",
                      node->settings->admin);
@@ -568,10 +579,9 @@
     return admin;
 }
 
-/* Refuses new configurations, waits until those under way are answered (the
- * key-value service's time-out and IDLE_SECONDS bound that), and closes the
- * listener.  To be called
- * before the configuration keeper is stopped. */
+/* Refuses new configurations, waits until the pending ones are answered
+ * (bounded by the key-value store's timeout and IDLE_SECONDS), and closes the
+ * listener. To be called before the configuration manager is stopped. */
 void
 ch_admin_stop(struct ch_admin *admin)
 {
@@ -587,7 +597,7 @@
     }
 }
 
-/* Stops, if that was not done, and frees; NULL is nothing. */
+/* Stops the listener unless it is stopped, and frees it; NULL is allowed. */
 void
 ch_admin_free(struct ch_admin *admin)
 {
--- a/libchestnuthitch/node/model_body.c
+++ b/libchestnuthitch/node/model_body.c
@@ -1,5 +1,5 @@
-/* The body of a model call: what this node has to know of it, and the checks
- * that keep a bad one from reaching an engine. */
+/* Parses the body of a model call: extracts what this node needs, and rejects
+ * bodies that must not reach an engine. */
 
 #include "node/request.h"
 
@@ -9,19 +9,20 @@
 #include <string.h>
 
 enum {
-    MOST_DEPTH = 64,
-    BYTES_PER_TOKEN = 4, /* of English and Welsh text, roughly */
-    /* The part of the prompt by which requests are taken to share a cached
-     * prefix; shorter prompts are not worth steering. */
+    MAX_DEPTH = 64,
+    BYTES_PER_TOKEN = 4, /* roughly, in English and Welsh text */
+    /* Length of the prompt's start whose hash tells which requests share a
+     * cached prefix. Prompts shorter than MIN_PREFIX_BYTES gain too little
+     * from a cached prefix to be routed by it. */
     PREFIX_BYTES = 256,
-    PREFIX_LEAST = 64,
-    MOST_MESSAGES = 4096,
+    MIN_PREFIX_BYTES = 64,
+    MAX_MESSAGES = 4096,
 };
 
 struct number_rule {
     const char *name;
-    double least;
-    double most;
+    double min;
+    double max;
     bool whole;
 };
 
@@ -35,7 +36,7 @@
     {"frequency_penalty", -2, 2, false},
 };
 
-/* Checks one member against its rule; absent and null are fine. */
+/* Checks one member against its rule; absent and null are valid. */
 static bool
 check_number(JsonObject *object, const struct number_rule *rule,
              struct ch_fault *fault)
@@ -52,15 +53,14 @@
         return false;
     }
     double value = json_node_get_double(node);
-    if (!(value >= rule->least && value <= rule->most)) {
+    if (!(value >= rule->min && value <= rule->max)) {
         ch_fault_set(fault, CH_BAD_FIELD, rule->name, "%s is not in %g to %g",
-                     rule->name, rule->least, rule->most);
+                     rule->name, rule->min, rule->max);
         return false;
     }
     return true;
 }
 
-/* True for a node that holds a string. */
 static bool
 is_string(JsonNode *node)
 {
@@ -68,7 +68,8 @@
            json_node_get_value_type(node) == G_TYPE_STRING;
 }
 
-/* Adds a string of the prompt: its length counts, its start is kept. */
+/* Adds a string of the prompt: counts its bytes, and appends to start until
+ * that has PREFIX_BYTES. */
 static void
 add_text(JsonNode *node, GString *start, size_t *bytes)
 {
@@ -81,10 +82,10 @@
     }
 }
 
-/* Takes "prompt": a string, or an array of strings or of token numbers. */
+/* Parses "prompt": a string, or an array of strings and token numbers. */
 static bool
-take_prompt(JsonObject *object, GString *start, size_t *bytes,
-            struct ch_fault *fault)
+parse_prompt(JsonObject *object, GString *start, size_t *bytes,
+             struct ch_fault *fault)
 {
     JsonNode *node = json_object_get_member(object, "prompt");
     if (is_string(node)) {
@@ -94,7 +95,7 @@
     if (node == NULL || !JSON_NODE_HOLDS_ARRAY(node) ||
         json_array_get_length(json_node_get_array(node)) == 0) {
         ch_fault_set(fault, CH_BAD_FIELD, "prompt",
-                     "prompt is neither a string nor a filled array");
+                     "prompt is neither a string nor a non-empty array");
         return false;
     }
     JsonArray *array = json_node_get_array(node);
@@ -108,17 +109,18 @@
             *bytes += BYTES_PER_TOKEN;
         }
         else {
-            ch_fault_set(fault, CH_BAD_FIELD, "prompt",
-                         "prompt holds what is neither text nor a token");
+            ch_fault_set(
+                fault, CH_BAD_FIELD, "prompt",
+                "an element of prompt is neither text nor a token number");
             return false;
         }
     }
     return true;
 }
 
-/* Takes the content of one message: text, parts with text, or nothing. */
+/* Parses the content of one message: text, parts with text, or none. */
 static bool
-take_content(JsonNode *content, GString *start, size_t *bytes)
+parse_content(JsonNode *content, GString *start, size_t *bytes)
 {
     if (content == NULL || JSON_NODE_HOLDS_NULL(content)) {
         return true;
@@ -145,18 +147,19 @@
     return true;
 }
 
-/* Takes "messages": a filled array of objects with a role. */
+/* Parses "messages": a non-empty array of objects with a role. */
 static bool
-take_messages(JsonObject *object, GString *start, size_t *bytes,
-              struct ch_fault *fault)
+parse_messages(JsonObject *object, GString *start, size_t *bytes,
+               struct ch_fault *fault)
 {
     JsonNode *node = json_object_get_member(object, "messages");
     guint count = node != NULL && JSON_NODE_HOLDS_ARRAY(node)
                       ? json_array_get_length(json_node_get_array(node))
                       : 0;
-    if (count == 0 || count > MOST_MESSAGES) {
+    if (count == 0 || count > MAX_MESSAGES) {
         ch_fault_set(fault, CH_BAD_FIELD, "messages",
-                     "messages is not an array of 1 to %d", MOST_MESSAGES);
+                     "messages is not an array of 1 to %d messages",
+                     MAX_MESSAGES);
         return false;
     }
     for (guint i = 0; i < count; i++) {
@@ -167,8 +170,8 @@
                                  : NULL;
         if (fields == NULL ||
             !is_string(json_object_get_member(fields, "role")) ||
-            !take_content(json_object_get_member(fields, "content"), start,
-                          bytes)) {
+            !parse_content(json_object_get_member(fields, "content"), start,
+                           bytes)) {
             ch_fault_set(fault, CH_BAD_FIELD, "messages",
                          "messages[%u] has no role or no text", i);
             return false;
@@ -177,9 +180,9 @@
     return true;
 }
 
-/* Takes "stream"; absent and null are false. */
+/* Parses "stream"; absent and null mean false. */
 static bool
-take_stream(JsonObject *object, bool *stream, struct ch_fault *fault)
+parse_stream(JsonObject *object, bool *stream, struct ch_fault *fault)
 {
     JsonNode *node = json_object_get_member(object, "stream");
     *stream = false;
@@ -195,9 +198,9 @@
     return true;
 }
 
-/* Most tokens that the caller asks for. */
+/* The caller's limit of output tokens, or the default. */
 static uint32_t
-output_tokens(JsonObject *object)
+get_output_tokens(JsonObject *object)
 {
     static const char *const names[] = {"max_completion_tokens", "max_tokens"};
     for (size_t i = 0; i < G_N_ELEMENTS(names); i++) {
@@ -209,10 +212,10 @@
     return CH_REQUEST_USUAL_TOKENS;
 }
 
-/* Takes what is needed of the body's object. */
+/* Extracts what is needed from the body's JSON object. */
 static bool
-take_object(JsonObject *object, bool chat, struct ch_model_body *body,
-            struct ch_fault *fault)
+parse_object(JsonObject *object, bool chat, struct ch_model_body *body,
+             struct ch_fault *fault)
 {
     JsonNode *model = json_object_get_member(object, "model");
     if (!is_string(model) || json_node_get_string(model)[0] == '\0' ||
@@ -229,22 +232,23 @@
     }
     size_t bytes = 0;
     GString *start = g_string_new(NULL);
-    bool good = take_stream(object, &body->stream, fault) &&
-                (chat ? take_messages(object, start, &bytes, fault)
-                      : take_prompt(object, start, &bytes, fault));
+    bool good = parse_stream(object, &body->stream, fault) &&
+                (chat ? parse_messages(object, start, &bytes, fault)
+                      : parse_prompt(object, start, &bytes, fault));
     if (good) {
         body->model = g_strdup(json_node_get_string(model));
-        body->output_tokens = output_tokens(object);
+        body->output_tokens = get_output_tokens(object);
         body->prompt_tokens = (uint32_t)(bytes / BYTES_PER_TOKEN) + 1;
-        body->prefix =
-            start->len < PREFIX_LEAST ? 0 : ch_hash(start->str, start->len);
+        body->prefix = start->len < MIN_PREFIX_BYTES
+                           ? 0
+                           : ch_hash(start->str, start->len);
     }
     g_string_free(start, TRUE);
     return good;
 }
 
-/* Parses and checks the JSON of a completion, or of a chat completion.  What
- * is not named here is the engine's to judge and is passed on as it came. */
+/* Parses and checks the JSON of a completion or chat completion. Members not
+ * checked here are left to the engine and forwarded unchanged. */
 bool
 ch_model_body_parse(const char *text, size_t length, bool chat,
                     struct ch_model_body *body, struct ch_fault *fault)
@@ -252,11 +256,12 @@
     size_t members = 0;
     *body = (struct ch_model_body){.model = NULL};
     if (length == 0 || !g_utf8_validate(text, (gssize)length, NULL) ||
-        !ch_json_shape(text, length, MOST_DEPTH, &members)) {
-        ch_fault_set(fault, CH_BAD_JSON, "body",
-                     "the body is not one whole JSON object in UTF-8, at most "
-                     "%d deep",
-                     MOST_DEPTH);
+        !ch_json_shape(text, length, MAX_DEPTH, &members)) {
+        ch_fault_set(
+            fault, CH_BAD_JSON, "body",
+            "the body is not one whole JSON object in UTF-8, nested at "
+            "most %d levels deep",
+            MAX_DEPTH);
         return false;
     }
     JsonParser *parser = json_parser_new_immutable();
@@ -271,10 +276,10 @@
             json_node_get_object(json_parser_get_root(parser));
         if (json_object_get_size(object) != members) {
             ch_fault_set(fault, CH_BAD_JSON, "body",
-                         "the body has the same member twice");
+                         "the body has a duplicate member");
         }
         else {
-            good = take_object(object, chat, body, fault);
+            good = parse_object(object, chat, body, fault);
         }
     }
     g_object_unref(parser);
--- a/libchestnuthitch/node/reply.c
+++ b/libchestnuthitch/node/reply.c
@@ -1,8 +1,8 @@
 /*
- * One caller's answer.
+ * The response to one caller's request.
  *
- * Lock order: a reply's lock is taken after its exchange's, and nothing is
- * taken while it is held but the HTTP library's own locks.
+ * Lock order: a response's lock is taken after its exchange's; while it is
+ * held only the HTTP library's locks are taken.
  */
 
 #include "node/reply.h"
@@ -13,71 +13,71 @@
 #include <sys/socket.h>
 
 enum {
-    /* What the library asks for at once, and holds for each open stream: some
-     * ten events. */
-    STREAM_BLOCK = 2 * 1024,
+    /* Bytes that the library requests at a time, and allocates for each open
+     * stream: about ten events. */
+    STREAM_BLOCK_BYTES = 2 * 1024,
 };
 
 struct ch_reply {
     int references;
     char id[CH_REPLY_MOST_ID + 1];
-    const char *id_header; /* NULL: our own headers are sent */
+    const char *id_header; /* NULL: Chestnuthitch's headers are sent */
     int fd;
     pthread_mutex_t lock;
-    struct MHD_Connection *connection; /* NULL once the library is done */
+    struct MHD_Connection *connection; /* NULL once the library has finished */
     bool suspended;
-    bool answered; /* a whole answer, or the head of a stream */
+    bool answered; /* a complete response or the head of a stream was given */
     bool streams;
-    bool ended; /* no more events will come */
-    bool cut;   /* the connection is to be closed without an end */
-    struct ch_reply_answer answer; /* owns its strings */
+    bool ended;   /* no more events will be added */
+    bool aborted; /* the connection is to be closed without ending the
+                          stream */
+    struct ch_reply_answer data; /* owns its strings */
     GByteArray *unsent;
-    size_t taken; /* bytes at the start of unsent that were sent */
+    size_t taken; /* bytes at the start of unsent that the library has taken */
     struct ch_reply_watcher watcher;
     void *watcher_data;
 };
 
-/* A reply on a connection of the library; request_id is copied. */
+/* Creates the response for a connection of the library; request_id is copied.
+ */
 struct ch_reply *
 ch_reply_new(struct MHD_Connection *connection, const char *request_id)
 {
-    struct ch_reply *reply = g_new0(struct ch_reply, 1);
-    reply->references = 1;
-    reply->connection = connection;
-    reply->fd = -1;
-    reply->unsent = g_byte_array_new();
-    g_strlcpy(reply->id, request_id, sizeof(reply->id));
+    struct ch_reply *response = g_new0(struct ch_reply, 1);
+    response->references = 1;
+    response->connection = connection;
+    response->fd = -1;
+    response->unsent = g_byte_array_new();
+    g_strlcpy(response->id, request_id, sizeof(response->id));
     const union MHD_ConnectionInfo *info =
         MHD_get_connection_info(connection, MHD_CONNECTION_INFO_CONNECTION_FD);
     if (info != NULL) {
-        reply->fd = info->connect_fd;
+        response->fd = info->connect_fd;
     }
-    pthread_mutex_init(&reply->lock, NULL);
-    return reply;
+    pthread_mutex_init(&response->lock, NULL);
+    return response;
 }
 
-/* One more holder. */
 struct ch_reply *
-ch_reply_ref(struct ch_reply *reply)
+ch_reply_ref(struct ch_reply *response)
 {
-    g_atomic_int_inc(&reply->references);
-    return reply;
+    g_atomic_int_inc(&response->references);
+    return response;
 }
 
-/* Frees the upstream's headers. */
 static void
-free_headers(struct ch_reply *reply)
+free_headers(struct ch_reply *response)
 {
-    for (size_t i = 0; i < reply->answer.header_count; i++) {
-        g_free((char *)reply->answer.headers[i].name);
-        g_free((char *)reply->answer.headers[i].value);
+    for (size_t i = 0; i < response->data.header_count; i++) {
+        g_free((char *)response->data.headers[i].name);
+        g_free((char *)response->data.headers[i].value);
     }
-    g_free((struct ch_http_header *)reply->answer.headers);
+    g_free((struct ch_http_header *)response->data.headers);
 }
 
 /* Copies the upstream's headers.  Lock held. */
 static void
-copy_headers(struct ch_reply *reply, const struct ch_http_header *headers,
+copy_headers(struct ch_reply *response, const struct ch_http_header *headers,
              size_t count)
 {
     struct ch_http_header *copy = g_new0(struct ch_http_header, count + 1);
@@ -85,376 +85,385 @@
         copy[i].name = g_strdup(headers[i].name);
         copy[i].value = g_strdup(headers[i].value);
     }
-    reply->answer.headers = copy;
-    reply->answer.header_count = count;
+    response->data.headers = copy;
+    response->data.header_count = count;
 }
 
-/* Gives a reference back; the last one frees the reply. */
+/* Releases a reference; the last one frees the response. */
 void
-ch_reply_unref(struct ch_reply *reply)
+ch_reply_unref(struct ch_reply *response)
 {
-    if (!g_atomic_int_dec_and_test(&reply->references)) {
+    if (!g_atomic_int_dec_and_test(&response->references)) {
         return;
     }
-    if (reply->watcher.drop != NULL) {
-        reply->watcher.drop(reply->watcher_data);
+    if (response->watcher.drop != NULL) {
+        response->watcher.drop(response->watcher_data);
     }
-    g_free((char *)reply->answer.content_type);
-    g_free((char *)reply->answer.allow);
-    g_free(reply->answer.body);
-    free_headers(reply);
-    g_byte_array_free(reply->unsent, TRUE);
-    pthread_mutex_destroy(&reply->lock);
-    g_free(reply);
+    g_free((char *)response->data.content_type);
+    g_free((char *)response->data.allow);
+    g_free(response->data.body);
+    free_headers(response);
+    g_byte_array_free(response->unsent, TRUE);
+    pthread_mutex_destroy(&response->lock);
+    g_free(response);
 }
 
-/* The request's id, as the caller gets it. */
+/* The request's ID as sent to the caller. */
 const char *
-ch_reply_id(const struct ch_reply *reply)
+ch_reply_id(const struct ch_reply *response)
 {
-    return reply->id;
+    return response->id;
 }
 
-/* The caller's socket; valid until the library is done with the request. */
+/* The caller's socket; valid until the library has finished with the request.
+ */
 int
-ch_reply_fd(const struct ch_reply *reply)
+ch_reply_fd(const struct ch_reply *response)
 {
-    return reply->fd;
+    return response->fd;
 }
 
-/* See reply.h. */
+/* See response.h. */
 void
-ch_reply_own_id(struct ch_reply *reply, const char *header, const char *id)
+ch_reply_own_id(struct ch_reply *response, const char *header, const char *id)
 {
-    reply->id_header = header;
+    response->id_header = header;
     if (id != NULL) {
-        g_strlcpy(reply->id, id, sizeof(reply->id));
+        g_strlcpy(response->id, id, sizeof(response->id));
     }
 }
 
-/* Sets who is told when the caller goes away; data is the watcher's.  One that
- * has just gone is told of when the library closes its connection. */
+/* See response.h. */
 void
-ch_reply_watch(struct ch_reply *reply, const struct ch_reply_watcher *watcher,
-               void *data)
+ch_reply_watch(struct ch_reply *response,
+               const struct ch_reply_watcher *watcher, void *data)
 {
-    pthread_mutex_lock(&reply->lock);
-    reply->watcher = *watcher;
-    reply->watcher_data = data;
-    pthread_mutex_unlock(&reply->lock);
+    pthread_mutex_lock(&response->lock);
+    response->watcher = *watcher;
+    response->watcher_data = data;
+    pthread_mutex_unlock(&response->lock);
 }
 
-/* Lets the library look at the connection again.  Lock held. */
+/* Resumes the connection if it is suspended. Lock held. */
 static void
-wake(struct ch_reply *reply)
+resume_connection(struct ch_reply *response)
 {
-    if (reply->suspended && reply->connection != NULL) {
-        reply->suspended = false;
-        MHD_resume_connection(reply->connection);
+    if (response->suspended && response->connection != NULL) {
+        response->suspended = false;
+        MHD_resume_connection(response->connection);
     }
 }
 
-/* Gives a whole answer; of two, the first one counts. */
+/* Gives a complete response; a second one is ignored. */
 void
-ch_reply_whole(struct ch_reply *reply, const struct ch_reply_answer *answer)
+ch_reply_whole(struct ch_reply *response, const struct ch_reply_answer *data)
 {
-    pthread_mutex_lock(&reply->lock);
-    if (reply->answered) {
-        pthread_mutex_unlock(&reply->lock);
-        g_free(answer->body);
+    pthread_mutex_lock(&response->lock);
+    if (response->answered) {
+        pthread_mutex_unlock(&response->lock);
+        g_free(data->body);
         return;
     }
-    reply->answered = true;
-    reply->answer = *answer;
-    reply->answer.content_type = g_strdup(answer->content_type);
-    reply->answer.allow = g_strdup(answer->allow);
-    copy_headers(reply, answer->headers, answer->header_count);
-    wake(reply);
-    pthread_mutex_unlock(&reply->lock);
+    response->answered = true;
+    response->data = *data;
+    response->data.content_type = g_strdup(data->content_type);
+    response->data.allow = g_strdup(data->allow);
+    copy_headers(response, data->headers, data->header_count);
+    resume_connection(response);
+    pthread_mutex_unlock(&response->lock);
 }
 
-/* Begins a stream: 200, and events as they come. */
+/* See response.h. */
 void
-ch_reply_begin(struct ch_reply *reply, const struct ch_http_header *headers,
+ch_reply_begin(struct ch_reply *response, const struct ch_http_header *headers,
                size_t count)
 {
-    pthread_mutex_lock(&reply->lock);
-    if (!reply->answered) {
-        reply->answered = true;
-        reply->streams = true;
-        reply->answer.status = 200;
-        reply->answer.outcome = CH_RAN;
-        reply->answer.content_type = g_strdup("text/event-stream");
-        copy_headers(reply, headers, count);
-        wake(reply);
-    }
-    pthread_mutex_unlock(&reply->lock);
+    pthread_mutex_lock(&response->lock);
+    if (!response->answered) {
+        response->answered = true;
+        response->streams = true;
+        response->data.status = 200;
+        response->data.outcome = CH_RAN;
+        response->data.content_type = g_strdup("text/event-stream");
+        copy_headers(response, headers, count);
+        resume_connection(response);
+    }
+    pthread_mutex_unlock(&response->lock);
 }
 
-/* Cuts the stream.  The socket is shut down since the library may be waiting
- * for a caller that does not read, and would not look here.  Lock held. */
+/* Aborts the stream. The socket is shut down because the library may be
+ * waiting for a caller that does not read, and would not notice the flag. Lock
+ * held. */
 static void
-cut(struct ch_reply *reply)
+abort_stream(struct ch_reply *response)
 {
-    reply->cut = true;
-    if (reply->connection != NULL && reply->fd >= 0) {
-        shutdown(reply->fd, SHUT_RDWR);
+    response->aborted = true;
+    if (response->connection != NULL && response->fd >= 0) {
+        shutdown(response->fd, SHUT_RDWR);
     }
-    wake(reply);
+    resume_connection(response);
 }
 
-/* See reply.h. */
+/* See response.h. */
 void
-ch_reply_cut(struct ch_reply *reply)
+ch_reply_cut(struct ch_reply *response)
 {
-    pthread_mutex_lock(&reply->lock);
-    cut(reply);
-    pthread_mutex_unlock(&reply->lock);
+    pthread_mutex_lock(&response->lock);
+    abort_stream(response);
+    pthread_mutex_unlock(&response->lock);
 }
 
-/* Adds an event.  A caller that leaves more than CH_REPLY_MOST_UNSENT unread
- * is cut off: holding its tokens would take memory from all the others, and
- * waiting for it would stall the thread that serves them. */
+/* Appends an event. The stream of a caller that leaves more than
+ * CH_RESPONSE_MAX_UNSENT_BYTES unread is aborted: storing its tokens would
+ * take memory from the other callers, and waiting for it would stall the
+ * thread that serves them. */
 bool
-ch_reply_event(struct ch_reply *reply, const char *bytes, size_t length)
+ch_reply_event(struct ch_reply *response, const char *bytes, size_t length)
 {
-    pthread_mutex_lock(&reply->lock);
-    bool good = reply->connection != NULL && !reply->cut && !reply->ended;
-    if (good &&
-        reply->unsent->len - reply->taken + length > CH_REPLY_MOST_UNSENT) {
-        cut(reply);
+    pthread_mutex_lock(&response->lock);
+    bool good =
+        response->connection != NULL && !response->aborted && !response->ended;
+    if (good && response->unsent->len - response->taken + length >
+                    CH_REPLY_MOST_UNSENT) {
+        abort_stream(response);
         good = false;
     }
     if (good) {
-        g_byte_array_append(reply->unsent, (const guint8 *)bytes,
+        g_byte_array_append(response->unsent, (const guint8 *)bytes,
                             (guint)length);
-        wake(reply);
+        resume_connection(response);
     }
-    pthread_mutex_unlock(&reply->lock);
+    pthread_mutex_unlock(&response->lock);
     return good;
 }
 
-/* No more events: the stream ends once what is there was sent. */
+/* Ends the stream once the stored events are sent. */
 void
-ch_reply_end(struct ch_reply *reply)
+ch_reply_end(struct ch_reply *response)
 {
-    pthread_mutex_lock(&reply->lock);
-    reply->ended = true;
-    wake(reply);
-    pthread_mutex_unlock(&reply->lock);
+    pthread_mutex_lock(&response->lock);
+    response->ended = true;
+    resume_connection(response);
+    pthread_mutex_unlock(&response->lock);
 }
 
-/* Moves up to `most` unsent bytes out.  Lock held. */
+/* Copies up to max unsent bytes to out and returns their number. Lock held. */
 static size_t
-take_unsent(struct ch_reply *reply, char *out, size_t most)
+take_unsent(struct ch_reply *response, char *out, size_t max)
 {
-    size_t length = MIN(most, reply->unsent->len - reply->taken);
-    memcpy(out, reply->unsent->data + reply->taken, length);
-    reply->taken += length;
-    if (reply->taken == reply->unsent->len) {
-        g_byte_array_set_size(reply->unsent, 0);
-        reply->taken = 0;
+    size_t length = MIN(max, response->unsent->len - response->taken);
+    memcpy(out, response->unsent->data + response->taken, length);
+    response->taken += length;
+    if (response->taken == response->unsent->len) {
+        g_byte_array_set_size(response->unsent, 0);
+        response->taken = 0;
     }
-    else if (reply->taken > CH_REPLY_MOST_UNSENT / 16) {
-        g_byte_array_remove_range(reply->unsent, 0, (guint)reply->taken);
-        reply->taken = 0;
+    else if (response->taken > CH_REPLY_MOST_UNSENT / 16) {
+        g_byte_array_remove_range(response->unsent, 0, (guint)response->taken);
+        response->taken = 0;
     }
     return length;
 }
 
-/* The library asks for bytes of a stream.  With none there the connection is
- * suspended, so that it is not asked for in a loop. */
+/* The library requests bytes of a stream. When there are none the connection
+ * is suspended, since the library would otherwise call again in a loop. */
 static ssize_t
-read_stream(void *data, uint64_t position, char *out, size_t most)
+read_stream(void *data, uint64_t position, char *out, size_t max)
 {
     (void)position;
-    struct ch_reply *reply = data;
+    struct ch_reply *response = data;
     ssize_t result = 0;
-    pthread_mutex_lock(&reply->lock);
-    if (reply->cut) {
+    pthread_mutex_lock(&response->lock);
+    if (response->aborted) {
         result = MHD_CONTENT_READER_END_WITH_ERROR;
     }
-    else if (reply->unsent->len > reply->taken) {
-        result = (ssize_t)take_unsent(reply, out, most);
+    else if (response->unsent->len > response->taken) {
+        result = (ssize_t)take_unsent(response, out, max);
     }
-    else if (reply->ended) {
+    else if (response->ended) {
         result = MHD_CONTENT_READER_END_OF_STREAM;
     }
-    else if (reply->connection != NULL) {
-        reply->suspended = true;
-        MHD_suspend_connection(reply->connection);
+    else if (response->connection != NULL) {
+        response->suspended = true;
+        MHD_suspend_connection(response->connection);
     }
-    pthread_mutex_unlock(&reply->lock);
+    pthread_mutex_unlock(&response->lock);
     return result;
 }
 
-/* The library is done with a stream's response. */
+/* The library has finished with a stream's response. */
 static void
 release_stream(void *data)
 {
     ch_reply_unref(data);
 }
 
-/* Adds the headers of an answer to a caller with an id of its own: those of
- * the upstream, or the few that a refusal has. */
+/* Adds the headers for a caller that uses its own request ID: those of the
+ * upstream, or the few of a refusal. */
 static void
-add_passed_headers(struct MHD_Response *response, const struct ch_reply *reply,
-                   bool stopping)
+add_forwarded_headers(struct MHD_Response *library_response,
+                      const struct ch_reply *response, bool stopping)
 {
-    const struct ch_reply_answer *answer = &reply->answer;
+    const struct ch_reply_answer *data = &response->data;
     char seconds[G_ASCII_DTOSTR_BUF_SIZE];
-    for (size_t i = 0; i < answer->header_count; i++) {
-        MHD_add_response_header(response, answer->headers[i].name,
-                                answer->headers[i].value);
-    }
-    if (answer->header_count == 0) {
-        MHD_add_response_header(response, reply->id_header, reply->id);
-        if (answer->content_type != NULL) {
-            MHD_add_response_header(response, "Content-Type",
-                                    answer->content_type);
+    for (size_t i = 0; i < data->header_count; i++) {
+        MHD_add_response_header(library_response, data->headers[i].name,
+                                data->headers[i].value);
+    }
+    if (data->header_count == 0) {
+        MHD_add_response_header(library_response, response->id_header,
+                                response->id);
+        if (data->content_type != NULL) {
+            MHD_add_response_header(library_response, "Content-Type",
+                                    data->content_type);
         }
     }
-    if (answer->retry_after > 0) {
+    if (data->retry_after > 0) {
         g_ascii_formatd(seconds, sizeof(seconds), "%.2f",
-                        (double)answer->retry_after / G_USEC_PER_SEC);
-        MHD_add_response_header(response, "Retry-After", seconds);
+                        (double)data->retry_after / G_USEC_PER_SEC);
+        MHD_add_response_header(library_response, "Retry-After", seconds);
     }
     if (stopping) {
-        MHD_add_response_header(response, "Connection", "close");
+        MHD_add_response_header(library_response, "Connection", "close");
     }
 }
 
-/* Adds the headers that every answer bears, and those that it may. */
+/* Adds the headers of a response: those that are always sent, and the optional
+ * ones that apply. */
 static void
-add_headers(struct MHD_Response *response, const struct ch_reply *reply,
-            bool stopping)
+add_headers(struct MHD_Response *library_response,
+            const struct ch_reply *response, bool stopping)
 {
-    if (reply->id_header != NULL) {
-        add_passed_headers(response, reply, stopping);
+    if (response->id_header != NULL) {
+        add_forwarded_headers(library_response, response, stopping);
         return;
     }
-    const struct ch_reply_answer *answer = &reply->answer;
+    const struct ch_reply_answer *data = &response->data;
     char number[24];
-    MHD_add_response_header(response, "Chestnuthitch-Request-Id", reply->id);
-    MHD_add_response_header(response, "Chestnuthitch-Outcome",
-                            ch_outcome_name(answer->outcome));
-    if (answer->content_type != NULL) {
-        MHD_add_response_header(response, "Content-Type",
-                                answer->content_type);
-    }
-    if (answer->code != CH_OK) {
-        (void)snprintf(number, sizeof(number), "%d", (int)answer->code);
-        MHD_add_response_header(response, "Chestnuthitch-Code", number);
-    }
-    if (answer->retry_after > 0) {
+    MHD_add_response_header(library_response, "Chestnuthitch-Request-Id",
+                            response->id);
+    MHD_add_response_header(library_response, "Chestnuthitch-Outcome",
+                            ch_outcome_name(data->outcome));
+    if (data->content_type != NULL) {
+        MHD_add_response_header(library_response, "Content-Type",
+                                data->content_type);
+    }
+    if (data->code != CH_OK) {
+        (void)snprintf(number, sizeof(number), "%d", (int)data->code);
+        MHD_add_response_header(library_response, "Chestnuthitch-Code",
+                                number);
+    }
+    if (data->retry_after > 0) {
         int64_t seconds =
-            (answer->retry_after + G_USEC_PER_SEC - 1) / G_USEC_PER_SEC;
+            (data->retry_after + G_USEC_PER_SEC - 1) / G_USEC_PER_SEC;
         (void)snprintf(number, sizeof(number), "%" G_GINT64_FORMAT, seconds);
-        MHD_add_response_header(response, "Retry-After", number);
+        MHD_add_response_header(library_response, "Retry-After", number);
     }
-    if (answer->allow != NULL) {
-        MHD_add_response_header(response, "Allow", answer->allow);
+    if (data->allow != NULL) {
+        MHD_add_response_header(library_response, "Allow", data->allow);
     }
     if (stopping) {
-        MHD_add_response_header(response, "Connection", "close");
+        MHD_add_response_header(library_response, "Connection", "close");
     }
 }
 
-/* The library's response for the answer that is there. */
+/* Creates the library's object for the response that was given. */
 static struct MHD_Response *
-make_response(struct ch_reply *reply, bool stopping)
+create_library_response(struct ch_reply *response, bool stopping)
 {
-    struct MHD_Response *response = NULL;
-    if (reply->streams) {
-        response = MHD_create_response_from_callback(
-            MHD_SIZE_UNKNOWN, STREAM_BLOCK, read_stream, ch_reply_ref(reply),
-            release_stream);
+    struct MHD_Response *library_response = NULL;
+    if (response->streams) {
+        library_response = MHD_create_response_from_callback(
+            MHD_SIZE_UNKNOWN, STREAM_BLOCK_BYTES, read_stream,
+            ch_reply_ref(response), release_stream);
     }
     else {
-        response = MHD_create_response_from_buffer(
-            reply->answer.length, reply->answer.body, MHD_RESPMEM_MUST_FREE);
-        reply->answer.body = NULL;
+        library_response = MHD_create_response_from_buffer(
+            response->data.length, response->data.body, MHD_RESPMEM_MUST_FREE);
+        response->data.body = NULL;
     }
-    if (response != NULL) {
-        add_headers(response, reply, stopping);
+    if (library_response != NULL) {
+        add_headers(library_response, response, stopping);
     }
-    return response;
+    return library_response;
 }
 
-/* Queues the answer.  The lock is not held: the library has one of its own for
- * a response, which it holds when it calls read_stream().  An answer that was
- * given is not written to any more, so that none is needed. */
+/* Queues the response. The lock is not held, because the library holds a
+ * response's own lock when it calls read_stream(). The lock is not needed,
+ * because a response that was given does not change any more. */
 static enum MHD_Result
-queue_answer(struct ch_reply *reply, struct MHD_Connection *connection,
-             bool stopping)
+queue_response(struct ch_reply *response, struct MHD_Connection *connection,
+               bool stopping)
 {
-    struct MHD_Response *response = make_response(reply, stopping);
-    if (response == NULL) {
+    struct MHD_Response *library_response =
+        create_library_response(response, stopping);
+    if (library_response == NULL) {
         return MHD_NO;
     }
     enum MHD_Result result = MHD_queue_response(
-        connection, (unsigned)reply->answer.status, response);
-    MHD_destroy_response(response);
+        connection, (unsigned)response->data.status, library_response);
+    MHD_destroy_response(library_response);
     return result;
 }
 
-/* Called by the library's handler once the whole request has come, and again
- * after each resume. */
+/* Called by the library's handler once the whole request has arrived, and
+ * again after each resume. */
 enum MHD_Result
-ch_reply_serve(struct ch_reply *reply, bool stopping)
+ch_reply_serve(struct ch_reply *response, bool stopping)
 {
-    pthread_mutex_lock(&reply->lock);
-    struct MHD_Connection *connection = reply->connection;
-    bool answered = reply->answered;
-    bool gone = reply->cut;
+    pthread_mutex_lock(&response->lock);
+    struct MHD_Connection *connection = response->connection;
+    bool answered = response->answered;
+    bool gone = response->aborted;
     if (!answered && !gone) {
-        reply->suspended = true;
+        response->suspended = true;
         MHD_suspend_connection(connection);
     }
-    pthread_mutex_unlock(&reply->lock);
+    pthread_mutex_unlock(&response->lock);
     if (gone) {
         return MHD_NO;
     }
-    return answered ? queue_answer(reply, connection, stopping) : MHD_YES;
+    return answered ? queue_response(response, connection, stopping) : MHD_YES;
 }
 
-/* Tells the watcher, once. */
+/* Notifies the watcher, once. */
 static void
-tell_gone(struct ch_reply *reply)
+notify_disconnected(struct ch_reply *response)
 {
-    pthread_mutex_lock(&reply->lock);
-    void (*gone)(void *data) = reply->watcher.gone;
-    reply->watcher.gone = NULL;
-    pthread_mutex_unlock(&reply->lock);
+    pthread_mutex_lock(&response->lock);
+    void (*gone)(void *data) = response->watcher.gone;
+    response->watcher.gone = NULL;
+    pthread_mutex_unlock(&response->lock);
     if (gone != NULL) {
-        gone(reply->watcher_data);
+        gone(response->watcher_data);
     }
 }
 
-/* The caller's end closed: nothing can reach it, so the library may close.  An
- * answer that is on its way is left to it. */
+/* The caller has closed its end and can receive nothing, so the library may
+ * close the connection. A response that is being sent is left to the library.
+ */
 void
-ch_reply_hang_up(struct ch_reply *reply)
+ch_reply_hang_up(struct ch_reply *response)
 {
-    pthread_mutex_lock(&reply->lock);
-    if (reply->answered) {
-        reply->cut = true;
-        wake(reply);
+    pthread_mutex_lock(&response->lock);
+    if (response->answered) {
+        response->aborted = true;
+        resume_connection(response);
     }
     else {
-        cut(reply);
+        abort_stream(response);
     }
-    pthread_mutex_unlock(&reply->lock);
-    tell_gone(reply);
+    pthread_mutex_unlock(&response->lock);
+    notify_disconnected(response);
 }
 
-/* The connection is not to be touched after this. */
+/* See response.h. */
 void
-ch_reply_detach(struct ch_reply *reply)
+ch_reply_detach(struct ch_reply *response)
 {
-    pthread_mutex_lock(&reply->lock);
-    reply->connection = NULL;
-    reply->suspended = false;
-    pthread_mutex_unlock(&reply->lock);
-    tell_gone(reply);
+    pthread_mutex_lock(&response->lock);
+    response->connection = NULL;
+    response->suspended = false;
+    pthread_mutex_unlock(&response->lock);
+    notify_disconnected(response);
 }
--- a/libchestnuthitch/node/request.c
+++ b/libchestnuthitch/node/request.c
@@ -1,4 +1,4 @@
-/* A caller's request: path, headers and permissions. */
+/* Parses a caller's request: path, headers and permissions. */
 
 #include "node/request.h"
 
@@ -7,12 +7,12 @@
 #include <string.h>
 
 enum {
-    MOST_URI = 8 * 1024,
-    /* When a class states no target at all: what queues may go by. */
-    NO_TARGET = 60 * G_USEC_PER_SEC,
+    MAX_URI_BYTES = 8 * 1024,
+    /* Default by which queues order requests of a class without any target. */
+    DEFAULT_TARGET_US = 60 * G_USEC_PER_SEC,
 };
 
-/* Notes the first fault found, and the field that is to be named. */
+/* Records a fault and its field; a later one is ignored. */
 void
 ch_fault_set(struct ch_fault *fault, enum ch_code code, const char *field,
              const char *form, ...)
@@ -29,7 +29,6 @@
     g_strlcpy(fault->field, field, sizeof(fault->field));
 }
 
-/* Frees a request and all that it holds. */
 void
 ch_request_free(struct ch_request *request)
 {
@@ -58,10 +57,10 @@
     g_free(request);
 }
 
-/* True when every byte is printable ASCII and there are 1 to `most`; a space
- * counts as printable where a header's value is checked. */
+/* True when the text is 1 to max bytes of printable ASCII. space: a space
+ * counts as printable, as in header values. */
 static bool
-is_printable(const char *text, size_t most, bool space)
+is_printable(const char *text, size_t max, bool space)
 {
     size_t length = strlen(text);
     for (size_t i = 0; i < length; i++) {
@@ -69,7 +68,7 @@
             return false;
         }
     }
-    return length > 0 && length <= most;
+    return length > 0 && length <= max;
 }
 
 /* ---- path ---- */
@@ -88,25 +87,25 @@
 
 static const char service_prefix[] = "/services/";
 
-/* Checks the path as it stood in the request line.  It is passed on to plain
- * services byte by byte; '#' is refused since an HTTP client cuts there. */
+/* Checks the path of the request line. Plain services receive it byte by byte;
+ * '#' is refused since an HTTP client cuts the URL there. */
 bool
 ch_request_check_uri(const char *uri, struct ch_fault *fault)
 {
-    if (uri[0] != '/' || !is_printable(uri, MOST_URI, false) ||
+    if (uri[0] != '/' || !is_printable(uri, MAX_URI_BYTES, false) ||
         strpbrk(uri, "#\\\"<>^`{|}") != NULL) {
         ch_fault_set(fault, CH_BAD_FIELD, "path",
                      "the path is not 1 to %d bytes of a URL's characters",
-                     MOST_URI);
+                     MAX_URI_BYTES);
         return false;
     }
     return true;
 }
 
-/* Takes /services/NAME/REST apart. */
+/* Splits /services/NAME/REST into the service and the path. */
 static bool
-take_service_path(struct ch_request *request, const char *uri,
-                  struct ch_fault *fault)
+parse_service_path(struct ch_request *request, const char *uri,
+                   struct ch_fault *fault)
 {
     const char *name = uri + sizeof(service_prefix) - 1;
     size_t length = strcspn(name, "/?");
@@ -123,16 +122,16 @@
     return true;
 }
 
-/* Finds what is asked for by path and method. */
+/* Determines the request's kind from path and method. */
 static bool
-take_path(struct ch_request *request, const struct ch_request_input *input,
-          struct ch_fault *fault)
+parse_path(struct ch_request *request, const struct ch_request_input *input,
+           struct ch_fault *fault)
 {
     if (!ch_request_check_uri(input->uri, fault)) {
         return false;
     }
     if (g_str_has_prefix(input->uri, service_prefix)) {
-        return take_service_path(request, input->uri, fault);
+        return parse_service_path(request, input->uri, fault);
     }
     size_t length = strcspn(input->uri, "?");
     for (size_t i = 0; i < G_N_ELEMENTS(routes); i++) {
@@ -141,7 +140,7 @@
             continue;
         }
         if (strcmp(routes[i].method, input->method) != 0) {
-            ch_fault_set(fault, CH_BAD_METHOD, "method", "%s takes %s alone",
+            ch_fault_set(fault, CH_BAD_METHOD, "method", "%s accepts only %s",
                          routes[i].path, routes[i].method);
             return false;
         }
@@ -155,10 +154,9 @@
 
 /* ---- headers ---- */
 
-/* Takes the caller's identity. */
 static bool
-take_caller(struct ch_request *request, const struct ch_request_input *input,
-            struct ch_fault *fault)
+parse_caller(struct ch_request *request, const struct ch_request_input *input,
+             struct ch_fault *fault)
 {
     const char *caller = input->caller == NULL ? "anonymous" : input->caller;
     if (!is_printable(caller, CH_REQUEST_MOST_NAME, true)) {
@@ -172,10 +170,9 @@
     return true;
 }
 
-/* Takes the idempotency key. */
 static bool
-take_key(struct ch_request *request, const struct ch_request_input *input,
-         struct ch_fault *fault)
+parse_key(struct ch_request *request, const struct ch_request_input *input,
+          struct ch_fault *fault)
 {
     if (input->key == NULL) {
         return true;
@@ -190,10 +187,11 @@
     return true;
 }
 
-/* Takes how long the caller waits. */
+/* Parses how long the caller waits. */
 static bool
-take_deadline(struct ch_request *request, const struct ch_request_input *input,
-              int64_t now, struct ch_fault *fault)
+parse_deadline(struct ch_request *request,
+               const struct ch_request_input *input, int64_t now,
+               struct ch_fault *fault)
 {
     guint64 wait = 0;
     if (input->deadline_ms == NULL) {
@@ -211,12 +209,12 @@
     return true;
 }
 
-/* The class that the request names, else the one declared for its caller; NULL
- * with *fault when there is none. */
+/* The class that the request names, or else the one declared for its caller;
+ * NULL with *fault when there is neither. */
 static const struct ch_class *
-take_class(struct ch_request *request,
-           const struct ch_declaration *declaration,
-           const struct ch_request_input *input, struct ch_fault *fault)
+choose_class(struct ch_request *request,
+             const struct ch_declaration *declaration,
+             const struct ch_request_input *input, struct ch_fault *fault)
 {
     int declared = ch_declaration_caller_class(declaration, request->caller);
     int index = declared;
@@ -229,13 +227,14 @@
         }
     }
     if (index < 0) {
-        ch_fault_set(fault, CH_CLASS_MISSING, "Chestnuthitch-Class",
-                     "no class named, none declared for this caller");
+        ch_fault_set(
+            fault, CH_CLASS_MISSING, "Chestnuthitch-Class",
+            "no class was given, and none is declared for this caller");
         return NULL;
     }
     const struct ch_class *class = &declaration->classes[index];
-    /* Callers choose their names: counters by tenant would grow without bound
-     * if every name had its own. */
+    /* Callers choose their names, so counters for each name would grow without
+     * bound: only declared callers are counted as tenants of their own. */
     request->tenant = g_strdup(declared >= 0 ? request->caller : "other");
     request->class_name = g_strdup(class->name);
     request->first_token = class->first_token;
@@ -246,14 +245,14 @@
     return class;
 }
 
-/* ---- what the class may use ---- */
+/* ---- permissions of the class ---- */
 
 /* Resolves the model or adapter that the body names. */
 static bool
-take_model(struct ch_request *request,
-           const struct ch_declaration *declaration,
-           const struct ch_class *class, const char *name,
-           struct ch_fault *fault)
+resolve_model(struct ch_request *request,
+              const struct ch_declaration *declaration,
+              const struct ch_class *class, const char *name,
+              struct ch_fault *fault)
 {
     int adapter = -1;
     int index = ch_declaration_model(declaration, name);
@@ -287,9 +286,9 @@
 
 /* Resolves the plain service that the path names. */
 static bool
-take_service(struct ch_request *request,
-             const struct ch_declaration *declaration,
-             const struct ch_class *class, struct ch_fault *fault)
+resolve_service(struct ch_request *request,
+                const struct ch_declaration *declaration,
+                const struct ch_class *class, struct ch_fault *fault)
 {
     int index = ch_declaration_service(declaration, request->model);
     if (index < 0) {
@@ -308,17 +307,17 @@
 
 /* Parses a model call's body. */
 static bool
-take_model_body(struct ch_request *request,
-                const struct ch_declaration *declaration,
-                const struct ch_class *class,
-                const struct ch_request_input *input, struct ch_fault *fault)
+parse_model_body(struct ch_request *request,
+                 const struct ch_declaration *declaration,
+                 const struct ch_class *class,
+                 const struct ch_request_input *input, struct ch_fault *fault)
 {
     struct ch_model_body body;
     bool chat = g_str_has_prefix(request->path, "/v1/chat/");
     if (!ch_model_body_parse(input->body, input->length, chat, &body, fault)) {
         return false;
     }
-    bool good = take_model(request, declaration, class, body.model, fault);
+    bool good = resolve_model(request, declaration, class, body.model, fault);
     request->stream = body.stream;
     request->work.prompt_tokens = body.prompt_tokens;
     request->work.output_tokens = body.output_tokens;
@@ -329,31 +328,30 @@
 
 /* ---- the whole request ---- */
 
-/* Sets the times by which the class wants answers; a caller that stops waiting
- * earlier makes them earlier. */
+/* Sets the times by which the class wants the response; a caller that stops
+ * waiting earlier makes them earlier. */
 static void
 set_targets(struct ch_request *request, int64_t now)
 {
-    struct ch_work *work = &request->work;
+    struct ch_work *info = &request->work;
     int64_t first = request->first_token;
-    if (first == 0 || work->service) {
+    if (first == 0 || info->service) {
         first = request->whole_answer > 0 ? request->whole_answer : first;
     }
-    work->arrived = now;
-    work->first_by = now + (first > 0 ? first : NO_TARGET);
-    work->between = request->between_tokens;
-    work->whole_by =
+    info->arrived = now;
+    info->first_by = now + (first > 0 ? first : DEFAULT_TARGET_US);
+    info->between = request->between_tokens;
+    info->whole_by =
         request->whole_answer > 0 ? now + request->whole_answer : 0;
     if (request->deadline != 0) {
-        work->first_by = MIN(work->first_by, request->deadline);
-        work->whole_by = work->whole_by == 0
+        info->first_by = MIN(info->first_by, request->deadline);
+        info->whole_by = info->whole_by == 0
                              ? request->deadline
-                             : MIN(work->whole_by, request->deadline);
+                             : MIN(info->whole_by, request->deadline);
     }
 }
 
-/* Copies method, content type and body, and hashes what a repeat must equal.
- */
+/* See request.h. */
 void
 ch_request_copy_body(struct ch_request *request,
                      const struct ch_request_input *input)
@@ -372,29 +370,30 @@
                                   ch_hash(request->body, request->length)));
 }
 
-/* Fills in the request; false with *fault at the first thing wrong. */
+/* Fills in the request; false with *fault at the first fault found. */
 static bool
-take_all(struct ch_request *request, const struct ch_declaration *declaration,
-         const struct ch_request_input *input, int64_t now,
-         struct ch_fault *fault)
+parse_request(struct ch_request *request,
+              const struct ch_declaration *declaration,
+              const struct ch_request_input *input, int64_t now,
+              struct ch_fault *fault)
 {
-    if (!take_path(request, input, fault) ||
-        !take_caller(request, input, fault) ||
-        !take_key(request, input, fault) ||
-        !take_deadline(request, input, now, fault)) {
+    if (!parse_path(request, input, fault) ||
+        !parse_caller(request, input, fault) ||
+        !parse_key(request, input, fault) ||
+        !parse_deadline(request, input, now, fault)) {
         return false;
     }
     const struct ch_class *class =
-        take_class(request, declaration, input, fault);
+        choose_class(request, declaration, input, fault);
     if (class == NULL) {
         return false;
     }
     if (request->kind == CH_REQUEST_MODEL_CALL &&
-        !take_model_body(request, declaration, class, input, fault)) {
+        !parse_model_body(request, declaration, class, input, fault)) {
         return false;
     }
     if (request->kind == CH_REQUEST_SERVICE_CALL &&
-        !take_service(request, declaration, class, fault)) {
+        !resolve_service(request, declaration, class, fault)) {
         return false;
     }
     ch_request_copy_body(request, input);
@@ -402,14 +401,14 @@
     return true;
 }
 
-/* Parses and checks a request; the caller frees it. */
+/* See request.h. */
 struct ch_request *
 ch_request_parse(const struct ch_declaration *declaration,
                  const struct ch_request_input *input, int64_t now,
                  struct ch_fault *fault)
 {
     struct ch_request *request = g_new0(struct ch_request, 1);
-    if (!take_all(request, declaration, input, now, fault)) {
+    if (!parse_request(request, declaration, input, now, fault)) {
         ch_request_free(request);
         return NULL;
     }
--- a/libchestnuthitch/node/request.h
+++ b/libchestnuthitch/node/request.h
@@ -2,8 +2,8 @@
 #define CH_NODE_REQUEST_H
 
 /*
- * A caller's request, parsed and checked against the declaration in force.
- * No sockets here: the listener fills in struct ch_request_input.
+ * A caller's request, parsed and checked against the declaration in force. No
+ * sockets here: the HTTP listener fills in struct ch_request_input.
  */
 
 #include "base/base.h"
@@ -12,19 +12,21 @@
 
 enum {
     CH_REQUEST_MOST_KEY = 200,
-    CH_REQUEST_MOST_NAME = 200, /* of a caller, class, model or service */
+    CH_REQUEST_MOST_NAME =
+        200, /* bytes; of a caller, class, model or service */
     CH_REQUEST_MOST_TOKENS = 128 * 1024,
-    CH_REQUEST_USUAL_TOKENS = 256, /* when the caller states no bound */
+    CH_REQUEST_USUAL_TOKENS = 256, /* when the caller sets no limit */
     CH_REQUEST_MOST_DEADLINE_MS = 24 * 60 * 60 * 1000,
     CH_REQUEST_MOST_CONTEXT =
-        16 * 1024 * 1024,       /* tokens; no engine has more */
-    CH_REQUEST_MOST_PARTS = 64, /* of a prompt; callers use a handful */
+        16 * 1024 * 1024,       /* no engine has a larger context */
+    CH_REQUEST_MOST_PARTS = 64, /* of a prompt; callers send a handful */
 };
 
-/* What came over HTTP.  Header values are NULL when they did not come. */
+/* A request as received over HTTP. Header values are NULL when the header was
+ * not sent. */
 struct ch_request_input {
     const char *method;
-    const char *uri; /* as it stood in the request line, with its query */
+    const char *uri; /* as in the request line, with its query */
     const char *caller;
     const char *class_name;
     const char *deadline_ms;
@@ -36,12 +38,12 @@
     const char *host;
     const char *request_id; /* the caller's own */
     const char *model;      /* "model" or "model/adapter" */
-    const char *resume_id;  /* of the last event that the caller has */
+    const char *resume_id;  /* ID of the last event that the caller received */
     uint32_t prompt_tokens;
     uint32_t output_tokens;
     struct ch_part parts[CH_REQUEST_MOST_PARTS];
     size_t part_count;
-    GArray *passed; /* struct ch_http_header: goes on to the upstream */
+    GArray *passed; /* struct ch_http_header, forwarded to the upstream */
 };
 
 enum ch_request_kind {
@@ -53,7 +55,7 @@
 struct ch_request {
     enum ch_request_kind kind;
     char *method;
-    char *path; /* as the upstream is to get it, with its query */
+    char *path; /* as sent to the upstream, with its query */
     char *content_type;
     char *key;
     char *body;
@@ -61,13 +63,13 @@
     char *caller;
     char *tenant; /* the caller when it is declared, else "other" */
     char *class_name;
-    int64_t first_token; /* targets of the class */
+    int64_t first_token; /* the class's target for the first token */
     int64_t between_tokens;
     int64_t whole_answer;
-    char *model; /* or the plain service */
+    char *model; /* or the name of a plain service */
     char *adapter;
     bool stream;
-    int64_t deadline;     /* when the caller stops waiting; 0: not stated */
+    int64_t deadline;     /* when the caller stops waiting; 0: none given */
     uint64_t fingerprint; /* of method, path and body */
     struct ch_work work;
     /* Of a request whose class is chosen by host and path. */
@@ -75,51 +77,54 @@
     char *request_id;
     char *resume_id;
     char *host;
-    struct ch_http_header *headers; /* go on to the upstream */
+    struct ch_http_header *headers; /* forwarded to the upstream */
     size_t header_count;
     struct ch_part *parts;
-    int64_t gap;              /* target: longest pause between events */
+    int64_t gap;              /* target for the longest pause between events */
     int64_t first_byte_limit; /* 0: the node's */
     int64_t stall_limit;      /* 0: the node's */
 };
 
-/* What is wrong with a request: which field, and why. */
+/* Why a request is invalid, and which field is at fault. */
 struct ch_fault {
     struct ch_error error;
-    char field[64]; /* "" when no single field is at fault */
+    char field[64]; /* "" when it is no single field */
 };
 
 void ch_fault_set(struct ch_fault *fault, enum ch_code code, const char *field,
                   const char *form, ...) G_GNUC_PRINTF(4, 5);
 
-/* NULL with *fault when the request must not go on. */
+/* Parses and checks a request; NULL with *fault when it is invalid. now and
+ * the request's times are microseconds. */
 struct ch_request *ch_request_parse(const struct ch_declaration *declaration,
                                     const struct ch_request_input *input,
                                     int64_t now, struct ch_fault *fault);
 void ch_request_free(struct ch_request *request);
-/* The same where the class is chosen by host and path (request_route.c). */
+/* Parses and checks a request whose class is chosen by host and path. */
 struct ch_request *
 ch_request_parse_routed(const struct ch_declaration *declaration,
                         const struct ch_request_input *input, int64_t now,
                         struct ch_fault *fault);
-/* Whether the request line's target may go on; false with *fault. */
+/* Whether the URI is valid and can be forwarded; false with *fault. */
 bool ch_request_check_uri(const char *uri, struct ch_fault *fault);
-/* Copies method, content type and body, and hashes what a repeat must equal.
- */
+/* Copies method, content type and body, and computes the fingerprint over
+ * method, URI and body, which must equal that of a repeated request under the
+ * same key. */
 void ch_request_copy_body(struct ch_request *request,
                           const struct ch_request_input *input);
 
 /* ---- the body of a model call (model_body.c) ---- */
 
 struct ch_model_body {
-    char *model; /* as the caller named it: a model or an adapter */
+    char *model; /* the caller's name for it: a model or an adapter */
     bool stream;
-    uint32_t prompt_tokens; /* estimated from its length */
+    uint32_t prompt_tokens; /* estimated from the prompt's length */
     uint32_t output_tokens;
     uint64_t prefix;
 };
 
-/* False with *fault; body->model is then NULL. */
+/* False with *fault, and then body->model is NULL. The caller frees
+ * body->model. */
 bool ch_model_body_parse(const char *text, size_t length, bool chat,
                          struct ch_model_body *body, struct ch_fault *fault);
 
--- a/libchestnuthitch/node/request_route.c
+++ b/libchestnuthitch/node/request_route.c
@@ -1,30 +1,33 @@
-/* A request whose class is chosen by its host and path. */
+/* Parses a request whose class is chosen by its host and path. */
 
 #include "node/request.h"
 
 #include <string.h>
 
 enum {
-    /* Where a class states no target and no limit. */
-    USUAL_LIMIT = 60 * G_USEC_PER_SEC,
+    /* Time limit of a class that sets none. */
+    DEFAULT_TIME_LIMIT_US = 60 * G_USEC_PER_SEC,
     /*
-     * How long an upstream may leave a request that may be repeated without an
-     * answer, as a share of the target for it, before another is asked: early
-     * enough that the second can still make the target, late enough that a
-     * usual answer has come (engines answer within a tenth of a second when
-     * they are not full, plain services within a tenth of their target).
+     * Time without a response after which a request that may be repeated is
+     * sent to another upstream, in tenths of the target for its first byte.
+     * Early enough that the second upstream can still meet the target, and
+     * late enough for a usual response to have come: engines answer within a
+     * tenth of a second unless they are full, plain services within a tenth of
+     * their target.
      */
-    FIRST_BYTE_TENTHS = 6,
-    LEAST_FIRST_BYTE = 150 * 1000,
-    MOST_FIRST_BYTE = 2 * G_USEC_PER_SEC,
-    /* The same between two events, in times the longest pause that is still
-     * on time: four, and at least a second, are far beyond a batch that fills
-     * up, and well before callers give a stream up. */
-    STALL_PAUSES = 4,
-    LEAST_STALL = G_USEC_PER_SEC,
+    FIRST_BYTE_TARGET_TENTHS = 6,
+    MIN_FIRST_BYTE_US = 150 * 1000,
+    MAX_FIRST_BYTE_US = 2 * G_USEC_PER_SEC,
+    /* The same between two events, in multiples of the longest pause that
+     * meets the target. Four such pauses, and at least a second, are far
+     * longer than a pause for a batch that fills up, and end well before
+     * callers abandon a stream. */
+    STALL_GAPS = 4,
+    MIN_STALL_US = G_USEC_PER_SEC,
 };
 
-/* The service that takes the request: by weight, the same for the same id. */
+/* Chooses the service by weight; the same request ID always gets the same one.
+ */
 static int
 choose_service(const struct ch_class *class, const char *request_id)
 {
@@ -35,23 +38,23 @@
     if (total == 0) {
         return class->share_count > 0 ? class->shares[0].service : -1;
     }
-    uint64_t at = ch_hash_string(request_id) % total;
+    uint64_t point = ch_hash_string(request_id) % total;
     size_t share = 0;
-    while (at >= class->shares[share].weight) {
-        at -= class->shares[share].weight;
+    while (point >= class->shares[share].weight) {
+        point -= class->shares[share].weight;
         share++;
     }
     return class->shares[share].service;
 }
 
-/* The class for the host and path; NULL with *fault. */
+/* Finds the class by host and path; NULL with *fault. */
 static const struct ch_class *
-take_class(struct ch_request *request,
-           const struct ch_declaration *declaration,
-           const struct ch_request_input *input, struct ch_fault *fault)
+choose_class(struct ch_request *request,
+             const struct ch_declaration *declaration,
+             const struct ch_request_input *input, struct ch_fault *fault)
 {
     if (input->host == NULL) {
-        ch_fault_set(fault, CH_BAD_FIELD, "Host", "no host is named");
+        ch_fault_set(fault, CH_BAD_FIELD, "Host", "the host is missing");
         return NULL;
     }
     char *host = g_strndup(input->host, strcspn(input->host, ":"));
@@ -60,7 +63,7 @@
     g_free(host);
     if (index < 0) {
         ch_fault_set(fault, CH_UNKNOWN_PATH, "path",
-                     "no class takes this host and path");
+                     "no class matches this host and path");
         return NULL;
     }
     const struct ch_class *class = &declaration->classes[index];
@@ -82,12 +85,12 @@
 
 /* Resolves the model and adapter that the request names. */
 static bool
-take_model(struct ch_request *request,
-           const struct ch_declaration *declaration, int service,
-           const struct ch_request_input *input, struct ch_fault *fault)
+resolve_model(struct ch_request *request,
+              const struct ch_declaration *declaration, int service,
+              const struct ch_request_input *input, struct ch_fault *fault)
 {
     if (input->model == NULL) {
-        ch_fault_set(fault, CH_BAD_FIELD, "model", "no model is named");
+        ch_fault_set(fault, CH_BAD_FIELD, "model", "the model is missing");
         return false;
     }
     size_t length = strcspn(input->model, "/");
@@ -117,12 +120,12 @@
     return true;
 }
 
-/* Resolves the service, and the model where its upstreams are engines. */
+/* Resolves the service, and the model if its upstreams are engines. */
 static bool
-take_target(struct ch_request *request,
-            const struct ch_declaration *declaration,
-            const struct ch_class *class, const struct ch_request_input *input,
-            struct ch_fault *fault)
+resolve_service(struct ch_request *request,
+                const struct ch_declaration *declaration,
+                const struct ch_class *class,
+                const struct ch_request_input *input, struct ch_fault *fault)
 {
     int index = choose_service(class, input->request_id);
     if (index < 0) {
@@ -133,7 +136,7 @@
     const struct ch_service *service = &declaration->services[index];
     request->work.pool = g_quark_from_string(service->name);
     if (service->memory_mb > 0) {
-        return take_model(request, declaration, index, input, fault);
+        return resolve_model(request, declaration, index, input, fault);
     }
     request->kind = CH_REQUEST_SERVICE_CALL;
     request->model = g_strdup(service->name);
@@ -142,34 +145,38 @@
     return true;
 }
 
-/* Sets by when what is to come, and how long an upstream may be silent. */
+/* Sets the times by which the response must start and end, and how long an
+ * upstream may be silent. */
 static void
 set_times(struct ch_request *request, const struct ch_class *class,
           int64_t now)
 {
-    struct ch_work *work = &request->work;
-    int64_t limit = class->time_limit > 0 ? class->time_limit : USUAL_LIMIT;
+    struct ch_work *info = &request->work;
+    int64_t limit =
+        class->time_limit > 0 ? class->time_limit : DEFAULT_TIME_LIMIT_US;
     request->deadline = request->deadline == 0
                             ? now + limit
                             : MIN(request->deadline, now + limit);
     int64_t target = class->stream ? class->first_token : class->whole_answer;
-    work->arrived = now;
-    work->first_by = target > 0 ? now + target : request->deadline;
-    work->first_by = MIN(work->first_by, request->deadline);
-    work->whole_by = request->deadline;
+    info->arrived = now;
+    info->first_by = target > 0 ? now + target : request->deadline;
+    info->first_by = MIN(info->first_by, request->deadline);
+    info->whole_by = request->deadline;
     request->first_byte_limit = request->deadline - now;
     request->stall_limit = request->deadline - now;
     if (class->idempotent && class->tries > 1 && target > 0) {
-        request->first_byte_limit = CLAMP(target * FIRST_BYTE_TENTHS / 10,
-                                          LEAST_FIRST_BYTE, MOST_FIRST_BYTE);
-        request->stall_limit = MAX(class->gap * STALL_PAUSES, LEAST_STALL);
+        request->first_byte_limit =
+            CLAMP(target * FIRST_BYTE_TARGET_TENTHS / 10, MIN_FIRST_BYTE_US,
+                  MAX_FIRST_BYTE_US);
+        request->stall_limit = MAX(class->gap * STALL_GAPS, MIN_STALL_US);
     }
 }
 
-/* Takes the time for which the caller waits. */
+/* Parses how long the caller waits. */
 static bool
-take_deadline(struct ch_request *request, const struct ch_request_input *input,
-              int64_t now, struct ch_fault *fault)
+parse_deadline(struct ch_request *request,
+               const struct ch_request_input *input, int64_t now,
+               struct ch_fault *fault)
 {
     guint64 wait = 0;
     if (input->deadline_ms == NULL) {
@@ -187,9 +194,10 @@
     return true;
 }
 
-/* Copies what goes on to the upstream as it came. */
+/* Copies what is forwarded to the upstream unchanged. */
 static void
-copy_passed(struct ch_request *request, const struct ch_request_input *input)
+copy_forwarded(struct ch_request *request,
+               const struct ch_request_input *input)
 {
     request->header_count = input->passed->len;
     request->headers = g_new0(struct ch_http_header, input->passed->len + 1);
@@ -209,11 +217,12 @@
     request->work.output_tokens = input->output_tokens;
 }
 
-/* Fills in the request; false with *fault at the first thing wrong. */
+/* Fills in the request; false with *fault at the first fault found. */
 static bool
-take_all(struct ch_request *request, const struct ch_declaration *declaration,
-         const struct ch_request_input *input, int64_t now,
-         struct ch_fault *fault)
+parse_request(struct ch_request *request,
+              const struct ch_declaration *declaration,
+              const struct ch_request_input *input, int64_t now,
+              struct ch_fault *fault)
 {
     if (!ch_request_check_uri(input->uri, fault)) {
         return false;
@@ -221,18 +230,18 @@
     if (input->request_id == NULL || input->request_id[0] == '\0' ||
         strlen(input->request_id) > CH_REQUEST_MOST_NAME) {
         ch_fault_set(fault, CH_BAD_FIELD, "request id",
-                     "the request bears no id of 1 to %d bytes",
+                     "the request has no id of 1 to %d bytes",
                      CH_REQUEST_MOST_NAME);
         return false;
     }
     request->request_id = g_strdup(input->request_id);
     const struct ch_class *class =
-        take_class(request, declaration, input, fault);
-    if (class == NULL || !take_deadline(request, input, now, fault) ||
-        !take_target(request, declaration, class, input, fault)) {
+        choose_class(request, declaration, input, fault);
+    if (class == NULL || !parse_deadline(request, input, now, fault) ||
+        !resolve_service(request, declaration, class, input, fault)) {
         return false;
     }
-    copy_passed(request, input);
+    copy_forwarded(request, input);
     ch_request_copy_body(request, input);
     set_times(request, class, now);
     return true;
@@ -246,7 +255,7 @@
 {
     struct ch_request *request = g_new0(struct ch_request, 1);
     request->routed = true;
-    if (!take_all(request, declaration, input, now, fault)) {
+    if (!parse_request(request, declaration, input, now, fault)) {
         ch_request_free(request);
         return NULL;
     }
