--- a/tests/threaded/test_admin.c
+++ b/tests/threaded/test_admin.c
@@ -1,5 +1,6 @@
-/* The operators' listener over real connections, with the node's other parts
- * as small fakes: what each call answers, and that none is cut. */
+/* Tests the operators' listener over real connections, with fakes of the
+ * node's other components: the response to each call, and that no pending call
+ * is aborted by a stop. */
 
 #include "node/node.h"
 #include "threaded/fake_crashes.h"
@@ -12,11 +13,12 @@
 
 #define TEXT "[class c]\nanswer-ms = 1\nidempotent = true\nmodels = *\n\n"
 
-/* ---- the rest of the node, faked ---- */
+/* ---- fakes of the node's other components ---- */
 
-/* What the fake keeper answers, and what it was last asked for. */
+/* A fake configuration manager: its results, and the arguments of the last
+ * change. */
 struct ch_config_keeper {
-    pthread_mutex_t lock; /* guards what follows */
+    pthread_mutex_t lock; /* protects the members below */
     enum ch_code code;
     bool known;
     bool ready;
@@ -24,15 +26,15 @@
     char author[80];
     pthread_t thread;
     bool threaded;
-    int asked;   /* by g_atomic_int: the apply has come */
-    sem_t *gate; /* NULL: answers at once; else waits for it */
+    int asked;   /* by g_atomic_int: a change has arrived */
+    sem_t *gate; /* NULL: answers at once; otherwise waits for the semaphore */
     char *text;
     void (*done)(void *data, const struct ch_error *error,
                  struct ch_config *config);
     void *data;
 };
 
-/* A configuration of revision 7 with one reference. */
+/* A configuration of revision 7, with one reference. */
 static struct ch_config *
 make_config(void)
 {
@@ -43,25 +45,25 @@
     return ch_config_new(7, "token-7", "ann", declaration);
 }
 
-/* Fake: revision 7, or none. */
+/* Fake: returns revision 7, or none. */
 struct ch_config *
-ch_config_keeper_current(struct ch_config_keeper *keeper)
+ch_config_keeper_current(struct ch_config_keeper *manager)
 {
-    pthread_mutex_lock(&keeper->lock);
-    bool known = keeper->known;
-    pthread_mutex_unlock(&keeper->lock);
+    pthread_mutex_lock(&manager->lock);
+    bool known = manager->known;
+    pthread_mutex_unlock(&manager->lock);
     return known ? make_config() : NULL;
 }
 
-/* Answers as the case says, after the gate. */
+/* Answers with the case's code, after the gate. */
 static void *
-answer_apply(void *data)
+run_apply(void *data)
 {
-    struct ch_config_keeper *keeper = data;
-    pthread_mutex_lock(&keeper->lock);
-    enum ch_code code = keeper->code;
-    sem_t *gate = keeper->gate;
-    pthread_mutex_unlock(&keeper->lock);
+    struct ch_config_keeper *manager = data;
+    pthread_mutex_lock(&manager->lock);
+    enum ch_code code = manager->code;
+    sem_t *gate = manager->gate;
+    pthread_mutex_unlock(&manager->lock);
     if (gate != NULL) {
         sem_wait(gate);
     }
@@ -73,33 +75,33 @@
     if (code == CH_OK || code == CH_KV_CONFLICT) {
         config = make_config();
     }
-    keeper->done(keeper->data, &error, config);
+    manager->done(manager->data, &error, config);
     ch_config_unref(config);
     return NULL;
 }
 
-/* Fake: answers from a thread of its own, as the pool would. */
+/* Fake: answers from a thread of its own, as the real manager does from the
+ * pool. */
 void
-ch_config_keeper_apply(struct ch_config_keeper *keeper, const char *text,
+ch_config_keeper_apply(struct ch_config_keeper *manager, const char *text,
                        const char *author, uint64_t base,
                        void (*done)(void *data, const struct ch_error *error,
                                     struct ch_config *config),
                        void *data)
 {
-    pthread_mutex_lock(&keeper->lock);
-    g_free(keeper->text);
-    keeper->text = g_strdup(text);
-    keeper->base = base;
-    (void)g_strlcpy(keeper->author, author, sizeof(keeper->author));
-    keeper->done = done;
-    keeper->data = data;
-    keeper->threaded = true;
-    g_assert_cmpint(
-        pthread_create(&keeper->thread, NULL, answer_apply, keeper), ==, 0);
-    pthread_mutex_unlock(&keeper->lock);
+    pthread_mutex_lock(&manager->lock);
+    g_free(manager->text);
+    manager->text = g_strdup(text);
+    manager->base = base;
+    (void)g_strlcpy(manager->author, author, sizeof(manager->author));
+    manager->done = done;
+    manager->data = data;
+    manager->threaded = true;
+    g_assert_cmpint(pthread_create(&manager->thread, NULL, run_apply, manager),
+                    ==, 0);
+    pthread_mutex_unlock(&manager->lock);
 }
 
-/* Fake readiness. */
 bool
 ch_node_ready(struct ch_node *node)
 {
@@ -109,7 +111,6 @@
     return ready;
 }
 
-/* Fake knowledge of the upstreams. */
 static bool
 router_ready(struct ch_router *router)
 {
@@ -117,7 +118,7 @@
     return true;
 }
 
-/* Fake status of the members. */
+/* Fake status of the peers. */
 void
 ch_peers_status(struct ch_peers *peers, JsonBuilder *builder)
 {
@@ -126,7 +127,6 @@
     json_builder_add_int_value(builder, 1);
 }
 
-/* Fake status of the upstreams. */
 static void
 router_status(struct ch_router *router, JsonBuilder *builder)
 {
@@ -140,12 +140,12 @@
     .status = router_status,
 };
 
-/* ---- one listener and calls to it ---- */
+/* ---- a listener and calls to it ---- */
 
 struct fixture {
     struct ch_client client;
     struct ch_settings *settings;
-    struct ch_config_keeper keeper;
+    struct ch_config_keeper manager;
     struct ch_router router;
     struct ch_node node;
     struct ch_admin *admin;
@@ -153,33 +153,34 @@
     char *url; /* http://ip:port */
 };
 
-/* Keeps the log. */
+/* Stores a log line. */
 static void
-keep_line(void *data, const char *line, size_t length)
+store_line(void *data, const char *line, size_t length)
 {
     g_string_append_len(data, line, (gssize)length);
 }
 
-/* Sets what the fakes say. */
+/* Sets the fakes' results. */
 static void
 set_fakes(struct fixture *fixture, bool known, bool ready, enum ch_code code,
           sem_t *gate)
 {
-    pthread_mutex_lock(&fixture->keeper.lock);
-    fixture->keeper.known = known;
-    fixture->keeper.ready = ready;
-    fixture->keeper.code = code;
-    fixture->keeper.gate = gate;
-    pthread_mutex_unlock(&fixture->keeper.lock);
+    pthread_mutex_lock(&fixture->manager.lock);
+    fixture->manager.known = known;
+    fixture->manager.ready = ready;
+    fixture->manager.code = code;
+    fixture->manager.gate = gate;
+    pthread_mutex_unlock(&fixture->manager.lock);
 }
 
-/* Starts a listener on a port of the kernel's choice, read from the log. */
+/* Starts a listener on a port that the kernel chooses; the port is read from
+ * the log. */
 static void
 set_up(struct fixture *fixture)
 {
     struct ch_error error = {0};
     *fixture = (struct fixture){0};
-    pthread_mutex_init(&fixture->keeper.lock, NULL);
+    pthread_mutex_init(&fixture->manager.lock, NULL);
     fixture->log = g_string_new(NULL);
     fixture->settings = ch_settings_parse(
         "[node]\nname = n1\nregion = r\ndata-centre = d\n[listen]\n"
@@ -189,75 +190,75 @@
         "f.ini", &error);
     g_assert_cmpstr(error.message, ==, "");
     ch_client_init(&fixture->client, "n1");
-    fixture->client.log_write = keep_line;
+    fixture->client.log_write = store_line;
     fixture->client.log_data = fixture->log;
     fixture->client.metrics = ch_metrics_new();
     set_fakes(fixture, true, true, CH_OK, NULL);
     fixture->node.client = &fixture->client;
     fixture->node.settings = fixture->settings;
-    fixture->node.config = &fixture->keeper;
+    fixture->node.config = &fixture->manager;
     fixture->router.ops = &router_ops;
     fixture->node.router = &fixture->router;
     fixture->admin = ch_admin_new(&fixture->node, &error);
     g_assert_cmpstr(error.message, ==, "");
-    const char *at = strstr(fixture->log->str, "\"admin\":\"");
-    g_assert_nonnull(at);
-    char **parts = g_strsplit(at, "\"", 5);
+    const char *address_start = strstr(fixture->log->str, "\"admin\":\"");
+    g_assert_nonnull(address_start);
+    char **parts = g_strsplit(address_start, "\"", 5);
     fixture->url = g_strconcat("http://", parts[3], NULL);
     g_strfreev(parts);
 }
 
-/* True when the keeper was asked; ends the thread that answered. */
+/* Joins the fake manager's thread; false when the manager was not called. */
 static bool
-join_keeper(struct fixture *fixture)
+join_manager(struct fixture *fixture)
 {
-    pthread_mutex_lock(&fixture->keeper.lock);
-    bool threaded = fixture->keeper.threaded;
-    fixture->keeper.threaded = false;
-    pthread_t thread = fixture->keeper.thread;
-    pthread_mutex_unlock(&fixture->keeper.lock);
+    pthread_mutex_lock(&fixture->manager.lock);
+    bool threaded = fixture->manager.threaded;
+    fixture->manager.threaded = false;
+    pthread_t thread = fixture->manager.thread;
+    pthread_mutex_unlock(&fixture->manager.lock);
     if (threaded) {
         pthread_join(thread, NULL);
     }
     return threaded;
 }
 
-/* True once the keeper was asked. */
+/* True once the fake manager was called. */
 static bool
-is_asked(struct fixture *fixture)
+is_called(struct fixture *fixture)
 {
-    pthread_mutex_lock(&fixture->keeper.lock);
-    bool asked = fixture->keeper.threaded;
-    pthread_mutex_unlock(&fixture->keeper.lock);
-    return asked;
+    pthread_mutex_lock(&fixture->manager.lock);
+    bool called = fixture->manager.threaded;
+    pthread_mutex_unlock(&fixture->manager.lock);
+    return called;
 }
 
-/* Stops the listener and frees everything. */
 static void
 tear_down(struct fixture *fixture)
 {
     ch_admin_free(fixture->admin);
-    (void)join_keeper(fixture);
-    pthread_mutex_destroy(&fixture->keeper.lock);
+    (void)join_manager(fixture);
+    pthread_mutex_destroy(&fixture->manager.lock);
     ch_settings_free(fixture->settings);
     ch_metrics_free(fixture->client.metrics);
     g_string_free(fixture->log, TRUE);
-    g_free(fixture->keeper.text);
+    g_free(fixture->manager.text);
     g_free(fixture->url);
 }
 
-/* Gathers an answer's body. */
+/* Collects the body of a response. */
 static size_t
-keep_body(char *bytes, size_t size, size_t count, void *data)
+store_body(char *bytes, size_t size, size_t count, void *data)
 {
     g_string_append_len(data, bytes, (gssize)(size * count));
     return size * count;
 }
 
-/* One call; the status, 0 when the connection was cut.  body NULL: none. */
+/* Makes a call and returns the status, 0 when the connection was closed early.
+ * body NULL: no body. */
 static long
 call(const struct fixture *fixture, const char *method, const char *path,
-     const char *body, GString *answer)
+     const char *body, GString *response)
 {
     CURL *curl = curl_easy_init();
     char *url = g_strconcat(fixture->url, path, NULL);
@@ -265,8 +266,8 @@
     curl_easy_setopt(curl, CURLOPT_URL, url);
     curl_easy_setopt(curl, CURLOPT_CUSTOMREQUEST, method);
     curl_easy_setopt(curl, CURLOPT_NOSIGNAL, 1L);
-    curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, keep_body);
-    curl_easy_setopt(curl, CURLOPT_WRITEDATA, answer);
+    curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, store_body);
+    curl_easy_setopt(curl, CURLOPT_WRITEDATA, response);
     if (body != NULL) {
         curl_easy_setopt(curl, CURLOPT_POSTFIELDS, body);
     }
@@ -278,7 +279,7 @@
     return status;
 }
 
-/* ---- the cases ---- */
+/* ---- test cases ---- */
 
 #define DIGEST(last) "0000000000000000000000000000000" last
 
@@ -287,10 +288,10 @@
     const char *path;
     const char *body;
     long status;
-    const char *part; /* of the answer */
+    const char *part; /* of the response */
 };
 
-static const struct call_case plain_cases[] = {
+static const struct call_case simple_cases[] = {
     {"GET", "/healthz", NULL, 200, "alive"},
     {"GET", "/readyz", NULL, 200, "ready"},
     {"GET", "/metrics", NULL, 200, "\nchestnuthitch_requests_total 0\n"},
@@ -317,43 +318,45 @@
     {"GET", "/admin/v1/status", NULL, 200, "\"crash_suspects\":[]"},
 };
 
-/* What needs no keeper, and bad input that must not reach it. */
+/* Calls that need no configuration manager, and invalid input that must not
+ * reach the manager. */
 static void
-test_plain(void)
+test_simple_calls(void)
 {
     struct fixture fixture;
     set_up(&fixture);
-    for (size_t i = 0; i < G_N_ELEMENTS(plain_cases); i++) {
-        const struct call_case *row = &plain_cases[i];
-        GString *answer = g_string_new(NULL);
+    for (size_t i = 0; i < G_N_ELEMENTS(simple_cases); i++) {
+        const struct call_case *row = &simple_cases[i];
+        GString *response = g_string_new(NULL);
         long status =
-            call(&fixture, row->method, row->path, row->body, answer);
+            call(&fixture, row->method, row->path, row->body, response);
         g_test_message("%s %s: %ld %s", row->method, row->path, status,
-                       answer->str);
+                       response->str);
         g_assert_cmpint(status, ==, row->status);
-        g_assert_nonnull(strstr(answer->str, row->part));
-        g_string_free(answer, TRUE);
+        g_assert_nonnull(strstr(response->str, row->part));
+        g_string_free(response, TRUE);
     }
-    g_assert_false(is_asked(&fixture));
+    g_assert_false(is_called(&fixture));
     tear_down(&fixture);
 }
 
-/* Not ready: says why.  No configuration: 404. */
+/* A node that is not ready gives the reason; without a configuration, GET
+ * config answers 404. */
 static void
-test_unready(void)
+test_not_ready(void)
 {
     struct fixture fixture;
-    GString *answer = g_string_new(NULL);
+    GString *response = g_string_new(NULL);
     set_up(&fixture);
     set_fakes(&fixture, true, false, CH_OK, NULL);
-    g_assert_cmpint(call(&fixture, "GET", "/readyz", NULL, answer), ==, 503);
-    g_assert_nonnull(strstr(answer->str, "STOPPING"));
+    g_assert_cmpint(call(&fixture, "GET", "/readyz", NULL, response), ==, 503);
+    g_assert_nonnull(strstr(response->str, "STOPPING"));
     set_fakes(&fixture, false, false, CH_OK, NULL);
-    g_assert_cmpint(call(&fixture, "GET", "/readyz", NULL, answer), ==, 503);
-    g_assert_nonnull(strstr(answer->str, "NOT_READY"));
-    g_assert_cmpint(call(&fixture, "GET", "/admin/v1/config", NULL, answer),
+    g_assert_cmpint(call(&fixture, "GET", "/readyz", NULL, response), ==, 503);
+    g_assert_nonnull(strstr(response->str, "NOT_READY"));
+    g_assert_cmpint(call(&fixture, "GET", "/admin/v1/config", NULL, response),
                     ==, 404);
-    g_string_free(answer, TRUE);
+    g_string_free(response, TRUE);
     tear_down(&fixture);
 }
 
@@ -372,44 +375,46 @@
     {CH_BAD_VALUE, 400, "as the case says"},
 };
 
-/* The keeper's answers as the operator gets them, and what it was given. */
+/* The manager's results as the operator receives them, and the arguments that
+ * the manager got. */
 static void
 test_apply(void)
 {
     struct fixture fixture;
     set_up(&fixture);
     for (size_t i = 0; i < G_N_ELEMENTS(apply_cases); i++) {
-        GString *answer = g_string_new(NULL);
+        GString *response = g_string_new(NULL);
         set_fakes(&fixture, true, true, apply_cases[i].code, NULL);
-        long status = call(&fixture, "POST",
-                           "/admin/v1/config?base=6&author=bob", TEXT, answer);
-        g_test_message("%ld %s", status, answer->str);
-        g_assert_true(join_keeper(&fixture));
+        long status =
+            call(&fixture, "POST", "/admin/v1/config?base=6&author=bob", TEXT,
+                 response);
+        g_test_message("%ld %s", status, response->str);
+        g_assert_true(join_manager(&fixture));
         g_assert_cmpint(status, ==, apply_cases[i].status);
-        g_assert_nonnull(strstr(answer->str, apply_cases[i].part));
-        g_assert_cmpstr(fixture.keeper.text, ==, TEXT);
-        g_assert_cmpstr(fixture.keeper.author, ==, "bob");
-        g_assert_cmpuint(fixture.keeper.base, ==, 6);
-        g_string_free(answer, TRUE);
+        g_assert_nonnull(strstr(response->str, apply_cases[i].part));
+        g_assert_cmpstr(fixture.manager.text, ==, TEXT);
+        g_assert_cmpstr(fixture.manager.author, ==, "bob");
+        g_assert_cmpuint(fixture.manager.base, ==, 6);
+        g_string_free(response, TRUE);
     }
     tear_down(&fixture);
 }
 
-/* A body over the limit is read to its end and refused with the reason. */
+/* A body over the limit is read to its end, then refused with the reason. */
 static void
 test_too_large(void)
 {
     struct fixture fixture;
-    GString *answer = g_string_new(NULL);
+    GString *response = g_string_new(NULL);
     char *body = g_strnfill((gsize)2 << 20, '#');
     set_up(&fixture);
     g_assert_cmpint(call(&fixture, "POST",
-                         "/admin/v1/config?base=6&author=bob", body, answer),
+                         "/admin/v1/config?base=6&author=bob", body, response),
                     ==, 413);
-    g_assert_nonnull(strstr(answer->str, "BODY_TOO_LARGE"));
-    g_assert_false(is_asked(&fixture));
+    g_assert_nonnull(strstr(response->str, "BODY_TOO_LARGE"));
+    g_assert_false(is_called(&fixture));
     g_free(body);
-    g_string_free(answer, TRUE);
+    g_string_free(response, TRUE);
     tear_down(&fixture);
 }
 
@@ -418,20 +423,20 @@
     long status;
 };
 
-/* An operator who applies while the node is asked to stop. */
+/* An operator's change while the node is told to stop. */
 static void *
-apply_slowly(void *data)
+apply_during_stop(void *data)
 {
     struct operator_call *operator_call = data;
-    GString *answer = g_string_new(NULL);
+    GString *response = g_string_new(NULL);
     operator_call->status =
         call(operator_call->fixture, "POST",
-             "/admin/v1/config?base=6&author=bob", TEXT, answer);
-    g_string_free(answer, TRUE);
+             "/admin/v1/config?base=6&author=bob", TEXT, response);
+    g_string_free(response, TRUE);
     return NULL;
 }
 
-/* Opens the gate a little after the stop has begun. */
+/* Opens the gate 50 ms later, after the stop has begun. */
 static void *
 open_gate(void *data)
 {
@@ -441,10 +446,10 @@
 }
 
 /*
- * An operator's apply is under way when the node stops.  The stop waits for
- * the key-value service's answer, and the operator gets it: without the wait
- * the connection would be closed, and the operator would not know whether the
- * configuration is in force.
+ * The node is stopped while an operator's configuration change is pending. The
+ * stop must wait for the key-value store's result, and the operator must get
+ * it: otherwise the connection would be closed, and the operator would not
+ * know whether the configuration is in force.
  */
 static void
 test_stop_waits(void)
@@ -457,10 +462,10 @@
     set_up(&fixture);
     set_fakes(&fixture, true, true, CH_OK, &gate);
     struct operator_call operator_call = {&fixture, 0};
-    g_assert_cmpint(
-        pthread_create(&operator_thread, NULL, apply_slowly, &operator_call),
-        ==, 0);
-    while (!is_asked(&fixture)) {
+    g_assert_cmpint(pthread_create(&operator_thread, NULL, apply_during_stop,
+                                   &operator_call),
+                    ==, 0);
+    while (!is_called(&fixture)) {
         g_usleep(1000);
     }
     g_assert_cmpint(pthread_create(&gate_thread, NULL, open_gate, &gate), ==,
@@ -478,8 +483,8 @@
 {
     g_test_init(&argc, &argv, NULL);
     curl_global_init(CURL_GLOBAL_DEFAULT);
-    g_test_add_func("/admin/plain", test_plain);
-    g_test_add_func("/admin/unready", test_unready);
+    g_test_add_func("/admin/plain", test_simple_calls);
+    g_test_add_func("/admin/unready", test_not_ready);
     g_test_add_func("/admin/apply", test_apply);
     g_test_add_func("/admin/too-large", test_too_large);
     g_test_add_func("/admin/stop-waits", test_stop_waits);
--- a/tests/threaded/test_front.c
+++ b/tests/threaded/test_front.c
@@ -1,7 +1,7 @@
 /*
- * The callers' listener with a platform's dialect: requests that two readers
- * would take apart in different ways, and what callers are told.  The router
- * is a fake one that refuses all, and counts.
+ * Tests the callers' HTTP listener with a platform's dialect: request
+ * smuggling, and the responses that callers get. The router is a fake that
+ * refuses every request and counts them.
  */
 
 #include "node/front.h"
@@ -15,25 +15,25 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* The other parts of the node. */
+/* Fakes of the node's other components. */
 struct ch_config_keeper {
     struct ch_config *config;
 };
 
 static struct {
     struct ch_router router;
-    struct ch_config_keeper keeper;
+    struct ch_config_keeper manager;
     struct ch_client client;
     struct ch_settings settings;
     struct ch_node node;
     pthread_mutex_t lock;
-    unsigned asked; /* requests that came to the router */
+    unsigned router_requests; /* requests that reached the router */
 } world;
 
 struct ch_config *
-ch_config_keeper_current(struct ch_config_keeper *keeper)
+ch_config_keeper_current(struct ch_config_keeper *manager)
 {
-    return keeper->config == NULL ? NULL : ch_config_ref(keeper->config);
+    return manager->config == NULL ? NULL : ch_config_ref(manager->config);
 }
 
 char **
@@ -44,38 +44,38 @@
 }
 
 void
-ch_once_keeper_begin(struct ch_once_keeper *keeper, const char *caller,
+ch_once_keeper_begin(struct ch_once_keeper *manager, const char *caller,
                      const char *key, uint64_t fingerprint,
                      void (*done)(void *data,
                                   const struct ch_once_answer *answer),
                      void *data)
 {
-    (void)keeper, (void)caller, (void)key, (void)fingerprint;
+    (void)manager, (void)caller, (void)key, (void)fingerprint;
     (void)done, (void)data;
     g_assert_not_reached();
 }
 
 void
-ch_once_keeper_finish(struct ch_once_keeper *keeper, const char *caller,
+ch_once_keeper_finish(struct ch_once_keeper *manager, const char *caller,
                       const char *key, uint64_t attempt, bool not_run,
                       int status, const char *content_type, const void *body,
                       size_t length, void (*done)(void *data, bool kept),
                       void *data)
 {
-    (void)keeper, (void)caller, (void)key, (void)attempt, (void)not_run;
+    (void)manager, (void)caller, (void)key, (void)attempt, (void)not_run;
     (void)status, (void)content_type, (void)body, (void)length;
     (void)done, (void)data;
     g_assert_not_reached();
 }
 
 static uint64_t
-fake_request(struct ch_router *router, const struct ch_work *work,
+fake_request(struct ch_router *router, const struct ch_work *info,
              const GArray *excluded, const struct ch_router_handlers *handlers,
              void *data)
 {
-    (void)router, (void)work, (void)excluded;
+    (void)router, (void)info, (void)excluded;
     pthread_mutex_lock(&world.lock);
-    world.asked++;
+    world.router_requests++;
     pthread_mutex_unlock(&world.lock);
     handlers->refused(data, CH_LATE, INT64_C(700) * 1000, "full");
     return 0;
@@ -123,7 +123,7 @@
 }
 
 static void
-drop_line(void *data, const char *line, size_t length)
+discard_line(void *data, const char *line, size_t length)
 {
     (void)data, (void)line, (void)length;
 }
@@ -138,10 +138,10 @@
     struct ch_error error = {0};
     pthread_mutex_init(&world.lock, NULL);
     ch_client_init(&world.client, "n1");
-    world.client.log_write = drop_line;
+    world.client.log_write = discard_line;
     world.client.metrics = ch_metrics_new();
     world.router.ops = &ops;
-    world.keeper.config = config;
+    world.manager.config = config;
     world.settings = (struct ch_settings){
         .name = "n1",
         .callers = "127.0.0.1:0",
@@ -155,13 +155,13 @@
         .dialect = &dialect,
         .settings = &world.settings,
         .router = &world.router,
-        .config = &world.keeper,
+        .config = &world.manager,
     };
     world.node.pool = ch_pool_new(2);
     world.node.timers = ch_timers_new(world.node.pool);
     world.node.front = ch_front_new(&world.node, &error);
     g_assert_cmpstr(error.message, ==, "");
-    world.asked = 0;
+    world.router_requests = 0;
 }
 
 static void
@@ -173,11 +173,11 @@
     ch_timers_free(world.node.timers);
     ch_front_free(world.node.front);
     ch_metrics_free(world.client.metrics);
-    ch_config_unref(world.keeper.config);
+    ch_config_unref(world.manager.config);
 }
 
-/* Sends bytes, and what comes back until the connection closes or nothing more
- * comes. */
+/* Sends bytes and returns what is received until the connection is closed or
+ * nothing more arrives for 0.4 s. */
 static char *
 exchange(const char *bytes, size_t length)
 {
@@ -187,36 +187,37 @@
         .sin_port =
             htons((uint16_t)ch_listener_port(world.node.front->listener)),
     };
-    struct timeval patience = {.tv_usec = 400000L};
-    GString *got = g_string_new(NULL);
+    struct timeval receive_timeout = {.tv_usec = 400000L};
+    GString *received = g_string_new(NULL);
     char part[4096];
     ssize_t count = 0;
     int fd = socket(AF_INET, SOCK_STREAM, 0);
-    setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof(patience));
+    setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &receive_timeout,
+               sizeof(receive_timeout));
     g_assert_cmpint(connect(fd, (struct sockaddr *)&address, sizeof(address)),
                     ==, 0);
     g_assert_cmpint(send(fd, bytes, length, MSG_NOSIGNAL), ==,
                     (ssize_t)length);
     while ((count = recv(fd, part, sizeof(part), 0)) > 0) {
-        g_string_append_len(got, part, count);
+        g_string_append_len(received, part, count);
     }
     close(fd);
-    return g_string_free(got, FALSE);
+    return g_string_free(received, FALSE);
 }
 
 #define HEAD "POST /x/1 HTTP/1.1\r\nHost: h\r\nId: i1\r\n"
 #define INNER "POST /x/2 HTTP/1.1\r\nHost: h\r\nId: i2\r\n\r\n"
 
 /*
- * What the caller sees: 400 or a closed connection.  Order: a request whose
- * body's end can be read in two ways, and another hidden in it.  Why: whoever
- * stands before this node may see one request where the node sees two; the
- * second would run under nobody's name.
+ * Requests whose body can be read as ending at two places, with another
+ * request hidden in the body. The listener must answer 400 or close the
+ * connection: a proxy before this node may see one request where the node sees
+ * two, and the second would run without an identified caller.
  */
 static const struct {
     const char *what;
     const char *bytes;
-} smuggled[] = {
+} smuggling_cases[] = {
     {"a length and chunks", HEAD
      "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" INNER},
     {"chunks and a length", HEAD
@@ -244,41 +245,43 @@
     {"an empty coding", HEAD "Transfer-Encoding: \r\n\r\n" INNER},
 };
 
-/* How often the router was asked since the last time. */
+/* The requests that reached the router since the last call. */
 static unsigned
-take_asked(void)
+take_router_requests(void)
 {
     pthread_mutex_lock(&world.lock);
-    unsigned asked = world.asked;
-    world.asked = 0;
+    unsigned router_requests = world.router_requests;
+    world.router_requests = 0;
     pthread_mutex_unlock(&world.lock);
-    return asked;
+    return router_requests;
 }
 
 static void
-test_smuggled(void)
+test_smuggling(void)
 {
     start(make_config());
-    for (size_t i = 0; i < G_N_ELEMENTS(smuggled); i++) {
-        g_autofree char *got =
-            exchange(smuggled[i].bytes, strlen(smuggled[i].bytes));
-        unsigned asked = take_asked();
-        g_test_message("%s: %.12s, %u asked", smuggled[i].what, got, asked);
-        g_assert_cmpuint(asked, ==, 0);
-        g_assert_true(got[0] == '\0' || g_str_has_prefix(got, "HTTP/1.1 400"));
-        g_assert_null(strstr(got, "i2"));
+    for (size_t i = 0; i < G_N_ELEMENTS(smuggling_cases); i++) {
+        g_autofree char *received = exchange(smuggling_cases[i].bytes,
+                                             strlen(smuggling_cases[i].bytes));
+        unsigned router_requests = take_router_requests();
+        g_test_message("%s: %.12s, %u asked", smuggling_cases[i].what,
+                       received, router_requests);
+        g_assert_cmpuint(router_requests, ==, 0);
+        g_assert_true(received[0] == '\0' ||
+                      g_str_has_prefix(received, "HTTP/1.1 400"));
+        g_assert_null(strstr(received, "i2"));
     }
     stop();
 }
 
-/* What callers are told, and whether the router was asked. */
+/* The responses to callers, and whether the router was asked. */
 static const struct {
     const char *what;
     const char *bytes;
     const char *status;
-    const char *with; /* stands in the answer */
-    unsigned asked;
-} answers[] = {
+    const char *with; /* part of the response */
+    unsigned router_requests;
+} responses[] = {
     {"a refusal, with when to come back", HEAD "Content-Length: 0\r\n\r\n",
      "HTTP/1.1 503", "Retry-After: 0.70", 1},
     {"the caller's own id goes back", HEAD "Content-Length: 0\r\n\r\n",
@@ -299,30 +302,32 @@
 };
 
 static void
-test_answers(void)
+test_responses(void)
 {
     start(make_config());
-    for (size_t i = 0; i < G_N_ELEMENTS(answers); i++) {
-        g_autofree char *got =
-            exchange(answers[i].bytes, strlen(answers[i].bytes));
-        g_test_message("%s: %s", answers[i].what, got);
-        g_assert_true(g_str_has_prefix(got, answers[i].status));
-        g_assert_nonnull(strstr(got, answers[i].with));
-        g_assert_cmpuint(take_asked(), ==, answers[i].asked);
+    for (size_t i = 0; i < G_N_ELEMENTS(responses); i++) {
+        g_autofree char *received =
+            exchange(responses[i].bytes, strlen(responses[i].bytes));
+        g_test_message("%s: %s", responses[i].what, received);
+        g_assert_true(g_str_has_prefix(received, responses[i].status));
+        g_assert_nonnull(strstr(received, responses[i].with));
+        g_assert_cmpuint(take_router_requests(), ==,
+                         responses[i].router_requests);
     }
     stop();
 }
 
-/* A node that knows no configuration yet says 503, never 404: what it does not
- * know may be there. */
+/* A node without a configuration must answer 503, never 404: the configuration
+ * that it does not have yet may contain the path. */
 static void
 test_no_config(void)
 {
     start(NULL);
-    g_autofree char *got = exchange(HEAD "Content-Length: 0\r\n\r\n",
-                                    strlen(HEAD "Content-Length: 0\r\n\r\n"));
-    g_assert_true(g_str_has_prefix(got, "HTTP/1.1 503"));
-    g_assert_nonnull(strstr(got, "Retry-After: "));
+    g_autofree char *received =
+        exchange(HEAD "Content-Length: 0\r\n\r\n",
+                 strlen(HEAD "Content-Length: 0\r\n\r\n"));
+    g_assert_true(g_str_has_prefix(received, "HTTP/1.1 503"));
+    g_assert_nonnull(strstr(received, "Retry-After: "));
     stop();
 }
 
@@ -330,8 +335,8 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/front/smuggled", test_smuggled);
-    g_test_add_func("/front/answers", test_answers);
+    g_test_add_func("/front/smuggled", test_smuggling);
+    g_test_add_func("/front/answers", test_responses);
     g_test_add_func("/front/no-config", test_no_config);
     return g_test_run();
 }
--- a/tests/unit/test_request.c
+++ b/tests/unit/test_request.c
@@ -1,4 +1,5 @@
-/* Requests of callers: what is wrong is named, and goes no further. */
+/* Tests the parsing of callers' requests: an invalid request is rejected, and
+ * the error names the field at fault. */
 
 #include "node/request.h"
 
@@ -37,19 +38,19 @@
     return declaration;
 }
 
-/* A row that leaves out method, URI, caller, class or body gets good ones. */
-struct bad_case {
+/* A row without a method, URI, caller, class or body gets a valid one. */
+struct invalid_case {
     const char *name;
     struct ch_request_input input;
     enum ch_code code;
     const char *field;
 };
 
-#define IN(...)                                                               \
+#define INPUT(...)                                                            \
     {                                                                         \
         __VA_ARGS__                                                           \
     }
-#define GOOD_BODY "{\"model\":\"m01\",\"prompt\":\"hem?\"}"
+#define VALID_BODY "{\"model\":\"m01\",\"prompt\":\"hem?\"}"
 #define BODY(text) .body = (text), .length = sizeof(text) - 1
 #define WITH(member) BODY("{\"model\":\"m01\",\"prompt\":\"x\"," member "}")
 #define CHAT(messages)                                                        \
@@ -57,107 +58,113 @@
     BODY("{\"model\":\"m01\",\"messages\":" messages "}")
 #define ORDER .uri = "/services/orders/cut", .class_name = "order"
 
-static const struct bad_case bad_cases[] = {
-    {"no such path", IN(.uri = "/v2/x"), CH_UNKNOWN_PATH, "path"},
-    {"half a path", IN(.uri = "/v1/completion"), CH_UNKNOWN_PATH, "path"},
-    {"not a path", IN(.uri = "v1/completions"), CH_BAD_FIELD, "path"},
-    {"a fragment", IN(.uri = "/services/orders/a#b"), CH_BAD_FIELD, "path"},
-    {"a quote", IN(.uri = "/services/orders/\""), CH_BAD_FIELD, "path"},
-    {"GET", IN(.method = "GET"), CH_BAD_METHOD, "method"},
-    {"POST", IN(.uri = "/v1/models"), CH_BAD_METHOD, "method"},
-    {"no such class", IN(.class_name = "x"), CH_UNKNOWN_CLASS,
+static const struct invalid_case invalid_cases[] = {
+    {"no such path", INPUT(.uri = "/v2/x"), CH_UNKNOWN_PATH, "path"},
+    {"half a path", INPUT(.uri = "/v1/completion"), CH_UNKNOWN_PATH, "path"},
+    {"not a path", INPUT(.uri = "v1/completions"), CH_BAD_FIELD, "path"},
+    {"a fragment", INPUT(.uri = "/services/orders/a#b"), CH_BAD_FIELD, "path"},
+    {"a quote", INPUT(.uri = "/services/orders/\""), CH_BAD_FIELD, "path"},
+    {"GET", INPUT(.method = "GET"), CH_BAD_METHOD, "method"},
+    {"POST", INPUT(.uri = "/v1/models"), CH_BAD_METHOD, "method"},
+    {"no such class", INPUT(.class_name = "x"), CH_UNKNOWN_CLASS,
      "Chestnuthitch-Class"},
-    {"no class", IN(.caller = "nobody"), CH_CLASS_MISSING,
+    {"no class", INPUT(.caller = "nobody"), CH_CLASS_MISSING,
      "Chestnuthitch-Class"},
-    {"empty caller", IN(.caller = ""), CH_BAD_FIELD, "Chestnuthitch-Caller"},
-    {"tab in caller", IN(.caller = "a\tb"), CH_BAD_FIELD,
+    {"empty caller", INPUT(.caller = ""), CH_BAD_FIELD,
      "Chestnuthitch-Caller"},
-    {"empty key", IN(.key = ""), CH_BAD_KEY, "Idempotency-Key"},
-    {"key not ASCII", IN(.key = "\xc3\xa9"), CH_BAD_KEY, "Idempotency-Key"},
-    {"deadline 0", IN(.deadline_ms = "0"), CH_BAD_FIELD,
+    {"tab in caller", INPUT(.caller = "a\tb"), CH_BAD_FIELD,
+     "Chestnuthitch-Caller"},
+    {"empty key", INPUT(.key = ""), CH_BAD_KEY, "Idempotency-Key"},
+    {"key not ASCII", INPUT(.key = "\xc3\xa9"), CH_BAD_KEY, "Idempotency-Key"},
+    {"deadline 0", INPUT(.deadline_ms = "0"), CH_BAD_FIELD,
      "Chestnuthitch-Deadline-Ms"},
-    {"deadline -1", IN(.deadline_ms = "-1"), CH_BAD_FIELD,
+    {"deadline -1", INPUT(.deadline_ms = "-1"), CH_BAD_FIELD,
      "Chestnuthitch-Deadline-Ms"},
-    {"deadline 1s", IN(.deadline_ms = "1s"), CH_BAD_FIELD,
+    {"deadline 1s", INPUT(.deadline_ms = "1s"), CH_BAD_FIELD,
      "Chestnuthitch-Deadline-Ms"},
-    {"deadline absurd", IN(.deadline_ms = "99999999999999999999"),
+    {"deadline absurd", INPUT(.deadline_ms = "99999999999999999999"),
      CH_BAD_FIELD, "Chestnuthitch-Deadline-Ms"},
-    {"empty body", IN(BODY("")), CH_BAD_JSON, "body"},
-    {"truncated body", IN(BODY("{\"model\":\"m01\",\"pro")), CH_BAD_JSON,
+    {"empty body", INPUT(BODY("")), CH_BAD_JSON, "body"},
+    {"truncated body", INPUT(BODY("{\"model\":\"m01\",\"pro")), CH_BAD_JSON,
      "body"},
-    {"not an object", IN(BODY("[1]")), CH_BAD_JSON, "body"},
-    {"two objects", IN(BODY(GOOD_BODY GOOD_BODY)), CH_BAD_JSON, "body"},
-    {"not UTF-8", IN(WITH("\"user\":\"\xff\"")), CH_BAD_JSON, "body"},
-    {"a comment", IN(BODY("{/**/\"model\":\"m01\"}")), CH_BAD_JSON, "body"},
-    {"a NUL", IN(BODY("{\"model\":\"m01\",\0\"prompt\":1}")), CH_BAD_JSON,
+    {"not an object", INPUT(BODY("[1]")), CH_BAD_JSON, "body"},
+    {"two objects", INPUT(BODY(VALID_BODY VALID_BODY)), CH_BAD_JSON, "body"},
+    {"not UTF-8", INPUT(WITH("\"user\":\"\xff\"")), CH_BAD_JSON, "body"},
+    {"a comment", INPUT(BODY("{/**/\"model\":\"m01\"}")), CH_BAD_JSON, "body"},
+    {"a NUL", INPUT(BODY("{\"model\":\"m01\",\0\"prompt\":1}")), CH_BAD_JSON,
      "body"},
     {"model twice",
-     IN(BODY("{\"model\":\"m02\",\"prompt\":\"x\",\"model\":\"m01\"}")),
+     INPUT(BODY("{\"model\":\"m02\",\"prompt\":\"x\",\"model\":\"m01\"}")),
      CH_BAD_JSON, "body"},
     {"model twice, one escaped",
-     IN(BODY("{\"mod\\u0065l\":\"m02\",\"prompt\":\"\",\"model\":\"m01\"}")),
+     INPUT(
+         BODY("{\"mod\\u0065l\":\"m02\",\"prompt\":\"\",\"model\":\"m01\"}")),
      CH_BAD_JSON, "body"},
-    {"no model", IN(BODY("{\"prompt\":\"x\"}")), CH_BAD_FIELD, "model"},
-    {"model a number", IN(BODY("{\"model\":1,\"prompt\":\"x\"}")),
+    {"no model", INPUT(BODY("{\"prompt\":\"x\"}")), CH_BAD_FIELD, "model"},
+    {"model a number", INPUT(BODY("{\"model\":1,\"prompt\":\"x\"}")),
      CH_BAD_FIELD, "model"},
-    {"no such model", IN(BODY("{\"model\":\"m99\",\"prompt\":\"x\"}")),
+    {"no such model", INPUT(BODY("{\"model\":\"m99\",\"prompt\":\"x\"}")),
      CH_UNKNOWN_MODEL, "model"},
-    {"a model of others", IN(BODY("{\"model\":\"m02\",\"prompt\":\"x\"}")),
+    {"a model of others", INPUT(BODY("{\"model\":\"m02\",\"prompt\":\"x\"}")),
      CH_MODEL_FORBIDDEN, "model"},
-    {"no prompt", IN(BODY("{\"model\":\"m01\"}")), CH_BAD_FIELD, "prompt"},
-    {"prompt a number", IN(BODY("{\"model\":\"m01\",\"prompt\":7}")),
+    {"no prompt", INPUT(BODY("{\"model\":\"m01\"}")), CH_BAD_FIELD, "prompt"},
+    {"prompt a number", INPUT(BODY("{\"model\":\"m01\",\"prompt\":7}")),
      CH_BAD_FIELD, "prompt"},
-    {"prompt of objects", IN(BODY("{\"model\":\"m01\",\"prompt\":[{}]}")),
+    {"prompt of objects", INPUT(BODY("{\"model\":\"m01\",\"prompt\":[{}]}")),
      CH_BAD_FIELD, "prompt"},
-    {"tokens -1", IN(WITH("\"max_tokens\":-1")), CH_BAD_FIELD, "max_tokens"},
-    {"tokens 0", IN(WITH("\"max_tokens\":0")), CH_BAD_FIELD, "max_tokens"},
-    {"tokens absurd", IN(WITH("\"max_tokens\":1000000000")), CH_BAD_FIELD,
+    {"tokens -1", INPUT(WITH("\"max_tokens\":-1")), CH_BAD_FIELD,
+     "max_tokens"},
+    {"tokens 0", INPUT(WITH("\"max_tokens\":0")), CH_BAD_FIELD, "max_tokens"},
+    {"tokens absurd", INPUT(WITH("\"max_tokens\":1000000000")), CH_BAD_FIELD,
+     "max_tokens"},
+    {"tokens over 64 bits",
+     INPUT(WITH("\"max_tokens\":99999999999999999999999")), CH_BAD_FIELD,
+     "max_tokens"},
+    {"tokens 1.5", INPUT(WITH("\"max_tokens\":1.5")), CH_BAD_FIELD,
      "max_tokens"},
-    {"tokens over 64 bits", IN(WITH("\"max_tokens\":99999999999999999999999")),
-     CH_BAD_FIELD, "max_tokens"},
-    {"tokens 1.5", IN(WITH("\"max_tokens\":1.5")), CH_BAD_FIELD, "max_tokens"},
-    {"tokens text", IN(WITH("\"max_tokens\":\"9\"")), CH_BAD_FIELD,
+    {"tokens text", INPUT(WITH("\"max_tokens\":\"9\"")), CH_BAD_FIELD,
      "max_tokens"},
-    {"temperature -1", IN(WITH("\"temperature\":-1")), CH_BAD_FIELD,
+    {"temperature -1", INPUT(WITH("\"temperature\":-1")), CH_BAD_FIELD,
      "temperature"},
-    {"temperature endless", IN(WITH("\"temperature\":1e999")), CH_BAD_FIELD,
+    {"temperature endless", INPUT(WITH("\"temperature\":1e999")), CH_BAD_FIELD,
      "temperature"},
-    {"top_p 2", IN(WITH("\"top_p\":2")), CH_BAD_FIELD, "top_p"},
-    {"stream 1", IN(WITH("\"stream\":1")), CH_BAD_FIELD, "stream"},
-    {"no messages", IN(CHAT("[]")), CH_BAD_FIELD, "messages"},
-    {"no role", IN(CHAT("[{\"content\":\"x\"}]")), CH_BAD_FIELD, "messages"},
-    {"content 1", IN(CHAT("[{\"role\":\"user\",\"content\":1}]")),
+    {"top_p 2", INPUT(WITH("\"top_p\":2")), CH_BAD_FIELD, "top_p"},
+    {"stream 1", INPUT(WITH("\"stream\":1")), CH_BAD_FIELD, "stream"},
+    {"no messages", INPUT(CHAT("[]")), CH_BAD_FIELD, "messages"},
+    {"no role", INPUT(CHAT("[{\"content\":\"x\"}]")), CH_BAD_FIELD,
+     "messages"},
+    {"content 1", INPUT(CHAT("[{\"role\":\"user\",\"content\":1}]")),
      CH_BAD_FIELD, "messages"},
-    {"no service", IN(.uri = "/services/", .class_name = "order"),
+    {"no service", INPUT(.uri = "/services/", .class_name = "order"),
      CH_UNKNOWN_SERVICE, "path"},
-    {"no such service", IN(.uri = "/services/x/y", .class_name = "order"),
+    {"no such service", INPUT(.uri = "/services/x/y", .class_name = "order"),
      CH_UNKNOWN_SERVICE, "path"},
     {"a service of others",
-     IN(.uri = "/services/desk/y", .class_name = "order"), CH_MODEL_FORBIDDEN,
-     "path"},
+     INPUT(.uri = "/services/desk/y", .class_name = "order"),
+     CH_MODEL_FORBIDDEN, "path"},
 };
 
-/* Fills in what a row leaves out. */
+/* Fills in valid values where a row has none. */
 static struct ch_request_input
-filled(const struct ch_request_input *row)
+fill_defaults(const struct ch_request_input *row)
 {
     struct ch_request_input input = *row;
     input.method = input.method == NULL ? "POST" : input.method;
     input.uri = input.uri == NULL ? "/v1/completions" : input.uri;
     input.caller = input.caller == NULL ? "cardiff" : input.caller;
     if (input.body == NULL) {
-        input.body = GOOD_BODY;
-        input.length = sizeof(GOOD_BODY) - 1;
+        input.body = VALID_BODY;
+        input.length = sizeof(VALID_BODY) - 1;
     }
     return input;
 }
 
 static void
-test_bad(gconstpointer data)
+test_invalid(gconstpointer data)
 {
-    const struct bad_case *row = data;
+    const struct invalid_case *row = data;
     struct ch_declaration *declaration = declaration_new();
-    struct ch_request_input input = filled(&row->input);
+    struct ch_request_input input = fill_defaults(&row->input);
     struct ch_fault fault = {.error.code = CH_OK};
     struct ch_request *request =
         ch_request_parse(declaration, &input, NOW, &fault);
@@ -171,7 +178,7 @@
     ch_declaration_free(declaration);
 }
 
-/* Brackets alone would exhaust the stack of a parser that descends. */
+/* Deeply nested brackets would exhaust the stack of a recursive parser. */
 static void
 test_depth(void)
 {
@@ -196,7 +203,7 @@
     }
 }
 
-struct good_case {
+struct valid_case {
     const char *name;
     struct ch_request_input input;
     const char *path;
@@ -208,37 +215,38 @@
     int64_t first_by;
 };
 
-static const struct good_case good_cases[] = {
-    {"plain", IN(.key = NULL), "/v1/completions", "m01", NULL, false, true,
+static const struct valid_case valid_cases[] = {
+    {"plain", INPUT(.key = NULL), "/v1/completions", "m01", NULL, false, true,
      CH_REQUEST_USUAL_TOKENS, NOW + 400000},
     {"adapter, stream, bound",
-     IN(BODY("{\"model\":\"m01-a2\",\"prompt\":[\"x\",\"y\"],\"stream\":true,"
-             "\"max_tokens\":9,\"unknown\":{\"a\":[null]}}")),
+     INPUT(
+         BODY("{\"model\":\"m01-a2\",\"prompt\":[\"x\",\"y\"],\"stream\":true,"
+              "\"max_tokens\":9,\"unknown\":{\"a\":[null]}}")),
      "/v1/completions", "m01", "m01-a2", true, true, 9, NOW + 400000},
-    {"nulls", IN(WITH("\"max_tokens\":null,\"stream\":null")),
+    {"nulls", INPUT(WITH("\"max_tokens\":null,\"stream\":null")),
      "/v1/completions", "m01", NULL, false, true, CH_REQUEST_USUAL_TOKENS,
      NOW + 400000},
     {"chat, parts",
-     IN(CHAT("[{\"role\":\"user\",\"content\":[{\"type\":\"text\",\"text\":"
-             "\"x\"}]},{\"role\":\"assistant\",\"content\":null}]")),
+     INPUT(CHAT("[{\"role\":\"user\",\"content\":[{\"type\":\"text\",\"text\":"
+                "\"x\"}]},{\"role\":\"assistant\",\"content\":null}]")),
      "/v1/chat/completions", "m01", NULL, false, true, CH_REQUEST_USUAL_TOKENS,
      NOW + 400000},
-    {"a deadline before the target", IN(.deadline_ms = "100"),
+    {"a deadline before the target", INPUT(.deadline_ms = "100"),
      "/v1/completions", "m01", NULL, false, true, CH_REQUEST_USUAL_TOKENS,
      NOW + 100000},
-    {"an order", IN(ORDER, .key = "k 1"), "/cut", "orders", NULL, false, false,
-     0, NOW + 900000},
+    {"an order", INPUT(ORDER, .key = "k 1"), "/cut", "orders", NULL, false,
+     false, 0, NOW + 900000},
     {"an order without a path",
-     IN(.uri = "/services/orders?a=%2F", .class_name = "order"), "/?a=%2F",
+     INPUT(.uri = "/services/orders?a=%2F", .class_name = "order"), "/?a=%2F",
      "orders", NULL, false, false, 0, NOW + 900000},
 };
 
 static void
-test_good(gconstpointer data)
+test_valid(gconstpointer data)
 {
-    const struct good_case *row = data;
+    const struct valid_case *row = data;
     struct ch_declaration *declaration = declaration_new();
-    struct ch_request_input input = filled(&row->input);
+    struct ch_request_input input = fill_defaults(&row->input);
     struct ch_fault fault = {.error.code = CH_OK};
     struct ch_request *request =
         ch_request_parse(declaration, &input, NOW, &fault);
@@ -257,8 +265,8 @@
     ch_declaration_free(declaration);
 }
 
-/* A repeat is told from another request under the same key by method, path
- * and body. */
+/* A repeated request is distinguished from another request under the same key
+ * by method, path and body. */
 static void
 test_fingerprint(void)
 {
@@ -272,7 +280,7 @@
     struct ch_declaration *declaration = declaration_new();
     uint64_t seen[G_N_ELEMENTS(inputs)];
     for (size_t i = 0; i < G_N_ELEMENTS(inputs); i++) {
-        struct ch_request_input input = filled(&inputs[i]);
+        struct ch_request_input input = fill_defaults(&inputs[i]);
         struct ch_fault fault = {.error.code = CH_OK};
         struct ch_request *first =
             ch_request_parse(declaration, &input, NOW, &fault);
@@ -293,14 +301,14 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    for (size_t i = 0; i < G_N_ELEMENTS(bad_cases); i++) {
-        char *path = g_strdup_printf("/request/bad/%s", bad_cases[i].name);
-        g_test_add_data_func(path, &bad_cases[i], test_bad);
+    for (size_t i = 0; i < G_N_ELEMENTS(invalid_cases); i++) {
+        char *path = g_strdup_printf("/request/bad/%s", invalid_cases[i].name);
+        g_test_add_data_func(path, &invalid_cases[i], test_invalid);
         g_free(path);
     }
-    for (size_t i = 0; i < G_N_ELEMENTS(good_cases); i++) {
-        char *path = g_strdup_printf("/request/good/%s", good_cases[i].name);
-        g_test_add_data_func(path, &good_cases[i], test_good);
+    for (size_t i = 0; i < G_N_ELEMENTS(valid_cases); i++) {
+        char *path = g_strdup_printf("/request/good/%s", valid_cases[i].name);
+        g_test_add_data_func(path, &valid_cases[i], test_valid);
         g_free(path);
     }
     g_test_add_func("/request/depth", test_depth);
