--- a/libchestnuthitch/node/kv_call.c
+++ b/libchestnuthitch/node/kv_call.c
@@ -1,5 +1,6 @@
-/* Key-value calls whose answers come on a pool worker: the HTTP loop's thread,
- * on which they arrive, must not wait for a keeper's lock. */
+/* Calls to the key-value store. Their replies arrive on the HTTP loop's
+ * thread, which must not wait for a keeper's lock; so they are copied and
+ * handled on a worker of the node's pool. */
 
 #include "node/kv_call.h"
 
@@ -8,18 +9,18 @@
 struct kv_call {
     struct ch_pool *pool;
     void (*done)(void *data, const struct ch_kv_answer *answer);
-    void (*listed)(void *data, enum ch_code code,
-                   const struct ch_kv_entry *entries, size_t count);
-    void (*ranged)(void *data, const struct ch_kv_range *range);
+    void (*list_done)(void *data, enum ch_code code,
+                      const struct ch_kv_entry *entries, size_t count);
+    void (*range_done)(void *data, const struct ch_kv_range *range);
     void *data;
     struct ch_kv_answer answer;
-    uint64_t at; /* of a range */
+    uint64_t range_revision; /* the store's, for a range */
     void *value;
     struct ch_kv_entry *entries;
     size_t count;
 };
 
-/* Frees a call with the copies that it holds. */
+/* Frees a call and the copies that it owns. */
 static void
 call_free(struct kv_call *call)
 {
@@ -32,23 +33,23 @@
     g_free(call);
 }
 
-/* On a worker: gives the answer to the caller. */
+/* Passes the reply to the caller, on a worker. */
 static void
-call_run(void *data)
+call_deliver(void *data)
 {
     struct kv_call *call = data;
-    if (call->ranged != NULL) {
+    if (call->range_done != NULL) {
         const struct ch_kv_range range = {
             .code = call->answer.code,
             .entries = call->entries,
             .count = call->count,
-            .at = call->at,
+            .at = call->range_revision,
         };
-        call->ranged(call->data, &range);
+        call->range_done(call->data, &range);
     }
-    else if (call->listed != NULL) {
-        call->listed(call->data, call->answer.code, call->entries,
-                     call->count);
+    else if (call->list_done != NULL) {
+        call->list_done(call->data, call->answer.code, call->entries,
+                        call->count);
     }
     else {
         call->done(call->data, &call->answer);
@@ -56,9 +57,10 @@
     call_free(call);
 }
 
-/* On the HTTP loop: copies a value's answer and hands it on. */
+/* Copies the reply about a single value and queues it for a worker; runs on
+ * the HTTP loop. */
 static void
-value_came(void *data, const struct ch_kv_answer *answer)
+receive_value(void *data, const struct ch_kv_answer *answer)
 {
     struct kv_call *call = data;
     call->answer = *answer;
@@ -66,10 +68,10 @@
         call->value = g_memdup2(answer->value, answer->length);
         call->answer.value = call->value;
     }
-    ch_pool_submit(call->pool, call_run, call);
+    ch_pool_submit(call->pool, call_deliver, call);
 }
 
-/* Copies a value; NULL, which is one that was removed, stays NULL. */
+/* Copies a value; NULL, the value of a removed key, stays NULL. */
 static char *
 copy_value(const char *value, size_t length)
 {
@@ -82,10 +84,10 @@
     return copy;
 }
 
-/* On the HTTP loop: copies a list and hands it on. */
+/* Copies a list and queues it for a worker; runs on the HTTP loop. */
 static void
-list_came(void *data, enum ch_code code, const struct ch_kv_entry *entries,
-          size_t count)
+receive_list(void *data, enum ch_code code, const struct ch_kv_entry *entries,
+             size_t count)
 {
     struct kv_call *call = data;
     call->answer.code = code;
@@ -97,10 +99,10 @@
         call->entries[i].value =
             copy_value(entries[i].value, entries[i].length);
     }
-    ch_pool_submit(call->pool, call_run, call);
+    ch_pool_submit(call->pool, call_deliver, call);
 }
 
-/* A call's state, freed after its answer. */
+/* Creates the state of a call; it is freed after the reply. */
 static struct kv_call *
 call_new(struct ch_node *node,
          void (*done)(void *data, const struct ch_kv_answer *answer),
@@ -119,7 +121,8 @@
                void (*done)(void *data, const struct ch_kv_answer *answer),
                void *data)
 {
-    node->kv->ops->get(node->kv, key, value_came, call_new(node, done, data));
+    node->kv->ops->get(node->kv, key, receive_value,
+                       call_new(node, done, data));
 }
 
 /* Writes by compare-and-swap; see struct ch_kv_ops. */
@@ -129,7 +132,7 @@
                void (*done)(void *data, const struct ch_kv_answer *answer),
                void *data)
 {
-    node->kv->ops->put(node->kv, key, value, length, revision, value_came,
+    node->kv->ops->put(node->kv, key, value, length, revision, receive_value,
                        call_new(node, done, data));
 }
 
@@ -139,22 +142,24 @@
                   void (*done)(void *data, const struct ch_kv_answer *answer),
                   void *data)
 {
-    node->kv->ops->remove(node->kv, key, revision, value_came,
+    node->kv->ops->remove(node->kv, key, revision, receive_value,
                           call_new(node, done, data));
 }
 
-/* Waits for a higher revision; see struct ch_kv_ops. */
+/* Waits until the key has a higher revision, or the timeout; see struct
+ * ch_kv_ops. */
 void
 ch_kv_call_watch(struct ch_node *node, const char *key, uint64_t revision,
-                 int64_t wait,
+                 int64_t timeout,
                  void (*done)(void *data, const struct ch_kv_answer *answer),
                  void *data)
 {
-    node->kv->ops->watch(node->kv, key, revision, wait, value_came,
+    node->kv->ops->watch(node->kv, key, revision, timeout, receive_value,
                          call_new(node, done, data));
 }
 
-/* Lists a prefix; the entries are valid during done alone. */
+/* Lists a prefix; see struct ch_kv_ops. The entries are valid only until
+ * done() returns. */
 void
 ch_kv_call_list(struct ch_node *node, const char *prefix,
                 void (*done)(void *data, enum ch_code code,
@@ -162,48 +167,48 @@
                 void *data)
 {
     struct kv_call *call = call_new(node, NULL, data);
-    call->listed = done;
-    node->kv->ops->list(node->kv, prefix, list_came, call);
+    call->list_done = done;
+    node->kv->ops->list(node->kv, prefix, receive_list, call);
 }
 
-/* On the HTTP loop: copies a range and hands it on. */
+/* Copies a range and queues it for a worker; runs on the HTTP loop. */
 static void
-range_came(void *data, const struct ch_kv_range *range)
+receive_range(void *data, const struct ch_kv_range *range)
 {
     struct kv_call *call = data;
-    call->at = range->at;
-    list_came(data, range->code, range->entries, range->count);
+    call->range_revision = range->at;
+    receive_list(data, range->code, range->entries, range->count);
 }
 
-/* A call whose answer is a range. */
+/* Creates the state of a call with a range as reply. */
 static struct kv_call *
 range_call_new(struct ch_node *node,
                void (*done)(void *data, const struct ch_kv_range *range),
                void *data)
 {
     struct kv_call *call = call_new(node, NULL, data);
-    call->ranged = done;
+    call->range_done = done;
     return call;
 }
 
-/* See struct ch_kv_ops; the entries are valid during done alone. */
+/* See struct ch_kv_ops. The entries are valid only until done() returns. */
 void
 ch_kv_call_range(struct ch_node *node, const char *prefix,
                  void (*done)(void *data, const struct ch_kv_range *range),
                  void *data)
 {
-    node->kv->ops->range(node->kv, prefix, range_came,
+    node->kv->ops->range(node->kv, prefix, receive_range,
                          range_call_new(node, done, data));
 }
 
-/* See struct ch_kv_ops; the entries are valid during done alone. */
+/* See struct ch_kv_ops. The entries are valid only until done() returns. */
 void
 ch_kv_call_changes(struct ch_node *node, const char *prefix, uint64_t after,
-                   int64_t wait,
+                   int64_t timeout,
                    void (*done)(void *data, const struct ch_kv_range *range),
                    void *data)
 {
-    node->kv->ops->changes(node->kv, prefix, after, wait, range_came,
+    node->kv->ops->changes(node->kv, prefix, after, timeout, receive_range,
                            range_call_new(node, done, data));
 }
 
@@ -213,39 +218,39 @@
                  void (*done)(void *data, const struct ch_kv_answer *answer),
                  void *data)
 {
-    node->kv->ops->lease(node->kv, ttl, value_came,
+    node->kv->ops->lease(node->kv, ttl, receive_value,
                          call_new(node, done, data));
 }
 
 /* See struct ch_kv_ops. */
 void
-ch_kv_call_renew(struct ch_node *node, uint64_t lease,
+ch_kv_call_renew(struct ch_node *node, uint64_t lease_id,
                  void (*done)(void *data, const struct ch_kv_answer *answer),
                  void *data)
 {
-    node->kv->ops->renew(node->kv, lease, value_came,
+    node->kv->ops->renew(node->kv, lease_id, receive_value,
                          call_new(node, done, data));
 }
 
 /* See struct ch_kv_ops. */
 void
-ch_kv_call_end_lease(struct ch_node *node, uint64_t lease,
+ch_kv_call_end_lease(struct ch_node *node, uint64_t lease_id,
                      void (*done)(void *data,
                                   const struct ch_kv_answer *answer),
                      void *data)
 {
-    node->kv->ops->end_lease(node->kv, lease, value_came,
+    node->kv->ops->end_lease(node->kv, lease_id, receive_value,
                              call_new(node, done, data));
 }
 
 /* See struct ch_kv_ops. */
 void
 ch_kv_call_put_leased(struct ch_node *node, const char *key, const void *value,
-                      size_t length, uint64_t revision, uint64_t lease,
+                      size_t length, uint64_t revision, uint64_t lease_id,
                       void (*done)(void *data,
                                    const struct ch_kv_answer *answer),
                       void *data)
 {
-    node->kv->ops->put_leased(node->kv, key, value, length, revision, lease,
-                              value_came, call_new(node, done, data));
+    node->kv->ops->put_leased(node->kv, key, value, length, revision, lease_id,
+                              receive_value, call_new(node, done, data));
 }
--- a/libchestnuthitch/node/once_home.c
+++ b/libchestnuthitch/node/once_home.c
@@ -1,5 +1,6 @@
-/* The slots of at-most-once records at their home: frames in, key-value calls
- * out, with decide/once.h between them. */
+/* Slots of at-most-once records on their home node. Connects the state machine
+ * of decide/once.h with messages from entry nodes and with calls to the
+ * key-value store. */
 
 #include "node/once_home.h"
 
@@ -10,12 +11,13 @@
 #include <string.h>
 
 enum {
-    /* Looks for expired batches, and for slots that moved away. */
-    SWEEP = 5 * 1000 * 1000,
-    /* A slot that another node is home of is forgotten after this. */
-    FORGET = 60 * 1000 * 1000,
-    /* Slots that a frame may name. */
-    MOST_SLOTS = 65536,
+    /* How often expired batches and slots with another home node are looked
+     * for. */
+    SWEEP_PERIOD_US = 5 * 1000 * 1000,
+    /* A slot with another home node is dropped after this idle time. */
+    SLOT_IDLE_TIMEOUT_US = 60 * 1000 * 1000,
+    /* Upper bound of slot numbers accepted in a message. */
+    MAX_SLOTS = 65536,
 };
 
 struct ch_once_home {
@@ -23,9 +25,9 @@
     pthread_mutex_t lock;
     int references;
     bool stopped;
-    uint64_t writer;
-    GHashTable *slots;        /* number to struct home_slot */
-    struct ch_table *waiters; /* of struct waiter */
+    uint64_t write_id;
+    GHashTable *slots;        /* slot number to struct home_slot */
+    struct ch_table *waiters; /* struct waiter by handle */
     uint64_t sweep_timer;
 };
 
@@ -33,13 +35,13 @@
     struct ch_once_home *home;
     uint32_t number;
     struct ch_once_slot *machine;
-    int64_t used;
+    int64_t last_used_at;
     int64_t timer_due; /* INT64_MAX: no timer */
     uint64_t timer;
-    unsigned calls; /* key-value calls and timers under way */
+    unsigned pending_calls; /* key-value calls and timers in progress */
 };
 
-/* The frame that waits for an answer. */
+/* The sender of a message that waits for a reply. */
 struct waiter {
     char *to;
     uint64_t id;
@@ -47,18 +49,18 @@
     char *key;
 };
 
-/* ---- names ---- */
+/* ---- keys ---- */
 
-/* Which slot a caller's key is in: the same on every node. */
+/* See once_home.h. */
 uint32_t
-ch_once_slot_of(const char *caller, const char *key, uint32_t slots)
+ch_once_slot_of(const char *caller, const char *key, uint32_t slot_count)
 {
     return (
         uint32_t)(ch_hash_pair(ch_hash_string(caller), ch_hash_string(key)) %
-                  MAX(slots, 1));
+                  MAX(slot_count, 1));
 }
 
-/* The home of a slot, over all live nodes. */
+/* See once_home.h. */
 char *
 ch_once_slot_home(struct ch_node *node, uint32_t slot)
 {
@@ -66,21 +68,22 @@
                          ch_hash_pair(ch_hash_string("once"), slot), NULL);
 }
 
-/* The prefix of a slot's batches. */
+/* See once_home.h. */
 char *
 ch_once_slot_prefix(uint32_t slot)
 {
     return g_strdup_printf("once/%u/", slot);
 }
 
-/* The key of a batch; the zeros keep a list in order of sequence. */
+/* The sequence is padded with zeros so that a list comes in order of
+ * sequence. */
 char *
 ch_once_batch_key(uint32_t slot, uint64_t sequence)
 {
     return g_strdup_printf("once/%u/%012" G_GUINT64_FORMAT, slot, sequence);
 }
 
-/* Order of sequence. */
+/* Orders by sequence; a GCompareFunc. */
 static int
 compare_listed(const void *a, const void *b)
 {
@@ -89,11 +92,11 @@
     return first < second ? -1 : first > second;
 }
 
-/* The batches of a list, in order; bytes are those of the entries. */
+/* See once_home.h. */
 GArray *
 ch_once_listed_new(const struct ch_kv_entry *entries, size_t count)
 {
-    GArray *listed = g_array_new(FALSE, TRUE, sizeof(struct ch_once_listed));
+    GArray *batches = g_array_new(FALSE, TRUE, sizeof(struct ch_once_listed));
     for (size_t i = 0; i < count; i++) {
         const char *number = strrchr(entries[i].key, '/');
         guint64 sequence = 0;
@@ -108,15 +111,15 @@
             .bytes = entries[i].value == NULL ? "" : entries[i].value,
             .length = entries[i].length,
         };
-        g_array_append_val(listed, batch);
+        g_array_append_val(batches, batch);
     }
-    g_array_sort(listed, compare_listed);
-    return listed;
+    g_array_sort(batches, compare_listed);
+    return batches;
 }
 
 /* ---- ownership ---- */
 
-/* Frees a slot; a GDestroyNotify. */
+/* A GDestroyNotify. */
 static void
 slot_free(void *data)
 {
@@ -125,7 +128,6 @@
     g_free(slot);
 }
 
-/* Frees a waiter. */
 static void
 waiter_free(struct waiter *waiter)
 {
@@ -135,49 +137,49 @@
     g_free(waiter);
 }
 
-/* Frees a waiter that will get no answer; for ch_table_each. */
+/* Frees a waiter that gets no reply; for ch_table_each. */
 static void
-waiter_free_each(void *item, uint64_t handle, void *data)
+free_unanswered_waiter(void *item, uint64_t handle, void *data)
 {
     (void)handle;
     (void)data;
     waiter_free(item);
 }
 
-/* One more owner: a call or timer under way. */
+/* Adds a reference, for a call or timer in progress. */
 static struct ch_once_home *
-home_ref(struct ch_once_home *home)
+home_add_reference(struct ch_once_home *home)
 {
     g_atomic_int_inc(&home->references);
     return home;
 }
 
-/* A number of owners less; the last frees it. */
+/* Drops a number of references; frees the home with the last one. */
 static void
-home_unref_by(struct ch_once_home *home, int owners)
+home_drop_references(struct ch_once_home *home, int count)
 {
-    if (g_atomic_int_add(&home->references, -owners) != owners) {
+    if (g_atomic_int_add(&home->references, -count) != count) {
         return;
     }
-    ch_table_each(home->waiters, waiter_free_each, NULL);
+    ch_table_each(home->waiters, free_unanswered_waiter, NULL);
     ch_table_free(home->waiters);
     g_hash_table_destroy(home->slots);
     pthread_mutex_destroy(&home->lock);
     g_free(home);
 }
 
-/* One owner less; NULL is fine. */
+/* Drops a reference; home may be NULL. */
 void
 ch_once_home_unref(struct ch_once_home *home)
 {
     if (home != NULL) {
-        home_unref_by(home, 1);
+        home_drop_references(home, 1);
     }
 }
 
-/* ---- answers ---- */
+/* ---- replies ---- */
 
-/* Sends an answer to a waiter and frees it. */
+/* Sends a reply to a waiter and frees the waiter. */
 static void
 reply(struct ch_once_home *home, struct waiter *waiter,
       Chestnuthitch__Wire__OnceAnswer *answer)
@@ -189,18 +191,18 @@
     waiter_free(waiter);
 }
 
-struct kept_call {
+struct stored_call {
     struct ch_once_home *home;
     struct waiter *waiter;
     uint64_t attempt;
 };
 
-/* The batch that holds a kept answer was read: the answer goes to the waiter,
- * or just the word that it ran. */
+/* The batch with a stored response was read: replies with the response, or,
+ * when the batch can't be read, only with the state "done". */
 static void
-kept_read(void *data, const struct ch_kv_answer *value)
+handle_stored_response(void *data, const struct ch_kv_answer *value)
 {
-    struct kept_call *call = data;
+    struct stored_call *call = data;
     Chestnuthitch__Wire__OnceAnswer answer =
         CHESTNUTHITCH__WIRE__ONCE_ANSWER__INIT;
     struct ch_once_batch *batch = NULL;
@@ -226,10 +228,11 @@
     g_free(call);
 }
 
-/* Answers a waiter as the slot's machine says. */
+/* Sends the reply that the slot's state machine decided on, after reading the
+ * stored response if there is one. */
 static void
-run_answer(struct ch_once_home *home, uint32_t slot,
-           const struct ch_once_action *action)
+run_reply(struct ch_once_home *home, uint32_t slot,
+          const struct ch_once_action *action)
 {
     pthread_mutex_lock(&home->lock);
     struct waiter *waiter = ch_table_remove(home->waiters, action->waiter);
@@ -239,12 +242,12 @@
         return;
     }
     if (action->completed != 0 && !stopped) {
-        struct kept_call *call = g_new0(struct kept_call, 1);
-        call->home = home_ref(home);
+        struct stored_call *call = g_new0(struct stored_call, 1);
+        call->home = home_add_reference(home);
         call->waiter = waiter;
         call->attempt = action->by_attempt;
         g_autofree char *key = ch_once_batch_key(slot, action->completed);
-        ch_kv_call_get(home->node, key, kept_read, call);
+        ch_kv_call_get(home->node, key, handle_stored_response, call);
         return;
     }
     Chestnuthitch__Wire__OnceAnswer answer =
@@ -258,94 +261,98 @@
 
 static void run_actions(struct home_slot *slot,
                         struct ch_once_actions *actions);
-static void follow_due(struct home_slot *slot);
+static void update_timer(struct home_slot *slot);
 
-/* Begins an event for a slot's machine: takes the lock. */
+/* Takes the lock before an event is given to a slot's state machine. */
 static void
-enter(struct home_slot *slot, struct ch_once_actions *actions)
+begin_event(struct home_slot *slot, struct ch_once_actions *actions)
 {
     ch_once_actions_init(actions);
     pthread_mutex_lock(&slot->home->lock);
 }
 
-/* Ends it: drops the lock, then does what the machine asked for.  ended: a
- * call or timer of the slot is over; its hold on the home goes last. */
+/* Releases the lock after an event, then does what the state machine asked
+ * for. call_ended: the event is the end of a call or timer of the slot, whose
+ * reference to the home is dropped last. */
 static void
-leave(struct home_slot *slot, struct ch_once_actions *actions, bool ended)
+end_event(struct home_slot *slot, struct ch_once_actions *actions,
+          bool call_ended)
 {
     struct ch_once_home *home = slot->home;
-    follow_due(slot);
-    /* Held over run_actions, so that the sweep does not forget the slot. */
-    slot->calls++;
+    update_timer(slot);
+    /* Counts as a call during run_actions, so that the sweep does not drop the
+     * slot. */
+    slot->pending_calls++;
     pthread_mutex_unlock(&home->lock);
     run_actions(slot, actions);
     ch_once_actions_clear(actions);
     pthread_mutex_lock(&home->lock);
-    slot->calls -= ended ? 2 : 1;
+    slot->pending_calls -= call_ended ? 2 : 1;
     pthread_mutex_unlock(&home->lock);
-    if (ended) {
+    if (call_ended) {
         ch_once_home_unref(home);
     }
 }
 
-/* The answer to a LIST. */
+/* Handles the reply to CH_ONCE_LIST. */
 static void
-listed(void *data, enum ch_code code, const struct ch_kv_entry *entries,
-       size_t count)
+handle_list(void *data, enum ch_code code, const struct ch_kv_entry *entries,
+            size_t count)
 {
     struct home_slot *slot = data;
     struct ch_once_actions actions;
     GArray *batches = ch_once_listed_new(entries, count);
-    enter(slot, &actions);
+    begin_event(slot, &actions);
     ch_once_slot_listed(slot->machine, code,
                         (const struct ch_once_listed *)(void *)batches->data,
                         batches->len, ch_client_now(slot->home->node->client),
                         &actions);
-    leave(slot, &actions, true);
+    end_event(slot, &actions, true);
     g_array_free(batches, TRUE);
 }
 
-/* The answer to a PUT. */
+/* Handles the reply to CH_ONCE_PUT. */
 static void
-written(void *data, const struct ch_kv_answer *answer)
+handle_put(void *data, const struct ch_kv_answer *answer)
 {
     struct home_slot *slot = data;
     struct ch_once_actions actions;
-    enter(slot, &actions);
+    begin_event(slot, &actions);
     ch_once_slot_written(slot->machine, answer->code, answer->revision,
                          ch_client_now(slot->home->node->client), &actions);
-    leave(slot, &actions, true);
+    end_event(slot, &actions, true);
 }
 
-/* The answer to a GET. */
+/* Handles the reply to CH_ONCE_GET. */
 static void
-got(void *data, const struct ch_kv_answer *answer)
+handle_get(void *data, const struct ch_kv_answer *answer)
 {
     struct home_slot *slot = data;
     struct ch_once_actions actions;
-    enter(slot, &actions);
+    begin_event(slot, &actions);
     ch_once_slot_got(slot->machine, answer->code, answer->value,
                      answer->length, answer->revision,
                      ch_client_now(slot->home->node->client), &actions);
-    leave(slot, &actions, true);
+    end_event(slot, &actions, true);
 }
 
-/* The answer to a REMOVE: the next expired batch may go at once. */
+/* Handles the reply to CH_ONCE_REMOVE: the next expired batch may be removed
+ * at once. */
 static void
-removed(void *data, const struct ch_kv_answer *answer)
+handle_remove(void *data, const struct ch_kv_answer *answer)
 {
     struct home_slot *slot = data;
     struct ch_once_actions actions;
     int64_t now = ch_client_now(slot->home->node->client);
-    enter(slot, &actions);
+    begin_event(slot, &actions);
     ch_once_slot_removed(slot->machine, answer->code, now, &actions);
     ch_once_slot_tick(slot->machine, answer->code == CH_OK, now, &actions);
-    leave(slot, &actions, true);
+    end_event(slot, &actions, true);
 }
 
-/* Begins a call that the machine asked for; none after the stop, when the HTTP
- * loop may be gone.  Who waits is told by the end of the connection, and reads
- * the log. */
+/* Starts a key-value call that the state machine asked for; none after the
+ * stop, when the HTTP loop may be gone. A waiting entry node then sees its
+ * connection close and reads the log itself. */
 static void
 run_call(struct home_slot *slot, const struct ch_once_action *action)
 {
@@ -354,29 +361,29 @@
     g_autofree char *key = ch_once_batch_key(slot->number, action->sequence);
     pthread_mutex_lock(&slot->home->lock);
     bool stopped = slot->home->stopped;
-    slot->calls += !stopped;
+    slot->pending_calls += !stopped;
     pthread_mutex_unlock(&slot->home->lock);
     if (stopped) {
         return;
     }
-    home_ref(slot->home);
+    home_add_reference(slot->home);
     switch (action->kind) {
     case CH_ONCE_LIST:
-        ch_kv_call_list(node, prefix, listed, slot);
+        ch_kv_call_list(node, prefix, handle_list, slot);
         return;
     case CH_ONCE_PUT:
         ch_kv_call_put(node, key, action->bytes, strlen(action->bytes), 0,
-                       written, slot);
+                       handle_put, slot);
         return;
     case CH_ONCE_REMOVE:
-        ch_kv_call_remove(node, key, action->revision, removed, slot);
+        ch_kv_call_remove(node, key, action->revision, handle_remove, slot);
         return;
     default:
-        ch_kv_call_get(node, key, got, slot);
+        ch_kv_call_get(node, key, handle_get, slot);
     }
 }
 
-/* Does what the machine asked for, with no lock held. */
+/* Runs the actions of the state machine. Lock not held. */
 static void
 run_actions(struct home_slot *slot, struct ch_once_actions *actions)
 {
@@ -384,7 +391,7 @@
         const struct ch_once_action *action =
             &g_array_index(actions->list, struct ch_once_action, i);
         if (action->kind == CH_ONCE_ANSWER) {
-            run_answer(slot->home, slot->number, action);
+            run_reply(slot->home, slot->number, action);
         }
         else {
             run_call(slot, action);
@@ -394,58 +401,58 @@
 
 /* ---- a slot's timer ---- */
 
-/* The timer of a slot. */
+/* Handles a slot's timer. */
 static void
-slot_due(void *data)
+handle_timer(void *data)
 {
     struct home_slot *slot = data;
     struct ch_once_actions actions;
-    enter(slot, &actions);
+    begin_event(slot, &actions);
     slot->timer_due = INT64_MAX;
     slot->timer = 0;
     ch_once_slot_tick(slot->machine, false,
                       ch_client_now(slot->home->node->client), &actions);
-    leave(slot, &actions, true);
+    end_event(slot, &actions, true);
 }
 
-/* Sets the timer to when the machine is due next.  Lock held. */
+/* Moves the timer forward to when the state machine is due next. Lock held. */
 static void
-follow_due(struct home_slot *slot)
+update_timer(struct home_slot *slot)
 {
     struct ch_once_home *home = slot->home;
     int64_t due = ch_once_slot_due(slot->machine);
     if (due >= slot->timer_due || home->stopped) {
         return;
     }
-    bool waiting =
+    bool cancelled =
         slot->timer != 0 && ch_timers_cancel(home->node->timers, slot->timer);
-    if (!waiting) {
-        slot->calls++;
-        home_ref(home);
+    if (!cancelled) {
+        slot->pending_calls++;
+        home_add_reference(home);
     }
     slot->timer_due = due;
     slot->timer = ch_timers_after(home->node->timers,
                                   due - ch_client_now(home->node->client),
-                                  slot_due, slot);
+                                  handle_timer, slot);
 }
 
-/* ---- frames ---- */
+/* ---- messages ---- */
 
-/* The slot of a number, made if need be; NULL for a number out of range.
- * Lock held. */
+/* Finds or creates the slot of a number; NULL for a number out of range, or
+ * after the stop. Lock held. */
 static struct home_slot *
 find_slot(struct ch_once_home *home, uint32_t number)
 {
     const struct ch_settings *settings = home->node->settings;
     struct home_slot *slot =
         g_hash_table_lookup(home->slots, GUINT_TO_POINTER(number));
-    if (slot == NULL && number < MOST_SLOTS && !home->stopped) {
+    if (slot == NULL && number < MAX_SLOTS && !home->stopped) {
         slot = g_new0(struct home_slot, 1);
         slot->home = home;
         slot->number = number;
         slot->timer_due = INT64_MAX;
         slot->machine =
-            ch_once_slot_new(ch_hash_pair(home->writer, number),
+            ch_once_slot_new(ch_hash_pair(home->write_id, number),
                              (int64_t)settings->once_gather_ms * 1000,
                              (int64_t)settings->once_keep_s * G_USEC_PER_SEC);
         g_hash_table_insert(home->slots, GUINT_TO_POINTER(number), slot);
@@ -453,10 +460,11 @@
     return slot;
 }
 
-/* Hands an event (owned) of a frame to its slot; the frame gets the answer. */
+/* Hands the event (owned) of a message to its slot; the sender gets the
+ * reply. */
 static void
-take_event(struct ch_once_home *home, uint32_t number,
-           struct ch_once_event *event, const char *from, uint64_t id)
+add_event(struct ch_once_home *home, uint32_t number,
+          struct ch_once_event *event, const char *from, uint64_t id)
 {
     struct ch_once_actions actions;
     struct waiter *waiter = g_new0(struct waiter, 1);
@@ -477,14 +485,14 @@
         return;
     }
     int64_t now = ch_client_now(home->node->client);
-    slot->used = now;
+    slot->last_used_at = now;
     ch_once_actions_init(&actions);
     ch_once_slot_add(slot->machine, event, ch_table_add(home->waiters, waiter),
                      now, &actions);
-    leave(slot, &actions, false);
+    end_event(slot, &actions, false);
 }
 
-/* An entry node asks for a key. */
+/* Handles an entry node's request to create the record of a key. */
 static void
 handle_begin(void *data, const Chestnuthitch__Wire__Frame *frame)
 {
@@ -499,10 +507,10 @@
     event->key = g_strdup(begin->key);
     event->attempt = begin->attempt;
     event->fingerprint = GUINT64_FROM_BE(fingerprint);
-    take_event(data, begin->slot, event, frame->from, frame->id);
+    add_event(data, begin->slot, event, frame->from, frame->id);
 }
 
-/* An entry node tells how its attempt ended. */
+/* Handles an entry node's message of how its attempt ended. */
 static void
 handle_finish(void *data, const Chestnuthitch__Wire__Frame *frame)
 {
@@ -520,12 +528,12 @@
         event->body = g_memdup2(finish->body.data, finish->body.len);
         event->length = finish->body.len;
     }
-    take_event(data, finish->slot, event, frame->from, frame->id);
+    add_event(data, finish->slot, event, frame->from, frame->id);
 }
 
 /* ---- sweep ---- */
 
-/* Whether this node is the slot's home now. */
+/* Whether this node is the slot's home node now. */
 static bool
 is_home(struct ch_once_home *home, uint32_t number)
 {
@@ -533,9 +541,9 @@
     return g_strcmp0(name, home->node->settings->name) == 0;
 }
 
-/* The numbers of the slots that are held; an array of uint32_t. */
+/* The numbers of the slots in memory; an array of uint32_t. */
 static GArray *
-slot_numbers(struct ch_once_home *home)
+list_slot_numbers(struct ch_once_home *home)
 {
     GArray *numbers = g_array_new(FALSE, FALSE, sizeof(uint32_t));
     GHashTableIter iter;
@@ -550,7 +558,8 @@
     return numbers;
 }
 
-/* Drops what expired in a slot, or forgets a slot that moved away. */
+/* Removes expired batches of a slot, or drops a slot whose home node is
+ * another by now. */
 static void
 sweep_slot(struct ch_once_home *home, uint32_t number)
 {
@@ -564,7 +573,8 @@
         pthread_mutex_unlock(&home->lock);
         return;
     }
-    if (!own && slot->calls == 0 && now - slot->used > FORGET &&
+    if (!own && slot->pending_calls == 0 &&
+        now - slot->last_used_at > SLOT_IDLE_TIMEOUT_US &&
         ch_once_slot_idle(slot->machine)) {
         g_hash_table_remove(home->slots, GUINT_TO_POINTER(number));
         pthread_mutex_unlock(&home->lock);
@@ -572,15 +582,15 @@
     }
     ch_once_actions_init(&actions);
     ch_once_slot_tick(slot->machine, own, now, &actions);
-    leave(slot, &actions, false);
+    end_event(slot, &actions, false);
 }
 
-/* Sweeps every slot, again and again. */
+/* Sweeps every slot, every SWEEP_PERIOD_US until the stop. */
 static void
 sweep(void *data)
 {
     struct ch_once_home *home = data;
-    GArray *numbers = slot_numbers(home);
+    GArray *numbers = list_slot_numbers(home);
     for (guint i = 0; i < numbers->len; i++) {
         sweep_slot(home, g_array_index(numbers, uint32_t, i));
     }
@@ -589,7 +599,7 @@
     bool again = !home->stopped;
     if (again) {
         home->sweep_timer =
-            ch_timers_after(home->node->timers, SWEEP, sweep, home);
+            ch_timers_after(home->node->timers, SWEEP_PERIOD_US, sweep, home);
     }
     pthread_mutex_unlock(&home->lock);
     if (!again) {
@@ -597,17 +607,18 @@
     }
 }
 
-/* ---- life ---- */
+/* ---- lifetime ---- */
 
-/* A home of no slots yet, registered with the node's peers. */
+/* Creates a home without slots and registers its message handlers with the
+ * node's peers. */
 struct ch_once_home *
 ch_once_home_new(struct ch_node *node)
 {
     struct ch_once_home *home = g_new0(struct ch_once_home, 1);
     home->node = node;
-    home->references = 2; /* the keeper's and the sweep's */
+    home->references = 2; /* of the caller and of the sweep */
     pthread_mutex_init(&home->lock, NULL);
-    home->writer =
+    home->write_id =
         ch_hash_pair(ch_hash_string(node->settings->name), node->incarnation);
     home->slots =
         g_hash_table_new_full(g_direct_hash, g_direct_equal, NULL, slot_free);
@@ -617,39 +628,41 @@
     ch_peers_handle(node->peers, CHESTNUTHITCH__WIRE__FRAME__BODY_ONCE_FINISH,
                     handle_finish, home);
     pthread_mutex_lock(&home->lock);
-    home->sweep_timer = ch_timers_after(node->timers, SWEEP, sweep, home);
+    home->sweep_timer =
+        ch_timers_after(node->timers, SWEEP_PERIOD_US, sweep, home);
     pthread_mutex_unlock(&home->lock);
     return home;
 }
 
-/* Ends the timers of a slot.  Lock held; the holds that this gives back are
- * counted. */
+/* Cancels the timer of a slot; returns how many references to the home it
+ * held. Lock held. */
 static int
-stop_slot(struct home_slot *slot)
+cancel_slot_timer(struct home_slot *slot)
 {
     if (slot->timer == 0 ||
         !ch_timers_cancel(slot->home->node->timers, slot->timer)) {
         return 0;
     }
     slot->timer = 0;
-    slot->calls--;
+    slot->pending_calls--;
     return 1;
 }
 
-/* Ends the timers; frames and calls under way still run out. */
+/* Cancels the timers; messages and calls in progress still run to their
+ * end. */
 void
 ch_once_home_stop(struct ch_once_home *home)
 {
     GHashTableIter iter;
     void *value = NULL;
-    int holds = 0;
+    int references = 0;
     pthread_mutex_lock(&home->lock);
     home->stopped = true;
     g_hash_table_iter_init(&iter, home->slots);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        holds += stop_slot(value);
+        references += cancel_slot_timer(value);
     }
-    holds += ch_timers_cancel(home->node->timers, home->sweep_timer);
+    references += ch_timers_cancel(home->node->timers, home->sweep_timer);
     pthread_mutex_unlock(&home->lock);
-    home_unref_by(home, holds);
+    home_drop_references(home, references);
 }
--- a/libchestnuthitch/node/once_home.h
+++ b/libchestnuthitch/node/once_home.h
@@ -1,7 +1,8 @@
 #ifndef CH_NODE_ONCE_HOME_H
 #define CH_NODE_ONCE_HOME_H
 
-/* The slots of at-most-once records that this node writes for the fleet. */
+/* At-most-once records are spread over slots by key; this is the home node's
+ * side, which writes the slots whose home node is this one. */
 
 #include "node/node.h"
 
@@ -11,14 +12,20 @@
 void ch_once_home_stop(struct ch_once_home *home);
 void ch_once_home_unref(struct ch_once_home *home);
 
-/* The slot of a caller's key, of `slots` in all. */
-uint32_t ch_once_slot_of(const char *caller, const char *key, uint32_t slots);
-/* The live node that is the slot's home; a new string. */
+/* The slot of a caller's key among slot_count slots; the same on every
+ * node. */
+uint32_t ch_once_slot_of(const char *caller, const char *key,
+                         uint32_t slot_count);
+/* The live node that is the slot's home node, of all data centres; a new
+ * string. */
 char *ch_once_slot_home(struct ch_node *node, uint32_t slot);
-/* "once/SLOT/", and "once/SLOT/SEQUENCE"; new strings. */
+/* The key prefix "once/SLOT/" and the batch key "once/SLOT/SEQUENCE"; new
+ * strings. */
 char *ch_once_slot_prefix(uint32_t slot);
 char *ch_once_batch_key(uint32_t slot, uint64_t sequence);
-/* What a list of the slot holds, with the bytes of entries; g_array_free. */
+/* The batches (struct ch_once_batch_entry) among the entries listed for a
+ * slot, in order of sequence. Their bytes still belong to the entries; free
+ * with g_array_free. */
 GArray *ch_once_listed_new(const struct ch_kv_entry *entries, size_t count);
 
 #endif
--- a/libchestnuthitch/node/once_keeper.c
+++ b/libchestnuthitch/node/once_keeper.c
@@ -1,10 +1,13 @@
 /*
- * At most once, at the entry node: one attempt for each request with a key.
+ * At-most-once requests on the entry node: one attempt for each request with a
+ * key.
  *
- * The slot's home is asked to create the key; when it is lost on the way, the
- * log itself is read.  An attempt is told to be CREATED on evidence that the
- * log gives it the key, or it is given up, and never both: what comes after
- * the end is dropped, and what it may have created is released.
+ * The slot's home node is asked to create the record of the key. When the
+ * connection to the home node is lost, the slot's log is read from the
+ * key-value store instead. An attempt is reported as CREATED only on evidence
+ * that the log gives it the key; otherwise it is given up. Once the caller's
+ * result is settled, later replies are ignored, and a record that a given-up
+ * attempt may have created is released.
  */
 
 #include "node/once_home.h"
@@ -18,24 +21,25 @@
 
 enum {
     /*
-     * A caller hears of an outage in less than a second.  A create takes two
-     * calls in turn, of some milliseconds in the region and 60 ms between
-     * regions.
+     * Callers learn of an outage in less than a second. Creating a record
+     * takes two calls in sequence, each of some milliseconds within a region
+     * and 60 ms between regions.
      */
-    BEGIN_LIMIT = 900 * 1000,
-    /* Homes that are asked in turn when one is lost. */
-    BEGIN_TRIES = 3,
+    BEGIN_TIMEOUT_US = 900 * 1000,
+    /* Home nodes that are asked one after another when a connection is
+     * lost. */
+    BEGIN_MAX_ATTEMPTS = 3,
     /*
-     * Before the next one is asked.  A home whose process was killed refuses
-     * connections at once, and is still named as home for the moment that the
-     * membership takes to learn of it: without the pause all tries went to it
-     * within twenty milliseconds, and the caller was refused though another
-     * home would have served it a moment later.
+     * Minimum time between two requests to home nodes. A home node whose
+     * process was killed refuses connections at once, and stays the home node
+     * until the membership notices. Without the delay all attempts went to it
+     * within 20 ms, and the caller was refused although another home node
+     * would have served the request a moment later.
      */
-    LOST_PAUSE = 60 * 1000,
-    FINISH_LIMIT = 1000 * 1000,
-    /* An answer is offered this often: 1, 2, 4, 8 s apart. */
-    FINISH_TRIES = 5,
+    LOST_HOME_DELAY_US = 60 * 1000,
+    FINISH_TIMEOUT_US = 1000 * 1000,
+    /* Attempts to send the end of an attempt, 1, 2, 4 and 8 s apart. */
+    FINISH_MAX_ATTEMPTS = 5,
 };
 
 struct ch_once_keeper {
@@ -44,10 +48,10 @@
     pthread_mutex_t lock;
     int references;
     bool stopped;
-    uint32_t slots; /* as all nodes agreed; 0: not known yet */
-    uint64_t attempts;
-    uint64_t sender;
-    GHashTable *waiting; /* of struct finish with a timer */
+    uint32_t slot_count; /* the number that all nodes use; 0: not known yet */
+    uint64_t attempt_count;
+    uint64_t incarnation_id;
+    GHashTable *waiting_finishes; /* struct finish with a timer, as a set */
 };
 
 struct begin {
@@ -58,9 +62,9 @@
     uint64_t fingerprint;
     uint64_t attempt;
     uint32_t slot;
-    unsigned tries;
-    int64_t asked; /* when the home of the latest try was */
-    bool in_doubt; /* the attempt may have been written */
+    unsigned attempts_made;
+    int64_t last_asked_at; /* when the latest home node was asked */
+    bool may_be_written;   /* the attempt may have been written to the log */
     bool finished;
     uint64_t timer;
     void (*done)(void *data, const struct ch_once_answer *answer);
@@ -79,7 +83,7 @@
     char *content_type;
     void *body;
     size_t length;
-    unsigned tries;
+    unsigned attempts_made;
     uint64_t timer;
     void (*done)(void *data, bool kept);
     void *data;
@@ -87,60 +91,60 @@
 
 /* ---- ownership ---- */
 
-/* One more owner: a call or timer under way. */
+/* Adds a reference, for a call or timer in progress. */
 static struct ch_once_keeper *
-keeper_ref(struct ch_once_keeper *keeper)
+keeper_add_reference(struct ch_once_keeper *keeper)
 {
     g_atomic_int_inc(&keeper->references);
     return keeper;
 }
 
-/* One owner less; the last frees it. */
+/* Drops a reference; frees the keeper with the last one. */
 static void
-keeper_unref(struct ch_once_keeper *keeper)
+keeper_drop_reference(struct ch_once_keeper *keeper)
 {
     if (!g_atomic_int_dec_and_test(&keeper->references)) {
         return;
     }
-    g_hash_table_destroy(keeper->waiting);
+    g_hash_table_destroy(keeper->waiting_finishes);
     pthread_mutex_destroy(&keeper->lock);
     g_free(keeper);
 }
 
-/* One more holder of a begin: a call or its timer. */
+/* Adds a reference, for a call or the timer. */
 static struct begin *
-begin_ref(struct begin *begin)
+begin_add_reference(struct begin *begin)
 {
     g_atomic_int_inc(&begin->references);
     return begin;
 }
 
-/* One holder less; the last frees it. */
+/* Drops a reference; frees the begin with the last one. */
 static void
-begin_unref(struct begin *begin)
+begin_drop_reference(struct begin *begin)
 {
     if (!g_atomic_int_dec_and_test(&begin->references)) {
         return;
     }
-    keeper_unref(begin->keeper);
+    keeper_drop_reference(begin->keeper);
     g_free(begin->caller);
     g_free(begin->key);
     g_free(begin);
 }
 
-/* True when the begin has ended, or the keeper was stopped. */
+/* Whether the begin has ended or the keeper was stopped. */
 static bool
-is_over(const struct begin *begin)
+is_ended(const struct begin *begin)
 {
     pthread_mutex_lock(&begin->keeper->lock);
-    bool over = begin->finished || begin->keeper->stopped;
+    bool ended = begin->finished || begin->keeper->stopped;
     pthread_mutex_unlock(&begin->keeper->lock);
-    return over;
+    return ended;
 }
 
-/* Counts by a counter, if there are counters. */
+/* Increments a counter, if the client has metrics. */
 static void
-count(struct ch_once_keeper *keeper, enum ch_counter counter)
+count_event(struct ch_once_keeper *keeper, enum ch_counter counter)
 {
     if (keeper->node->client->metrics != NULL) {
         ch_metrics_count(keeper->node->client->metrics, counter, 1);
@@ -149,11 +153,11 @@
 
 /* ---- the end of an attempt ---- */
 
-/* Frees a finish and lets its keeper go. */
+/* Frees a finish and drops its reference to the keeper. */
 static void
 finish_free(struct finish *finish)
 {
-    keeper_unref(finish->keeper);
+    keeper_drop_reference(finish->keeper);
     g_free(finish->caller);
     g_free(finish->key);
     g_free(finish->content_type);
@@ -161,9 +165,9 @@
     g_free(finish);
 }
 
-/* Tells the owner once whether the answer is kept. */
+/* Reports, the first time only, whether the response is stored. */
 static void
-finish_tell(struct finish *finish, bool kept)
+finish_report(struct finish *finish, bool kept)
 {
     if (finish->done != NULL) {
         finish->done(finish->data, kept);
@@ -173,16 +177,18 @@
 
 static void finish_send(void *data);
 
-/* Tries again later; false when there were enough tries. */
+/* Schedules another attempt to send; false after FINISH_MAX_ATTEMPTS or the
+ * stop. */
 static bool
-finish_again(struct finish *finish)
+finish_retry_later(struct finish *finish)
 {
     struct ch_once_keeper *keeper = finish->keeper;
-    int64_t delay = (int64_t)G_USEC_PER_SEC << finish->tries;
+    int64_t delay = (int64_t)G_USEC_PER_SEC << finish->attempts_made;
     pthread_mutex_lock(&keeper->lock);
-    bool again = ++finish->tries < FINISH_TRIES && !keeper->stopped;
+    bool again =
+        ++finish->attempts_made < FINISH_MAX_ATTEMPTS && !keeper->stopped;
     if (again) {
-        g_hash_table_add(keeper->waiting, finish);
+        g_hash_table_add(keeper->waiting_finishes, finish);
         finish->timer =
             ch_timers_after(keeper->node->timers, delay, finish_send, finish);
     }
@@ -190,25 +196,26 @@
     return again;
 }
 
-/* The home's answer to a finish.  Without one, or while the service is away,
- * it is sent again: the log takes a completion of an attempt once. */
+/* Handles the home node's reply to a finish. Without a reply, or while the
+ * key-value store is unavailable, the finish is sent again; the log accepts
+ * the end of an attempt once only. */
 static void
-finish_answered(void *data, enum ch_code code,
-                const Chestnuthitch__Wire__Frame *reply)
+finish_handle_reply(void *data, enum ch_code code,
+                    const Chestnuthitch__Wire__Frame *reply)
 {
     struct finish *finish = data;
-    bool answered =
+    bool has_reply =
         code == CH_OK && reply != NULL &&
         reply->body_case == CHESTNUTHITCH__WIRE__FRAME__BODY_ONCE_ANSWER;
-    bool kept = answered && reply->once_answer->state == CH_ONCE_DONE;
-    bool final = kept || (answered && reply->once_answer->code == CH_OK);
-    finish_tell(finish, kept);
-    if (final || !finish_again(finish)) {
+    bool kept = has_reply && reply->once_answer->state == CH_ONCE_DONE;
+    bool final = kept || (has_reply && reply->once_answer->code == CH_OK);
+    finish_report(finish, kept);
+    if (final || !finish_retry_later(finish)) {
         finish_free(finish);
     }
 }
 
-/* Sends a finish to the slot's home of now. */
+/* Sends a finish to the slot's current home node. */
 static void
 finish_send(void *data)
 {
@@ -218,7 +225,7 @@
         CHESTNUTHITCH__WIRE__ONCE_FINISH__INIT;
     Chestnuthitch__Wire__Frame frame = CHESTNUTHITCH__WIRE__FRAME__INIT;
     pthread_mutex_lock(&finish->keeper->lock);
-    g_hash_table_remove(finish->keeper->waiting, finish);
+    g_hash_table_remove(finish->keeper->waiting_finishes, finish);
     pthread_mutex_unlock(&finish->keeper->lock);
     body.slot = finish->slot;
     body.caller = finish->caller;
@@ -233,17 +240,17 @@
     frame.body_case = CHESTNUTHITCH__WIRE__FRAME__BODY_ONCE_FINISH;
     frame.once_finish = &body;
     g_autofree char *home = ch_once_slot_home(node, finish->slot);
-    ch_peers_request(node->peers, home, &frame, FINISH_LIMIT, finish_answered,
-                     finish);
+    ch_peers_request(node->peers, home, &frame, FINISH_TIMEOUT_US,
+                     finish_handle_reply, finish);
 }
 
-/* A finish without an answer to keep. */
+/* Creates a finish without a stored response. */
 static struct finish *
 finish_new(struct ch_once_keeper *keeper, const char *caller, const char *key,
            uint64_t attempt, uint32_t slot)
 {
     struct finish *finish = g_new0(struct finish, 1);
-    finish->keeper = keeper_ref(keeper);
+    finish->keeper = keeper_add_reference(keeper);
     finish->slot = slot;
     finish->caller = g_strdup(caller);
     finish->key = g_strdup(key);
@@ -252,7 +259,7 @@
     return finish;
 }
 
-/* Tells how an attempt ended; see node.h. */
+/* See node.h. */
 void
 ch_once_keeper_finish(struct ch_once_keeper *keeper, const char *caller,
                       const char *key, uint64_t attempt, bool not_run,
@@ -261,10 +268,11 @@
                       void *data)
 {
     pthread_mutex_lock(&keeper->lock);
-    uint32_t slots = keeper->slots;
+    uint32_t slot_count = keeper->slot_count;
     pthread_mutex_unlock(&keeper->lock);
-    struct finish *finish = finish_new(keeper, caller, key, attempt,
-                                       ch_once_slot_of(caller, key, slots));
+    struct finish *finish =
+        finish_new(keeper, caller, key, attempt,
+                   ch_once_slot_of(caller, key, slot_count));
     finish->not_run = not_run;
     finish->kept = !not_run && length <= CH_ONCE_MOST_BODY;
     finish->status = status;
@@ -282,10 +290,10 @@
 
 /* ---- the end of a begin ---- */
 
-/* Frees the key for others after an attempt that was given up: it will never
- * be dispatched, and the log may say that it has the key. */
+/* Releases the key of an attempt that was given up. The attempt will never be
+ * dispatched, but the log may have given it the key. */
 static void
-release(struct begin *begin)
+release_key(struct begin *begin)
 {
     struct finish *finish = finish_new(
         begin->keeper, begin->caller, begin->key, begin->attempt, begin->slot);
@@ -294,9 +302,9 @@
 }
 
 /*
- * Gives the one answer of a begin.  Whoever comes later comes in vain: an
- * attempt that was refused is not dispatched by an answer that was late, as
- * its caller was told that it was not run.
+ * Ends a begin with its one result; later results are ignored. An attempt that
+ * was refused must not be dispatched because of a late reply, as its caller
+ * was told that the request did not run.
  */
 static void
 begin_end(struct begin *begin, struct ch_once_answer *answer)
@@ -310,27 +318,28 @@
         [CH_ONCE_REFUSED] = CH_COUNT_ONCE_REFUSED,
     };
     pthread_mutex_lock(&keeper->lock);
-    bool first = !begin->finished;
+    bool is_first = !begin->finished;
     begin->finished = true;
     uint64_t timer = begin->timer;
-    bool in_doubt = begin->in_doubt;
+    bool may_be_written = begin->may_be_written;
     pthread_mutex_unlock(&keeper->lock);
-    if (!first) {
+    if (!is_first) {
         return;
     }
     if (timer != 0 && ch_timers_cancel(keeper->node->timers, timer)) {
-        /* The timer's hold; never the last, as the caller has one. */
+        /* The timer's reference; it is not the last one, as the function's
+         * caller has one. */
         (void)g_atomic_int_add(&begin->references, -1);
     }
-    count(keeper, counters[answer->state]);
+    count_event(keeper, counters[answer->state]);
     answer->attempt = begin->attempt;
     begin->done(begin->data, answer);
-    if (answer->state == CH_ONCE_REFUSED && in_doubt) {
-        release(begin);
+    if (answer->state == CH_ONCE_REFUSED && may_be_written) {
+        release_key(begin);
     }
 }
 
-/* Ends a begin with a state alone. */
+/* Ends a begin with a state and no response. */
 static void
 begin_end_state(struct begin *begin, enum ch_once_state state)
 {
@@ -338,23 +347,24 @@
     begin_end(begin, &answer);
 }
 
-/* The limit has passed. */
+/* Ends a begin that got no result within BEGIN_TIMEOUT_US. */
 static void
-begin_late(void *data)
+begin_handle_timeout(void *data)
 {
     struct begin *begin = data;
     begin_end_state(begin, CH_ONCE_REFUSED);
-    begin_unref(begin);
+    begin_drop_reference(begin);
 }
 
-/* ---- reading the log when the home was lost ---- */
+/* ---- reading the log when the home node's connection was lost ---- */
 
 static void ask_home(struct begin *begin);
 
-/* Answers a begin by a record, with the kept answer out of the list. */
+/* Ends a begin with the state of a record, with its stored response from the
+ * listed batches. */
 static void
-end_by_record(struct begin *begin, const struct ch_once_record *record,
-              const GArray *batches)
+begin_end_by_record(struct begin *begin, const struct ch_once_record *record,
+                    const GArray *batches)
 {
     struct ch_once_answer answer = {
         .state = ch_once_state_of(record, begin->attempt, begin->fingerprint),
@@ -384,52 +394,54 @@
     ch_once_batch_free(batch);
 }
 
-/* The slot's log was read.  Without a record the next home is asked under the
- * same attempt: if the lost one writes it yet, it is this attempt's all the
- * same. */
+/* Handles the slot's log. Without a record, the next home node is asked with
+ * the same attempt ID: if the lost home node still writes the record, the
+ * record belongs to this attempt all the same. */
 static void
-log_read(void *data, enum ch_code code, const struct ch_kv_entry *entries,
-         size_t entry_count)
+handle_log(void *data, enum ch_code code, const struct ch_kv_entry *entries,
+           size_t entry_count)
 {
     struct begin *begin = data;
     GArray *batches = ch_once_listed_new(entries, entry_count);
     struct ch_once_log *log = ch_once_log_new();
     const struct ch_once_record *record = NULL;
-    bool known = code == CH_OK &&
-                 ch_once_log_load(
-                     log, (const struct ch_once_listed *)(void *)batches->data,
-                     batches->len, 0, NULL);
-    if (known) {
+    bool readable =
+        code == CH_OK &&
+        ch_once_log_load(log,
+                         (const struct ch_once_listed *)(void *)batches->data,
+                         batches->len, 0, NULL);
+    if (readable) {
         record = ch_once_log_find(log, begin->caller, begin->key);
     }
-    if (!known) {
+    if (!readable) {
         begin_end_state(begin, CH_ONCE_REFUSED);
     }
     else if (record != NULL) {
-        end_by_record(begin, record, batches);
+        begin_end_by_record(begin, record, batches);
     }
     else {
         ask_home(begin);
     }
     ch_once_log_free(log);
     g_array_free(batches, TRUE);
-    begin_unref(begin);
+    begin_drop_reference(begin);
 }
 
-/* Reads the slot's log. */
 static void
 read_log(struct begin *begin)
 {
     g_autofree char *prefix = ch_once_slot_prefix(begin->slot);
-    ch_kv_call_list(begin->keeper->node, prefix, log_read, begin_ref(begin));
+    ch_kv_call_list(begin->keeper->node, prefix, handle_log,
+                    begin_add_reference(begin));
 }
 
-/* ---- asking the slot's home ---- */
+/* ---- asking the slot's home node ---- */
 
-/* Gives the home's answer to the owner. */
+/* Ends a begin with the home node's reply. When the key-value store was
+ * unreachable on the first attempt, nothing can have been written. */
 static void
-end_by_answer(struct begin *begin,
-              const Chestnuthitch__Wire__OnceAnswer *reply)
+begin_end_by_reply(struct begin *begin,
+                   const Chestnuthitch__Wire__OnceAnswer *reply)
 {
     struct ch_once_answer answer = {
         .state = CH_ONCE_REFUSED,
@@ -443,61 +455,62 @@
         answer.state = (enum ch_once_state)reply->state;
     }
     pthread_mutex_lock(&begin->keeper->lock);
-    if (begin->tries == 1 && reply->code == CH_KV_UNREACHABLE) {
-        begin->in_doubt = false;
+    if (begin->attempts_made == 1 && reply->code == CH_KV_UNREACHABLE) {
+        begin->may_be_written = false;
     }
     pthread_mutex_unlock(&begin->keeper->lock);
     begin_end(begin, &answer);
 }
 
-/* The pause after a lost home is over. */
+/* Continues after LOST_HOME_DELAY_US with the log. */
 static void
-pause_over(void *data)
+handle_delay_end(void *data)
 {
     struct begin *begin = data;
-    if (is_over(begin)) {
+    if (is_ended(begin)) {
         begin_end_state(begin, CH_ONCE_REFUSED);
     }
     else {
         read_log(begin);
     }
-    begin_unref(begin);
+    begin_drop_reference(begin);
 }
 
-/* How long to wait before the next home is asked; see LOST_PAUSE.  A home that
- * fell silent was lost for longer than that already. */
+/* The time left before the next home node is asked; see LOST_HOME_DELAY_US. It
+ * is 0 for a home node that fell silent, as that took longer already. */
 static int64_t
-pause_left(struct begin *begin)
+compute_delay(struct begin *begin)
 {
     struct ch_once_keeper *keeper = begin->keeper;
     int64_t now = ch_client_now(keeper->node->client);
     pthread_mutex_lock(&keeper->lock);
-    int64_t left = begin->asked + LOST_PAUSE - now;
+    int64_t delay = begin->last_asked_at + LOST_HOME_DELAY_US - now;
     pthread_mutex_unlock(&keeper->lock);
-    return MAX(left, 0);
+    return MAX(delay, 0);
 }
 
-/* The home answered, or was lost. */
+/* Handles the home node's reply, or the loss of its connection. */
 static void
-home_answered(void *data, enum ch_code code,
-              const Chestnuthitch__Wire__Frame *reply)
+handle_home_reply(void *data, enum ch_code code,
+                  const Chestnuthitch__Wire__Frame *reply)
 {
     struct begin *begin = data;
     if (code == CH_OK && reply != NULL &&
         reply->body_case == CHESTNUTHITCH__WIRE__FRAME__BODY_ONCE_ANSWER) {
-        end_by_answer(begin, reply->once_answer);
+        begin_end_by_reply(begin, reply->once_answer);
     }
-    else if (code == CH_PEER_TIMEOUT || is_over(begin)) {
+    else if (code == CH_PEER_TIMEOUT || is_ended(begin)) {
         begin_end_state(begin, CH_ONCE_REFUSED);
     }
     else {
-        ch_timers_after(begin->keeper->node->timers, pause_left(begin),
-                        pause_over, begin_ref(begin));
+        ch_timers_after(begin->keeper->node->timers, compute_delay(begin),
+                        handle_delay_end, begin_add_reference(begin));
     }
-    begin_unref(begin);
+    begin_drop_reference(begin);
 }
 
-/* Asks the slot's home of now to create the key for the attempt. */
+/* Asks the slot's current home node to create the record of the key for the
+ * attempt. */
 static void
 ask_home(struct begin *begin)
 {
@@ -507,12 +520,13 @@
     Chestnuthitch__Wire__Frame frame = CHESTNUTHITCH__WIRE__FRAME__INIT;
     uint64_t fingerprint = GUINT64_TO_BE(begin->fingerprint);
     pthread_mutex_lock(&begin->keeper->lock);
-    bool go = !begin->finished && begin->tries < BEGIN_TRIES;
-    begin->tries += go;
-    begin->asked = ch_client_now(node->client);
-    begin->in_doubt |= go;
+    bool allowed =
+        !begin->finished && begin->attempts_made < BEGIN_MAX_ATTEMPTS;
+    begin->attempts_made += allowed;
+    begin->last_asked_at = ch_client_now(node->client);
+    begin->may_be_written |= allowed;
     pthread_mutex_unlock(&begin->keeper->lock);
-    if (!go) {
+    if (!allowed) {
         begin_end_state(begin, CH_ONCE_REFUSED);
         return;
     }
@@ -525,92 +539,94 @@
     frame.body_case = CHESTNUTHITCH__WIRE__FRAME__BODY_ONCE_BEGIN;
     frame.once_begin = &body;
     g_autofree char *home = ch_once_slot_home(node, begin->slot);
-    ch_peers_request(node->peers, home, &frame, BEGIN_LIMIT, home_answered,
-                     begin_ref(begin));
+    ch_peers_request(node->peers, home, &frame, BEGIN_TIMEOUT_US,
+                     handle_home_reply, begin_add_reference(begin));
 }
 
-/* ---- how many slots there are ---- */
+/* ---- number of slots ---- */
 
-static void read_slots(struct begin *begin);
+static void read_slot_count(struct begin *begin);
 
-/* Takes the number of slots into use and asks the home. */
+/* Sets the number of slots and asks the home node. */
 static void
-take_slots(struct begin *begin, uint32_t slots)
+set_slot_count(struct begin *begin, uint32_t slot_count)
 {
     struct ch_once_keeper *keeper = begin->keeper;
     pthread_mutex_lock(&keeper->lock);
-    keeper->slots = slots;
+    keeper->slot_count = slot_count;
     pthread_mutex_unlock(&keeper->lock);
-    if (slots != keeper->node->settings->once_slots) {
+    if (slot_count != keeper->node->settings->once_slots) {
         ch_log(keeper->node->client, CH_LOG_WARNING, "once-slots-differ",
-               CH_F_INT("in_use", slots),
+               CH_F_INT("in_use", slot_count),
                CH_F_INT("set", keeper->node->settings->once_slots), CH_F_END);
     }
-    begin->slot = ch_once_slot_of(begin->caller, begin->key, slots);
+    begin->slot = ch_once_slot_of(begin->caller, begin->key, slot_count);
     ask_home(begin);
 }
 
-/* The number was written, or another node's was there first. */
+/* Handles the write of the number of slots, which fails with a conflict when
+ * another node wrote it first. */
 static void
-slots_written(void *data, const struct ch_kv_answer *answer)
+handle_slot_count_write(void *data, const struct ch_kv_answer *answer)
 {
     struct begin *begin = data;
     if (answer->code == CH_OK) {
-        take_slots(begin, begin->keeper->node->settings->once_slots);
+        set_slot_count(begin, begin->keeper->node->settings->once_slots);
     }
-    else if (answer->code == CH_KV_CONFLICT && !is_over(begin)) {
-        read_slots(begin);
+    else if (answer->code == CH_KV_CONFLICT && !is_ended(begin)) {
+        read_slot_count(begin);
     }
     else {
         begin_end_state(begin, CH_ONCE_REFUSED);
     }
-    begin_unref(begin);
+    begin_drop_reference(begin);
 }
 
-/* The number was read; the first node of all writes its own. */
+/* Handles the read of the number of slots; the first node of the fleet writes
+ * its own setting. */
 static void
-slots_read(void *data, const struct ch_kv_answer *answer)
+handle_slot_count(void *data, const struct ch_kv_answer *answer)
 {
     struct begin *begin = data;
     struct ch_node *node = begin->keeper->node;
-    guint64 slots = 0;
-    if (answer->code == CH_KV_MISSING && !is_over(begin)) {
+    guint64 slot_count = 0;
+    if (answer->code == CH_KV_MISSING && !is_ended(begin)) {
         char text[16];
         (void)g_snprintf(text, sizeof(text), "%u", node->settings->once_slots);
-        ch_kv_call_put(node, SLOTS_KEY, text, strlen(text), 0, slots_written,
-                       begin_ref(begin));
-        begin_unref(begin);
+        ch_kv_call_put(node, SLOTS_KEY, text, strlen(text), 0,
+                       handle_slot_count_write, begin_add_reference(begin));
+        begin_drop_reference(begin);
         return;
     }
     g_autofree char *text = answer->code == CH_OK
                                 ? g_strndup(answer->value, answer->length)
                                 : NULL;
     if (text != NULL &&
-        g_ascii_string_to_unsigned(text, 10, 1, 65536, &slots, NULL)) {
-        take_slots(begin, (uint32_t)slots);
+        g_ascii_string_to_unsigned(text, 10, 1, 65536, &slot_count, NULL)) {
+        set_slot_count(begin, (uint32_t)slot_count);
     }
     else {
         begin_end_state(begin, CH_ONCE_REFUSED);
     }
-    begin_unref(begin);
+    begin_drop_reference(begin);
 }
 
 /*
- * Reads how many slots there are, once in a process's life.  Two nodes whose
- * settings differ would look for one key in two slots and both create it; so
- * the first node's number is kept, and all use that.
+ * Reads the number of slots, once in a process's life. Two nodes with
+ * different settings would look for one key in two slots and both create its
+ * record; so the first node's number is stored, and all nodes use that.
  */
 static void
-read_slots(struct begin *begin)
+read_slot_count(struct begin *begin)
 {
-    ch_kv_call_get(begin->keeper->node, SLOTS_KEY, slots_read,
-                   begin_ref(begin));
+    ch_kv_call_get(begin->keeper->node, SLOTS_KEY, handle_slot_count,
+                   begin_add_reference(begin));
 }
 
-/* ---- what the node calls ---- */
+/* ---- interface to the node ---- */
 
-/* Begins an attempt for a caller's key; see node.h.  The answer comes within
- * a second. */
+/* Begins an attempt for a caller's key; see node.h. The result comes within
+ * BEGIN_TIMEOUT_US. */
 void
 ch_once_keeper_begin(struct ch_once_keeper *keeper, const char *caller,
                      const char *key, uint64_t fingerprint,
@@ -619,73 +635,77 @@
                      void *data)
 {
     struct begin *begin = g_new0(struct begin, 1);
-    begin->keeper = keeper_ref(keeper);
-    begin->references = 2; /* this function's and the timer's */
+    begin->keeper = keeper_add_reference(keeper);
+    begin->references = 2; /* of this function and of the timer */
     begin->caller = g_strdup(caller);
     begin->key = g_strdup(key);
     begin->fingerprint = fingerprint;
     begin->done = done;
     begin->data = data;
     pthread_mutex_lock(&keeper->lock);
-    uint32_t slots = keeper->slots;
-    begin->attempt = ch_hash_pair(keeper->sender, ++keeper->attempts);
-    begin->timer =
-        ch_timers_after(keeper->node->timers, BEGIN_LIMIT, begin_late, begin);
+    uint32_t slot_count = keeper->slot_count;
+    begin->attempt =
+        ch_hash_pair(keeper->incarnation_id, ++keeper->attempt_count);
+    begin->timer = ch_timers_after(keeper->node->timers, BEGIN_TIMEOUT_US,
+                                   begin_handle_timeout, begin);
     pthread_mutex_unlock(&keeper->lock);
-    if (slots == 0) {
-        read_slots(begin);
+    if (slot_count == 0) {
+        read_slot_count(begin);
     }
     else {
-        begin->slot = ch_once_slot_of(caller, key, slots);
+        begin->slot = ch_once_slot_of(caller, key, slot_count);
         ask_home(begin);
     }
-    begin_unref(begin);
+    begin_drop_reference(begin);
 }
 
-/* A keeper, registered with the node's peers; node outlives it. */
+/* Creates a keeper and registers its message handlers with the node's peers;
+ * node outlives the keeper. */
 struct ch_once_keeper *
 ch_once_keeper_new(struct ch_node *node)
 {
     struct ch_once_keeper *keeper = g_new0(struct ch_once_keeper, 1);
     keeper->node = node;
     keeper->references = 1;
-    keeper->sender =
+    keeper->incarnation_id =
         ch_hash_pair(ch_hash_string(node->settings->name), node->incarnation);
-    keeper->waiting = g_hash_table_new(g_direct_hash, g_direct_equal);
+    keeper->waiting_finishes = g_hash_table_new(g_direct_hash, g_direct_equal);
     pthread_mutex_init(&keeper->lock, NULL);
     keeper->home = ch_once_home_new(node);
     return keeper;
 }
 
-/* Gives up what waits for another try; calls under way run out. */
+/* Drops finishes that wait for another attempt; calls in progress run to their
+ * end. */
 void
 ch_once_keeper_stop(struct ch_once_keeper *keeper)
 {
     pthread_mutex_lock(&keeper->lock);
     keeper->stopped = true;
-    GList *waiting = g_hash_table_get_keys(keeper->waiting);
-    for (GList *at = waiting; at != NULL;) {
+    GList *waiting_finishes = g_hash_table_get_keys(keeper->waiting_finishes);
+    for (GList *at = waiting_finishes; at != NULL;) {
         GList *next = at->next;
         struct finish *finish = at->data;
         if (!ch_timers_cancel(keeper->node->timers, finish->timer)) {
-            waiting = g_list_delete_link(waiting, at);
+            waiting_finishes = g_list_delete_link(waiting_finishes, at);
         }
         at = next;
     }
     pthread_mutex_unlock(&keeper->lock);
-    for (GList *at = waiting; at != NULL; at = at->next) {
+    for (GList *at = waiting_finishes; at != NULL; at = at->next) {
         finish_free(at->data);
     }
-    g_list_free(waiting);
+    g_list_free(waiting_finishes);
     ch_once_home_stop(keeper->home);
 }
 
-/* Drops the node's hold; the peers hand over no frames by then. */
+/* Drops the node's reference; the peers deliver no messages any more by
+ * then. */
 void
 ch_once_keeper_free(struct ch_once_keeper *keeper)
 {
     if (keeper != NULL) {
         ch_once_home_unref(keeper->home);
-        keeper_unref(keeper);
+        keeper_drop_reference(keeper);
     }
 }
