--- a/libchestnuthitch/node/config_keeper.c
+++ b/libchestnuthitch/node/config_keeper.c
@@ -1,11 +1,13 @@
 /*
  * The configuration in force on this node.
  *
- * A few nodes hold a watch on the key-value service; the others learn from the
- * revision that every frame bears, and pull.  Whoever takes a new one tells a
- * few others, so that it is everywhere after a number of hops that grows with
- * the logarithm of the fleet.  Between regions it goes to a few nodes, and the
- * others get it from those.
+ * A few nodes watch the configuration in the key-value store. The others learn
+ * of a new revision from the revision number in every message between nodes,
+ * and pull the new configuration. A node that applies a new revision notifies
+ * a few others, so that the change is everywhere after a number of hops that
+ * grows with the logarithm of the fleet. Between regions the configuration is
+ * pulled by a few nodes only, and the other nodes of the region pull it from
+ * those.
  */
 
 #include "node/pack.h"
@@ -21,54 +23,61 @@
 #define CONFIG_KEY "config/current"
 
 enum {
-    /* Nodes with a watch: three, so that one lost and one paused leave one. */
-    WATCHERS = 3,
-    /* Nodes that are told of a new revision by whoever takes it. */
-    FANOUT = 4,
+    /* Nodes with a watch: three, so that with one lost and one paused, one
+     * remains. */
+    WATCHER_COUNT = 3,
+    /* Nodes that are notified of a new revision by each node that applies
+     * it. */
+    NOTIFIED_NODES = 4,
     /*
-     * A connection that falls silent takes its watch with it, and one fault on
-     * the way to the service takes those of all watchers.  A change must be in
-     * force within three to four seconds; so a watch is asked anew after 1 to
-     * 2 s.  The watchers are out of step, so that the first finds out within
-     * some 1.5 s (with 30 s, a change was in force after 16 s).  It costs 2.4
-     * calls a second at any size of the fleet.
+     * Bounds of the random duration of a watch. A connection that falls silent
+     * takes its watch with it, and one network fault on the way to the
+     * key-value store takes the watches of all watchers. A change must be in
+     * force within three to four seconds; so each watch is renewed after 1 to
+     * 2 s. The durations are random so that the watchers are out of step, and
+     * the first notices within some 1.5 s (with 30 s, a change was in force
+     * after 16 s). It costs 2.4 calls a second at any size of the fleet.
      */
-    LEAST_WATCH = 1000 * 1000,
-    MOST_WATCH = 2000 * 1000,
+    MIN_WATCH_US = 1000 * 1000,
+    MAX_WATCH_US = 2000 * 1000,
     /*
-     * A service that drops its history may leave a change out of a watch, and
-     * may turn the very nodes away that watch.  So the configuration is also
-     * read, by all nodes in turn: one read of the fleet in this time, whatever
-     * its size, finds a change before it must be in force also when a third of
-     * the nodes are turned away (with 0.5 s between reads, after 2.4 s of 3,
-     * since the turns are not evenly spaced).  It costs 3.3 calls a second,
-     * and each of 320 nodes one copy in 96 s.
+     * Time between two reads of the configuration by any nodes of the fleet,
+     * on top of the watches. A key-value store that drops its history may
+     * leave a change out of a watch, and may refuse the very nodes that watch.
+     * So all nodes also read the configuration in turns: one read of the fleet
+     * in this time, whatever its size, finds a change before it must be in
+     * force, even when a third of the nodes are refused (with 0.5 s between
+     * reads a change took 2.4 s of the allowed 3 s, since the reads are not
+     * evenly spaced). It costs 3.3 calls a second, and each of 320 nodes one
+     * copy in 96 s.
      */
-    READ_EVERY = 300 * 1000,
-    TICK = 250 * 1000,
-    PULL_LIMIT = 2 * 1000 * 1000,
-    /* Another node is asked as well when the first has not answered for this
-     * long: some round trips between regions. */
-    PULL_AGAIN = 500 * 1000,
-    PULLS = 2,
-    /* Nodes of each region that pull from others at once: two, so that one may
-     * be lost. */
-    ENTRIES = 2,
-    /* The others of the region wait this long for one that is near: the same
-     * time that a node gets to answer one of those two. */
-    FAR_PATIENCE = 600 * 1000,
-    /* The largest text that is taken from another node: ten times one with
+    READ_PERIOD_US = 300 * 1000,
+    TICK_US = 250 * 1000,
+    PULL_TIMEOUT_US = 2 * 1000 * 1000,
+    /* A second node is asked when the first has not replied for this long,
+     * which is some round trips between regions. */
+    PULL_RETRY_DELAY_US = 500 * 1000,
+    MAX_PULLS = 2,
+    /* Nodes of each region that pull from other regions at once: two, so that
+     * one may be lost. */
+    ENTRY_NODES = 2,
+    /* The other nodes of the region wait this long for a node of their region
+     * to have the revision. It is the time that a node gets to reply to one of
+     * the two entry nodes. */
+    LOCAL_COPY_TIMEOUT_US = 600 * 1000,
+    /* Largest text accepted from another node: ten times a configuration of
      * some ten thousand paths. */
-    MOST_TEXT = 8 * 1024 * 1024,
-    FIRST_PAUSE = 250 * 1000,
-    /* A node that returns has asked others for so long before it reads. */
-    FIRST_READ = 300 * 1000,
-    /* A node that knows no list of the others after this long reads all the
-     * same: the service may answer for the configuration alone. */
-    UNLISTED = 1500 * 1000,
+    MAX_TEXT_BYTES = 8 * 1024 * 1024,
+    MIN_BACKOFF_US = 250 * 1000,
+    /* A node that returns to the fleet asks other nodes for this long before
+     * it reads from the key-value store. */
+    RETURN_READ_DELAY_US = 300 * 1000,
+    /* A node that has no host list after this long reads all the same: the
+     * key-value store may work for the configuration alone. */
+    HOST_LIST_TIMEOUT_US = 1500 * 1000,
     /* A third of the time within which a change has to be in force; three
-     * watchers make three calls a second of it. */
-    MOST_PAUSE = 1000 * 1000,
+     * watchers make three calls a second with it. */
+    MAX_BACKOFF_US = 1000 * 1000,
 };
 
 struct ch_config_keeper {
@@ -77,36 +86,37 @@
     int references;
     bool stopped;
     struct ch_config *current;
-    uint64_t taking;       /* the highest that is being read; 0: none */
-    unsigned pulls;        /* under way */
-    int64_t pulled;        /* when the latest began */
-    uint64_t far_revision; /* what far nodes have, and since when */
-    int64_t far_since;
-    GBytes *packed;      /* the text in force; NULL: not packed yet */
-    struct ch_turn turn; /* to read; see READ_EVERY */
-    bool reading;
-    bool read_first; /* a node that returns has read by itself */
-    bool calling;    /* a watch or read of the service is under way */
-    int64_t pause;
-    int64_t not_before;
+    uint64_t parsing_revision; /* highest one being parsed; 0: none */
+    unsigned pulls;            /* in progress */
+    int64_t last_pull_at;      /* when the latest pull began */
+    uint64_t remote_revision;  /* newest revision in other regions, and since
+                                  when it is known */
+    int64_t remote_since;
+    GBytes *compressed;  /* text in force; NULL: not compressed yet */
+    struct ch_turn turn; /* of reads; see READ_PERIOD_US */
+    bool read_in_progress;
+    bool return_read_done;  /* a node that returns has read by itself */
+    bool watch_in_progress; /* a watch of the key-value store is in progress */
+    int64_t backoff;
+    int64_t next_watch_at;
     uint64_t timer;
-    uint64_t tokens;
-    int64_t started;
+    uint64_t write_count;
+    int64_t started_at;
 };
 
 /* ---- ownership ---- */
 
-/* One more owner: a call or timer under way. */
+/* Adds a reference, for a call or timer in progress. */
 static struct ch_config_keeper *
-keeper_ref(struct ch_config_keeper *keeper)
+keeper_add_reference(struct ch_config_keeper *keeper)
 {
     g_atomic_int_inc(&keeper->references);
     return keeper;
 }
 
-/* One owner less; the last frees it. */
+/* Drops a reference; frees the keeper with the last one. */
 static void
-keeper_unref(struct ch_config_keeper *keeper)
+keeper_drop_reference(struct ch_config_keeper *keeper)
 {
     if (!g_atomic_int_dec_and_test(&keeper->references)) {
         return;
@@ -114,14 +124,14 @@
     if (keeper->current != NULL) {
         ch_config_unref(keeper->current);
     }
-    g_bytes_unref(keeper->packed);
+    g_bytes_unref(keeper->compressed);
     pthread_mutex_destroy(&keeper->lock);
     g_free(keeper);
 }
 
-/* ---- taking a revision into force ---- */
+/* ---- applying a revision ---- */
 
-/* A reference to what is in force, or NULL. */
+/* See node.h. */
 struct ch_config *
 ch_config_keeper_current(struct ch_config_keeper *keeper)
 {
@@ -143,57 +153,59 @@
     return revision;
 }
 
-/* The revision in force, or a higher one that is being read; the lock is
- * held. */
+/* The revision in force, or a higher one that is being parsed. Lock held. */
 static uint64_t
 known_revision(const struct ch_config_keeper *keeper)
 {
     uint64_t current = keeper->current == NULL ? 0 : keeper->current->revision;
-    return ch_revision_newer(current, keeper->taking) ? keeper->taking
-                                                      : current;
+    return ch_revision_newer(current, keeper->parsing_revision)
+               ? keeper->parsing_revision
+               : current;
 }
 
 /*
- * Begins to read a copy; false for one that is needless.
+ * Registers the parsing of a copy; false when the copy is not needed.
  *
- * While a small node reads a large configuration, for a second or two, every
- * frame that comes tells it of the revision that it lacks, and watch, turn and
- * pull may each bring a copy.  Reading them side by side takes two and three
- * times as long, for all of them.  A copy that is left out for one that turns
- * out to be damaged is not lost: the next frame or turn brings it again.
+ * While a small node parses a large configuration, for a second or two, every
+ * message that arrives names the revision that the node lacks, and watch,
+ * scheduled read and pull may each bring a copy. Parsing the copies side by
+ * side takes two and three times as long for all of them. A copy that is
+ * skipped while a damaged one is parsed is not lost: the next message or read
+ * brings it again.
  */
 static bool
-begin_taking(struct ch_config_keeper *keeper, uint64_t revision)
+begin_applying(struct ch_config_keeper *keeper, uint64_t revision)
 {
     pthread_mutex_lock(&keeper->lock);
     bool begin = ch_revision_newer(known_revision(keeper), revision);
     if (begin) {
-        keeper->taking = revision;
+        keeper->parsing_revision = revision;
     }
     pthread_mutex_unlock(&keeper->lock);
     return begin;
 }
 
-/* Ends what begin_taking began; a higher one may have begun meanwhile. */
+/* Ends what begin_applying registered; the parsing of a higher revision may
+ * have begun meanwhile. */
 static void
-end_taking(struct ch_config_keeper *keeper, uint64_t revision)
+end_applying(struct ch_config_keeper *keeper, uint64_t revision)
 {
     pthread_mutex_lock(&keeper->lock);
-    if (keeper->taking == revision) {
-        keeper->taking = 0;
+    if (keeper->parsing_revision == revision) {
+        keeper->parsing_revision = 0;
     }
     pthread_mutex_unlock(&keeper->lock);
 }
 
-/* Tells a few nodes of the revision that this node's frames now bear: they
- * pull it when they are behind. */
+/* Notifies a few nodes of the new revision, which all messages of this node
+ * carry now; nodes that are behind then pull it. */
 static void
-tell_others(struct ch_config_keeper *keeper)
+notify_others(struct ch_config_keeper *keeper)
 {
     struct ch_node *node = keeper->node;
     g_auto(GStrv) live = ch_peers_live(node->peers);
     guint count = g_strv_length(live);
-    for (guint i = 0; i < FANOUT && count > 0; i++) {
+    for (guint i = 0; i < NOTIFIED_NODES && count > 0; i++) {
         const char *name = live[g_random_int_range(0, (gint32)count)];
         if (strcmp(name, node->settings->name) == 0) {
             continue;
@@ -208,9 +220,9 @@
     }
 }
 
-/* Takes the config (owned) into force, if its revision is higher. */
+/* Puts the config (owned) into force if its revision is higher. */
 static void
-take_config(struct ch_config_keeper *keeper, struct ch_config *config)
+apply_config(struct ch_config_keeper *keeper, struct ch_config *config)
 {
     struct ch_node *node = keeper->node;
     struct ch_config *old = config;
@@ -220,8 +232,8 @@
     if (newer) {
         old = keeper->current;
         keeper->current = config;
-        g_bytes_unref(keeper->packed);
-        keeper->packed = NULL;
+        g_bytes_unref(keeper->compressed);
+        keeper->compressed = NULL;
     }
     pthread_mutex_unlock(&keeper->lock);
     if (newer) {
@@ -232,18 +244,18 @@
         ch_log(node->client, CH_LOG_NOTICE, "config-in-force",
                CH_F_INT("revision", config->revision),
                CH_F_STR("author", config->author), CH_F_END);
-        tell_others(keeper);
+        notify_others(keeper);
     }
     if (old != NULL) {
         ch_config_unref(old);
     }
 }
 
-/* Takes a revision into force from its parts.  A text that this node can't
- * read leaves what is in force as it is. */
+/* Puts a revision into force from its parts. A text that this node can't parse
+ * leaves the configuration in force as it is. */
 static void
-take_parts(struct ch_config_keeper *keeper, uint64_t revision,
-           const char *token, const char *author, const char *text)
+apply_parts(struct ch_config_keeper *keeper, uint64_t revision,
+            const char *token, const char *author, const char *text)
 {
     struct ch_error error = {0};
     if (!ch_revision_newer(current_revision(keeper), revision)) {
@@ -257,14 +269,14 @@
                CH_F_STR("message", error.message), CH_F_END);
         return;
     }
-    take_config(keeper, ch_config_new(revision, token, author, declaration));
+    apply_config(keeper, ch_config_new(revision, token, author, declaration));
 }
 
-/* The record in a value of the service, or one made of what a platform keeps
- * there; NULL with an error. */
+/* The record in a value of the key-value store, or a record made of the
+ * platform's own format there; NULL with an error. */
 static struct ch_revision_record *
-read_record(const struct ch_config_keeper *keeper,
-            const struct ch_kv_answer *answer, struct ch_error *error)
+parse_record(const struct ch_config_keeper *keeper,
+             const struct ch_kv_answer *answer, struct ch_error *error)
 {
     const struct ch_dialect *dialect = keeper->node->dialect;
     if (dialect == NULL || dialect->config_text == NULL) {
@@ -278,188 +290,193 @@
 }
 
 /*
- * Takes a value of the service into force; false when it can't be read.
+ * Puts a value of the key-value store into force; false when it can't be
+ * parsed.
  *
- * Each node reads the value again and again, and a watch that failed brings it
- * anew.  A large one takes a small node a second to translate and parse, in
- * which its streams pause; so its revision is looked at first.
+ * Each node reads the value repeatedly, and a watch that failed brings it
+ * again. A large value takes a small node a second to translate and parse, in
+ * which its streams pause; so the revision is compared first.
  */
 static bool
-take_value(struct ch_config_keeper *keeper, const struct ch_kv_answer *answer)
+apply_value(struct ch_config_keeper *keeper, const struct ch_kv_answer *answer)
 {
     struct ch_error error = {0};
-    if (!begin_taking(keeper, answer->revision)) {
+    if (!begin_applying(keeper, answer->revision)) {
         return true;
     }
-    struct ch_revision_record *record = read_record(keeper, answer, &error);
+    struct ch_revision_record *record = parse_record(keeper, answer, &error);
     if (record == NULL) {
         ch_log(keeper->node->client, CH_LOG_ERR, "config-unreadable",
                CH_F_INT("revision", answer->revision),
                CH_F_STR("message", error.message), CH_F_END);
     }
     else {
-        take_parts(keeper, answer->revision, record->token, record->author,
-                   record->text);
+        apply_parts(keeper, answer->revision, record->token, record->author,
+                    record->text);
     }
-    end_taking(keeper, answer->revision);
+    end_applying(keeper, answer->revision);
     ch_revision_record_free(record);
     return record != NULL;
 }
 
-/* ---- from the service: watch, or the first read ---- */
+/* ---- from the key-value store: watch and read ---- */
 
-static void begin_call(struct ch_config_keeper *keeper);
+static void begin_watch(struct ch_config_keeper *keeper);
 
-/* Notes how a watch or read went.  Without an answer the next one waits: the
- * service is to come back under the calls of all.  Likewise while there is no
- * configuration to read. */
+/* Ends a watch. After a failure the next watch waits for a backoff, so that
+ * the key-value store can recover under the calls of all nodes; likewise while
+ * there is no configuration to read. */
 static void
-end_call(struct ch_config_keeper *keeper, enum ch_code code)
+end_watch(struct ch_config_keeper *keeper, enum ch_code code)
 {
     pthread_mutex_lock(&keeper->lock);
-    bool quiet = code == CH_KV_MISSING && keeper->current != NULL;
-    keeper->calling = false;
-    if (code == CH_OK || quiet) {
-        keeper->pause = 0;
+    bool no_change = code == CH_KV_MISSING && keeper->current != NULL;
+    keeper->watch_in_progress = false;
+    if (code == CH_OK || no_change) {
+        keeper->backoff = 0;
     }
     else {
-        if (keeper->pause == 0) {
+        if (keeper->backoff == 0) {
             ch_log(keeper->node->client, CH_LOG_WARNING, "config-unreachable",
                    CH_F_INT("code", code), CH_F_END);
         }
-        keeper->pause = CLAMP(keeper->pause * 2, FIRST_PAUSE, MOST_PAUSE);
-        keeper->not_before =
-            ch_client_now(keeper->node->client) + keeper->pause;
+        keeper->backoff =
+            CLAMP(keeper->backoff * 2, MIN_BACKOFF_US, MAX_BACKOFF_US);
+        keeper->next_watch_at =
+            ch_client_now(keeper->node->client) + keeper->backoff;
     }
     pthread_mutex_unlock(&keeper->lock);
 }
 
-/* The answer to a watch or read; a watch follows at once when it answered. */
+/* Handles the reply to a watch. After a value, the next watch follows at
+ * once. */
 static void
-call_done(void *data, const struct ch_kv_answer *answer)
+handle_watch(void *data, const struct ch_kv_answer *answer)
 {
     struct ch_config_keeper *keeper = data;
     enum ch_code code = answer->code;
-    if (code == CH_OK && !take_value(keeper, answer)) {
+    if (code == CH_OK && !apply_value(keeper, answer)) {
         code =
-            CH_KV_UNREACHABLE; /* the next one waits, as without an answer */
+            CH_KV_UNREACHABLE; /* the next watch waits, as after a failure */
     }
-    end_call(keeper, code);
+    end_watch(keeper, code);
     if (code == CH_OK) {
-        begin_call(keeper);
+        begin_watch(keeper);
     }
-    keeper_unref(keeper);
+    keeper_drop_reference(keeper);
 }
 
 /*
- * Whether this node knows by now whether it is one of those that watch.  Load:
- * all nodes start at once.  Harm prevented: each of them, as it knows no other
- * yet, watches the service, which counts every call.
+ * Whether this node can tell by now whether it is one of the watchers. Load:
+ * all nodes start at once. Harm prevented: each of them, as it knows no other
+ * node yet, watches the key-value store, which counts every call.
  */
 static bool
-knows_its_role(const struct ch_config_keeper *keeper)
+is_role_known(const struct ch_config_keeper *keeper)
 {
     const struct ch_node *node = keeper->node;
     return ch_peers_listed(node->peers) ||
-           ch_client_now(node->client) - keeper->started >= UNLISTED;
+           ch_client_now(node->client) - keeper->started_at >=
+               HOST_LIST_TIMEOUT_US;
 }
 
-/* Begins a watch on nodes that watch, unless one is under way, a copy is being
- * read or the service is given time.  The others hear of a revision from
- * those, and read in turn. */
+/* Starts a watch on a watcher, unless a watch is in progress, a copy is being
+ * parsed or the backoff has not passed. The other nodes learn of a revision
+ * from the watchers, and from scheduled reads. */
 static void
-begin_call(struct ch_config_keeper *keeper)
+begin_watch(struct ch_config_keeper *keeper)
 {
     struct ch_node *node = keeper->node;
-    bool watcher =
-        knows_its_role(keeper) &&
-        ch_peers_has_role(node->peers, "config-watch", WATCHERS, NULL);
+    bool is_watcher =
+        is_role_known(keeper) &&
+        ch_peers_has_role(node->peers, "config-watch", WATCHER_COUNT, NULL);
     pthread_mutex_lock(&keeper->lock);
     uint64_t revision =
         keeper->current == NULL ? 0 : keeper->current->revision;
-    bool begin = watcher && !keeper->stopped && !keeper->calling &&
-                 keeper->taking == 0 &&
-                 ch_client_now(node->client) >= keeper->not_before;
+    bool begin = is_watcher && !keeper->stopped &&
+                 !keeper->watch_in_progress && keeper->parsing_revision == 0 &&
+                 ch_client_now(node->client) >= keeper->next_watch_at;
     if (begin) {
-        keeper->calling = true;
-        keeper_ref(keeper);
+        keeper->watch_in_progress = true;
+        keeper_add_reference(keeper);
     }
     pthread_mutex_unlock(&keeper->lock);
     if (begin) {
         ch_kv_call_watch(node, CONFIG_KEY, revision,
-                         g_random_int_range(LEAST_WATCH, MOST_WATCH),
-                         call_done, keeper);
+                         g_random_int_range(MIN_WATCH_US, MAX_WATCH_US),
+                         handle_watch, keeper);
     }
 }
 
-/* What a read in turn brought.  That the service is away is said by those who
- * watch. */
+/* Handles the reply to a scheduled read. Only the watchers log that the
+ * key-value store is unavailable. */
 static void
-read_done(void *data, const struct ch_kv_answer *answer)
+handle_read(void *data, const struct ch_kv_answer *answer)
 {
     struct ch_config_keeper *keeper = data;
     if (answer->code == CH_OK) {
-        (void)take_value(keeper, answer);
+        (void)apply_value(keeper, answer);
     }
     pthread_mutex_lock(&keeper->lock);
-    keeper->reading = false;
+    keeper->read_in_progress = false;
     pthread_mutex_unlock(&keeper->lock);
-    keeper_unref(keeper);
+    keeper_drop_reference(keeper);
 }
 
 /*
- * Whether a node whose host was in the fleet before reads by itself, once.
- * Load: all hosts were without power, and nobody knows the configuration.
- * Harm prevented: callers are refused until it has come round from the few
- * that watch.  Where others know it, they have been asked by then.  Lock held.
+ * Whether this node, whose host was in the fleet before, must read by itself,
+ * once. Load: all hosts were without power, and no node knows the
+ * configuration. Harm prevented: callers are refused until the configuration
+ * has spread from the few watchers. Where other nodes know it, they have been
+ * asked by then. Lock held.
  */
 static bool
-reads_first(struct ch_config_keeper *keeper, int64_t now)
+should_read_on_return(struct ch_config_keeper *keeper, int64_t now)
 {
-    bool reads = g_atomic_int_get(&keeper->node->returns) != 0 &&
-                 keeper->current == NULL && !keeper->read_first &&
-                 now - keeper->started >= FIRST_READ;
-    keeper->read_first = keeper->read_first || reads;
-    return reads;
+    bool should_read = g_atomic_int_get(&keeper->node->returns) != 0 &&
+                       keeper->current == NULL && !keeper->return_read_done &&
+                       now - keeper->started_at >= RETURN_READ_DELAY_US;
+    keeper->return_read_done = keeper->return_read_done || should_read;
+    return should_read;
 }
 
-/* Reads the configuration if it is this node's turn; see READ_EVERY. */
+/* Reads the configuration if this node's read is due; see READ_PERIOD_US. */
 static void
-read_in_turn(struct ch_config_keeper *keeper)
+read_if_due(struct ch_config_keeper *keeper)
 {
     struct ch_node *node = keeper->node;
     g_auto(GStrv) live = ch_peers_live(node->peers);
     int64_t now = ch_client_now(node->client);
-    int64_t round = (int64_t)READ_EVERY * MAX(g_strv_length(live), 1U);
+    int64_t period = (int64_t)READ_PERIOD_US * MAX(g_strv_length(live), 1U);
     pthread_mutex_lock(&keeper->lock);
-    bool begin = !keeper->stopped && !keeper->reading && keeper->taking == 0 &&
-                 knows_its_role(keeper) &&
-                 (reads_first(keeper, now) ||
-                  ch_turn_due(&keeper->turn, round, g_random_double(), now));
+    bool begin = !keeper->stopped && !keeper->read_in_progress &&
+                 keeper->parsing_revision == 0 && is_role_known(keeper) &&
+                 (should_read_on_return(keeper, now) ||
+                  ch_turn_due(&keeper->turn, period, g_random_double(), now));
     if (begin) {
-        keeper->reading = true;
-        keeper_ref(keeper);
+        keeper->read_in_progress = true;
+        keeper_add_reference(keeper);
     }
     pthread_mutex_unlock(&keeper->lock);
     if (begin) {
-        ch_kv_call_get(node, CONFIG_KEY, read_done, keeper);
+        ch_kv_call_get(node, CONFIG_KEY, handle_read, keeper);
     }
 }
 
 /* ---- from other nodes: pull and push ---- */
 
-/* Reads a ConfigPush and takes it into force. */
+/* Puts the configuration of a ConfigPush into force. */
 static void
-read_push(struct ch_config_keeper *keeper,
-          const Chestnuthitch__Wire__ConfigPush *push)
+apply_push(struct ch_config_keeper *keeper,
+           const Chestnuthitch__Wire__ConfigPush *push)
 {
     if (push->packed.len == 0) {
-        take_parts(keeper, push->revision, push->token, push->author,
-                   push->text);
+        apply_parts(keeper, push->revision, push->token, push->author,
+                    push->text);
         return;
     }
     struct ch_error error = {0};
-    char *text = ch_unpack(push->packed.data, push->packed.len, MOST_TEXT,
+    char *text = ch_unpack(push->packed.data, push->packed.len, MAX_TEXT_BYTES,
                            NULL, &error);
     if (text == NULL) {
         ch_log(keeper->node->client, CH_LOG_ERR, "config-unreadable",
@@ -467,42 +484,43 @@
                CH_F_STR("message", error.message), CH_F_END);
         return;
     }
-    take_parts(keeper, push->revision, push->token, push->author, text);
+    apply_parts(keeper, push->revision, push->token, push->author, text);
     g_free(text);
 }
 
-/* Takes a frame's ConfigPush into force, unless it is needless. */
+/* Puts the ConfigPush of a message into force, unless it is not needed. */
 static void
-take_push(struct ch_config_keeper *keeper,
-          const Chestnuthitch__Wire__Frame *frame)
+receive_push(struct ch_config_keeper *keeper,
+             const Chestnuthitch__Wire__Frame *frame)
 {
     if (frame->body_case != CHESTNUTHITCH__WIRE__FRAME__BODY_CONFIG_PUSH) {
         return;
     }
     uint64_t revision = frame->config_push->revision;
-    if (begin_taking(keeper, revision)) {
-        read_push(keeper, frame->config_push);
-        end_taking(keeper, revision);
+    if (begin_applying(keeper, revision)) {
+        apply_push(keeper, frame->config_push);
+        end_applying(keeper, revision);
     }
 }
 
-/* The answer to a pull. */
+/* Handles the reply to a pull. */
 static void
-pull_done(void *data, enum ch_code code,
-          const Chestnuthitch__Wire__Frame *reply)
+handle_pull_reply(void *data, enum ch_code code,
+                  const Chestnuthitch__Wire__Frame *reply)
 {
     struct ch_config_keeper *keeper = data;
     if (code == CH_OK && reply != NULL) {
-        take_push(keeper, reply);
+        receive_push(keeper, reply);
     }
     pthread_mutex_lock(&keeper->lock);
     keeper->pulls--;
     pthread_mutex_unlock(&keeper->lock);
-    keeper_unref(keeper);
+    keeper_drop_reference(keeper);
 }
 
-/* Pulls from a node, unless another has been asked just now: a node that is
- * cut off or paused holds the newest for the length of PULL_AGAIN at most. */
+/* Pulls from a node, unless another node was asked just now. A node that is
+ * disconnected or paused thus delays the newest revision by
+ * PULL_RETRY_DELAY_US at most. */
 static void
 begin_pull(struct ch_config_keeper *keeper, const char *from)
 {
@@ -511,29 +529,31 @@
     Chestnuthitch__Wire__Frame frame = CHESTNUTHITCH__WIRE__FRAME__INIT;
     pthread_mutex_lock(&keeper->lock);
     int64_t now = ch_client_now(keeper->node->client);
-    bool begin = !keeper->stopped && keeper->pulls < PULLS &&
-                 (keeper->pulls == 0 || now >= keeper->pulled + PULL_AGAIN);
+    bool begin = !keeper->stopped && keeper->pulls < MAX_PULLS &&
+                 (keeper->pulls == 0 ||
+                  now >= keeper->last_pull_at + PULL_RETRY_DELAY_US);
     if (begin) {
         keeper->pulls++;
-        keeper->pulled = now;
-        keeper_ref(keeper);
+        keeper->last_pull_at = now;
+        keeper_add_reference(keeper);
         pull.above = keeper->current == NULL ? 0 : keeper->current->revision;
     }
     pthread_mutex_unlock(&keeper->lock);
     if (begin) {
         frame.body_case = CHESTNUTHITCH__WIRE__FRAME__BODY_CONFIG_PULL;
         frame.config_pull = &pull;
-        ch_peers_request(keeper->node->peers, from, &frame, PULL_LIMIT,
-                         pull_done, keeper);
+        ch_peers_request(keeper->node->peers, from, &frame, PULL_TIMEOUT_US,
+                         handle_pull_reply, keeper);
     }
 }
 
 /*
- * Load: a new configuration, which every node needs within seconds.  Harm
- * prevented: a copy for each node over the link between regions, which fills
- * it, so that the last one came there nine seconds after the first (measured
- * with 76 nodes and some thousand paths).  Limit: the region's entries pull at
- * once, the others when no near node had it within FAR_PATIENCE.
+ * Whether this node may pull a revision from a node. Load: a new
+ * configuration, which every node needs within seconds. Harm prevented: a copy
+ * for each node over the link between regions, which fills the link; with 76
+ * nodes and some thousand paths, the last copy arrived nine seconds after the
+ * first. Limit: the region's entry nodes pull at once, the others when no node
+ * of their region had the revision within LOCAL_COPY_TIMEOUT_US.
  */
 static bool
 may_pull_from(struct ch_config_keeper *keeper, uint64_t revision,
@@ -542,21 +562,22 @@
     const struct ch_node *node = keeper->node;
     const struct ch_settings *own = node->settings;
     if (ch_peers_is_near(node->peers, from) ||
-        ch_peers_has_role(node->peers, "config-entry", ENTRIES, own->region)) {
+        ch_peers_has_role(node->peers, "config-entry", ENTRY_NODES,
+                          own->region)) {
         return true;
     }
     int64_t now = ch_client_now(node->client);
     pthread_mutex_lock(&keeper->lock);
-    if (ch_revision_newer(keeper->far_revision, revision)) {
-        keeper->far_revision = revision;
-        keeper->far_since = now;
+    if (ch_revision_newer(keeper->remote_revision, revision)) {
+        keeper->remote_revision = revision;
+        keeper->remote_since = now;
     }
-    bool waited = now >= keeper->far_since + FAR_PATIENCE;
+    bool has_waited = now >= keeper->remote_since + LOCAL_COPY_TIMEOUT_US;
     pthread_mutex_unlock(&keeper->lock);
-    return waited;
+    return has_waited;
 }
 
-/* Some frame bore a revision: if it is higher, it is pulled. */
+/* A message carried a revision: pulls it if it is higher. */
 void
 ch_config_keeper_learn(struct ch_config_keeper *keeper, uint64_t revision,
                        const char *from)
@@ -570,29 +591,32 @@
     }
 }
 
-/* The text of the config, packed; packed once for all that ask. */
+/* The compressed text of the config, compressed once for all nodes that ask; a
+ * new reference. */
 static GBytes *
-pack_config(struct ch_config_keeper *keeper, const struct ch_config *config)
+compress_config(struct ch_config_keeper *keeper,
+                const struct ch_config *config)
 {
     pthread_mutex_lock(&keeper->lock);
-    GBytes *packed = keeper->current == config && keeper->packed != NULL
-                         ? g_bytes_ref(keeper->packed)
-                         : NULL;
+    GBytes *compressed =
+        keeper->current == config && keeper->compressed != NULL
+            ? g_bytes_ref(keeper->compressed)
+            : NULL;
     pthread_mutex_unlock(&keeper->lock);
-    if (packed != NULL) {
-        return packed;
+    if (compressed != NULL) {
+        return compressed;
     }
-    packed =
+    compressed =
         ch_pack(config->declaration->text, strlen(config->declaration->text));
     pthread_mutex_lock(&keeper->lock);
-    if (keeper->current == config && keeper->packed == NULL) {
-        keeper->packed = g_bytes_ref(packed);
+    if (keeper->current == config && keeper->compressed == NULL) {
+        keeper->compressed = g_bytes_ref(compressed);
     }
     pthread_mutex_unlock(&keeper->lock);
-    return packed;
+    return compressed;
 }
 
-/* A node asks for what is above its revision. */
+/* Handles a node's request for a revision above its own. */
 static void
 handle_pull(void *data, const Chestnuthitch__Wire__Frame *frame)
 {
@@ -602,15 +626,15 @@
         CHESTNUTHITCH__WIRE__CONFIG_PUSH__INIT;
     Chestnuthitch__Wire__Done done = CHESTNUTHITCH__WIRE__DONE__INIT;
     struct ch_config *config = ch_config_keeper_current(keeper);
-    GBytes *packed = NULL;
+    GBytes *compressed = NULL;
     if (config != NULL &&
         ch_revision_newer(frame->config_pull->above, config->revision)) {
         push.revision = config->revision;
         push.token = config->token;
         push.author = config->author;
-        packed = pack_config(keeper, config);
-        push.packed.data =
-            (uint8_t *)(uintptr_t)g_bytes_get_data(packed, &push.packed.len);
+        compressed = compress_config(keeper, config);
+        push.packed.data = (uint8_t *)(uintptr_t)g_bytes_get_data(
+            compressed, &push.packed.len);
         reply.body_case = CHESTNUTHITCH__WIRE__FRAME__BODY_CONFIG_PUSH;
         reply.config_push = &push;
     }
@@ -619,21 +643,21 @@
         reply.done = &done;
     }
     ch_peers_reply(keeper->node->peers, frame->from, frame->id, &reply);
-    g_bytes_unref(packed);
+    g_bytes_unref(compressed);
     if (config != NULL) {
         ch_config_unref(config);
     }
 }
 
-/* A push that came by itself. */
+/* Handles a ConfigPush that is not a reply. */
 static void
 handle_push(void *data, const Chestnuthitch__Wire__Frame *frame)
 {
-    take_push(data, frame);
+    receive_push(data, frame);
 }
 
-/* While nothing is known, asks one node after another: a fresh node starts
- * while the service is away. */
+/* While no configuration is known, asks one node after another: a new node may
+ * start while the key-value store is unavailable. */
 static void
 ask_others(struct ch_config_keeper *keeper)
 {
@@ -656,26 +680,26 @@
     }
 }
 
-/* ---- the tick ---- */
+/* ---- periodic work ---- */
 
-/* Every TICK: watch if it falls to this node, read if it is its turn, read or
- * ask while nothing is known. */
+/* Every TICK_US: watches if this node is a watcher, reads if a read is due,
+ * and asks other nodes while no configuration is known. */
 static void
 tick(void *data)
 {
     struct ch_config_keeper *keeper = data;
-    begin_call(keeper);
-    read_in_turn(keeper);
+    begin_watch(keeper);
+    read_if_due(keeper);
     ask_others(keeper);
     pthread_mutex_lock(&keeper->lock);
-    bool again = !keeper->stopped;
-    if (again) {
+    bool is_rescheduled = !keeper->stopped;
+    if (is_rescheduled) {
         keeper->timer =
-            ch_timers_after(keeper->node->timers, TICK, tick, keeper);
+            ch_timers_after(keeper->node->timers, TICK_US, tick, keeper);
     }
     pthread_mutex_unlock(&keeper->lock);
-    if (!again) {
-        keeper_unref(keeper);
+    if (!is_rescheduled) {
+        keeper_drop_reference(keeper);
     }
 }
 
@@ -686,56 +710,57 @@
     struct ch_revision_write write;
     char *author;
     char *text;
-    char *bytes;                     /* the record to write */
-    struct ch_revision_record *read; /* what was read last; NULL: none */
+    char *bytes;                     /* the record to write, as text */
+    struct ch_revision_record *read; /* the latest record read; NULL: none */
     uint64_t read_revision;
     void (*done)(void *data, const struct ch_error *error,
                  struct ch_config *config);
     void *data;
 };
 
-/* Frees an operator's write. */
 static void
 apply_free(struct apply *apply)
 {
     ch_revision_write_clear(&apply->write);
     ch_revision_record_free(apply->read);
-    keeper_unref(apply->keeper);
+    keeper_drop_reference(apply->keeper);
     g_free(apply->author);
     g_free(apply->text);
     g_free(apply->bytes);
     g_free(apply);
 }
 
-/* Gives the verdict, with what is in force here by then. */
+/* Reports the result, with the configuration that is in force here by then. */
 static void
-apply_end(struct apply *apply, enum ch_revision_step step)
+apply_finish(struct apply *apply, enum ch_revision_step step)
 {
     static const struct {
         enum ch_revision_step step;
         enum ch_code code;
         const char *message;
-    } verdicts[] = {
+    } errors[] = {
         {CH_REVISION_CONFLICT, CH_KV_CONFLICT,
-         "another revision is in force than the one this was made from"},
+         "the revision in force is not the one that this change was made "
+         "from"},
         {CH_REVISION_FAILED, CH_KV_UNREACHABLE,
-         "the key-value service is away; nothing was changed"},
+         "the key-value service is unavailable; nothing was changed"},
         {CH_REVISION_UNSURE, CH_KV_AMBIGUOUS,
-         "the answer was lost; the change may be in force, or may yet come"},
+         "no reply to the write; the change may be in force, or may still "
+         "come into force"},
     };
     struct ch_error error = {0};
-    for (size_t i = 0; i < G_N_ELEMENTS(verdicts); i++) {
-        if (verdicts[i].step == step) {
-            ch_error_set(&error, verdicts[i].code, "%s", verdicts[i].message);
+    for (size_t i = 0; i < G_N_ELEMENTS(errors); i++) {
+        if (errors[i].step == step) {
+            ch_error_set(&error, errors[i].code, "%s", errors[i].message);
         }
     }
     if (step == CH_REVISION_ACCEPTED) {
-        take_parts(apply->keeper, apply->write.revision, apply->write.token,
-                   apply->author, apply->text);
+        apply_parts(apply->keeper, apply->write.revision, apply->write.token,
+                    apply->author, apply->text);
     }
     if (apply->read != NULL) {
-        take_parts(apply->keeper, apply->read_revision, apply->read->token,
-                   apply->read->author, apply->read->text);
+        apply_parts(apply->keeper, apply->read_revision, apply->read->token,
+                    apply->read->author, apply->read->text);
     }
     struct ch_config *config = ch_config_keeper_current(apply->keeper);
     apply->done(apply->data, &error, config);
@@ -745,41 +770,41 @@
     apply_free(apply);
 }
 
-static void apply_step(struct apply *apply, enum ch_revision_step step);
+static void apply_run_step(struct apply *apply, enum ch_revision_step step);
 
-/* The answer to the write. */
+/* Handles the reply to a write. */
 static void
-apply_written(void *data, const struct ch_kv_answer *answer)
+apply_handle_write(void *data, const struct ch_kv_answer *answer)
 {
     struct apply *apply = data;
-    apply_step(apply, ch_revision_write_written(&apply->write, answer->code,
-                                                answer->revision));
+    apply_run_step(apply, ch_revision_write_written(
+                              &apply->write, answer->code, answer->revision));
 }
 
-/* The answer to a read. */
+/* Handles the reply to a read. */
 static void
-apply_read(void *data, const struct ch_kv_answer *answer)
+apply_handle_read(void *data, const struct ch_kv_answer *answer)
 {
     struct apply *apply = data;
     enum ch_code code = answer->code;
     if (code == CH_OK) {
         struct ch_revision_record *record =
-            read_record(apply->keeper, answer, NULL);
+            parse_record(apply->keeper, answer, NULL);
         ch_revision_record_free(apply->read);
         apply->read = record;
         apply->read_revision = answer->revision;
         code = record == NULL ? CH_SYSTEM : CH_OK;
     }
-    apply_step(apply,
-               ch_revision_write_read(&apply->write, code,
-                                      code == CH_OK ? apply->read : NULL,
-                                      answer->revision));
+    apply_run_step(apply,
+                   ch_revision_write_read(&apply->write, code,
+                                          code == CH_OK ? apply->read : NULL,
+                                          answer->revision));
 }
 
-/* The record is made once, from what was read at base, so that each try writes
- * the same. */
+/* Makes the record once, from what was read at the base revision, so that each
+ * attempt writes the same bytes. */
 static void
-make_record(struct apply *apply)
+apply_make_record(struct apply *apply)
 {
     if (apply->bytes != NULL) {
         return;
@@ -791,39 +816,39 @@
     ch_revision_record_free(record);
 }
 
-/* Does the next step of a write; none after the stop. */
+/* Runs the next step of a write; none after the stop. */
 static void
-apply_step(struct apply *apply, enum ch_revision_step step)
+apply_run_step(struct apply *apply, enum ch_revision_step step)
 {
     struct ch_node *node = apply->keeper->node;
     pthread_mutex_lock(&apply->keeper->lock);
     bool stopped = apply->keeper->stopped;
     pthread_mutex_unlock(&apply->keeper->lock);
     if (stopped && (step == CH_REVISION_READ || step == CH_REVISION_WRITE)) {
-        apply_end(apply, apply->write.writes > 0 ? CH_REVISION_UNSURE
-                                                 : CH_REVISION_FAILED);
+        apply_finish(apply, apply->write.writes > 0 ? CH_REVISION_UNSURE
+                                                    : CH_REVISION_FAILED);
         return;
     }
     switch (step) {
     case CH_REVISION_READ:
-        ch_kv_call_get(node, CONFIG_KEY, apply_read, apply);
+        ch_kv_call_get(node, CONFIG_KEY, apply_handle_read, apply);
         return;
     case CH_REVISION_WRITE:
-        make_record(apply);
+        apply_make_record(apply);
         ch_kv_call_put(node, CONFIG_KEY, apply->bytes, strlen(apply->bytes),
-                       apply->write.base, apply_written, apply);
+                       apply->write.base, apply_handle_write, apply);
         return;
     default:
-        apply_end(apply, step);
+        apply_finish(apply, step);
     }
 }
 
-/* A mark that no other write of any process bears. */
+/* A write ID that no other write of any process has. */
 static char *
-new_token(struct ch_config_keeper *keeper)
+new_write_id(struct ch_config_keeper *keeper)
 {
     pthread_mutex_lock(&keeper->lock);
-    uint64_t number = ++keeper->tokens;
+    uint64_t number = ++keeper->write_count;
     pthread_mutex_unlock(&keeper->lock);
     return g_strdup_printf(
         "%s-%" G_GINT64_MODIFIER "x-%" G_GINT64_MODIFIER "x",
@@ -831,9 +856,10 @@
 }
 
 /*
- * Writes an operator's text by compare-and-swap against base.  The text is
- * checked first: what can't be read is never accepted.  done runs once, on a
- * worker, or at once in this thread when the text is wrong.
+ * Writes an operator's text by compare-and-swap against the base revision. The
+ * text is checked first, so that text that can't be parsed is never accepted.
+ * done runs once, on a worker, or at once in this thread when the text is
+ * invalid.
  */
 void
 ch_config_keeper_apply(struct ch_config_keeper *keeper, const char *text,
@@ -849,22 +875,22 @@
         done(data, &error, NULL);
         return;
     }
-    g_autofree char *token = new_token(keeper);
+    g_autofree char *token = new_write_id(keeper);
     struct apply *apply = g_new0(struct apply, 1);
-    apply->keeper = keeper_ref(keeper);
+    apply->keeper = keeper_add_reference(keeper);
     apply->author = g_strdup(author);
     apply->text = g_strdup(declaration->text);
     apply->done = done;
     apply->data = data;
     ch_revision_write_init(&apply->write, base, token);
     ch_declaration_free(declaration);
-    apply_step(apply, CH_REVISION_READ);
+    apply_run_step(apply, CH_REVISION_READ);
 }
 
-/* ---- life ---- */
+/* ---- lifetime ---- */
 
-/* A keeper that knows nothing yet, registered with the node's peers; node
- * outlives it. */
+/* Creates a keeper without a configuration and registers its message handlers
+ * with the node's peers; node outlives the keeper. */
 struct ch_config_keeper *
 ch_config_keeper_new(struct ch_node *node)
 {
@@ -879,15 +905,15 @@
     return keeper;
 }
 
-/* Begins to read, watch and ask. */
+/* Starts the periodic work. */
 void
 ch_config_keeper_start(struct ch_config_keeper *keeper)
 {
-    keeper->started = ch_client_now(keeper->node->client);
-    ch_pool_submit(keeper->node->pool, tick, keeper_ref(keeper));
+    keeper->started_at = ch_client_now(keeper->node->client);
+    ch_pool_submit(keeper->node->pool, tick, keeper_add_reference(keeper));
 }
 
-/* Ends the tick; calls under way run out. */
+/* Stops the periodic work; calls in progress run to their end. */
 void
 ch_config_keeper_stop(struct ch_config_keeper *keeper)
 {
@@ -896,15 +922,15 @@
     uint64_t timer = keeper->timer;
     pthread_mutex_unlock(&keeper->lock);
     if (timer != 0 && ch_timers_cancel(keeper->node->timers, timer)) {
-        keeper_unref(keeper);
+        keeper_drop_reference(keeper);
     }
 }
 
-/* Drops the node's hold. */
+/* Drops the node's reference; keeper may be NULL. */
 void
 ch_config_keeper_free(struct ch_config_keeper *keeper)
 {
     if (keeper != NULL) {
-        keeper_unref(keeper);
+        keeper_drop_reference(keeper);
     }
 }
--- a/libchestnuthitch/node/crash_internal.h
+++ b/libchestnuthitch/node/crash_internal.h
@@ -1,16 +1,16 @@
 #ifndef CH_NODE_CRASH_INTERNAL_H
 #define CH_NODE_CRASH_INTERNAL_H
 
-/* What crash_keeper.c (what calls show, and the gate), crash_tell.c (what
- * nodes tell one another) and crash_record.c (what outlives them) share.  One
- * lock guards all of it. */
+/* Shared by crash_guard.c (observations of calls, and the check before
+   dispatch), crash_publish.c (messages between nodes) and crash_record.c
+   (records in the key-value store). One lock protects all of it. */
 
 #include "node/crash_keeper.h"
 
 #include <pthread.h>
 
 enum {
-    /* "crashes/DIGEST". */
+    /* Size of the record key "crashes/DIGEST". */
     CRASH_RECORD_KEY = 16 + CH_DIGEST_TEXT,
 };
 
@@ -20,64 +20,73 @@
     pthread_cond_t idle;
     struct ch_crash_table *table;
     struct ch_crash_cuts *cuts;
-    GHashTable *staying; /* GQuark of upstreams listed and not leaving; NULL:
-                            no list came yet */
-    GHashTable *probed;  /* GQuark to when a connection was asked for */
-    GArray *barred;      /* of struct ch_digest: noted in the log */
-    /* News that the other nodes have not been told. */
-    GArray *runs;       /* struct ch_crash_run */
+    GHashTable *staying; /* set of GQuark: upstreams listed and not draining;
+                            NULL: no list came yet */
+    GHashTable *probed;  /* GQuark of an upstream to when it was last probed
+                            (int64_t) */
+    GArray *barred;      /* struct ch_digest: reported as barred in the log */
+    /* Changes that were not sent to the other nodes yet. */
+    GArray *runs;       /* struct ch_crash_observation */
     GArray *sound;      /* struct ch_digest */
     GArray *released;   /* struct ch_digest */
-    GArray *unrecorded; /* struct ch_crash_view: barred, to be written */
+    GArray *unrecorded; /* struct ch_crash_assessment of barred requests whose
+                           record is to be written */
     bool recording;     /* the first of them is being written */
-    bool read;          /* the records were read */
+    bool read;          /* the records were read from the key-value store */
     bool reading;
-    int64_t read_at; /* they were last asked for; 0: never */
-    bool telling;    /* they will be told soon */
+    int64_t read_at; /* when the records were last asked for; 0: never */
+    bool telling;    /* a timer will send the unsent changes */
     int64_t started;
     int64_t ticked;
     int64_t pulled;
-    unsigned turn; /* whose turn it is to be told the sum */
-    bool heard;    /* a node told all that it knows */
+    unsigned turn; /* index of the next node that gets the checksum */
+    bool heard; /* a node sent all that it knows, or there is no other node */
     bool stopping;
-    unsigned jobs; /* timers under way */
-    int active;    /* something is known or suspected; atomic */
+    unsigned jobs; /* timers, calls and pool tasks in progress */
+    int active; /* atomic; 0: no observation and no interrupted call, so that
+                   calls need no lookup */
 };
 
-/* ---- crash_keeper.c; lock held ---- */
+/* ---- crash_guard.c; lock held ---- */
 
-/* Takes a piece of evidence, from a node or, NULL, from here; true when it is
-   news. */
-bool crash_keeper_take(struct ch_crash_keeper *keeper,
-                       const struct ch_crash_run *run, const char *from);
-/* Takes this node's calls that were cut by the end of their upstream, struct
-   ch_crash_run; frees the list. */
-void crash_keeper_take_ended(struct ch_crash_keeper *keeper, GArray *ended);
-/* Forgets that a request was noted as barred. */
-void crash_keeper_forget_barred(struct ch_crash_keeper *keeper,
+/* Adds an observation from another node, or from this one (NULL); true when it
+   is new. */
+bool crash_keeper_take(struct ch_crash_keeper *guard,
+                       const struct ch_crash_run *observation,
+                       const char *from);
+/* Adds this node's calls that a crash interrupted (struct
+   ch_crash_observation), queues them for the other nodes, and frees the
+   list. */
+void crash_keeper_take_ended(struct ch_crash_keeper *guard,
+                             GArray *observations);
+/* Removes a request from the barred ones, so that the log reports it again if
+   it is barred again. */
+void crash_keeper_forget_barred(struct ch_crash_keeper *guard,
                                 const struct ch_digest *digest);
-/* Notes whether there is anything to look at for each call. */
-void crash_keeper_note_active(struct ch_crash_keeper *keeper);
+/* Updates has_suspects. */
+void crash_keeper_note_active(struct ch_crash_keeper *guard);
 
 /* ---- crash_record.c ---- */
 
-/* A request is barred: its record is written if that is for this node to do.
-   Lock held. */
-void crash_record_note(struct ch_crash_keeper *keeper,
-                       const struct ch_crash_view *view);
-/* A request was released.  Lock not held, like the next. */
-void crash_record_remove(struct ch_crash_keeper *keeper,
+/* Queues the record of a barred request, if this node is one of those that
+   write. Lock held. */
+void crash_record_note(struct ch_crash_keeper *guard,
+                       const struct ch_crash_view *assessment);
+/* Removes the record of a request that was released or is harmless. Lock not
+   held. */
+void crash_record_remove(struct ch_crash_keeper *guard,
                          const struct ch_digest *digest);
-/* Reads the records once, and writes what is to be written. */
-void crash_record_tick(struct ch_crash_keeper *keeper, int64_t now);
+/* Reads the records until that succeeded once, and writes the next queued
+   record. Lock not held. */
+void crash_record_tick(struct ch_crash_keeper *guard, int64_t now);
 
-/* ---- crash_tell.c ---- */
+/* ---- crash_publish.c ---- */
 
-void crash_tell_init(struct ch_crash_keeper *keeper);
-/* Has the news told soon.  Lock held. */
-void crash_tell_soon(struct ch_crash_keeper *keeper);
-/* What is due each tick: asks others what they know, tells them the sum.  Lock
-   not held. */
-void crash_tell_tick(struct ch_crash_keeper *keeper, int64_t now);
+void crash_tell_init(struct ch_crash_keeper *guard);
+/* Schedules the sending of unsent changes. Lock held. */
+void crash_tell_soon(struct ch_crash_keeper *guard);
+/* Asks other nodes for what they know, or sends the checksum to some of them,
+   when due. Lock not held. */
+void crash_tell_tick(struct ch_crash_keeper *guard, int64_t now);
 
 #endif
--- a/libchestnuthitch/node/crash_keeper.c
+++ b/libchestnuthitch/node/crash_keeper.c
@@ -1,5 +1,5 @@
-/* What calls show of upstreams that ended, and the gate for requests that end
- * them. */
+/* Observations of crashed upstreams from calls, and the check for requests
+ * that crash them. */
 
 #include "node/crash_internal.h"
 
@@ -7,19 +7,21 @@
 #include <string.h>
 
 enum {
-    TICK = 250 * 1000,
-    TICK_UNKNOWN = 50 * 1000, /* while the others' word is waited for */
-    /* A node that starts waits so long for the others' word. */
-    KNOWN_BY = 2 * 1000 * 1000,
-    /* For a connection to an upstream that cut a call, and until another one
-     * to the same upstream is asked for. */
-    PROBE_LIMIT = 500 * 1000,
-    PROBE_PAUSE = 1000 * 1000,
+    TICK_US = 250 * 1000,
+    STARTUP_TICK_US = 50 * 1000, /* until the state of the other nodes came */
+    /* A node that starts waits this long for the state of the other nodes and
+     * for the records. */
+    STARTUP_TIMEOUT_US = 2 * 1000 * 1000,
+    /* Limit of a connection to an upstream that interrupted a call, and the
+     * minimum time between two such probes of one upstream. */
+    PROBE_TIMEOUT_US = 500 * 1000,
+    PROBE_INTERVAL_US = 1000 * 1000,
 };
 
-/* The digest of what makes two requests the same. */
+/* The digest by which two requests are the same: of host, path, caller and
+ * body. */
 static struct ch_digest
-digest_of(const struct ch_request *request)
+compute_digest(const struct ch_request *request)
 {
     const char *host = request->host == NULL ? "" : request->host;
     const struct ch_digest_part parts[] = {
@@ -31,31 +33,31 @@
     return ch_digest_of(parts, G_N_ELEMENTS(parts));
 }
 
-/* Whether anything is known or suspected: nearly always nothing is, and a call
- * costs no more than this. */
+/* Whether anything is known or suspected. Nearly always nothing is, and then a
+ * call costs no more than this check. */
 static bool
-is_active(struct ch_crash_keeper *keeper)
+may_have_suspects(struct ch_crash_keeper *guard)
 {
-    return keeper != NULL && ck_pr_load_int(&keeper->active) != 0;
+    return guard != NULL && ck_pr_load_int(&guard->active) != 0;
 }
 
 /* See crash_internal.h. */
 void
-crash_keeper_note_active(struct ch_crash_keeper *keeper)
+crash_keeper_note_active(struct ch_crash_keeper *guard)
 {
-    bool active = !ch_crash_table_is_empty(keeper->table) ||
-                  ch_crash_cuts_count(keeper->cuts) > 0;
-    ck_pr_store_int(&keeper->active, active);
+    bool active = !ch_crash_table_is_empty(guard->table) ||
+                  ch_crash_cuts_count(guard->cuts) > 0;
+    ck_pr_store_int(&guard->active, active);
 }
 
-/* The place of a digest among those noted as barred, or -1. */
+/* The index of a digest among the barred ones, or -1. */
 static int
-find_barred(const struct ch_crash_keeper *keeper,
+find_barred(const struct ch_crash_keeper *guard,
             const struct ch_digest *digest)
 {
-    for (guint i = 0; i < keeper->barred->len; i++) {
-        if (ch_digest_equal(
-                &g_array_index(keeper->barred, struct ch_digest, i), digest)) {
+    for (guint i = 0; i < guard->barred->len; i++) {
+        if (ch_digest_equal(&g_array_index(guard->barred, struct ch_digest, i),
+                            digest)) {
             return (int)i;
         }
     }
@@ -64,361 +66,377 @@
 
 /* See crash_internal.h. */
 void
-crash_keeper_forget_barred(struct ch_crash_keeper *keeper,
+crash_keeper_forget_barred(struct ch_crash_keeper *guard,
                            const struct ch_digest *digest)
 {
-    int at = find_barred(keeper, digest);
-    if (at >= 0) {
-        g_array_remove_index(keeper->barred, (guint)at);
+    int index = find_barred(guard, digest);
+    if (index >= 0) {
+        g_array_remove_index(guard->barred, (guint)index);
     }
 }
 
-/* Ends what this node has under way of barred requests, on the pool. */
+/* Ends this node's exchanges of barred requests; runs on the pool. */
 static void
-drop_barred(void *data)
+abandon_barred(void *data)
 {
-    struct ch_crash_keeper *keeper = data;
-    struct ch_front *front = ck_pr_load_ptr(&keeper->node->front);
+    struct ch_crash_keeper *guard = data;
+    struct ch_front *front = ck_pr_load_ptr(&guard->node->front);
     if (front != NULL) {
         ch_front_drop_barred(front);
     }
-    pthread_mutex_lock(&keeper->lock);
-    keeper->jobs--;
-    pthread_cond_broadcast(&keeper->idle);
-    pthread_mutex_unlock(&keeper->lock);
+    pthread_mutex_lock(&guard->lock);
+    guard->jobs--;
+    pthread_cond_broadcast(&guard->idle);
+    pthread_mutex_unlock(&guard->lock);
 }
 
-/* Notes in the log that a request is barred from now on, and has what is under
- * way of it ended.  Lock held. */
+/* Logs, once, that a request is barred; queues its record and ends its
+ * exchanges. Lock held. */
 static void
-note_barred(struct ch_crash_keeper *keeper, const struct ch_crash_view *view)
+report_barred(struct ch_crash_keeper *guard,
+              const struct ch_crash_view *assessment)
 {
-    char text[CH_DIGEST_TEXT];
-    if (view->state != CH_CRASH_BARRED ||
-        find_barred(keeper, &view->digest) >= 0) {
+    char digest_text[CH_DIGEST_TEXT];
+    if (assessment->state != CH_CRASH_BARRED ||
+        find_barred(guard, &assessment->digest) >= 0) {
         return;
     }
-    if (keeper->barred->len >= keeper->node->settings->crash_requests) {
-        g_array_remove_index(keeper->barred, 0);
-    }
-    g_array_append_val(keeper->barred, view->digest);
-    ch_digest_print(&view->digest, text);
-    ch_metrics_count(keeper->node->client->metrics, CH_COUNT_CRASHERS, 1);
-    ch_log(keeper->node->client, CH_LOG_WARNING, "request-barred",
-           CH_F_STR("digest", text), CH_F_INT("crashes", view->crashes),
-           CH_F_INT("sure", view->sure), CH_F_END);
-    crash_record_note(keeper, view);
-    if (!keeper->stopping) {
-        keeper->jobs++;
-        ch_pool_submit(keeper->node->pool, drop_barred, keeper);
+    if (guard->barred->len >= guard->node->settings->crash_requests) {
+        g_array_remove_index(guard->barred, 0);
+    }
+    g_array_append_val(guard->barred, assessment->digest);
+    ch_digest_print(&assessment->digest, digest_text);
+    ch_metrics_count(guard->node->client->metrics, CH_COUNT_CRASHERS, 1);
+    ch_log(guard->node->client, CH_LOG_WARNING, "request-barred",
+           CH_F_STR("digest", digest_text),
+           CH_F_INT("crashes", assessment->crashes),
+           CH_F_INT("sure", assessment->sure), CH_F_END);
+    crash_record_note(guard, assessment);
+    if (!guard->stopping) {
+        guard->jobs++;
+        ch_pool_submit(guard->node->pool, abandon_barred, guard);
     }
 }
 
-/* Writes a piece of evidence to the log: this node's own, and what others tell
- * of requests that were on more than one upstream. */
+/* Logs an observation: each of this node, and those of other nodes for
+ * requests that were on more than one crashed upstream. */
 static void
-log_run(struct ch_crash_keeper *keeper, const struct ch_crash_run *run,
-        const struct ch_crash_view *view, const char *from)
+log_observation(struct ch_crash_keeper *guard,
+                const struct ch_crash_run *observation,
+                const struct ch_crash_view *assessment, const char *from)
 {
-    char text[CH_DIGEST_TEXT];
-    ch_digest_print(&run->digest, text);
-    ch_log(
-        keeper->node->client, CH_LOG_NOTICE, "request-on-crash",
-        CH_F_STR("digest", text),
-        CH_F_STR("upstream", g_quark_to_string(run->upstream)),
-        CH_F_INT("boot", run->boot), CH_F_INT("fresh", run->fresh),
-        CH_F_INT("crashes", view->crashes), CH_F_INT("sure", view->sure),
-        CH_F_STR("from", from == NULL ? keeper->node->settings->name : from),
-        CH_F_END);
+    char digest_text[CH_DIGEST_TEXT];
+    ch_digest_print(&observation->digest, digest_text);
+    ch_log(guard->node->client, CH_LOG_NOTICE, "request-on-crash",
+           CH_F_STR("digest", digest_text),
+           CH_F_STR("upstream", g_quark_to_string(observation->upstream)),
+           CH_F_INT("boot", observation->boot),
+           CH_F_INT("fresh", observation->fresh),
+           CH_F_INT("crashes", assessment->crashes),
+           CH_F_INT("sure", assessment->sure),
+           CH_F_STR("from", from == NULL ? guard->node->settings->name : from),
+           CH_F_END);
 }
 
 /* See crash_internal.h. */
 bool
-crash_keeper_take(struct ch_crash_keeper *keeper,
-                  const struct ch_crash_run *run, const char *from)
+crash_keeper_take(struct ch_crash_keeper *guard,
+                  const struct ch_crash_run *observation, const char *from)
 {
-    if (!ch_crash_table_add(keeper->table, run)) {
+    if (!ch_crash_table_add(guard->table, observation)) {
         return false;
     }
-    /* Of an outage of many upstreams, nearly all that others tell are
-     * requests that were on one of them. */
-    unsigned crashes = ch_crash_table_crashes(keeper->table, &run->digest);
-    if (from != NULL && crashes < MIN(keeper->node->settings->crashes, 2)) {
+    /* In an outage of many upstreams, nearly all observations from other nodes
+     * are of requests that were on one of them; these are not logged. */
+    unsigned crashes =
+        ch_crash_table_crashes(guard->table, &observation->digest);
+    if (from != NULL && crashes < MIN(guard->node->settings->crashes, 2)) {
         return true;
     }
-    const struct ch_crash_view view =
-        ch_crash_table_view(keeper->table, &run->digest);
-    log_run(keeper, run, &view, from);
-    note_barred(keeper, &view);
+    const struct ch_crash_view assessment =
+        ch_crash_table_view(guard->table, &observation->digest);
+    log_observation(guard, observation, &assessment, from);
+    report_barred(guard, &assessment);
     return true;
 }
 
 /* See crash_internal.h. */
 void
-crash_keeper_take_ended(struct ch_crash_keeper *keeper, GArray *ended)
+crash_keeper_take_ended(struct ch_crash_keeper *guard, GArray *observations)
 {
-    for (guint i = 0; i < ended->len; i++) {
-        const struct ch_crash_run *run =
-            &g_array_index(ended, struct ch_crash_run, i);
-        if (crash_keeper_take(keeper, run, NULL)) {
-            g_array_append_val(keeper->runs, *run);
-            crash_tell_soon(keeper);
+    for (guint i = 0; i < observations->len; i++) {
+        const struct ch_crash_run *observation =
+            &g_array_index(observations, struct ch_crash_run, i);
+        if (crash_keeper_take(guard, observation, NULL)) {
+            g_array_append_val(guard->runs, *observation);
+            crash_tell_soon(guard);
         }
     }
-    ch_metrics_count(keeper->node->client->metrics, CH_COUNT_CRASHED_CALLS,
-                     ended->len);
-    g_array_free(ended, TRUE);
-    crash_keeper_note_active(keeper);
+    ch_metrics_count(guard->node->client->metrics, CH_COUNT_CRASHED_CALLS,
+                     observations->len);
+    g_array_free(observations, TRUE);
+    crash_keeper_note_active(guard);
 }
 
-/* A connection that was asked for, to learn whether an upstream ended. */
+/* A connection that is opened to learn whether an upstream crashed. */
 struct probe {
-    struct ch_crash_keeper *keeper;
+    struct ch_crash_keeper *guard;
     GQuark upstream;
 };
 
-/* On the loop of calls out.  A connection that comes about shows nothing: it
- * may have been taken just before the process ended. */
+/* Handles the end of a probe, on the HTTP loop. A connection that was accepted
+ * shows nothing: it may have been accepted just before the process ended. */
 static void
-probe_end(void *data, const struct ch_http_end *end)
+handle_probe_end(void *data, const struct ch_http_end *end)
 {
     struct probe *probe = data;
-    struct ch_crash_keeper *keeper = probe->keeper;
+    struct ch_crash_keeper *guard = probe->guard;
     if (end->refused) {
-        ch_crash_keeper_refused(keeper, probe->upstream);
+        ch_crash_keeper_refused(guard, probe->upstream);
     }
-    pthread_mutex_lock(&keeper->lock);
-    keeper->jobs--;
-    pthread_cond_broadcast(&keeper->idle);
-    pthread_mutex_unlock(&keeper->lock);
+    pthread_mutex_lock(&guard->lock);
+    guard->jobs--;
+    pthread_cond_broadcast(&guard->idle);
+    pthread_mutex_unlock(&guard->lock);
     g_free(probe);
 }
 
-/* Whether an upstream is to be asked for a connection now: once for all calls
- * that it cuts at the same moment.  Lock held. */
+/* Registers a probe of an upstream as pending; false when the upstream was
+ * probed less than PROBE_INTERVAL_US ago, so that all calls that it interrupts
+ * at the same moment share one probe, or after the stop. Lock held. */
 static bool
-is_probed(struct ch_crash_keeper *keeper, GQuark upstream, int64_t now)
+register_probe(struct ch_crash_keeper *guard, GQuark upstream, int64_t now)
 {
     gpointer key = GUINT_TO_POINTER(upstream);
-    const int64_t *last = g_hash_table_lookup(keeper->probed, key);
-    if (keeper->stopping || (last != NULL && now - *last < PROBE_PAUSE)) {
+    const int64_t *last = g_hash_table_lookup(guard->probed, key);
+    if (guard->stopping || (last != NULL && now - *last < PROBE_INTERVAL_US)) {
         return false;
     }
-    g_hash_table_replace(keeper->probed, key, g_memdup2(&now, sizeof(now)));
-    keeper->jobs++;
+    g_hash_table_replace(guard->probed, key, g_memdup2(&now, sizeof(now)));
+    guard->jobs++;
     return true;
 }
 
-/* Asks for a connection to an upstream. */
+/* Opens a connection to an upstream. */
 static void
-probe(struct ch_crash_keeper *keeper, const struct ch_grant *grant)
+open_probe(struct ch_crash_keeper *guard, const struct ch_grant *grant)
 {
-    static const struct ch_http_handlers handlers = {.on_end = probe_end};
+    static const struct ch_http_handlers handlers = {.on_end =
+                                                         handle_probe_end};
     struct probe *probe = g_new0(struct probe, 1);
-    probe->keeper = keeper;
+    probe->guard = guard;
     probe->upstream = grant->upstream;
     g_autofree char *url = g_strdup_printf("http://%s/", grant->address);
     const struct ch_http_request request = {
         .method = "GET",
         .url = url,
-        .connect_limit = PROBE_LIMIT,
-        .total_limit = PROBE_LIMIT,
+        .connect_limit = PROBE_TIMEOUT_US,
+        .total_limit = PROBE_TIMEOUT_US,
         .connect_only = true,
     };
-    ch_http_submit(keeper->node->http, &request, &handlers, probe);
+    ch_http_submit(guard->node->http, &request, &handlers, probe);
 }
 
-/* Whether an upstream may have crashed: one that leaves, or that the list has
- * dropped before, ends as planned.  Lock held. */
+/* Whether the end of an upstream may be a crash. An upstream that is draining,
+ * or that was removed from the list before, ends as planned. Lock held. */
 static bool
-may_crash(const struct ch_crash_keeper *keeper, GQuark upstream)
+may_crash(const struct ch_crash_keeper *guard, GQuark upstream)
 {
-    return keeper->staying == NULL ||
-           g_hash_table_contains(keeper->staying, GUINT_TO_POINTER(upstream));
+    return guard->staying == NULL ||
+           g_hash_table_contains(guard->staying, GUINT_TO_POINTER(upstream));
 }
 
 /* See crash_keeper.h. */
 void
-ch_crash_keeper_cut(struct ch_crash_keeper *keeper,
+ch_crash_keeper_cut(struct ch_crash_keeper *guard,
                     const struct ch_request *request,
-                    const struct ch_grant *grant, bool fresh)
+                    const struct ch_grant *grant, bool before_response)
 {
-    if (keeper == NULL) {
+    if (guard == NULL) {
         return;
     }
-    const struct ch_crash_run run = {
-        .digest = digest_of(request),
+    const struct ch_crash_run observation = {
+        .digest = compute_digest(request),
         .fingerprint = request->fingerprint,
         .upstream = grant->upstream,
         .boot = grant->boot,
-        .at = ch_client_now(keeper->node->client),
-        .fresh = fresh,
+        .at = ch_client_now(guard->node->client),
+        .fresh = before_response,
     };
-    bool asks = false;
-    pthread_mutex_lock(&keeper->lock);
-    if (may_crash(keeper, run.upstream)) {
-        GArray *ended = g_array_new(FALSE, FALSE, sizeof(struct ch_crash_run));
-        ch_crash_cuts_add(keeper->cuts, &run);
-        if (ch_crash_table_ended(keeper->table, run.upstream, run.boot)) {
-            ch_crash_cuts_ended(keeper->cuts, run.upstream, run.boot, ended);
+    bool is_registered = false;
+    pthread_mutex_lock(&guard->lock);
+    if (may_crash(guard, observation.upstream)) {
+        GArray *observations =
+            g_array_new(FALSE, FALSE, sizeof(struct ch_crash_run));
+        ch_crash_cuts_add(guard->cuts, &observation);
+        if (ch_crash_table_ended(guard->table, observation.upstream,
+                                 observation.boot)) {
+            ch_crash_cuts_ended(guard->cuts, observation.upstream,
+                                observation.boot, observations);
         }
         else if (grant->address != NULL) {
-            asks = is_probed(keeper, run.upstream, run.at);
+            is_registered =
+                register_probe(guard, observation.upstream, observation.at);
         }
-        crash_keeper_take_ended(keeper, ended);
+        crash_keeper_take_ended(guard, observations);
     }
-    pthread_mutex_unlock(&keeper->lock);
-    if (asks) {
-        probe(keeper, grant);
+    pthread_mutex_unlock(&guard->lock);
+    if (is_registered) {
+        open_probe(guard, grant);
     }
 }
 
 /* See crash_keeper.h. */
 void
-ch_crash_keeper_refused(struct ch_crash_keeper *keeper, GQuark upstream)
+ch_crash_keeper_refused(struct ch_crash_keeper *guard, GQuark upstream)
 {
-    if (!is_active(keeper)) {
+    if (!may_have_suspects(guard)) {
         return;
     }
-    GArray *ended = g_array_new(FALSE, FALSE, sizeof(struct ch_crash_run));
-    pthread_mutex_lock(&keeper->lock);
-    ch_crash_cuts_refused(keeper->cuts, upstream,
-                          ch_client_now(keeper->node->client), ended);
-    crash_keeper_take_ended(keeper, ended);
-    pthread_mutex_unlock(&keeper->lock);
+    GArray *observations =
+        g_array_new(FALSE, FALSE, sizeof(struct ch_crash_run));
+    pthread_mutex_lock(&guard->lock);
+    ch_crash_cuts_refused(guard->cuts, upstream,
+                          ch_client_now(guard->node->client), observations);
+    crash_keeper_take_ended(guard, observations);
+    pthread_mutex_unlock(&guard->lock);
 }
 
 /* See crash_keeper.h. */
 void
-ch_crash_keeper_answered(struct ch_crash_keeper *keeper, GQuark upstream,
-                         int64_t sent)
+ch_crash_keeper_answered(struct ch_crash_keeper *guard, GQuark upstream,
+                         int64_t sent_at)
 {
-    if (!is_active(keeper)) {
+    if (!may_have_suspects(guard)) {
         return;
     }
-    pthread_mutex_lock(&keeper->lock);
-    ch_crash_cuts_answered(keeper->cuts, upstream, sent);
-    crash_keeper_note_active(keeper);
-    pthread_mutex_unlock(&keeper->lock);
+    pthread_mutex_lock(&guard->lock);
+    ch_crash_cuts_answered(guard->cuts, upstream, sent_at);
+    crash_keeper_note_active(guard);
+    pthread_mutex_unlock(&guard->lock);
 }
 
-/* Whether a request may be one of those in the table, by its fingerprint. */
+/* Whether the request may be in the table, by its fingerprint. */
 static bool
-may_be_known(struct ch_crash_keeper *keeper, const struct ch_request *request)
+may_be_in_table(struct ch_crash_keeper *guard,
+                const struct ch_request *request)
 {
-    if (!is_active(keeper)) {
+    if (!may_have_suspects(guard)) {
         return false;
     }
-    pthread_mutex_lock(&keeper->lock);
-    bool known = ch_crash_table_knows(keeper->table, request->fingerprint);
-    pthread_mutex_unlock(&keeper->lock);
-    return known;
+    pthread_mutex_lock(&guard->lock);
+    bool is_known = ch_crash_table_knows(guard->table, request->fingerprint);
+    pthread_mutex_unlock(&guard->lock);
+    return is_known;
 }
 
 /* See crash_keeper.h. */
 void
-ch_crash_keeper_whole(struct ch_crash_keeper *keeper,
+ch_crash_keeper_whole(struct ch_crash_keeper *guard,
                       const struct ch_request *request)
 {
-    if (!may_be_known(keeper, request)) {
+    if (!may_be_in_table(guard, request)) {
         return;
     }
-    const struct ch_digest digest = digest_of(request);
-    pthread_mutex_lock(&keeper->lock);
-    bool was_barred = find_barred(keeper, &digest) >= 0;
-    if (ch_crash_table_sound(keeper->table, &digest)) {
-        g_array_append_val(keeper->sound, digest);
-        crash_keeper_forget_barred(keeper, &digest);
-        crash_tell_soon(keeper);
+    const struct ch_digest digest = compute_digest(request);
+    pthread_mutex_lock(&guard->lock);
+    bool was_barred = find_barred(guard, &digest) >= 0;
+    if (ch_crash_table_sound(guard->table, &digest)) {
+        g_array_append_val(guard->sound, digest);
+        crash_keeper_forget_barred(guard, &digest);
+        crash_tell_soon(guard);
     }
-    pthread_mutex_unlock(&keeper->lock);
+    pthread_mutex_unlock(&guard->lock);
     if (was_barred) {
-        crash_record_remove(keeper, &digest);
+        crash_record_remove(guard, &digest);
     }
 }
 
 /* See crash_keeper.h. */
 bool
-ch_crash_keeper_bars(struct ch_crash_keeper *keeper,
+ch_crash_keeper_bars(struct ch_crash_keeper *guard,
                      const struct ch_request *request)
 {
-    if (!may_be_known(keeper, request)) {
+    if (!may_be_in_table(guard, request)) {
         return false;
     }
-    const struct ch_digest digest = digest_of(request);
-    pthread_mutex_lock(&keeper->lock);
-    const struct ch_crash_view view =
-        ch_crash_table_view(keeper->table, &digest);
-    note_barred(keeper, &view);
-    pthread_mutex_unlock(&keeper->lock);
-    return view.state == CH_CRASH_BARRED;
+    const struct ch_digest digest = compute_digest(request);
+    pthread_mutex_lock(&guard->lock);
+    const struct ch_crash_view assessment =
+        ch_crash_table_view(guard->table, &digest);
+    report_barred(guard, &assessment);
+    pthread_mutex_unlock(&guard->lock);
+    return assessment.state == CH_CRASH_BARRED;
 }
 
 /* See crash_keeper.h. */
 void
-ch_crash_keeper_listed(struct ch_crash_keeper *keeper,
-                       const struct ch_crash_listed *listed, size_t count)
+ch_crash_keeper_listed(struct ch_crash_keeper *guard,
+                       const struct ch_crash_listed *upstreams, size_t count)
 {
-    if (keeper == NULL) {
+    if (guard == NULL) {
         return;
     }
-    GArray *ended = g_array_new(FALSE, FALSE, sizeof(struct ch_crash_run));
-    pthread_mutex_lock(&keeper->lock);
-    if (keeper->staying == NULL) {
-        keeper->staying = g_hash_table_new(NULL, NULL);
+    GArray *observations =
+        g_array_new(FALSE, FALSE, sizeof(struct ch_crash_run));
+    pthread_mutex_lock(&guard->lock);
+    if (guard->staying == NULL) {
+        guard->staying = g_hash_table_new(NULL, NULL);
     }
-    g_hash_table_remove_all(keeper->staying);
+    g_hash_table_remove_all(guard->staying);
     for (size_t i = 0; i < count; i++) {
-        if (!listed[i].leaving) {
-            g_hash_table_add(keeper->staying,
-                             GUINT_TO_POINTER(listed[i].upstream));
+        if (!upstreams[i].leaving) {
+            g_hash_table_add(guard->staying,
+                             GUINT_TO_POINTER(upstreams[i].upstream));
         }
     }
-    ch_crash_cuts_listed(keeper->cuts, listed, count, ended);
-    crash_keeper_take_ended(keeper, ended);
-    pthread_mutex_unlock(&keeper->lock);
+    ch_crash_cuts_listed(guard->cuts, upstreams, count, observations);
+    crash_keeper_take_ended(guard, observations);
+    pthread_mutex_unlock(&guard->lock);
 }
 
 /* See crash_keeper.h. */
 bool
-ch_crash_keeper_known(struct ch_crash_keeper *keeper)
+ch_crash_keeper_known(struct ch_crash_keeper *guard)
 {
-    if (keeper == NULL) {
+    if (guard == NULL) {
         return true;
     }
-    int64_t now = ch_client_now(keeper->node->client);
-    pthread_mutex_lock(&keeper->lock);
-    bool read = keeper->read || keeper->node->kv == NULL;
-    bool known = (keeper->heard && read) || now - keeper->started > KNOWN_BY;
-    pthread_mutex_unlock(&keeper->lock);
-    return known;
+    int64_t now = ch_client_now(guard->node->client);
+    pthread_mutex_lock(&guard->lock);
+    bool read = guard->read || guard->node->kv == NULL;
+    bool is_known =
+        (guard->heard && read) || now - guard->started > STARTUP_TIMEOUT_US;
+    pthread_mutex_unlock(&guard->lock);
+    return is_known;
 }
 
 /* ---- operators ---- */
 
 /* See crash_keeper.h. */
 bool
-ch_crash_keeper_release(struct ch_crash_keeper *keeper,
+ch_crash_keeper_release(struct ch_crash_keeper *guard,
                         const struct ch_digest *digest)
 {
-    if (keeper == NULL) {
+    if (guard == NULL) {
         return false;
     }
-    char text[CH_DIGEST_TEXT];
-    int64_t now = ch_client_now(keeper->node->client);
-    pthread_mutex_lock(&keeper->lock);
-    bool known = ch_crash_table_release(keeper->table, digest, now);
-    if (known) {
-        g_array_append_val(keeper->released, *digest);
-        crash_keeper_forget_barred(keeper, digest);
-        crash_tell_soon(keeper);
-    }
-    pthread_mutex_unlock(&keeper->lock);
-    ch_digest_print(digest, text);
-    ch_log(keeper->node->client, CH_LOG_NOTICE, "request-released",
-           CH_F_STR("digest", text), CH_F_INT("known", known), CH_F_END);
-    crash_record_remove(keeper, digest);
-    return known;
+    char digest_text[CH_DIGEST_TEXT];
+    int64_t now = ch_client_now(guard->node->client);
+    pthread_mutex_lock(&guard->lock);
+    bool is_known = ch_crash_table_release(guard->table, digest, now);
+    if (is_known) {
+        g_array_append_val(guard->released, *digest);
+        crash_keeper_forget_barred(guard, digest);
+        crash_tell_soon(guard);
+    }
+    pthread_mutex_unlock(&guard->lock);
+    ch_digest_print(digest, digest_text);
+    ch_log(guard->node->client, CH_LOG_NOTICE, "request-released",
+           CH_F_STR("digest", digest_text), CH_F_INT("known", is_known),
+           CH_F_END);
+    crash_record_remove(guard, digest);
+    return is_known;
 }
 
 struct status {
@@ -426,9 +444,9 @@
     int64_t now;
 };
 
-/* One request in the status. */
+/* Writes one request of the status. */
 static void
-status_view(void *data, const struct ch_crash_view *view)
+write_suspect(void *data, const struct ch_crash_view *assessment)
 {
     static const char *const names[] = {
         [CH_CRASH_UNKNOWN] = "released",
@@ -438,75 +456,78 @@
     };
     const struct status *status = data;
     JsonBuilder *builder = status->builder;
-    char text[CH_DIGEST_TEXT];
-    ch_digest_print(&view->digest, text);
+    char digest_text[CH_DIGEST_TEXT];
+    ch_digest_print(&assessment->digest, digest_text);
     json_builder_begin_object(builder);
     json_builder_set_member_name(builder, "digest");
-    json_builder_add_string_value(builder, text);
+    json_builder_add_string_value(builder, digest_text);
     json_builder_set_member_name(builder, "state");
-    json_builder_add_string_value(builder, names[view->state]);
+    json_builder_add_string_value(builder, names[assessment->state]);
     json_builder_set_member_name(builder, "crashes");
-    json_builder_add_int_value(builder, view->crashes);
+    json_builder_add_int_value(builder, assessment->crashes);
     json_builder_set_member_name(builder, "sure");
-    json_builder_add_int_value(builder, view->sure);
+    json_builder_add_int_value(builder, assessment->sure);
     json_builder_set_member_name(builder, "last_ms_ago");
-    json_builder_add_int_value(builder, (status->now - view->last) / 1000);
+    json_builder_add_int_value(builder,
+                               (status->now - assessment->last) / 1000);
     json_builder_end_object(builder);
 }
 
 /* See crash_keeper.h. */
 void
-ch_crash_keeper_status(struct ch_crash_keeper *keeper, JsonBuilder *builder)
+ch_crash_keeper_status(struct ch_crash_keeper *guard, JsonBuilder *builder)
 {
-    if (keeper == NULL) {
+    if (guard == NULL) {
         return;
     }
-    struct status status = {builder, ch_client_now(keeper->node->client)};
+    struct status status = {builder, ch_client_now(guard->node->client)};
     json_builder_set_member_name(builder, "crash_suspects");
     json_builder_begin_array(builder);
-    pthread_mutex_lock(&keeper->lock);
-    ch_crash_table_each(keeper->table, status_view, &status);
-    pthread_mutex_unlock(&keeper->lock);
+    pthread_mutex_lock(&guard->lock);
+    ch_crash_table_each(guard->table, write_suspect, &status);
+    pthread_mutex_unlock(&guard->lock);
     json_builder_end_array(builder);
 }
 
-/* ---- life ---- */
+/* ---- lifetime ---- */
 
-/* Whether a probe is so old that its upstream may be asked again. */
+/* Whether a probe is older than PROBE_INTERVAL_US, so that its entry is not
+ * needed any more. */
 static gboolean
-is_old_probe(gpointer key, gpointer value, gpointer data)
+is_stale_probe(gpointer key, gpointer value, gpointer data)
 {
     (void)key;
-    return *(const int64_t *)value + PROBE_PAUSE < *(const int64_t *)data;
+    return *(const int64_t *)value + PROBE_INTERVAL_US <
+           *(const int64_t *)data;
 }
 
-/* What is due now and then, on the pool. */
+/* Runs the periodic work, on the pool. */
 static void
 tick(void *data)
 {
-    struct ch_crash_keeper *keeper = data;
-    int64_t now = ch_client_now(keeper->node->client);
-    pthread_mutex_lock(&keeper->lock);
-    ch_crash_cuts_expire(keeper->cuts, now);
-    ch_crash_table_expire(keeper->table, now);
-    g_hash_table_foreach_remove(keeper->probed, is_old_probe, &now);
-    crash_keeper_note_active(keeper);
-    pthread_mutex_unlock(&keeper->lock);
-    crash_tell_tick(keeper, now);
-    crash_record_tick(keeper, now);
-    pthread_mutex_lock(&keeper->lock);
-    if (keeper->stopping) {
-        keeper->jobs--;
-        pthread_cond_broadcast(&keeper->idle);
+    struct ch_crash_keeper *guard = data;
+    int64_t now = ch_client_now(guard->node->client);
+    pthread_mutex_lock(&guard->lock);
+    ch_crash_cuts_expire(guard->cuts, now);
+    ch_crash_table_expire(guard->table, now);
+    g_hash_table_foreach_remove(guard->probed, is_stale_probe, &now);
+    crash_keeper_note_active(guard);
+    pthread_mutex_unlock(&guard->lock);
+    crash_tell_tick(guard, now);
+    crash_record_tick(guard, now);
+    pthread_mutex_lock(&guard->lock);
+    if (guard->stopping) {
+        guard->jobs--;
+        pthread_cond_broadcast(&guard->idle);
     }
     else {
-        ch_timers_after(keeper->node->timers,
-                        keeper->heard ? TICK : TICK_UNKNOWN, tick, keeper);
+        ch_timers_after(guard->node->timers,
+                        guard->heard ? TICK_US : STARTUP_TICK_US, tick, guard);
     }
-    pthread_mutex_unlock(&keeper->lock);
+    pthread_mutex_unlock(&guard->lock);
 }
 
-/* A keeper that knows of no crash. */
+/* Creates a guard that knows of no crash. */
 struct ch_crash_keeper *
 ch_crash_keeper_new(struct ch_node *node)
 {
@@ -515,64 +536,64 @@
         .requests = node->settings->crash_requests,
         .keep = (int64_t)node->settings->crash_keep_s * G_USEC_PER_SEC,
     };
-    struct ch_crash_keeper *keeper = g_new0(struct ch_crash_keeper, 1);
-    keeper->node = node;
-    keeper->table = ch_crash_table_new(&limits);
-    keeper->cuts = ch_crash_cuts_new();
-    keeper->probed = g_hash_table_new_full(NULL, NULL, NULL, g_free);
-    keeper->barred = g_array_new(FALSE, FALSE, sizeof(struct ch_digest));
-    keeper->unrecorded =
+    struct ch_crash_keeper *guard = g_new0(struct ch_crash_keeper, 1);
+    guard->node = node;
+    guard->table = ch_crash_table_new(&limits);
+    guard->cuts = ch_crash_cuts_new();
+    guard->probed = g_hash_table_new_full(NULL, NULL, NULL, g_free);
+    guard->barred = g_array_new(FALSE, FALSE, sizeof(struct ch_digest));
+    guard->unrecorded =
         g_array_new(FALSE, FALSE, sizeof(struct ch_crash_view));
-    keeper->runs = g_array_new(FALSE, FALSE, sizeof(struct ch_crash_run));
-    keeper->sound = g_array_new(FALSE, FALSE, sizeof(struct ch_digest));
-    keeper->released = g_array_new(FALSE, FALSE, sizeof(struct ch_digest));
-    pthread_mutex_init(&keeper->lock, NULL);
-    pthread_cond_init(&keeper->idle, NULL);
-    crash_tell_init(keeper);
-    return keeper;
+    guard->runs = g_array_new(FALSE, FALSE, sizeof(struct ch_crash_run));
+    guard->sound = g_array_new(FALSE, FALSE, sizeof(struct ch_digest));
+    guard->released = g_array_new(FALSE, FALSE, sizeof(struct ch_digest));
+    pthread_mutex_init(&guard->lock, NULL);
+    pthread_cond_init(&guard->idle, NULL);
+    crash_tell_init(guard);
+    return guard;
 }
 
-/* Begins the tick. */
+/* Starts the periodic work. */
 void
-ch_crash_keeper_start(struct ch_crash_keeper *keeper)
+ch_crash_keeper_start(struct ch_crash_keeper *guard)
 {
-    keeper->started = ch_client_now(keeper->node->client);
-    keeper->ticked = keeper->started;
-    keeper->jobs = 1;
-    ch_timers_after(keeper->node->timers, TICK_UNKNOWN, tick, keeper);
+    guard->started = ch_client_now(guard->node->client);
+    guard->ticked = guard->started;
+    guard->jobs = 1;
+    ch_timers_after(guard->node->timers, STARTUP_TICK_US, tick, guard);
 }
 
-/* Ends the tick, and waits for what is being told. */
+/* Stops the periodic work, and waits for messages and calls in progress. */
 void
-ch_crash_keeper_stop(struct ch_crash_keeper *keeper)
+ch_crash_keeper_stop(struct ch_crash_keeper *guard)
 {
-    pthread_mutex_lock(&keeper->lock);
-    keeper->stopping = true;
-    while (keeper->jobs > 0) {
-        pthread_cond_wait(&keeper->idle, &keeper->lock);
+    pthread_mutex_lock(&guard->lock);
+    guard->stopping = true;
+    while (guard->jobs > 0) {
+        pthread_cond_wait(&guard->idle, &guard->lock);
     }
-    pthread_mutex_unlock(&keeper->lock);
+    pthread_mutex_unlock(&guard->lock);
 }
 
-/* Frees it after its stop. */
+/* Frees the guard after its stop; guard may be NULL. */
 void
-ch_crash_keeper_free(struct ch_crash_keeper *keeper)
+ch_crash_keeper_free(struct ch_crash_keeper *guard)
 {
-    if (keeper == NULL) {
+    if (guard == NULL) {
         return;
     }
-    ch_crash_table_free(keeper->table);
-    ch_crash_cuts_free(keeper->cuts);
-    if (keeper->staying != NULL) {
-        g_hash_table_destroy(keeper->staying);
-    }
-    g_hash_table_destroy(keeper->probed);
-    g_array_free(keeper->barred, TRUE);
-    g_array_free(keeper->unrecorded, TRUE);
-    g_array_free(keeper->runs, TRUE);
-    g_array_free(keeper->sound, TRUE);
-    g_array_free(keeper->released, TRUE);
-    pthread_mutex_destroy(&keeper->lock);
-    pthread_cond_destroy(&keeper->idle);
-    g_free(keeper);
+    ch_crash_table_free(guard->table);
+    ch_crash_cuts_free(guard->cuts);
+    if (guard->staying != NULL) {
+        g_hash_table_destroy(guard->staying);
+    }
+    g_hash_table_destroy(guard->probed);
+    g_array_free(guard->barred, TRUE);
+    g_array_free(guard->unrecorded, TRUE);
+    g_array_free(guard->runs, TRUE);
+    g_array_free(guard->sound, TRUE);
+    g_array_free(guard->released, TRUE);
+    pthread_mutex_destroy(&guard->lock);
+    pthread_cond_destroy(&guard->idle);
+    g_free(guard);
 }
--- a/libchestnuthitch/node/crash_keeper.h
+++ b/libchestnuthitch/node/crash_keeper.h
@@ -1,57 +1,59 @@
 #ifndef CH_NODE_CRASH_KEEPER_H
 #define CH_NODE_CRASH_KEEPER_H
 
-/*
- * Keeps requests that crash upstreams away from them: what this node saw of
- * crashes, what the others tell, and the gate that each dispatch passes.
- * Any thread; nothing here blocks.  A node without a keeper (NULL) knows of
- * no crashes.
- */
+/* Protects upstreams from requests that crash them: collects what this node
+   observes of crashes and what other nodes report, and is asked before each
+   dispatch whether the request is barred. Callable from any thread; no
+   function blocks but stop. On a node without a crash guard (NULL), no crash
+   is known. */
 
 #include "crash/crash.h"
 #include "node/request.h"
 #include "node/node.h"
 
+/* node outlives the guard. stop waits for calls and timers in progress. */
 struct ch_crash_keeper *ch_crash_keeper_new(struct ch_node *node);
-void ch_crash_keeper_start(struct ch_crash_keeper *keeper);
-void ch_crash_keeper_stop(struct ch_crash_keeper *keeper);
-void ch_crash_keeper_free(struct ch_crash_keeper *keeper);
-/* Whether another node has told what it knows, or none did in time: a node
-   that starts takes no requests before. */
-bool ch_crash_keeper_known(struct ch_crash_keeper *keeper);
-
-/* Whether the request must not be sent to an upstream. */
-bool ch_crash_keeper_bars(struct ch_crash_keeper *keeper,
+void ch_crash_keeper_start(struct ch_crash_keeper *guard);
+void ch_crash_keeper_stop(struct ch_crash_keeper *guard);
+void ch_crash_keeper_free(struct ch_crash_keeper *guard);
+/* Whether the state of the other nodes and the stored records were received,
+   or did not come in time. A node that starts accepts no requests before. */
+bool ch_crash_keeper_known(struct ch_crash_keeper *guard);
+
+/* Whether the request must not be sent to any upstream. */
+bool ch_crash_keeper_bars(struct ch_crash_keeper *guard,
                           const struct ch_request *request);
 
-/* ---- what calls show ---- */
+/* ---- observations of calls ---- */
 
-/* The call's connection ended in the middle; fresh: before any of the answer
-   had come.  Asks for a connection there, to learn whether the upstream
-   ended. */
-void ch_crash_keeper_cut(struct ch_crash_keeper *keeper,
+/* The call's connection was lost before the response ended; before_response:
+   before any part of the response came. Probes the upstream with a connection,
+   to learn whether it crashed. */
+void ch_crash_keeper_cut(struct ch_crash_keeper *guard,
                          const struct ch_request *request,
-                         const struct ch_grant *grant, bool fresh);
-/* The upstream refuses connections. */
-void ch_crash_keeper_refused(struct ch_crash_keeper *keeper, GQuark upstream);
-/* It answers a call that was sent then. */
-void ch_crash_keeper_answered(struct ch_crash_keeper *keeper, GQuark upstream,
-                              int64_t sent);
-/* The request was answered whole. */
-void ch_crash_keeper_whole(struct ch_crash_keeper *keeper,
+                         const struct ch_grant *grant, bool before_response);
+/* The upstream refused a connection. */
+void ch_crash_keeper_refused(struct ch_crash_keeper *guard, GQuark upstream);
+/* The upstream responded to a call that was sent at sent_at. */
+void ch_crash_keeper_answered(struct ch_crash_keeper *guard, GQuark upstream,
+                              int64_t sent_at);
+/* The request got a complete response. */
+void ch_crash_keeper_whole(struct ch_crash_keeper *guard,
                            const struct ch_request *request);
-/* The upstreams as they are listed now, whole. */
-void ch_crash_keeper_listed(struct ch_crash_keeper *keeper,
-                            const struct ch_crash_listed *listed,
+/* The full list of upstreams, after each change. */
+void ch_crash_keeper_listed(struct ch_crash_keeper *guard,
+                            const struct ch_crash_listed *upstreams,
                             size_t count);
 
 /* ---- operators ---- */
 
-/* False: nothing is known of that digest. */
-bool ch_crash_keeper_release(struct ch_crash_keeper *keeper,
+/* Releases a barred or suspected request; false when nothing is known of the
+   digest. */
+bool ch_crash_keeper_release(struct ch_crash_keeper *guard,
                              const struct ch_digest *digest);
-/* The suspected and barred requests, as a member of an open object. */
-void ch_crash_keeper_status(struct ch_crash_keeper *keeper,
+/* Writes the suspected and barred requests as the member "crash_suspects" of
+   an open object. */
+void ch_crash_keeper_status(struct ch_crash_keeper *guard,
                             JsonBuilder *builder);
 
 #endif
--- a/libchestnuthitch/node/crash_record.c
+++ b/libchestnuthitch/node/crash_record.c
@@ -1,7 +1,8 @@
 /*
- * Barred requests in the key-value service, which outlives nodes that are all
- * killed at once: else each of them would crash three more upstreams.  One
- * write for a request, by few nodes, and one read for a node that starts.
+ * Records of barred requests in the key-value store, which remain when all
+ * nodes are killed at once. Without the records each barred request would
+ * crash three more upstreams. A few nodes write each record once, and a node
+ * that starts reads all of them once.
  */
 
 #include "node/crash_internal.h"
@@ -11,252 +12,259 @@
 #include <stdio.h>
 #include <string.h>
 
-#define PREFIX "crashes/"
+#define KEY_PREFIX "crashes/"
 
 enum {
-    /* Nodes that write a record, so that one of them may be lost. */
-    WRITERS = 2,
-    RETRY_PAUSE = 1000 * 1000,
-    MOST_VALUE = 64,
+    /* Nodes that write each record: two, so that one may be lost. */
+    WRITER_COUNT = 2,
+    READ_RETRY_DELAY_US = 1000 * 1000,
+    MAX_VALUE_SIZE = 64,
 };
 
 /* ---- the record's text ---- */
 
-/* The key of a digest. */
+/* Writes the record key of a digest. */
 static void
-print_key(const struct ch_digest *digest, char key[CRASH_RECORD_KEY])
+format_key(const struct ch_digest *digest, char key[CRASH_RECORD_KEY])
 {
     char text[CH_DIGEST_TEXT];
     ch_digest_print(digest, text);
-    (void)g_snprintf(key, CRASH_RECORD_KEY, PREFIX "%s", text);
+    (void)g_snprintf(key, CRASH_RECORD_KEY, KEY_PREFIX "%s", text);
 }
 
-/* "FINGERPRINT SECONDS": the time of day at which it was barred. */
+/* Writes the record's value, "FINGERPRINT SECONDS"; seconds is the time of day
+ * at which the request was barred, since 1970. */
 static void
-print_value(uint64_t fingerprint, int64_t seconds, char value[MOST_VALUE])
+format_value(uint64_t fingerprint, int64_t seconds, char value[MAX_VALUE_SIZE])
 {
-    (void)g_snprintf(value, MOST_VALUE,
+    (void)g_snprintf(value, MAX_VALUE_SIZE,
                      "%016" G_GINT64_MODIFIER "x %" G_GINT64_FORMAT,
                      fingerprint, seconds);
 }
 
-/* Reads a record; false for an entry that is none. */
+/* Parses a record; false for an entry that is no valid record. */
 static bool
-read_record(const struct ch_kv_entry *entry, struct ch_digest *digest,
-            uint64_t *fingerprint, int64_t *seconds)
+parse_record(const struct ch_kv_entry *entry, struct ch_digest *digest,
+             uint64_t *fingerprint, int64_t *seconds)
 {
-    guint64 number = 0;
-    guint64 time = 0;
-    if (entry->value == NULL || !g_str_has_prefix(entry->key, PREFIX) ||
-        !ch_digest_parse(entry->key + strlen(PREFIX), digest)) {
+    guint64 parsed_fingerprint = 0;
+    guint64 parsed_seconds = 0;
+    if (entry->value == NULL || !g_str_has_prefix(entry->key, KEY_PREFIX) ||
+        !ch_digest_parse(entry->key + strlen(KEY_PREFIX), digest)) {
         return false;
     }
     char **parts = g_strsplit(entry->value, " ", 3);
-    bool good =
-        g_strv_length(parts) == 2 &&
-        g_ascii_string_to_unsigned(parts[0], 16, 0, G_MAXUINT64, &number,
-                                   NULL) &&
-        g_ascii_string_to_unsigned(parts[1], 10, 0, G_MAXINT64, &time, NULL);
+    bool valid = g_strv_length(parts) == 2 &&
+                 g_ascii_string_to_unsigned(parts[0], 16, 0, G_MAXUINT64,
+                                            &parsed_fingerprint, NULL) &&
+                 g_ascii_string_to_unsigned(parts[1], 10, 0, G_MAXINT64,
+                                            &parsed_seconds, NULL);
     g_strfreev(parts);
-    *fingerprint = number;
-    *seconds = (int64_t)time;
-    return good;
+    *fingerprint = parsed_fingerprint;
+    *seconds = (int64_t)parsed_seconds;
+    return valid;
 }
 
-/* ---- calls under way ---- */
+/* ---- calls in progress ---- */
 
-/* A call to the service about one record. */
+/* A call to the key-value store about one record. */
 struct record_call {
-    struct ch_crash_keeper *keeper;
+    struct ch_crash_keeper *guard;
     char key[CRASH_RECORD_KEY];
 };
 
-/* Counts a call in.  Lock held. */
+/* Creates a call and counts it as a pending job. Lock held. */
 static struct record_call *
-begin(struct ch_crash_keeper *keeper, const struct ch_digest *digest)
+begin_call(struct ch_crash_keeper *guard, const struct ch_digest *digest)
 {
     struct record_call *call = g_new0(struct record_call, 1);
-    call->keeper = keeper;
-    print_key(digest, call->key);
-    keeper->jobs++;
+    call->guard = guard;
+    format_key(digest, call->key);
+    guard->jobs++;
     return call;
 }
 
-/* Counts a call out, and logs what failed. */
+/* Ends a call; logs a failure. */
 static void
-end(struct record_call *call, const char *what, enum ch_code code)
+end_call(struct record_call *call, const char *call_name, enum ch_code code)
 {
-    struct ch_crash_keeper *keeper = call->keeper;
+    struct ch_crash_keeper *guard = call->guard;
     if (code != CH_OK && code != CH_KV_MISSING && code != CH_KV_CONFLICT) {
-        ch_log(keeper->node->client, CH_LOG_WARNING, "crash-record-failed",
-               CH_F_STR("call", what), CH_F_STR("key", call->key),
+        ch_log(guard->node->client, CH_LOG_WARNING, "crash-record-failed",
+               CH_F_STR("call", call_name), CH_F_STR("key", call->key),
                CH_F_INT("code", code), CH_F_END);
     }
     g_free(call);
-    pthread_mutex_lock(&keeper->lock);
-    keeper->jobs--;
-    pthread_cond_broadcast(&keeper->idle);
-    pthread_mutex_unlock(&keeper->lock);
+    pthread_mutex_lock(&guard->lock);
+    guard->jobs--;
+    pthread_cond_broadcast(&guard->idle);
+    pthread_mutex_unlock(&guard->lock);
 }
 
 /* ---- writing ---- */
 
-/* The record was written, is there already, or is to be tried again. */
+/* Handles the reply to a write. A record that exists already counts as
+ * written; after a failure it stays queued. */
 static void
-written(void *data, const struct ch_kv_answer *answer)
+handle_write(void *data, const struct ch_kv_answer *answer)
 {
     struct record_call *call = data;
-    struct ch_crash_keeper *keeper = call->keeper;
-    pthread_mutex_lock(&keeper->lock);
-    keeper->recording = false;
+    struct ch_crash_keeper *guard = call->guard;
+    pthread_mutex_lock(&guard->lock);
+    guard->recording = false;
     if ((answer->code == CH_OK || answer->code == CH_KV_CONFLICT) &&
-        keeper->unrecorded->len > 0) {
-        g_array_remove_index(keeper->unrecorded, 0);
+        guard->unrecorded->len > 0) {
+        g_array_remove_index(guard->unrecorded, 0);
     }
-    pthread_mutex_unlock(&keeper->lock);
-    end(call, "write", answer->code);
+    pthread_mutex_unlock(&guard->lock);
+    end_call(call, "write", answer->code);
 }
 
-/* Writes the first record that is not in the service yet.  A retry finds the
- * one whose answer was lost. */
+/* Writes the first queued record, unless a write is in flight. When the reply
+ * to a write was lost, the next attempt finds the record. */
 static void
-write_next(struct ch_crash_keeper *keeper)
+write_next_record(struct ch_crash_keeper *guard)
 {
-    struct ch_node *node = keeper->node;
-    char value[MOST_VALUE];
-    pthread_mutex_lock(&keeper->lock);
-    if (keeper->unrecorded->len == 0 || keeper->recording ||
-        keeper->stopping) {
-        pthread_mutex_unlock(&keeper->lock);
+    struct ch_node *node = guard->node;
+    char value[MAX_VALUE_SIZE];
+    pthread_mutex_lock(&guard->lock);
+    if (guard->unrecorded->len == 0 || guard->recording || guard->stopping) {
+        pthread_mutex_unlock(&guard->lock);
         return;
     }
-    const struct ch_crash_view view =
-        g_array_index(keeper->unrecorded, struct ch_crash_view, 0);
-    struct record_call *call = begin(keeper, &view.digest);
-    keeper->recording = true;
-    pthread_mutex_unlock(&keeper->lock);
-    print_value(view.fingerprint, g_get_real_time() / G_USEC_PER_SEC, value);
-    ch_kv_call_put(node, call->key, value, strlen(value), 0, written, call);
+    const struct ch_crash_view assessment =
+        g_array_index(guard->unrecorded, struct ch_crash_view, 0);
+    struct record_call *call = begin_call(guard, &assessment.digest);
+    guard->recording = true;
+    pthread_mutex_unlock(&guard->lock);
+    format_value(assessment.fingerprint, g_get_real_time() / G_USEC_PER_SEC,
+                 value);
+    ch_kv_call_put(node, call->key, value, strlen(value), 0, handle_write,
+                   call);
 }
 
 /* See crash_internal.h. */
 void
-crash_record_note(struct ch_crash_keeper *keeper,
-                  const struct ch_crash_view *view)
+crash_record_note(struct ch_crash_keeper *guard,
+                  const struct ch_crash_view *assessment)
 {
-    if (keeper->node->kv != NULL &&
-        ch_peers_has_role(keeper->node->peers, "crash-records", WRITERS,
+    if (guard->node->kv != NULL &&
+        ch_peers_has_role(guard->node->peers, "crash-records", WRITER_COUNT,
                           NULL)) {
-        g_array_append_val(keeper->unrecorded, *view);
+        g_array_append_val(guard->unrecorded, *assessment);
     }
 }
 
 /* ---- removing ---- */
 
-/* The record went. */
+/* Handles the reply to a removal. */
 static void
-removed(void *data, const struct ch_kv_answer *answer)
+handle_remove(void *data, const struct ch_kv_answer *answer)
 {
-    end(data, "remove", answer->code);
+    end_call(data, "remove", answer->code);
 }
 
-/* The record's number is known: it can be removed. */
+/* Handles the read of a record before its removal, which needs the
+ * revision. */
 static void
-got(void *data, const struct ch_kv_answer *answer)
+handle_get(void *data, const struct ch_kv_answer *answer)
 {
     struct record_call *call = data;
     if (answer->code != CH_OK) {
-        end(call, "read", answer->code);
+        end_call(call, "read", answer->code);
         return;
     }
-    ch_kv_call_remove(call->keeper->node, call->key, answer->revision, removed,
-                      call);
+    ch_kv_call_remove(call->guard->node, call->key, answer->revision,
+                      handle_remove, call);
 }
 
 /* See crash_internal.h. */
 void
-crash_record_remove(struct ch_crash_keeper *keeper,
+crash_record_remove(struct ch_crash_keeper *guard,
                     const struct ch_digest *digest)
 {
-    if (keeper->node->kv == NULL) {
+    if (guard->node->kv == NULL) {
         return;
     }
-    pthread_mutex_lock(&keeper->lock);
-    struct record_call *call = keeper->stopping ? NULL : begin(keeper, digest);
-    pthread_mutex_unlock(&keeper->lock);
+    pthread_mutex_lock(&guard->lock);
+    struct record_call *call =
+        guard->stopping ? NULL : begin_call(guard, digest);
+    pthread_mutex_unlock(&guard->lock);
     if (call != NULL) {
-        ch_kv_call_get(keeper->node, call->key, got, call);
+        ch_kv_call_get(guard->node, call->key, handle_get, call);
     }
 }
 
 /* ---- reading ---- */
 
-/* Takes the records; those that are too old are removed. */
+/* Restores the barred requests of the records; removes records older than
+ * crash_keep_s. */
 static void
-take_records(struct ch_crash_keeper *keeper, const struct ch_kv_entry *entries,
-             size_t count)
+restore_records(struct ch_crash_keeper *guard,
+                const struct ch_kv_entry *entries, size_t count)
 {
-    int64_t keep = keeper->node->settings->crash_keep_s;
-    int64_t time = g_get_real_time() / G_USEC_PER_SEC;
-    int64_t now = ch_client_now(keeper->node->client);
+    int64_t max_age_s = guard->node->settings->crash_keep_s;
+    int64_t wall_seconds = g_get_real_time() / G_USEC_PER_SEC;
+    int64_t now = ch_client_now(guard->node->client);
     for (size_t i = 0; i < count; i++) {
         struct ch_digest digest;
         uint64_t fingerprint = 0;
         int64_t seconds = 0;
-        if (!read_record(&entries[i], &digest, &fingerprint, &seconds)) {
-            ch_log(keeper->node->client, CH_LOG_WARNING, "crash-record-bad",
+        if (!parse_record(&entries[i], &digest, &fingerprint, &seconds)) {
+            ch_log(guard->node->client, CH_LOG_WARNING, "crash-record-bad",
                    CH_F_STR("key", entries[i].key), CH_F_END);
             continue;
         }
-        if (time - seconds > keep) {
-            crash_record_remove(keeper, &digest);
+        if (wall_seconds - seconds > max_age_s) {
+            crash_record_remove(guard, &digest);
             continue;
         }
-        pthread_mutex_lock(&keeper->lock);
-        ch_crash_table_record(keeper->table, &digest, fingerprint, now);
-        crash_keeper_note_active(keeper);
-        pthread_mutex_unlock(&keeper->lock);
+        pthread_mutex_lock(&guard->lock);
+        ch_crash_table_record(guard->table, &digest, fingerprint, now);
+        crash_keeper_note_active(guard);
+        pthread_mutex_unlock(&guard->lock);
     }
 }
 
-/* The records came, or are to be asked for again. */
+/* Handles the list of all records; after a failure they are asked for
+ * again. */
 static void
-listed(void *data, enum ch_code code, const struct ch_kv_entry *entries,
-       size_t count)
+handle_list(void *data, enum ch_code code, const struct ch_kv_entry *entries,
+            size_t count)
 {
     struct record_call *call = data;
-    struct ch_crash_keeper *keeper = call->keeper;
-    bool good = code == CH_OK || code == CH_KV_MISSING;
-    if (good) {
-        take_records(keeper, entries, count);
+    struct ch_crash_keeper *guard = call->guard;
+    bool valid = code == CH_OK || code == CH_KV_MISSING;
+    if (valid) {
+        restore_records(guard, entries, count);
     }
-    pthread_mutex_lock(&keeper->lock);
-    keeper->read = good;
-    keeper->reading = false;
-    pthread_mutex_unlock(&keeper->lock);
-    end(call, "list", code);
+    pthread_mutex_lock(&guard->lock);
+    guard->read = valid;
+    guard->reading = false;
+    pthread_mutex_unlock(&guard->lock);
+    end_call(call, "list", code);
 }
 
 /* See crash_internal.h. */
 void
-crash_record_tick(struct ch_crash_keeper *keeper, int64_t now)
+crash_record_tick(struct ch_crash_keeper *guard, int64_t now)
 {
     static const struct ch_digest none = {{0}};
-    if (keeper->node->kv == NULL) {
+    if (guard->node->kv == NULL) {
         return;
     }
-    pthread_mutex_lock(&keeper->lock);
-    bool reads =
-        !keeper->read && !keeper->reading && !keeper->stopping &&
-        (keeper->read_at == 0 || now - keeper->read_at >= RETRY_PAUSE);
-    struct record_call *call = reads ? begin(keeper, &none) : NULL;
-    if (reads) {
-        keeper->reading = true;
-        keeper->read_at = now;
+    pthread_mutex_lock(&guard->lock);
+    bool should_read =
+        !guard->read && !guard->reading && !guard->stopping &&
+        (guard->read_at == 0 || now - guard->read_at >= READ_RETRY_DELAY_US);
+    struct record_call *call = should_read ? begin_call(guard, &none) : NULL;
+    if (should_read) {
+        guard->reading = true;
+        guard->read_at = now;
     }
-    pthread_mutex_unlock(&keeper->lock);
-    if (reads) {
-        ch_kv_call_list(keeper->node, PREFIX, listed, call);
+    pthread_mutex_unlock(&guard->lock);
+    if (should_read) {
+        ch_kv_call_list(guard->node, KEY_PREFIX, handle_list, call);
     }
-    write_next(keeper);
+    write_next_record(guard);
 }
--- a/libchestnuthitch/node/crash_tell.c
+++ b/libchestnuthitch/node/crash_tell.c
@@ -1,9 +1,9 @@
 /*
- * What nodes tell one another of requests on upstreams that ended.  News goes
- * to all at once, as crashes are rare; each second a node tells a few others
- * the sum of what it knows, and who knows something else asks for all of it.
- * So a node that was cut off, stood still or has just started learns what it
- * missed.
+ * Exchange of crash observations between nodes. Changes are sent to all nodes
+ * at once, as crashes are rare. Each second a node also sends a checksum of
+ * all that it knows to a few others, and a node whose own checksum differs
+ * asks for the full state. So a node that was disconnected, did not run for a
+ * while or has just started learns what it missed.
  */
 
 #include "node/crash_internal.h"
@@ -13,231 +13,235 @@
 #define WIRE(name) CHESTNUTHITCH__WIRE__##name
 
 enum {
-    /* News of so long goes in one message: calls of one upstream are cut
-     * within it. */
-    GATHER = 10 * 1000,
-    SUM_PERIOD = 1000 * 1000,
-    /* Nodes that are told the sum in one round, or asked at the start. */
-    AT_ONCE = 2,
-    /* Pieces in one message, and in one that is taken: about 60 bytes each. */
-    MOST_RUNS = 1024,
-    /* A node whose tick comes so late was not running. */
-    STOOD_STILL = 1500 * 1000,
+    /* Delay in which changes are collected into one message; the calls of one
+     * upstream are interrupted within it. */
+    SEND_DELAY_US = 10 * 1000,
+    CHECKSUM_PERIOD_US = 1000 * 1000,
+    /* Nodes that are sent the checksum in one period, or asked for the full
+     * state at the start. */
+    NODES_PER_PERIOD = 2,
+    /* Upper bound of observations in a message, sent or received; about 60
+     * bytes each. */
+    MAX_OBSERVATIONS = 1024,
+    /* A node whose periodic work is this late was not running, and asks for
+     * the full state. */
+    MAX_TICK_DELAY_US = 1500 * 1000,
 };
 
 /* ---- messages ---- */
 
-/* A message as it is built: the strings are not owned. */
+/* A message that is being built. It does not own the strings. */
 struct message {
     Chestnuthitch__Wire__Crashes crashes;
-    GPtrArray *runs;     /* CrashRun */
-    GArray *sound;       /* ProtobufCBinaryData */
-    GPtrArray *released; /* CrashRelease */
+    GPtrArray *observations; /* CrashRun */
+    GArray *harmless;        /* ProtobufCBinaryData */
+    GPtrArray *releases;     /* CrashRelease */
     int64_t now;
 };
 
-/* An empty message. */
 static void
 message_init(struct message *message, int64_t now)
 {
     chestnuthitch__wire__crashes__init(&message->crashes);
-    message->runs = g_ptr_array_new_with_free_func(g_free);
-    message->sound = g_array_new(FALSE, FALSE, sizeof(ProtobufCBinaryData));
-    message->released = g_ptr_array_new_with_free_func(g_free);
+    message->observations = g_ptr_array_new_with_free_func(g_free);
+    message->harmless = g_array_new(FALSE, FALSE, sizeof(ProtobufCBinaryData));
+    message->releases = g_ptr_array_new_with_free_func(g_free);
     message->now = now;
 }
 
-/* Frees what it holds. */
+/* Frees what the message owns. */
 static void
 message_clear(struct message *message)
 {
-    g_ptr_array_free(message->runs, TRUE);
-    g_array_free(message->sound, TRUE);
-    g_ptr_array_free(message->released, TRUE);
+    g_ptr_array_free(message->observations, TRUE);
+    g_array_free(message->harmless, TRUE);
+    g_ptr_array_free(message->releases, TRUE);
 }
 
-/* A digest as the protocol has it; the bytes are not copied. */
+/* A digest in the type of the protocol; its bytes are not copied. */
 static ProtobufCBinaryData
 wire_digest(const struct ch_digest *digest)
 {
     return (ProtobufCBinaryData){CH_DIGEST_BYTES, (uint8_t *)digest->bytes};
 }
 
-/* Milliseconds since a time. */
 static uint32_t
 age_ms(const struct message *message, int64_t at)
 {
     return (uint32_t)CLAMP((message->now - at) / 1000, 0, UINT32_MAX);
 }
 
-/* Adds a piece of evidence, which outlives the message. */
+/* Adds an observation, which must outlive the message. */
 static void
-message_add_run(struct message *message, const struct ch_crash_run *run)
+message_add_observation(struct message *message,
+                        const struct ch_crash_run *observation)
 {
-    if (message->runs->len >= MOST_RUNS) {
+    if (message->observations->len >= MAX_OBSERVATIONS) {
         return;
     }
     Chestnuthitch__Wire__CrashRun *row =
         g_new(Chestnuthitch__Wire__CrashRun, 1);
     chestnuthitch__wire__crash_run__init(row);
-    row->digest = wire_digest(&run->digest);
-    row->fingerprint = run->fingerprint;
-    row->upstream = (char *)g_quark_to_string(run->upstream);
-    row->boot = run->boot;
-    row->age_ms = age_ms(message, run->at);
-    row->fresh = run->fresh;
-    g_ptr_array_add(message->runs, row);
+    row->digest = wire_digest(&observation->digest);
+    row->fingerprint = observation->fingerprint;
+    row->upstream = (char *)g_quark_to_string(observation->upstream);
+    row->boot = observation->boot;
+    row->age_ms = age_ms(message, observation->at);
+    row->fresh = observation->fresh;
+    g_ptr_array_add(message->observations, row);
 }
 
-/* Adds a request that was answered. */
+/* Adds the digest of a harmless request, which must outlive the message. */
 static void
-message_add_sound(struct message *message, const struct ch_digest *digest)
+message_add_harmless(struct message *message, const struct ch_digest *digest)
 {
     const ProtobufCBinaryData bytes = wire_digest(digest);
-    g_array_append_val(message->sound, bytes);
+    g_array_append_val(message->harmless, bytes);
 }
 
-/* Adds a request that was released. */
+/* Adds the digest of a released request, which must outlive the message. */
 static void
-message_add_released(struct message *message, const struct ch_digest *digest,
-                     int64_t at)
+message_add_release(struct message *message, const struct ch_digest *digest,
+                    int64_t at)
 {
     Chestnuthitch__Wire__CrashRelease *row =
         g_new(Chestnuthitch__Wire__CrashRelease, 1);
     chestnuthitch__wire__crash_release__init(row);
     row->digest = wire_digest(digest);
     row->age_ms = age_ms(message, at);
-    g_ptr_array_add(message->released, row);
+    g_ptr_array_add(message->releases, row);
 }
 
-/* Sends a message to the nodes named. */
 static void
-message_send(struct ch_crash_keeper *keeper, struct message *message,
+message_send(struct ch_crash_keeper *guard, struct message *message,
              char **names, size_t count)
 {
-    message->crashes.n_runs = message->runs->len;
+    message->crashes.n_runs = message->observations->len;
     message->crashes.runs =
-        (Chestnuthitch__Wire__CrashRun **)message->runs->pdata;
-    message->crashes.n_sound = message->sound->len;
+        (Chestnuthitch__Wire__CrashRun **)message->observations->pdata;
+    message->crashes.n_sound = message->harmless->len;
     message->crashes.sound =
-        (ProtobufCBinaryData *)(void *)message->sound->data;
-    message->crashes.n_released = message->released->len;
+        (ProtobufCBinaryData *)(void *)message->harmless->data;
+    message->crashes.n_released = message->releases->len;
     message->crashes.released =
-        (Chestnuthitch__Wire__CrashRelease **)message->released->pdata;
+        (Chestnuthitch__Wire__CrashRelease **)message->releases->pdata;
     for (size_t i = 0; i < count; i++) {
         Chestnuthitch__Wire__Frame frame = WIRE(FRAME__INIT);
         frame.body_case = WIRE(FRAME__BODY_CRASHES);
         frame.crashes = &message->crashes;
-        ch_peers_send(keeper->node->peers, names[i], &frame);
+        ch_peers_send(guard->node->peers, names[i], &frame);
     }
 }
 
-/* The live nodes but this one; g_ptr_array_free. */
+/* The names of the other live nodes; free with g_ptr_array_free. */
 static GPtrArray *
-other_nodes(struct ch_crash_keeper *keeper)
+list_other_nodes(struct ch_crash_keeper *guard)
 {
-    GPtrArray *near = g_ptr_array_new_with_free_func(g_free);
-    GPtrArray *far = g_ptr_array_new();
-    ch_peers_others(keeper->node->peers, near, far);
-    g_ptr_array_extend_and_steal(near, far);
-    return near;
+    GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
+    GPtrArray *remote_names = g_ptr_array_new();
+    ch_peers_others(guard->node->peers, names, remote_names);
+    g_ptr_array_extend_and_steal(names, remote_names);
+    return names;
 }
 
-/* ---- news ---- */
+/* ---- unsent changes ---- */
 
-/* Takes the news out of the keeper.  Lock held. */
+/* Takes an array and leaves an empty one in its place. Lock held. */
 static GArray *
-steal(GArray **news, size_t size)
+steal_array(GArray **array, size_t size)
 {
-    GArray *taken = *news;
-    *news = g_array_new(FALSE, FALSE, (guint)size);
+    GArray *taken = *array;
+    *array = g_array_new(FALSE, FALSE, (guint)size);
     return taken;
 }
 
-/* Tells all other nodes what is new, on the pool. */
+/* Sends the unsent changes to all other nodes; runs on the pool. */
 static void
-tell_news(void *data)
+send_changes(void *data)
 {
-    struct ch_crash_keeper *keeper = data;
+    struct ch_crash_keeper *guard = data;
     struct message message;
-    message_init(&message, ch_client_now(keeper->node->client));
-    pthread_mutex_lock(&keeper->lock);
-    GArray *runs = steal(&keeper->runs, sizeof(struct ch_crash_run));
-    GArray *sound = steal(&keeper->sound, sizeof(struct ch_digest));
-    GArray *released = steal(&keeper->released, sizeof(struct ch_digest));
-    keeper->telling = false;
-    pthread_mutex_unlock(&keeper->lock);
-    for (guint i = 0; i < runs->len; i++) {
-        message_add_run(&message,
-                        &g_array_index(runs, struct ch_crash_run, i));
+    message_init(&message, ch_client_now(guard->node->client));
+    pthread_mutex_lock(&guard->lock);
+    GArray *observations =
+        steal_array(&guard->runs, sizeof(struct ch_crash_run));
+    GArray *harmless = steal_array(&guard->sound, sizeof(struct ch_digest));
+    GArray *released = steal_array(&guard->released, sizeof(struct ch_digest));
+    guard->telling = false;
+    pthread_mutex_unlock(&guard->lock);
+    for (guint i = 0; i < observations->len; i++) {
+        message_add_observation(
+            &message, &g_array_index(observations, struct ch_crash_run, i));
     }
-    for (guint i = 0; i < sound->len; i++) {
-        message_add_sound(&message,
-                          &g_array_index(sound, struct ch_digest, i));
+    for (guint i = 0; i < harmless->len; i++) {
+        message_add_harmless(&message,
+                             &g_array_index(harmless, struct ch_digest, i));
     }
     for (guint i = 0; i < released->len; i++) {
-        message_add_released(&message,
-                             &g_array_index(released, struct ch_digest, i),
-                             message.now);
+        message_add_release(&message,
+                            &g_array_index(released, struct ch_digest, i),
+                            message.now);
     }
-    GPtrArray *others = other_nodes(keeper);
-    message_send(keeper, &message, (char **)others->pdata, others->len);
+    GPtrArray *others = list_other_nodes(guard);
+    message_send(guard, &message, (char **)others->pdata, others->len);
     g_ptr_array_free(others, TRUE);
     message_clear(&message);
-    g_array_free(runs, TRUE);
-    g_array_free(sound, TRUE);
+    g_array_free(observations, TRUE);
+    g_array_free(harmless, TRUE);
     g_array_free(released, TRUE);
-    pthread_mutex_lock(&keeper->lock);
-    keeper->jobs--;
-    pthread_cond_broadcast(&keeper->idle);
-    pthread_mutex_unlock(&keeper->lock);
+    pthread_mutex_lock(&guard->lock);
+    guard->jobs--;
+    pthread_cond_broadcast(&guard->idle);
+    pthread_mutex_unlock(&guard->lock);
 }
 
 /* See crash_internal.h. */
 void
-crash_tell_soon(struct ch_crash_keeper *keeper)
+crash_tell_soon(struct ch_crash_keeper *guard)
 {
-    if (!keeper->telling && !keeper->stopping) {
-        keeper->telling = true;
-        keeper->jobs++;
-        ch_timers_after(keeper->node->timers, GATHER, tell_news, keeper);
+    if (!guard->telling && !guard->stopping) {
+        guard->telling = true;
+        guard->jobs++;
+        ch_timers_after(guard->node->timers, SEND_DELAY_US, send_changes,
+                        guard);
     }
 }
 
-/* ---- the sum, and all that is known ---- */
+/* ---- the checksum and the full state ---- */
 
-/* Asks a node for all that it knows. */
+/* Requests the full state of a node. */
 static void
-pull(struct ch_crash_keeper *keeper, const char *from)
+request_full_state(struct ch_crash_keeper *guard, const char *from)
 {
     Chestnuthitch__Wire__CrashesPull body = WIRE(CRASHES_PULL__INIT);
     Chestnuthitch__Wire__Frame frame = WIRE(FRAME__INIT);
     frame.body_case = WIRE(FRAME__BODY_CRASHES_PULL);
     frame.crashes_pull = &body;
-    ch_peers_send(keeper->node->peers, from, &frame);
+    ch_peers_send(guard->node->peers, from, &frame);
 }
 
-/* Tells a few nodes in turn the sum, or asks them for what they know.  A node
- * that is alone has nobody to ask. */
+/* Sends the checksum to the next few nodes, or requests their full state. A
+ * node that is alone has no state to wait for. */
 static void
-tell_few(struct ch_crash_keeper *keeper, uint64_t sum, bool pulls, int64_t now)
+contact_few_nodes(struct ch_crash_keeper *guard, uint64_t checksum,
+                  bool should_request, int64_t now)
 {
-    GPtrArray *others = other_nodes(keeper);
+    GPtrArray *others = list_other_nodes(guard);
     struct message message;
-    if (others->len == 0 && ch_peers_listed(keeper->node->peers)) {
-        pthread_mutex_lock(&keeper->lock);
-        keeper->heard = true;
-        pthread_mutex_unlock(&keeper->lock);
+    if (others->len == 0 && ch_peers_listed(guard->node->peers)) {
+        pthread_mutex_lock(&guard->lock);
+        guard->heard = true;
+        pthread_mutex_unlock(&guard->lock);
     }
     message_init(&message, now);
-    message.crashes.sum = sum;
-    for (guint i = 0; i < MIN(others->len, AT_ONCE); i++) {
-        char *name = g_ptr_array_index(others, (keeper->turn++) % others->len);
-        if (pulls) {
-            pull(keeper, name);
+    message.crashes.sum = checksum;
+    for (guint i = 0; i < MIN(others->len, NODES_PER_PERIOD); i++) {
+        char *name = g_ptr_array_index(others, (guard->turn++) % others->len);
+        if (should_request) {
+            request_full_state(guard, name);
         }
         else {
-            message_send(keeper, &message, &name, 1);
+            message_send(guard, &message, &name, 1);
         }
     }
     message_clear(&message);
@@ -246,86 +250,88 @@
 
 /* See crash_internal.h. */
 void
-crash_tell_tick(struct ch_crash_keeper *keeper, int64_t now)
+crash_tell_tick(struct ch_crash_keeper *guard, int64_t now)
 {
-    pthread_mutex_lock(&keeper->lock);
-    bool pulls = !keeper->heard || now - keeper->ticked > STOOD_STILL;
-    bool due = now - keeper->pulled >= SUM_PERIOD &&
-               !ch_crash_table_is_empty(keeper->table);
-    uint64_t sum = due ? ch_crash_table_sum(keeper->table) : 0;
-    keeper->ticked = now;
-    if (due) {
-        keeper->pulled = now;
+    pthread_mutex_lock(&guard->lock);
+    bool should_request =
+        !guard->heard || now - guard->ticked > MAX_TICK_DELAY_US;
+    bool is_due = now - guard->pulled >= CHECKSUM_PERIOD_US &&
+                  !ch_crash_table_is_empty(guard->table);
+    uint64_t checksum = is_due ? ch_crash_table_sum(guard->table) : 0;
+    guard->ticked = now;
+    if (is_due) {
+        guard->pulled = now;
     }
-    pthread_mutex_unlock(&keeper->lock);
-    if (pulls || due) {
-        tell_few(keeper, sum, pulls, now);
+    pthread_mutex_unlock(&guard->lock);
+    if (should_request || is_due) {
+        contact_few_nodes(guard, checksum, should_request, now);
     }
 }
 
-/* A copy of what the table holds, to be told without the lock. */
-struct whole {
-    GArray *runs;  /* struct ch_crash_run */
-    GArray *views; /* struct ch_crash_view */
+/* A copy of the table's contents, to be sent without the lock. */
+struct full_state {
+    GArray *observations; /* struct ch_crash_observation */
+    GArray *assessments;  /* struct ch_crash_assessment */
 };
 
-/* Copies a piece of evidence. */
 static void
-copy_run(void *data, const struct ch_crash_run *run)
+copy_observation(void *data, const struct ch_crash_run *observation)
 {
-    g_array_append_val(((struct whole *)data)->runs, *run);
+    g_array_append_val(((struct full_state *)data)->observations,
+                       *observation);
 }
 
-/* Copies what follows for one request. */
 static void
-copy_view(void *data, const struct ch_crash_view *view)
+copy_assessment(void *data, const struct ch_crash_view *assessment)
 {
-    g_array_append_val(((struct whole *)data)->views, *view);
+    g_array_append_val(((struct full_state *)data)->assessments, *assessment);
 }
 
-/* Tells a node all that this one knows, on the pool. */
+/* Handles a request for the full state; runs on the pool. */
 static void
 handle_pull(void *data, const Chestnuthitch__Wire__Frame *frame)
 {
-    struct ch_crash_keeper *keeper = data;
-    struct whole whole = {
+    struct ch_crash_keeper *guard = data;
+    struct full_state state = {
         g_array_new(FALSE, FALSE, sizeof(struct ch_crash_run)),
         g_array_new(FALSE, FALSE, sizeof(struct ch_crash_view)),
     };
     struct message message;
-    message_init(&message, ch_client_now(keeper->node->client));
+    message_init(&message, ch_client_now(guard->node->client));
     message.crashes.whole = true;
-    pthread_mutex_lock(&keeper->lock);
-    ch_crash_table_each_run(keeper->table, copy_run, &whole);
-    ch_crash_table_each(keeper->table, copy_view, &whole);
-    for (guint i = 0; i < whole.views->len; i++) {
-        const struct ch_crash_view *view =
-            &g_array_index(whole.views, struct ch_crash_view, i);
-        int64_t at = 0;
-        if (view->state == CH_CRASH_SOUND) {
-            message_add_sound(&message, &view->digest);
+    pthread_mutex_lock(&guard->lock);
+    ch_crash_table_each_run(guard->table, copy_observation, &state);
+    ch_crash_table_each(guard->table, copy_assessment, &state);
+    for (guint i = 0; i < state.assessments->len; i++) {
+        const struct ch_crash_view *assessment =
+            &g_array_index(state.assessments, struct ch_crash_view, i);
+        int64_t released_at = 0;
+        if (assessment->state == CH_CRASH_SOUND) {
+            message_add_harmless(&message, &assessment->digest);
         }
-        if (ch_crash_table_released(keeper->table, &view->digest, &at)) {
-            message_add_released(&message, &view->digest, at);
+        if (ch_crash_table_released(guard->table, &assessment->digest,
+                                    &released_at)) {
+            message_add_release(&message, &assessment->digest, released_at);
         }
     }
-    pthread_mutex_unlock(&keeper->lock);
-    for (guint i = 0; i < whole.runs->len; i++) {
-        message_add_run(&message,
-                        &g_array_index(whole.runs, struct ch_crash_run, i));
+    pthread_mutex_unlock(&guard->lock);
+    for (guint i = 0; i < state.observations->len; i++) {
+        message_add_observation(
+            &message,
+            &g_array_index(state.observations, struct ch_crash_run, i));
     }
     char *name = frame->from;
-    message_send(keeper, &message, &name, 1);
+    message_send(guard, &message, &name, 1);
     message_clear(&message);
-    g_array_free(whole.runs, TRUE);
-    g_array_free(whole.views, TRUE);
+    g_array_free(state.observations, TRUE);
+    g_array_free(state.assessments, TRUE);
 }
 
-/* ---- taking ---- */
+/* ---- receiving ---- */
 
-/* Reads a digest; false for bytes that are none. */
+/* Parses a digest; false for bytes of another length. */
 static bool
-read_digest(const ProtobufCBinaryData *bytes, struct ch_digest *digest)
+parse_digest(const ProtobufCBinaryData *bytes, struct ch_digest *digest)
 {
     if (bytes->len != CH_DIGEST_BYTES) {
         return false;
@@ -334,81 +340,84 @@
     return true;
 }
 
-/* Takes a piece of evidence, and this node's own calls that were cut by the
- * same end.  Lock held. */
+/* Adds an observation of another node, and those of this node's own calls that
+ * were interrupted by the same crash. Lock held. */
 static void
-take_run(struct ch_crash_keeper *keeper,
-         const Chestnuthitch__Wire__CrashRun *row, const char *from,
-         int64_t now)
+add_remote_observation(struct ch_crash_keeper *guard,
+                       const Chestnuthitch__Wire__CrashRun *row,
+                       const char *from, int64_t now)
 {
-    struct ch_crash_run run = {
+    struct ch_crash_run observation = {
         .fingerprint = row->fingerprint,
         .boot = row->boot,
         .at = now - (int64_t)row->age_ms * 1000,
         .fresh = row->fresh,
     };
-    if (!read_digest(&row->digest, &run.digest) || row->upstream[0] == '\0') {
+    if (!parse_digest(&row->digest, &observation.digest) ||
+        row->upstream[0] == '\0') {
         return;
     }
-    run.upstream = g_quark_from_string(row->upstream);
-    (void)crash_keeper_take(keeper, &run, from);
-    GArray *ended = g_array_new(FALSE, FALSE, sizeof(struct ch_crash_run));
-    ch_crash_cuts_ended(keeper->cuts, run.upstream, run.boot, ended);
-    crash_keeper_take_ended(keeper, ended);
+    observation.upstream = g_quark_from_string(row->upstream);
+    (void)crash_keeper_take(guard, &observation, from);
+    GArray *own_observations =
+        g_array_new(FALSE, FALSE, sizeof(struct ch_crash_run));
+    ch_crash_cuts_ended(guard->cuts, observation.upstream, observation.boot,
+                        own_observations);
+    crash_keeper_take_ended(guard, own_observations);
 }
 
-/* Takes what a message says, in the table's order: evidence first.  Lock
- * held. */
+/* Adds the contents of a message in the order that the table needs:
+ * observations first. Lock held. */
 static void
-take_message(struct ch_crash_keeper *keeper,
-             const Chestnuthitch__Wire__Frame *frame, int64_t now)
+apply_message(struct ch_crash_keeper *guard,
+              const Chestnuthitch__Wire__Frame *frame, int64_t now)
 {
     const Chestnuthitch__Wire__Crashes *crashes = frame->crashes;
     struct ch_digest digest;
-    for (size_t i = 0; i < MIN(crashes->n_runs, MOST_RUNS); i++) {
-        take_run(keeper, crashes->runs[i], frame->from, now);
+    for (size_t i = 0; i < MIN(crashes->n_runs, MAX_OBSERVATIONS); i++) {
+        add_remote_observation(guard, crashes->runs[i], frame->from, now);
     }
     for (size_t i = 0; i < crashes->n_sound; i++) {
-        if (read_digest(&crashes->sound[i], &digest)) {
-            (void)ch_crash_table_sound(keeper->table, &digest);
-            crash_keeper_forget_barred(keeper, &digest);
+        if (parse_digest(&crashes->sound[i], &digest)) {
+            (void)ch_crash_table_sound(guard->table, &digest);
+            crash_keeper_forget_barred(guard, &digest);
         }
     }
     for (size_t i = 0; i < crashes->n_released; i++) {
         const Chestnuthitch__Wire__CrashRelease *row = crashes->released[i];
-        if (read_digest(&row->digest, &digest)) {
-            (void)ch_crash_table_release(keeper->table, &digest,
+        if (parse_digest(&row->digest, &digest)) {
+            (void)ch_crash_table_release(guard->table, &digest,
                                          now - (int64_t)row->age_ms * 1000);
-            crash_keeper_forget_barred(keeper, &digest);
+            crash_keeper_forget_barred(guard, &digest);
         }
     }
 }
 
-/* What another node tells, on the pool. */
+/* Handles a message about crashes; runs on the pool. */
 static void
 handle_crashes(void *data, const Chestnuthitch__Wire__Frame *frame)
 {
-    struct ch_crash_keeper *keeper = data;
+    struct ch_crash_keeper *guard = data;
     const Chestnuthitch__Wire__Crashes *crashes = frame->crashes;
-    int64_t now = ch_client_now(keeper->node->client);
-    pthread_mutex_lock(&keeper->lock);
-    take_message(keeper, frame, now);
-    keeper->heard = keeper->heard || crashes->whole;
+    int64_t now = ch_client_now(guard->node->client);
+    pthread_mutex_lock(&guard->lock);
+    apply_message(guard, frame, now);
+    guard->heard = guard->heard || crashes->whole;
     bool differs =
-        crashes->sum != 0 && crashes->sum != ch_crash_table_sum(keeper->table);
-    crash_keeper_note_active(keeper);
-    pthread_mutex_unlock(&keeper->lock);
+        crashes->sum != 0 && crashes->sum != ch_crash_table_sum(guard->table);
+    crash_keeper_note_active(guard);
+    pthread_mutex_unlock(&guard->lock);
     if (differs) {
-        pull(keeper, frame->from);
+        request_full_state(guard, frame->from);
     }
 }
 
 /* See crash_internal.h. */
 void
-crash_tell_init(struct ch_crash_keeper *keeper)
+crash_tell_init(struct ch_crash_keeper *guard)
 {
-    ch_peers_handle(keeper->node->peers, WIRE(FRAME__BODY_CRASHES),
-                    handle_crashes, keeper);
-    ch_peers_handle(keeper->node->peers, WIRE(FRAME__BODY_CRASHES_PULL),
-                    handle_pull, keeper);
+    ch_peers_handle(guard->node->peers, WIRE(FRAME__BODY_CRASHES),
+                    handle_crashes, guard);
+    ch_peers_handle(guard->node->peers, WIRE(FRAME__BODY_CRASHES_PULL),
+                    handle_pull, guard);
 }
