--- a/tests/threaded/fake_crashes.h
+++ b/tests/threaded/fake_crashes.h
@@ -1,109 +1,104 @@
 #ifndef FAKE_CRASHES_H
 #define FAKE_CRASHES_H
 
-/* A keeper of crashes for tests without other nodes: it bars as it is told,
- * and counts what it is told. */
+/* A crash guard for tests of a single node. It bars requests from a given
+ * check on, and counts what it is told. */
 
 #include "node/crash_keeper.h"
 
 struct ch_crash_keeper {
-    int allowed; /* so many questions are answered with no; atomic */
-    int asked;   /* atomic, like the rest */
+    int allowed; /* checks that find a request not barred; atomic */
+    int asked;   /* checks made; atomic, like the rest */
     int cuts;
     int fresh_cuts;
     int refused;
     int whole;
-    uint64_t boot; /* of the last cut */
+    uint64_t boot; /* of the latest interrupted call */
 };
 
-/* Fake: bars from the question on that is stated. */
+/* Bars every request after the allowed checks. */
 bool
-ch_crash_keeper_bars(struct ch_crash_keeper *keeper,
+ch_crash_keeper_bars(struct ch_crash_keeper *guard,
                      const struct ch_request *request)
 {
     (void)request;
-    return keeper != NULL &&
-           g_atomic_int_add(&keeper->asked, 1) >= keeper->allowed;
+    return guard != NULL &&
+           g_atomic_int_add(&guard->asked, 1) >= guard->allowed;
 }
 
-/* Fake: counts. */
 void
-ch_crash_keeper_cut(struct ch_crash_keeper *keeper,
+ch_crash_keeper_cut(struct ch_crash_keeper *guard,
                     const struct ch_request *request,
-                    const struct ch_grant *grant, bool fresh)
+                    const struct ch_grant *grant, bool before_response)
 {
     (void)request;
-    if (keeper != NULL) {
-        keeper->boot = grant->boot;
-        g_atomic_int_add(&keeper->fresh_cuts, fresh);
-        g_atomic_int_inc(&keeper->cuts);
+    if (guard != NULL) {
+        guard->boot = grant->boot;
+        g_atomic_int_add(&guard->fresh_cuts, before_response);
+        g_atomic_int_inc(&guard->cuts);
     }
 }
 
-/* Fake: counts. */
 void
-ch_crash_keeper_refused(struct ch_crash_keeper *keeper, GQuark upstream)
+ch_crash_keeper_refused(struct ch_crash_keeper *guard, GQuark upstream)
 {
     (void)upstream;
-    if (keeper != NULL) {
-        g_atomic_int_inc(&keeper->refused);
+    if (guard != NULL) {
+        g_atomic_int_inc(&guard->refused);
     }
 }
 
-/* Fake: nothing. */
 void
-ch_crash_keeper_answered(struct ch_crash_keeper *keeper, GQuark upstream,
-                         int64_t sent)
+ch_crash_keeper_answered(struct ch_crash_keeper *guard, GQuark upstream,
+                         int64_t sent_at)
 {
-    (void)keeper;
+    (void)guard;
     (void)upstream;
-    (void)sent;
+    (void)sent_at;
 }
 
-/* Fake: counts. */
 void
-ch_crash_keeper_whole(struct ch_crash_keeper *keeper,
+ch_crash_keeper_whole(struct ch_crash_keeper *guard,
                       const struct ch_request *request)
 {
     (void)request;
-    if (keeper != NULL) {
-        g_atomic_int_inc(&keeper->whole);
+    if (guard != NULL) {
+        g_atomic_int_inc(&guard->whole);
     }
 }
 
-/* Fake: nothing. */
 void
-ch_crash_keeper_listed(struct ch_crash_keeper *keeper,
-                       const struct ch_crash_listed *listed, size_t count)
+ch_crash_keeper_listed(struct ch_crash_keeper *guard,
+                       const struct ch_crash_listed *upstreams, size_t count)
 {
-    (void)keeper;
-    (void)listed;
+    (void)guard;
+    (void)upstreams;
     (void)count;
 }
 
-/* Fake: at once. */
+/* Ready at once. */
 bool
-ch_crash_keeper_known(struct ch_crash_keeper *keeper)
+ch_crash_keeper_known(struct ch_crash_keeper *guard)
 {
-    (void)keeper;
+    (void)guard;
     return true;
 }
 
-/* Fake: what it was told of is one request, whose digest is all zeros. */
+/* Knows one request, with a digest of zeros. */
 bool
-ch_crash_keeper_release(struct ch_crash_keeper *keeper,
+ch_crash_keeper_release(struct ch_crash_keeper *guard,
                         const struct ch_digest *digest)
 {
     static const struct ch_digest known = {{0}};
-    (void)keeper;
+    (void)guard;
     return ch_digest_equal(digest, &known);
 }
 
-/* Fake: an empty list. */
+/* Writes an empty list. */
 void
-ch_crash_keeper_status(struct ch_crash_keeper *keeper, JsonBuilder *builder)
+ch_crash_keeper_status(struct ch_crash_keeper *guard, JsonBuilder *builder)
 {
-    (void)keeper;
+    (void)guard;
     json_builder_set_member_name(builder, "crash_suspects");
     json_builder_begin_array(builder);
     json_builder_end_array(builder);
--- a/tests/threaded/test_keepers.c
+++ b/tests/threaded/test_keepers.c
@@ -1,17 +1,18 @@
-/* The keepers on their threads, with a service and an engine that are fakes at
- * the interfaces: answers are lost, the service is away. */
+/* At-most-once records and ledgers on real threads, with a fake key-value
+ * store and a fake engine: replies are lost, and the key-value store is
+ * unavailable. */
 
 #include "node/node.h"
 
 #include <pthread.h>
 #include <string.h>
 
-/* ---- a key-value service in memory ---- */
+/* ---- a key-value store in memory ---- */
 
 enum fault {
     FAULT_NONE,
-    FAULT_AWAY,
-    FAULT_LOSE, /* every third write is done and not answered */
+    FAULT_UNAVAILABLE,
+    FAULT_LOSE_REPLIES, /* every third write is executed without a reply */
 };
 
 struct fake_kv {
@@ -47,7 +48,7 @@
     struct fake_kv *fake = (struct fake_kv *)kv;
     struct ch_kv_answer answer = {.code = CH_KV_UNREACHABLE};
     pthread_mutex_lock(&fake->lock);
-    if (fake->fault != FAULT_AWAY) {
+    if (fake->fault != FAULT_UNAVAILABLE) {
         const struct ch_kv_entry *entry = g_tree_lookup(fake->values, key);
         answer.code = entry == NULL ? CH_KV_MISSING : CH_OK;
         if (entry != NULL) {
@@ -55,7 +56,8 @@
             answer.length = entry->length;
             answer.revision = entry->revision;
         }
-        /* The callee copies at once: it may, with the lock held here. */
+        /* done() copies the value at once, so it may run with the lock
+         * held. */
         done(data, &answer);
         pthread_mutex_unlock(&fake->lock);
         return;
@@ -64,10 +66,10 @@
     done(data, &answer);
 }
 
-/* Writes, if the condition holds.  Lock held. */
+/* Writes if the key is at the revision. Lock held. */
 static enum ch_code
-swap(struct fake_kv *fake, const char *key, const void *value, size_t length,
-     uint64_t revision)
+compare_and_swap(struct fake_kv *fake, const char *key, const void *value,
+                 size_t length, uint64_t revision)
 {
     const struct ch_kv_entry *entry = g_tree_lookup(fake->values, key);
     if ((entry == NULL ? 0 : entry->revision) != revision) {
@@ -92,10 +94,10 @@
     struct fake_kv *fake = (struct fake_kv *)kv;
     struct ch_kv_answer answer = {.code = CH_KV_UNREACHABLE};
     pthread_mutex_lock(&fake->lock);
-    if (fake->fault != FAULT_AWAY) {
-        answer.code = swap(fake, key, value, length, revision);
+    if (fake->fault != FAULT_UNAVAILABLE) {
+        answer.code = compare_and_swap(fake, key, value, length, revision);
         answer.revision = fake->revision;
-        if (fake->fault == FAULT_LOSE && ++fake->writes % 3 == 0) {
+        if (fake->fault == FAULT_LOSE_REPLIES && ++fake->writes % 3 == 0) {
             answer = (struct ch_kv_answer){.code = CH_KV_AMBIGUOUS};
         }
     }
@@ -109,7 +111,7 @@
 };
 
 static gboolean
-list_one(void *key, void *value, void *data)
+append_listed(void *key, void *value, void *data)
 {
     struct listing *listing = data;
     if (g_str_has_prefix(key, listing->prefix)) {
@@ -128,11 +130,11 @@
     struct listing listing = {
         prefix, g_array_new(FALSE, FALSE, sizeof(struct ch_kv_entry))};
     pthread_mutex_lock(&fake->lock);
-    bool away = fake->fault == FAULT_AWAY;
-    g_tree_foreach(fake->values, list_one, &listing);
-    done(data, away ? CH_KV_UNREACHABLE : CH_OK,
+    bool unavailable = fake->fault == FAULT_UNAVAILABLE;
+    g_tree_foreach(fake->values, append_listed, &listing);
+    done(data, unavailable ? CH_KV_UNREACHABLE : CH_OK,
          (const struct ch_kv_entry *)(void *)listing.entries->data,
-         away ? 0 : listing.entries->len);
+         unavailable ? 0 : listing.entries->len);
     pthread_mutex_unlock(&fake->lock);
     g_array_free(listing.entries, TRUE);
 }
@@ -152,7 +154,7 @@
 }
 
 static void
-fake_fault(struct fake_kv *fake, enum fault fault)
+fake_set_fault(struct fake_kv *fake, enum fault fault)
 {
     pthread_mutex_lock(&fake->lock);
     fake->fault = fault;
@@ -166,9 +168,9 @@
     pthread_mutex_destroy(&fake->lock);
 }
 
-/* ---- a node with no more than the keepers need ---- */
+/* ---- a node with only what the keepers need ---- */
 
-struct end {
+struct test_node {
     struct ch_client client;
     struct ch_settings settings;
     struct ch_node node;
@@ -183,170 +185,171 @@
 }
 
 static void
-end_init(struct end *end, const char *name, struct fake_kv *fake)
+test_node_init(struct test_node *node, const char *name, struct fake_kv *fake)
 {
     struct ch_error error = {0};
-    *end = (struct end){0};
-    ch_client_init(&end->client, name);
-    end->client.log_write = no_log;
-    end->client.metrics = ch_metrics_new();
-    end->settings.name = (char *)name;
-    end->settings.region = (char *)"r1";
-    end->settings.data_centre = (char *)"a";
-    end->settings.peers = (char *)"127.0.0.1:0";
-    end->settings.peer_silent_ms = 600;
-    end->settings.idle_connection_ms = 60000;
-    end->settings.once_slots = 4;
-    end->settings.once_gather_ms = 1;
-    end->settings.once_keep_s = 3600;
-    end->node.client = &end->client;
-    end->node.settings = &end->settings;
-    end->node.incarnation = 1;
-    end->node.kv = &fake->kv;
-    end->node.pool = ch_pool_new(4);
-    end->node.timers = ch_timers_new(end->node.pool);
-    end->node.peers = ch_peers_new(&end->node, &error);
-    g_assert_nonnull(end->node.peers);
+    *node = (struct test_node){0};
+    ch_client_init(&node->client, name);
+    node->client.log_write = no_log;
+    node->client.metrics = ch_metrics_new();
+    node->settings.name = (char *)name;
+    node->settings.region = (char *)"r1";
+    node->settings.data_centre = (char *)"a";
+    node->settings.peers = (char *)"127.0.0.1:0";
+    node->settings.peer_silent_ms = 600;
+    node->settings.idle_connection_ms = 60000;
+    node->settings.once_slots = 4;
+    node->settings.once_gather_ms = 1;
+    node->settings.once_keep_s = 3600;
+    node->node.client = &node->client;
+    node->node.settings = &node->settings;
+    node->node.incarnation = 1;
+    node->node.kv = &fake->kv;
+    node->node.pool = ch_pool_new(4);
+    node->node.timers = ch_timers_new(node->node.pool);
+    node->node.peers = ch_peers_new(&node->node, &error);
+    g_assert_nonnull(node->node.peers);
 }
 
 static void
-end_clear(struct end *end)
+test_node_clear(struct test_node *node)
 {
-    ch_peers_stop(end->node.peers);
-    ch_timers_stop(end->node.timers);
-    ch_pool_free(end->node.pool);
-    ch_timers_free(end->node.timers);
-    ch_peers_free(end->node.peers);
-    ch_metrics_free(end->client.metrics);
+    ch_peers_stop(node->node.peers);
+    ch_timers_stop(node->node.timers);
+    ch_pool_free(node->node.pool);
+    ch_timers_free(node->node.timers);
+    ch_peers_free(node->node.peers);
+    ch_metrics_free(node->client.metrics);
 }
 
-/* ---- at most once ---- */
+/* ---- at-most-once records ---- */
 
 enum {
-    KEYS = 10,
-    TRIES = 4, /* of each key, at the same time */
+    KEY_COUNT = 10,
+    ATTEMPTS = 4, /* of each key, at the same time */
 };
 
-struct tally {
+struct replies {
     pthread_mutex_t lock;
     pthread_cond_t changed;
-    unsigned answers;
-    unsigned states[KEYS][CH_ONCE_REFUSED + 1];
-    uint64_t attempt[KEYS];
-    unsigned kept;
+    unsigned count;
+    unsigned states[KEY_COUNT][CH_ONCE_REFUSED + 1];
+    uint64_t attempt[KEY_COUNT];
+    unsigned stored;
 };
 
-struct
-try {
-    struct tally *tally;
+struct attempt {
+    struct replies *replies;
     unsigned key;
 };
 
-/* Counts an answer. */
+/* Counts a reply to the begin of an attempt. */
 static void
-begun(void *data, const struct ch_once_answer *answer)
+handle_begin(void *data, const struct ch_once_answer *answer)
 {
-    struct try *try = data;
-    struct tally *tally = try->tally;
-    pthread_mutex_lock(&tally->lock);
-    tally->answers++;
-    tally->states[try->key][answer->state]++;
+    struct attempt *attempt = data;
+    struct replies *replies = attempt->replies;
+    pthread_mutex_lock(&replies->lock);
+    replies->count++;
+    replies->states[attempt->key][answer->state]++;
     if (answer->state == CH_ONCE_CREATED) {
-        tally->attempt[try->key] = answer->attempt;
+        replies->attempt[attempt->key] = answer->attempt;
     }
     if (answer->kept) {
         g_assert_cmpmem(answer->body, answer->length, "cut", 3);
         g_assert_cmpint(answer->status, ==, 201);
-        tally->kept++;
+        replies->stored++;
     }
-    pthread_cond_signal(&tally->changed);
-    pthread_mutex_unlock(&tally->lock);
-    g_free(try);
+    pthread_cond_signal(&replies->changed);
+    pthread_mutex_unlock(&replies->lock);
+    g_free(attempt);
 }
 
 static void
-kept(void *data, bool is_kept)
+handle_stored(void *data, bool is_stored)
 {
-    struct tally *tally = data;
-    pthread_mutex_lock(&tally->lock);
-    g_assert_true(is_kept);
-    tally->answers++;
-    pthread_cond_signal(&tally->changed);
-    pthread_mutex_unlock(&tally->lock);
+    struct replies *replies = data;
+    pthread_mutex_lock(&replies->lock);
+    g_assert_true(is_stored);
+    replies->count++;
+    pthread_cond_signal(&replies->changed);
+    pthread_mutex_unlock(&replies->lock);
 }
 
-/* Waits for a number of answers since the last time. */
+/* Waits for a number of replies since the last call. */
 static void
-await(struct tally *tally, unsigned answers)
+wait_for_replies(struct replies *replies, unsigned count)
 {
-    pthread_mutex_lock(&tally->lock);
-    while (tally->answers < answers) {
-        pthread_cond_wait(&tally->changed, &tally->lock);
+    pthread_mutex_lock(&replies->lock);
+    while (replies->count < count) {
+        pthread_cond_wait(&replies->changed, &replies->lock);
     }
-    tally->answers = 0;
-    pthread_mutex_unlock(&tally->lock);
+    replies->count = 0;
+    pthread_mutex_unlock(&replies->lock);
 }
 
-/* Sends every key TRIES times; prefix makes the keys new ones. */
+/* Begins ATTEMPTS attempts for every key; a new prefix makes new keys. */
 static void
-begin_all(struct ch_once_keeper *once, struct tally *tally, const char *prefix)
+begin_attempts(struct ch_once_keeper *once, struct replies *replies,
+               const char *prefix)
 {
-    memset(tally->states, 0, sizeof(tally->states));
-    for (unsigned i = 0; i < KEYS * TRIES; i++) {
-        struct try *try = g_new(struct try, 1);
-        *try = (struct try){tally, i % KEYS};
-        g_autofree char *key = g_strdup_printf("%s%u", prefix, i % KEYS);
-        ch_once_keeper_begin(once, "c", key, 7, begun, try);
+    memset(replies->states, 0, sizeof(replies->states));
+    for (unsigned i = 0; i < KEY_COUNT * ATTEMPTS; i++) {
+        struct attempt *attempt = g_new(struct attempt, 1);
+        *attempt = (struct attempt){replies, i % KEY_COUNT};
+        g_autofree char *key = g_strdup_printf("%s%u", prefix, i % KEY_COUNT);
+        ch_once_keeper_begin(once, "c", key, 7, handle_begin, attempt);
     }
-    await(tally, (unsigned)KEYS * TRIES);
+    wait_for_replies(replies, (unsigned)KEY_COUNT * ATTEMPTS);
 }
 
 /*
- * Callers send each key several times at once, while answers of the service
- * are lost and while it is away.  Whatever happens, one try of a key at most
- * is told to go on; a repeat after its end gets the answer that was kept.
+ * Guards against a request that runs twice. Callers send each key several
+ * times at once, while replies of the key-value store are lost and while it is
+ * unavailable. At most one attempt for a key may be told to run; a repeat
+ * after its end gets the stored response.
  */
 static void
 test_once(void)
 {
     struct fake_kv fake;
-    struct end end;
-    struct tally tally = {0};
-    pthread_mutex_init(&tally.lock, NULL);
-    pthread_cond_init(&tally.changed, NULL);
+    struct test_node node;
+    struct replies replies = {0};
+    pthread_mutex_init(&replies.lock, NULL);
+    pthread_cond_init(&replies.changed, NULL);
     fake_init(&fake);
-    end_init(&end, "n1", &fake);
-    struct ch_once_keeper *once = ch_once_keeper_new(&end.node);
-    begin_all(once, &tally, "a");
-    for (unsigned i = 0; i < KEYS; i++) {
-        g_assert_cmpuint(tally.states[i][CH_ONCE_CREATED], ==, 1);
-        g_assert_cmpuint(tally.states[i][CH_ONCE_RUNNING], ==, TRIES - 1);
+    test_node_init(&node, "n1", &fake);
+    struct ch_once_keeper *once = ch_once_keeper_new(&node.node);
+    begin_attempts(once, &replies, "a");
+    for (unsigned i = 0; i < KEY_COUNT; i++) {
+        g_assert_cmpuint(replies.states[i][CH_ONCE_CREATED], ==, 1);
+        g_assert_cmpuint(replies.states[i][CH_ONCE_RUNNING], ==, ATTEMPTS - 1);
         g_autofree char *key = g_strdup_printf("a%u", i);
-        ch_once_keeper_finish(once, "c", key, tally.attempt[i], false, 201,
-                              "text/plain", "cut", 3, kept, &tally);
+        ch_once_keeper_finish(once, "c", key, replies.attempt[i], false, 201,
+                              "text/plain", "cut", 3, handle_stored, &replies);
     }
-    await(&tally, KEYS);
-    begin_all(once, &tally, "a");
-    g_assert_cmpuint(tally.kept, ==, (guint64)KEYS * TRIES);
-    fake_fault(&fake, FAULT_LOSE);
-    begin_all(once, &tally, "b");
-    for (unsigned i = 0; i < KEYS; i++) {
-        g_assert_cmpuint(tally.states[i][CH_ONCE_CREATED], <=, 1);
+    wait_for_replies(&replies, KEY_COUNT);
+    begin_attempts(once, &replies, "a");
+    g_assert_cmpuint(replies.stored, ==, (guint64)KEY_COUNT * ATTEMPTS);
+    fake_set_fault(&fake, FAULT_LOSE_REPLIES);
+    begin_attempts(once, &replies, "b");
+    for (unsigned i = 0; i < KEY_COUNT; i++) {
+        g_assert_cmpuint(replies.states[i][CH_ONCE_CREATED], <=, 1);
     }
-    fake_fault(&fake, FAULT_AWAY);
-    begin_all(once, &tally, "d");
-    for (unsigned i = 0; i < KEYS; i++) {
-        g_assert_cmpuint(tally.states[i][CH_ONCE_REFUSED], ==, TRIES);
+    fake_set_fault(&fake, FAULT_UNAVAILABLE);
+    begin_attempts(once, &replies, "d");
+    for (unsigned i = 0; i < KEY_COUNT; i++) {
+        g_assert_cmpuint(replies.states[i][CH_ONCE_REFUSED], ==, ATTEMPTS);
     }
     ch_once_keeper_stop(once);
-    end_clear(&end);
+    test_node_clear(&node);
     ch_once_keeper_free(once);
     fake_clear(&fake);
 }
 
 /* ---- ledgers ---- */
 
-/* An engine with room for one of two models. */
+/* An engine with memory for one of two models. */
 struct fake_engine {
     struct ch_upstream upstream;
     pthread_mutex_t lock;
@@ -361,20 +364,20 @@
 {
     struct fake_engine *engine = (struct fake_engine *)upstream;
     pthread_mutex_lock(&engine->lock);
-    bool lost = ++engine->orders % 4 == 0;
-    bool again = g_ptr_array_find_with_equal_func(engine->done, order->id,
-                                                  g_str_equal, NULL);
-    if (!lost && !again) {
+    bool is_lost = ++engine->orders % 4 == 0;
+    bool is_repeated = g_ptr_array_find_with_equal_func(
+        engine->done, order->id, g_str_equal, NULL);
+    if (!is_lost && !is_repeated) {
         engine->resident[order->model[1] - '1'] =
             order->action == CH_ORDER_LOAD;
         g_assert_false(engine->resident[0] && engine->resident[1]);
         g_ptr_array_add(engine->done, g_strdup(order->id));
     }
     pthread_mutex_unlock(&engine->lock);
-    done(data, lost ? CH_UPSTREAM_STALLED : CH_OK);
+    done(data, is_lost ? CH_UPSTREAM_STALLED : CH_OK);
 }
 
-/* Gives the engine's report to a node's keeper. */
+/* Passes the engine's report to a node's ledger keeper. */
 static void
 report_to(struct ch_ledger_keeper *ledger, struct fake_engine *engine)
 {
@@ -395,7 +398,7 @@
     pthread_mutex_unlock(&engine->lock);
 }
 
-struct home {
+struct home_node {
     pthread_mutex_t lock;
     int state[2]; /* 1 + enum ch_ledger_state; 0: absent */
     unsigned failed;
@@ -405,14 +408,14 @@
 ledger_changed(void *data, GQuark upstream, const struct ch_ledger *ledger)
 {
     (void)upstream;
-    struct home *home = data;
+    struct home_node *home_node = data;
     g_assert_cmpuint(ch_ledger_committed(ledger), <=, 1);
     const struct ch_ledger_entry *first = ch_ledger_find(ledger, "m1");
     const struct ch_ledger_entry *second = ch_ledger_find(ledger, "m2");
-    pthread_mutex_lock(&home->lock);
-    home->state[0] = first == NULL ? 0 : 1 + (int)first->state;
-    home->state[1] = second == NULL ? 0 : 1 + (int)second->state;
-    pthread_mutex_unlock(&home->lock);
+    pthread_mutex_lock(&home_node->lock);
+    home_node->state[0] = first == NULL ? 0 : 1 + (int)first->state;
+    home_node->state[1] = second == NULL ? 0 : 1 + (int)second->state;
+    pthread_mutex_unlock(&home_node->lock);
 }
 
 static void
@@ -423,27 +426,28 @@
     (void)item;
     (void)kind;
     g_assert_cmpint(code, !=, CH_OK);
-    struct home *home = data;
-    pthread_mutex_lock(&home->lock);
-    home->failed++;
-    pthread_mutex_unlock(&home->lock);
+    struct home_node *home_node = data;
+    pthread_mutex_lock(&home_node->lock);
+    home_node->failed++;
+    pthread_mutex_unlock(&home_node->lock);
 }
 
-/* A home's state of an item. */
+/* The state of an item as a home node knows it. */
 static int
-state_of(struct home *home, int item)
+get_state(struct home_node *home_node, int item)
 {
-    pthread_mutex_lock(&home->lock);
-    int state = home->state[item];
-    pthread_mutex_unlock(&home->lock);
+    pthread_mutex_lock(&home_node->lock);
+    int state = home_node->state[item];
+    pthread_mutex_unlock(&home_node->lock);
     return state;
 }
 
 /*
- * Two nodes both believe to be the engine's home and want another model each,
- * again and again, while orders and answers of writes are lost.  The engine
- * must never be asked to hold both.  Bounded by rounds; each waits a little,
- * as an order that was lost is sent again after a second.
+ * Guards against two models in an engine's memory for one. Two nodes both act
+ * as the engine's home node and repeatedly load different models, while orders
+ * and replies to writes are lost. The engine must never be asked to hold both
+ * models. The number of rounds is limited; each round waits 5 ms, as a lost
+ * order is sent again only after a second.
  */
 static void
 test_ledger(void)
@@ -452,42 +456,44 @@
     static const struct ch_ledger_handlers handlers = {
         .changed = ledger_changed, .failed = ledger_failed};
     struct fake_kv fake;
-    struct end end[2];
-    struct home home[2] = {{.failed = 0}, {.failed = 0}};
+    struct test_node node[2];
+    struct home_node home_node[2] = {{.failed = 0}, {.failed = 0}};
     struct ch_ledger_keeper *ledger[2];
     struct fake_engine engine = {.upstream.ops = &engine_ops};
     GQuark name = g_quark_from_static_string("w01");
     const GQuark items[] = {g_quark_from_static_string("m1"),
                             g_quark_from_static_string("m2")};
-    unsigned seen[2] = {0, 0};
+    unsigned resident_rounds[2] = {0, 0};
     pthread_mutex_init(&engine.lock, NULL);
     engine.done = g_ptr_array_new_with_free_func(g_free);
     fake_init(&fake);
-    fake_fault(&fake, FAULT_LOSE);
+    fake_set_fault(&fake, FAULT_LOSE_REPLIES);
     for (int i = 0; i < 2; i++) {
-        pthread_mutex_init(&home[i].lock, NULL);
-        end_init(&end[i], i == 0 ? "n1" : "n2", &fake);
-        ledger[i] = ch_ledger_keeper_new(&end[i].node, &handlers, &home[i]);
+        pthread_mutex_init(&home_node[i].lock, NULL);
+        test_node_init(&node[i], i == 0 ? "n1" : "n2", &fake);
+        ledger[i] =
+            ch_ledger_keeper_new(&node[i].node, &handlers, &home_node[i]);
         ch_ledger_keeper_open(ledger[i], name, &engine.upstream, 1);
     }
-    for (int round = 0; round < 4000 && (seen[0] < 3 || seen[1] < 3);
+    for (int round = 0;
+         round < 4000 && (resident_rounds[0] < 3 || resident_rounds[1] < 3);
          round++) {
         int i = round % 2;
         report_to(ledger[i], &engine);
-        if (state_of(&home[i], i) == 1 + CH_LEDGER_RESIDENT) {
-            seen[i]++;
+        if (get_state(&home_node[i], i) == 1 + CH_LEDGER_RESIDENT) {
+            resident_rounds[i]++;
             ch_ledger_keeper_unload(ledger[i], name, items[i]);
         }
-        else if (state_of(&home[i], i) == 0) {
+        else if (get_state(&home_node[i], i) == 0) {
             ch_ledger_keeper_load(ledger[i], name, items[i], 1);
         }
         g_usleep(5000);
     }
-    g_assert_cmpuint(seen[0], >=, 3);
-    g_assert_cmpuint(seen[1], >=, 3);
+    g_assert_cmpuint(resident_rounds[0], >=, 3);
+    g_assert_cmpuint(resident_rounds[1], >=, 3);
     for (int i = 0; i < 2; i++) {
         ch_ledger_keeper_stop(ledger[i]);
-        end_clear(&end[i]);
+        test_node_clear(&node[i]);
         ch_ledger_keeper_free(ledger[i]);
     }
     g_ptr_array_unref(engine.done);
