--- a/libchestnuthitch/node/gossip.c
+++ b/libchestnuthitch/node/gossip.c
@@ -1,4 +1,5 @@
-/* Telling the other nodes what the homes here know, and hearing theirs. */
+/* Gossip: sends the states of the upstreams whose home node is this one, and
+ * receives those of others. */
 
 #include "decide/gossip.h"
 #include "decide/member.h"
@@ -14,10 +15,10 @@
     GPtrArray *members; /* of MemberState */
 };
 
-/* A hash of what others act upon.  The wait counts in steps of 50 ms: less
- * changes no route. */
+/* A hash of the values that other nodes act upon. The predicted wait counts in
+ * steps of 50 ms: a smaller difference changes no routing decision. */
 static uint64_t
-state_hash(const struct ch_upstream_view *view)
+compute_state_hash(const struct ch_upstream_view *view)
 {
     uint64_t hash = ch_hash_pair(view->running, view->queued);
     hash = ch_hash_pair(hash, (uint64_t)(view->wait / 50000));
@@ -30,16 +31,17 @@
     return ch_hash_pair(hash, view->loading->len);
 }
 
-/* Gives the state of a home here a new sequence when there is news. */
+/* Gives an upstream's state a new sequence when the state has changed or
+ * CH_GOSSIP_REFRESH_US has passed. */
 static void
-note_news(struct ch_homes *homes, struct upstream *upstream, int64_t now)
+update_sequence(struct ch_homes *homes, struct upstream *upstream, int64_t now)
 {
     home_refresh_view(homes, upstream, now);
     const struct ch_upstream_view *view = site_view(homes, upstream);
     if (view == NULL) {
         return;
     }
-    uint64_t hash = state_hash(view);
+    uint64_t hash = compute_state_hash(view);
     if (hash == upstream->told_hash && !homes->news &&
         now - upstream->told_at < CH_GOSSIP_REFRESH) {
         return;
@@ -51,14 +53,16 @@
     upstream->news = true;
 }
 
-/* Gathers the states to tell in this round, from a place that moves on, so
- * that all get their turn when there are more than one message holds.  In a
- * small fleet those with news; in a large one all, since the nodes whose turn
- * it is have not heard the news of the rounds before. */
+/*
+ * Collects the states for this round, from a random start, so that every
+ * upstream gets its turn when one message can't hold all of them. In a small
+ * fleet these are the changed states; in a large fleet all states, since the
+ * receivers of this round have not received the changes of earlier rounds.
+ */
 static void
-gather_states(struct ch_homes *homes, struct message *message, int64_t now)
+collect_states(struct ch_homes *homes, struct message *message, int64_t now)
 {
-    bool direct = ch_gossip_direct(homes->live);
+    bool reaches_all = ch_gossip_direct(homes->live);
     guint count = homes->upstreams->len;
     guint start = count > 0 ? g_rand_int(homes->random) % count : 0;
     for (guint k = 0; k < count; k++) {
@@ -67,8 +71,8 @@
         if (upstream->home == NULL) {
             continue;
         }
-        note_news(homes, upstream, now);
-        if ((direct && !upstream->news) ||
+        update_sequence(homes, upstream, now);
+        if ((reaches_all && !upstream->news) ||
             message->state_count == CH_GOSSIP_STATES) {
             continue;
         }
@@ -82,10 +86,10 @@
     homes->news = false;
 }
 
-/* One line on a member for the message. */
+/* Adds the state of one member to the message. */
 static void
-add_member(struct message *message, const char *name, uint64_t incarnation,
-           enum ch_member_status status)
+add_member_state(struct message *message, const char *name,
+                 uint64_t incarnation, enum ch_member_status status)
 {
     Chestnuthitch__Wire__MemberState *state =
         g_new(Chestnuthitch__Wire__MemberState, 1);
@@ -96,7 +100,6 @@
     g_ptr_array_add(message->members, state);
 }
 
-/* Frees a member line. */
 static void
 free_member_state(gpointer data)
 {
@@ -105,10 +108,10 @@
     g_free(state);
 }
 
-/* Sends the message to so many of the nodes, from the one whose turn it is. */
+/* Sends the message to `count` of the nodes, starting at index `turn`. */
 static void
 send_message(struct ch_homes *homes, const struct message *message,
-             const GPtrArray *names, unsigned turn, unsigned most)
+             const GPtrArray *names, unsigned turn_index, unsigned count)
 {
     Chestnuthitch__Wire__Gossip gossip = WIRE(GOSSIP__INIT);
     gossip.n_upstreams = message->state_count;
@@ -116,40 +119,41 @@
     gossip.n_members = message->members->len;
     gossip.members =
         (Chestnuthitch__Wire__MemberState **)message->members->pdata;
-    for (unsigned k = 0; k < most; k++) {
+    for (unsigned k = 0; k < count; k++) {
         Chestnuthitch__Wire__Frame frame = WIRE(FRAME__INIT);
         frame.body_case = WIRE(FRAME__BODY_GOSSIP);
         frame.gossip = &gossip;
         ch_peers_send(homes->node->peers,
-                      g_ptr_array_index(names, (turn + k) % names->len),
+                      g_ptr_array_index(names, (turn_index + k) % names->len),
                       &frame);
     }
 }
 
-/* Sends the message to those whose turn it is, or to every node. */
+/* Sends the message to the nodes whose turn it is, or to all of them. */
 static void
-send_round(struct ch_homes *homes, const struct message *message, bool all)
+send_to_nodes(struct ch_homes *homes, const struct message *message,
+              bool to_all)
 {
-    GPtrArray *near = g_ptr_array_new_with_free_func(g_free);
-    GPtrArray *far = g_ptr_array_new_with_free_func(g_free);
-    ch_peers_others(homes->node->peers, near, far);
-    struct ch_gossip_share share = {near->len, far->len};
-    if (!all) {
-        share = ch_gossip_share(near->len, far->len);
+    GPtrArray *local = g_ptr_array_new_with_free_func(g_free);
+    GPtrArray *remote = g_ptr_array_new_with_free_func(g_free);
+    ch_peers_others(homes->node->peers, local, remote);
+    struct ch_gossip_share fanout = {local->len, remote->len};
+    if (!to_all) {
+        fanout = ch_gossip_share(local->len, remote->len);
     }
     pthread_mutex_lock(&homes->lock);
-    unsigned near_turn = homes->near_turn;
-    unsigned far_turn = homes->far_turn;
-    homes->near_turn += share.near;
-    homes->far_turn += share.far;
+    unsigned local_turn = homes->near_turn;
+    unsigned remote_turn = homes->far_turn;
+    homes->near_turn += fanout.near;
+    homes->far_turn += fanout.far;
     pthread_mutex_unlock(&homes->lock);
-    send_message(homes, message, near, near_turn, share.near);
-    send_message(homes, message, far, far_turn, share.far);
-    g_ptr_array_free(near, TRUE);
-    g_ptr_array_free(far, TRUE);
+    send_message(homes, message, local, local_turn, fanout.near);
+    send_message(homes, message, remote, remote_turn, fanout.far);
+    g_ptr_array_free(local, TRUE);
+    g_ptr_array_free(remote, TRUE);
 }
 
-/* Frees what a message holds. */
+/* Frees the contents of a message. */
 static void
 clear_message(struct message *message)
 {
@@ -159,8 +163,8 @@
     g_ptr_array_free(message->members, TRUE);
 }
 
-/* One round: the states with news, and the members found silent of late.
- * Nothing is sent when there is nothing to tell. */
+/* One gossip round: changed upstream states and members recently found silent.
+ * Sends nothing when there are none. */
 void
 gossip_round(struct ch_homes *homes, int64_t now)
 {
@@ -170,34 +174,34 @@
     GPtrArray *silent = g_ptr_array_new_with_free_func(g_free);
     ch_peers_hints(homes->node->peers, silent);
     for (guint i = 0; i < silent->len; i++) {
-        add_member(&message, g_ptr_array_index(silent, i), 0,
-                   CH_MEMBER_SILENT);
+        add_member_state(&message, g_ptr_array_index(silent, i), 0,
+                         CH_MEMBER_SILENT);
     }
     g_ptr_array_free(silent, TRUE);
     pthread_mutex_lock(&homes->lock);
-    gather_states(homes, &message, now);
+    collect_states(homes, &message, now);
     pthread_mutex_unlock(&homes->lock);
     if (message.state_count > 0 || message.members->len > 0) {
-        send_round(homes, &message, false);
+        send_to_nodes(homes, &message, false);
     }
     clear_message(&message);
 }
 
-/* Tells every live node that this one stops, so that homes move away while it
- * still answers. */
+/* Tells every live node that this one is stopping, so that other nodes become
+ * home nodes while this one still responds. */
 void
 gossip_stopping(struct ch_homes *homes)
 {
     struct message message = {
         .members = g_ptr_array_new_with_free_func(free_member_state),
     };
-    add_member(&message, homes->node->settings->name, homes->node->incarnation,
-               CH_MEMBER_STOPPING);
-    send_round(homes, &message, true);
+    add_member_state(&message, homes->node->settings->name,
+                     homes->node->incarnation, CH_MEMBER_STOPPING);
+    send_to_nodes(homes, &message, true);
     clear_message(&message);
 }
 
-/* Takes what another node tells. */
+/* Applies a gossip message from another node. */
 static void
 handle_gossip(void *data, const Chestnuthitch__Wire__Frame *frame)
 {
@@ -214,7 +218,6 @@
     pthread_mutex_unlock(&homes->lock);
 }
 
-/* Sets the handler of gossip. */
 void
 gossip_handlers(struct ch_homes *homes)
 {
--- a/libchestnuthitch/node/peers.c
+++ b/libchestnuthitch/node/peers.c
@@ -1,8 +1,8 @@
 /*
- * Frames to and from other nodes over TCP: one thread, epoll, one outbound
- * connection for each node that this one talks to.  Replies go back on the
- * connection that the request came by, so that a requester whose connection
- * went knows that no reply will come.
+ * Frames to and from other nodes over TCP: one thread with epoll, and one
+ * outbound connection to each node that this node sends to. A reply goes back
+ * on the connection that brought the request, so a requester whose connection
+ * is lost knows that no reply will come.
  */
 
 #include "node/peers_internal.h"
@@ -16,13 +16,14 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Opens the listener of the settings; false with SYSTEM. */
+/* Opens the listener at the address in the settings; false with SYSTEM. */
 static bool
-open_listener(struct ch_peers *peers, const char *text, struct ch_error *error)
+open_listener(struct ch_peers *peers, const char *address_text,
+              struct ch_error *error)
 {
     struct sockaddr_in address;
     socklen_t length = sizeof(address);
-    if (!ch_address_parse(text, &address, error)) {
+    if (!ch_address_parse(address_text, &address, error)) {
         return false;
     }
     peers->listener =
@@ -34,7 +35,7 @@
         listen(peers->listener, SOMAXCONN) != 0 ||
         getsockname(peers->listener, (struct sockaddr *)&address, &length) !=
             0) {
-        ch_error_set(error, CH_SYSTEM, "[listen] peers %s: %s", text,
+        ch_error_set(error, CH_SYSTEM, "[listen] peers %s: %s", address_text,
                      g_strerror(errno));
         return false;
     }
@@ -44,8 +45,8 @@
     return true;
 }
 
-/* Opens the listener; NULL with SYSTEM when it can't be.  Nothing is taken
- * before ch_peers_start. */
+/* Opens the listener; NULL with SYSTEM when that fails. No connection is
+ * accepted before ch_peers_start. */
 struct ch_peers *
 ch_peers_new(struct ch_node *node, struct ch_error *error)
 {
@@ -74,17 +75,18 @@
     return peers;
 }
 
-/* Starts the thread; the handlers are set by now. */
+/* Starts the thread; the handlers must be set before. */
 void
 ch_peers_start(struct ch_peers *peers)
 {
     if (pthread_create(&peers->thread, NULL, peers_run, peers) != 0) {
-        g_error("no thread for the connections between nodes");
+        g_error("cannot create the thread for connections between nodes");
     }
     peers->started = true;
 }
 
-/* Ends the thread and every connection; what waits ends with PEER_LOST. */
+/* Stops the thread and closes every connection; requests that wait for a reply
+ * end with PEER_LOST. */
 void
 ch_peers_stop(struct ch_peers *peers)
 {
@@ -103,7 +105,7 @@
     pthread_mutex_unlock(&peers->lock);
 }
 
-/* Frees the peers after their stop and after the last job of the pool. */
+/* Frees the peers; only after ch_peers_stop and the last job of the pool. */
 void
 ch_peers_free(struct ch_peers *peers)
 {
@@ -124,7 +126,7 @@
     g_free(peers);
 }
 
-/* Notes the revision that every frame is to bear. */
+/* See peers_internal.h. */
 void
 peers_refresh_revision(struct ch_peers *peers)
 {
@@ -138,7 +140,7 @@
     }
 }
 
-/* Puts in what every frame bears. */
+/* See peers_internal.h. */
 void
 peers_stamp(const struct ch_peers *peers, Chestnuthitch__Wire__Frame *frame)
 {
@@ -148,16 +150,17 @@
     frame->ready = ck_pr_load_uint(&peers->ready) != 0;
 }
 
-/* Whether the name is this node's own. */
 bool
 peers_is_self(const struct ch_peers *peers, const char *name)
 {
     return strcmp(name, peers->node->settings->name) == 0;
 }
 
-/* A copy of a frame, as if it had come from this node. */
+/* A copy of a frame with the same members set as in a frame received from this
+ * node; the caller frees it. */
 static Chestnuthitch__Wire__Frame *
-copy_frame(const struct ch_peers *peers, Chestnuthitch__Wire__Frame *frame)
+copy_as_received(const struct ch_peers *peers,
+                 Chestnuthitch__Wire__Frame *frame)
 {
     peers_stamp(peers, frame);
     size_t length = chestnuthitch__wire__frame__get_packed_size(frame);
@@ -169,8 +172,8 @@
     return copy;
 }
 
-/* Sends a frame for which no reply is awaited.  It is lost without a word when
- * the node can't be reached: what must arrive is sent as a request. */
+/* Sends a frame that needs no reply. The frame is lost silently when the node
+ * can't be reached: use a request for what must arrive. */
 void
 ch_peers_send(struct ch_peers *peers, const char *to,
               Chestnuthitch__Wire__Frame *frame)
@@ -178,7 +181,7 @@
     int64_t now = ch_client_now(peers->node->client);
     peers_refresh_revision(peers);
     if (peers_is_self(peers, to)) {
-        peers_submit_frame(peers, copy_frame(peers, frame));
+        peers_submit_frame(peers, copy_as_received(peers, frame));
         return;
     }
     pthread_mutex_lock(&peers->lock);
@@ -190,8 +193,8 @@
     pthread_mutex_unlock(&peers->lock);
 }
 
-/* Sends a frame on the connection to a node and notes that it waits there.
- * Lock held. */
+/* Sends a request on the connection to a node and records that the request
+ * waits there. Lock held. */
 static bool
 send_request(struct ch_peers *peers, const char *to,
              Chestnuthitch__Wire__Frame *frame, struct request *request,
@@ -210,11 +213,11 @@
     return true;
 }
 
-/* Sends a frame and has done called with the reply, on a pool worker, exactly
- * once.  limit is in microseconds. */
+/* Sends a frame and calls done with the reply or a failure, on a pool worker,
+ * exactly once. timeout is in microseconds; 0: none. */
 uint64_t
 ch_peers_request(struct ch_peers *peers, const char *to,
-                 Chestnuthitch__Wire__Frame *frame, int64_t limit,
+                 Chestnuthitch__Wire__Frame *frame, int64_t timeout,
                  void (*done)(void *data, enum ch_code code,
                               const Chestnuthitch__Wire__Frame *reply),
                  void *data)
@@ -222,16 +225,16 @@
     int64_t now = ch_client_now(peers->node->client);
     peers_refresh_revision(peers);
     struct request *request = g_new0(struct request, 1);
-    request->limit = limit;
-    request->due = limit > 0 ? now + limit : 0;
+    request->limit = timeout;
+    request->due = timeout > 0 ? now + timeout : 0;
     request->done = done;
     request->data = data;
     pthread_mutex_lock(&peers->lock);
     request->id = ++peers->last_id;
     uint64_t id = request->id;
     frame->id = id;
-    bool local = peers_is_self(peers, to);
-    if (local || send_request(peers, to, frame, request, now)) {
+    bool is_self = peers_is_self(peers, to);
+    if (is_self || send_request(peers, to, frame, request, now)) {
         g_hash_table_insert(peers->requests, &request->id, request);
     }
     else {
@@ -239,17 +242,18 @@
         g_free(request);
     }
     pthread_mutex_unlock(&peers->lock);
-    if (local) {
-        peers_submit_frame(peers, copy_frame(peers, frame));
+    if (is_self) {
+        peers_submit_frame(peers, copy_as_received(peers, frame));
     }
     return id;
 }
 
-/* Replies to this node's own request. */
+/* Replies to a request from this node to itself; a late reply goes to the
+ * handler for late replies. */
 static bool
 reply_to_self(struct ch_peers *peers, Chestnuthitch__Wire__Frame *frame)
 {
-    Chestnuthitch__Wire__Frame *copy = copy_frame(peers, frame);
+    Chestnuthitch__Wire__Frame *copy = copy_as_received(peers, frame);
     pthread_mutex_lock(&peers->lock);
     struct request *request = g_hash_table_lookup(peers->requests, &copy->id);
     if (request != NULL && request->connection == NULL) {
@@ -265,7 +269,8 @@
     return true;
 }
 
-/* Replies on the latest connection by which `to` came. */
+/* Replies on the latest inbound connection from `to`; false when there is none
+ * or the frame was not sent. */
 bool
 ch_peers_reply(struct ch_peers *peers, const char *to, uint64_t id,
                Chestnuthitch__Wire__Frame *frame)
@@ -285,7 +290,7 @@
     return sent;
 }
 
-/* Sets who handles the frames of one kind; before ch_peers_start. */
+/* Sets the handler for one kind of frame; only before ch_peers_start. */
 void
 ch_peers_handle(struct ch_peers *peers,
                 Chestnuthitch__Wire__Frame__BodyCase body,
@@ -297,7 +302,8 @@
     peers->handlers[body].data = data;
 }
 
-/* Sets who is told of replies that came too late; before ch_peers_start. */
+/* Sets the handler for replies whose request has already ended; only before
+ * ch_peers_start. */
 void
 ch_peers_handle_late(struct ch_peers *peers,
                      void (*handle)(void *data,
--- a/libchestnuthitch/node/peers_connection.c
+++ b/libchestnuthitch/node/peers_connection.c
@@ -1,4 +1,4 @@
-/* One connection between two nodes: begun, written to, closed. */
+/* One connection between two nodes: opening, writing and closing. */
 
 #include "node/peers_internal.h"
 
@@ -14,14 +14,13 @@
 
 enum {
     /*
-     * Most bytes waiting on one connection.  One configuration at the largest
-     * and 6 MB of small frames: a peer that reads nothing for the silent limit
-     * is dropped long before, and memory stays bounded meanwhile.
+     * Bounds memory while a peer reads nothing, until it exceeds the silence
+     * limit and its connection is closed. Room for one configuration of the
+     * maximum size and 6 MB of small frames.
      */
-    MOST_WAITING = 8 * 1024 * 1024,
+    MAX_SEND_BUFFER_BYTES = 8 * 1024 * 1024,
 };
 
-/* Has the thread look at its connections again. */
 void
 peers_wake(struct ch_peers *peers)
 {
@@ -30,10 +29,10 @@
     (void)written;
 }
 
-/* Says which events the thread is to hear of, when they are others than
- * before. */
+/* Asks epoll for writability only while a connection is being made or has data
+ * to send. */
 static void
-set_events(struct ch_peers *peers, struct connection *connection)
+update_events(struct ch_peers *peers, struct connection *connection)
 {
     bool wants_out =
         connection->connecting || connection->out_sent < connection->out->len;
@@ -48,7 +47,8 @@
     epoll_ctl(peers->epoll, EPOLL_CTL_MOD, connection->fd, &event);
 }
 
-/* Takes up a socket. */
+/* Adds a socket, which the connection owns from now on; name NULL: not known
+ * yet. */
 struct connection *
 connection_add(struct ch_peers *peers, int fd, const char *name, bool outbound,
                int64_t now)
@@ -73,7 +73,7 @@
     return connection;
 }
 
-/* Writes what waits, as far as the socket takes it. */
+/* Sends buffered data until the socket accepts no more. */
 void
 connection_flush(struct ch_peers *peers, struct connection *connection)
 {
@@ -96,25 +96,25 @@
         g_byte_array_set_size(connection->out, 0);
         connection->out_sent = 0;
     }
-    set_events(peers, connection);
+    update_events(peers, connection);
 }
 
-/* Puts a frame on a connection and sends what can be sent at once. */
+/* See peers_internal.h. */
 bool
 connection_put(struct ch_peers *peers, struct connection *connection,
                Chestnuthitch__Wire__Frame *frame, int64_t now)
 {
     struct ch_error error = {0};
-    guint before = connection->out->len;
+    guint previous_length = connection->out->len;
     peers_stamp(peers, frame);
     if (connection->failure != CH_OK ||
-        connection->out->len - connection->out_sent > MOST_WAITING ||
+        connection->out->len - connection->out_sent > MAX_SEND_BUFFER_BYTES ||
         !ch_wire_encode(frame, connection->out, &error)) {
         return false;
     }
     ch_metrics_count(peers->node->client->metrics, CH_COUNT_FRAMES_SENT, 1);
     peers_count(peers, PEERS_SENT, frame->body_case, connection->other_region,
-                connection->out->len - before);
+                connection->out->len - previous_length);
     connection->used = now;
     if (!connection->connecting) {
         connection_flush(peers, connection);
@@ -126,7 +126,7 @@
     return true;
 }
 
-/* Sends who this is: the first frame of every connection. */
+/* Sends this node's identity: the first frame on every connection. */
 void
 connection_hello(struct ch_peers *peers, struct connection *connection,
                  int64_t now)
@@ -142,7 +142,7 @@
     connection_put(peers, connection, &frame, now);
 }
 
-/* Sends a ping; its answer shows that the other end still serves. */
+/* Sends a ping; its pong shows that the other process still runs. */
 void
 connection_ping(struct ch_peers *peers, struct connection *connection,
                 int64_t now)
@@ -158,7 +158,7 @@
     connection_put(peers, connection, &frame, now);
 }
 
-/* Begins a connection to an address; NULL when that fails at once. */
+/* Starts a connection to a member; NULL when that fails at once. */
 static struct connection *
 open_connection(struct ch_peers *peers, const struct ch_member *member,
                 int64_t now)
@@ -190,7 +190,7 @@
     return connection;
 }
 
-/* The connection for sending to a node, begun when there is none. */
+/* See peers_internal.h. */
 struct connection *
 connection_outbound(struct ch_peers *peers, const char *name, int64_t now)
 {
@@ -212,7 +212,7 @@
     return connection;
 }
 
-/* Ends every request that waits on a connection. */
+/* Ends every request that waits on a connection with PEER_LOST. */
 static void
 fail_requests(struct ch_peers *peers, const struct connection *connection)
 {
@@ -228,7 +228,7 @@
     }
 }
 
-/* Closes a connection and forgets it. */
+/* See peers_internal.h. */
 void
 connection_drop(struct ch_peers *peers, struct connection *connection)
 {
--- a/libchestnuthitch/node/peers_job.c
+++ b/libchestnuthitch/node/peers_job.c
@@ -1,4 +1,4 @@
-/* What came from other nodes, on its way to the pool. */
+/* Pool jobs for frames received from other nodes and for ended requests. */
 
 #include "node/peers_internal.h"
 
@@ -11,10 +11,10 @@
     enum ch_code code;
 };
 
-/* Tells the configuration keeper of the revision that a frame bears. */
+/* Reports the revision in a frame to the configuration keeper. */
 static void
-learn_revision(const struct ch_peers *peers,
-               const Chestnuthitch__Wire__Frame *frame)
+report_revision(const struct ch_peers *peers,
+                const Chestnuthitch__Wire__Frame *frame)
 {
     if (frame->config_revision > 0 && peers->node->config != NULL) {
         ch_config_keeper_learn(peers->node->config, frame->config_revision,
@@ -22,7 +22,7 @@
     }
 }
 
-/* Runs one job: a reply or failure for a requester, or a frame for its
+/* Runs one job: passes a reply or failure to the requester, or a frame to its
  * handler. */
 static void
 run_job(void *data)
@@ -30,7 +30,7 @@
     struct job *job = data;
     struct ch_peers *peers = job->peers;
     if (job->frame != NULL) {
-        learn_revision(peers, job->frame);
+        report_revision(peers, job->frame);
     }
     if (job->done != NULL) {
         job->done(job->data, job->code, job->frame);
@@ -52,7 +52,7 @@
     g_free(job);
 }
 
-/* Hands a frame that came, owned by the job from now, to the pool. */
+/* See peers_internal.h. */
 void
 peers_submit_frame(struct ch_peers *peers, Chestnuthitch__Wire__Frame *frame)
 {
@@ -62,7 +62,7 @@
     ch_pool_submit(peers->node->pool, run_job, job);
 }
 
-/* Ends a request with a reply (owned by the job from now) or a failure. */
+/* See peers_internal.h. */
 void
 peers_submit_end(struct ch_peers *peers, const struct request *request,
                  enum ch_code code, Chestnuthitch__Wire__Frame *reply)
--- a/libchestnuthitch/node/peers_loop.c
+++ b/libchestnuthitch/node/peers_loop.c
@@ -1,4 +1,5 @@
-/* The thread of the connections between nodes: what comes, and the clock. */
+/* The thread of the connections between nodes: receives frames and checks
+ * timeouts. */
 
 #include "node/peers_internal.h"
 
@@ -15,30 +16,32 @@
 
 enum {
     TICK_MS = 50,
-    READ_SIZE = 64 * 1024,
-    EVENTS = 64,
-    PROBES = 16,
-    /* A quarter of the silent limit: three pings may be lost to a stall of
-     * this process before a live connection is given up. */
-    PING_SHARE = 4,
-    /* A pause of this process longer than this is taken off the silences. */
-    PAUSE = 250 * 1000,
-    /* Most turns in which limits are not looked at as more is left to read: a
-     * peer that never stops sending would hold up all of them. */
-    MOST_BEHIND = 32,
+    READ_BUFFER_BYTES = 64 * 1024,
+    MAX_EVENTS = 64,
+    MAX_PROBES_PER_TICK = 16,
+    /* Pings per silence limit: three of them may be lost while this process
+     * stalls before a live connection is closed. */
+    PINGS_PER_SILENCE_LIMIT = 4,
+    /* A gap between ticks that exceeds the tick by more than this counts as a
+     * pause of this process, and is not counted as silence of others. */
+    MIN_PAUSE_US = 250 * 1000,
+    /* Polls in a row that may leave data unread before timeouts are checked
+     * all the same: otherwise a peer that never stops sending would hold up
+     * every timeout. */
+    MAX_POLLS_BEHIND = 32,
 };
 
-/* ---- what comes; the lock is held ---- */
+/* ---- received data; the lock is held ---- */
 
 /*
- * Takes a node that came by itself for a member until a list comes.  Load: a
- * host is restarted while the service that keeps the list is away.  Harm
- * prevented: the node knows nobody to ask for the configuration and the
- * upstreams, and refuses its callers until the service is back.
+ * Adds a node that connected to this one as a member, until a host list is
+ * received. Without this, a host that restarts while the key-value store is
+ * unavailable knows no node to ask for the configuration and the upstreams,
+ * and refuses its callers until the store is back.
  */
 static void
-learn_member(struct ch_peers *peers, const Chestnuthitch__Wire__Frame *frame,
-             int64_t now)
+add_unlisted_member(struct ch_peers *peers,
+                    const Chestnuthitch__Wire__Frame *frame, int64_t now)
 {
     const Chestnuthitch__Wire__Hello *hello = frame->hello;
     if (peers->listed || !ch_address_check(hello->address, NULL)) {
@@ -48,12 +51,13 @@
                       hello->region, hello->data_centre, false, now);
 }
 
-/* An inbound connection says whose it is. */
+/* Learns the sender's name and region from the Hello of an inbound connection,
+ * and answers with a Hello. */
 static void
-take_hello(struct ch_peers *peers, struct connection *connection,
-           const Chestnuthitch__Wire__Frame *frame, int64_t now)
+handle_hello(struct ch_peers *peers, struct connection *connection,
+             const Chestnuthitch__Wire__Frame *frame, int64_t now)
 {
-    learn_member(peers, frame, now);
+    add_unlisted_member(peers, frame, now);
     ch_members_incarnation(peers->members, frame->from,
                            frame->hello->incarnation);
     if (connection->outbound || connection->name != NULL) {
@@ -66,10 +70,11 @@
     connection_hello(peers, connection, now);
 }
 
-/* Gives a reply to who waits for it; a late one to the late handler. */
+/* Passes a reply to its waiting request; a late reply goes to the late
+ * handler. */
 static void
-take_reply(struct ch_peers *peers, struct connection *connection,
-           Chestnuthitch__Wire__Frame *frame)
+handle_reply(struct ch_peers *peers, struct connection *connection,
+             Chestnuthitch__Wire__Frame *frame)
 {
     struct request *request = g_hash_table_lookup(peers->requests, &frame->id);
     if (request == NULL || request->connection != connection) {
@@ -84,10 +89,11 @@
     g_hash_table_remove(peers->requests, &id);
 }
 
-/* Ends a frame that needs no handler; a revision that this node does not know
- * yet is learnt from it on the pool, so that pings spread it too. */
+/* Ends a frame that needs no handler. A frame with a configuration revision
+ * that this node does not know goes to the pool, so that pings spread
+ * revisions too. */
 static void
-end_frame(struct ch_peers *peers, Chestnuthitch__Wire__Frame *frame)
+finish_frame(struct ch_peers *peers, Chestnuthitch__Wire__Frame *frame)
 {
     if (frame->config_revision > ck_pr_load_64(&peers->revision)) {
         peers_submit_frame(peers, frame);
@@ -96,10 +102,11 @@
     ch_wire_frame_free(frame);
 }
 
-/* One frame.  Hello, ping and pong end here; the rest goes to the pool. */
+/* Handles one frame. Hello, ping and pong are handled here; all others go to
+ * the pool. */
 static void
-take_frame(struct ch_peers *peers, struct connection *connection,
-           Chestnuthitch__Wire__Frame *frame, int64_t now)
+handle_frame(struct ch_peers *peers, struct connection *connection,
+             Chestnuthitch__Wire__Frame *frame, int64_t now)
 {
     ch_metrics_count(peers->node->client->metrics, CH_COUNT_FRAMES_RECEIVED,
                      1);
@@ -118,42 +125,44 @@
     }
     switch (frame->body_case) {
     case WIRE(FRAME__BODY_HELLO):
-        take_hello(peers, connection, frame, now);
-        end_frame(peers, frame);
+        handle_hello(peers, connection, frame, now);
+        finish_frame(peers, frame);
         return;
     case WIRE(FRAME__BODY_PING): {
         Chestnuthitch__Wire__Pong pong = WIRE(PONG__INIT);
-        Chestnuthitch__Wire__Frame answer = WIRE(FRAME__INIT);
-        answer.body_case = WIRE(FRAME__BODY_PONG);
-        answer.pong = &pong;
-        connection_put(peers, connection, &answer, now);
-        end_frame(peers, frame);
+        Chestnuthitch__Wire__Frame pong_frame = WIRE(FRAME__INIT);
+        pong_frame.body_case = WIRE(FRAME__BODY_PONG);
+        pong_frame.pong = &pong;
+        connection_put(peers, connection, &pong_frame, now);
+        finish_frame(peers, frame);
         return;
     }
     case WIRE(FRAME__BODY_PONG):
-        end_frame(peers, frame);
+        finish_frame(peers, frame);
         return;
     default:
         break;
     }
     if (frame->reply) {
-        take_reply(peers, connection, frame);
+        handle_reply(peers, connection, frame);
         return;
     }
     connection->used = now;
     peers_submit_frame(peers, frame);
 }
 
-/* Decodes what the decoder holds.  A bad frame ends this connection alone. */
+/* Decodes and handles the frames received so far. A bad frame closes this
+ * connection only. */
 static void
-take_frames(struct ch_peers *peers, struct connection *connection, int64_t now)
+handle_frames(struct ch_peers *peers, struct connection *connection,
+              int64_t now)
 {
     struct ch_error error = {0};
     Chestnuthitch__Wire__Frame *frame = NULL;
     while (connection->failure == CH_OK &&
            (frame = ch_wire_decoder_next(connection->decoder, &error)) !=
                NULL) {
-        take_frame(peers, connection, frame, now);
+        handle_frame(peers, connection, frame, now);
     }
     if (error.code == CH_OK && connection->failure != CH_FRAME_DAMAGED) {
         return;
@@ -163,18 +172,20 @@
     ch_log(peers->node->client, CH_LOG_WARNING, "bad-frame",
            CH_F_STR("peer", connection->name ? connection->name : "?"),
            CH_F_INT("code", connection->failure),
-           CH_F_STR("reason", error.code != CH_OK ? error.message
-                                                  : "sender's name changed"),
+           CH_F_STR("reason", error.code != CH_OK
+                                  ? error.message
+                                  : "the sender's name changed"),
            CH_F_END);
 }
 
 /*
- * Bytes came, if no whole frame yet.  Load: a large frame, as a configuration
- * of some thousand paths, on a slow link.  Harm prevented: the connection is
- * taken for silent in the middle of it, and the frame begun anew each time.
+ * Counts received bytes as a sign of life before the frame is complete.
+ * Without this, a large frame on a slow link, such as a configuration of
+ * several thousand paths, looks like silence: the connection is closed in the
+ * middle of the frame, and the frame is sent from the start again and again.
  */
 static void
-note_bytes(struct connection *connection, int64_t now)
+record_bytes(struct connection *connection, int64_t now)
 {
     if (connection->asked > 0) {
         connection->asked = now;
@@ -182,13 +193,13 @@
     connection->heard = now;
 }
 
-/* Reads once: a busy peer must not keep the others waiting.  Whether more may
- * be left. */
+/* Reads once, so that a busy peer does not delay the others. True when more
+ * may be left to read. */
 static bool
 read_connection(struct ch_peers *peers, struct connection *connection,
                 int64_t now)
 {
-    char bytes[READ_SIZE];
+    char bytes[READ_BUFFER_BYTES];
     ssize_t count = recv(connection->fd, bytes, sizeof(bytes), MSG_DONTWAIT);
     if (count < 0) {
         if (errno != EAGAIN && errno != EINTR) {
@@ -202,13 +213,13 @@
     }
     ch_metrics_count(peers->node->client->metrics,
                      CH_COUNT_FRAME_BYTES_RECEIVED, (uint64_t)count);
-    note_bytes(connection, now);
+    record_bytes(connection, now);
     ch_wire_decoder_feed(connection->decoder, bytes, (size_t)count);
-    take_frames(peers, connection, now);
+    handle_frames(peers, connection, now);
     return (size_t)count == sizeof(bytes);
 }
 
-/* Whether the connection that was begun is made. */
+/* Completes or fails a connection attempt. */
 static void
 finish_connect(struct ch_peers *peers, struct connection *connection,
                int64_t now)
@@ -228,7 +239,7 @@
     connection_flush(peers, connection);
 }
 
-/* Takes every connection that waits at the listener. */
+/* Accepts every waiting connection. */
 static void
 accept_connections(struct ch_peers *peers, int64_t now)
 {
@@ -246,10 +257,10 @@
     }
 }
 
-/* One event of a connection.  Whether more may be left to read. */
+/* Handles one event of a connection. True when more may be left to read. */
 static bool
-take_event(struct ch_peers *peers, struct connection *connection,
-           uint32_t events, int64_t now)
+handle_event(struct ch_peers *peers, struct connection *connection,
+             uint32_t events, int64_t now)
 {
     if (connection->failure != CH_OK) {
         return false;
@@ -266,12 +277,12 @@
            read_connection(peers, connection, now);
 }
 
-/* Takes what epoll told.  Whether more may be left than was read. */
+/* Handles the events from epoll. True when data may be left unread. */
 static bool
-take_events(struct ch_peers *peers, const struct epoll_event *events,
-            int count, int64_t now)
+handle_events(struct ch_peers *peers, const struct epoll_event *events,
+              int count, int64_t now)
 {
-    bool left = count < 0 || count == EVENTS;
+    bool more_left = count < 0 || count == MAX_EVENTS;
     for (int i = 0; i < count; i++) {
         if (events[i].data.ptr == peers) {
             accept_connections(peers, now);
@@ -282,33 +293,35 @@
             (void)got;
         }
         else {
-            left |=
-                take_event(peers, events[i].data.ptr, events[i].events, now);
+            more_left |=
+                handle_event(peers, events[i].data.ptr, events[i].events, now);
         }
     }
-    return left;
+    return more_left;
 }
 
-/* ---- the clock's part; the lock is held ---- */
+/* ---- timeouts; the lock is held ---- */
 
 /*
- * Ends a connection on which an answer is due and nothing comes.  Without
- * this, a request that waits at a home which is paused, or on a connection
- * that something between the two has forgotten, would wait for ever, since TCP
- * alone notices after minutes.
+ * Fails a connection on which a reply or pong is due and nothing arrives.
+ * Without this, a request that waits at a paused home node, or on a connection
+ * that a device in between has dropped, would wait forever: TCP itself notices
+ * only after minutes. Also pings while requests wait, and closes idle
+ * connections.
  */
 static void
-watch_connection(struct ch_peers *peers, struct connection *connection,
+check_connection(struct ch_peers *peers, struct connection *connection,
                  int64_t now)
 {
-    int64_t silent = (int64_t)peers->node->settings->peer_silent_ms * 1000;
+    int64_t silence_limit =
+        (int64_t)peers->node->settings->peer_silent_ms * 1000;
     if (connection->connecting) {
-        if (now - connection->opened > silent) {
+        if (now - connection->opened > silence_limit) {
             connection->failure = CH_PEER_LOST;
         }
         return;
     }
-    if (connection->asked > 0 && now - connection->asked > silent) {
+    if (connection->asked > 0 && now - connection->asked > silence_limit) {
         ch_metrics_count(peers->node->client->metrics, CH_COUNT_PEERS_SILENT,
                          1);
         connection->failure = CH_PEER_TIMEOUT;
@@ -316,19 +329,22 @@
     }
     if (connection->awaited > 0 &&
         now - MAX(connection->heard, connection->pinged) >
-            silent / PING_SHARE) {
+            silence_limit / PINGS_PER_SILENCE_LIMIT) {
         connection_ping(peers, connection, ch_client_now(peers->node->client));
     }
-    int64_t idle = (int64_t)peers->node->settings->idle_connection_ms * 1000;
+    int64_t idle_limit =
+        (int64_t)peers->node->settings->idle_connection_ms * 1000;
     if (connection->awaited == 0 && connection->asked == 0 &&
-        now - connection->used > (connection->outbound ? idle : 2 * idle)) {
+        now - connection->used >
+            (connection->outbound ? idle_limit : 2 * idle_limit)) {
         connection->failure = CH_PEER_LOST;
     }
 }
 
-/* Removes the connections that failed, telling membership of them. */
+/* Closes the connections that failed and reports the lost nodes to the
+ * membership. */
 static void
-sweep_connections(struct ch_peers *peers, int64_t now)
+close_failed_connections(struct ch_peers *peers, int64_t now)
 {
     for (guint i = peers->connections->len; i > 0; i--) {
         struct connection *connection =
@@ -336,9 +352,9 @@
         if (connection->failure == CH_OK) {
             continue;
         }
-        bool idle = connection->awaited == 0 && connection->asked == 0 &&
-                    !connection->connecting;
-        if (connection->outbound && !idle &&
+        bool is_idle = connection->awaited == 0 && connection->asked == 0 &&
+                       !connection->connecting;
+        if (connection->outbound && !is_idle &&
             ch_members_lost(peers->members, connection->name, now)) {
             ch_log(peers->node->client, CH_LOG_WARNING, "peer-silent",
                    CH_F_STR("peer", connection->name),
@@ -348,7 +364,7 @@
     }
 }
 
-/* Ends the requests whose own limit is over. */
+/* Ends the requests whose deadline has passed with PEER_TIMEOUT. */
 static void
 expire_requests(struct ch_peers *peers, int64_t now)
 {
@@ -367,12 +383,13 @@
     }
 }
 
-/* Pings the members whose turn it is. */
+/* Pings the members that are due for a probe. */
 static void
 probe_members(struct ch_peers *peers, int64_t now)
 {
-    const char *names[PROBES];
-    size_t count = ch_members_probe(peers->members, now, names, PROBES);
+    const char *names[MAX_PROBES_PER_TICK];
+    size_t count =
+        ch_members_probe(peers->members, now, names, MAX_PROBES_PER_TICK);
     for (size_t i = 0; i < count; i++) {
         struct connection *connection =
             connection_outbound(peers, names[i], now);
@@ -383,19 +400,21 @@
     }
 }
 
-/* The start of a silence without a pause; it may have begun within it. */
+/* Moves the start of a silence later by the length of a pause, but not beyond
+ * now: the silence may have begun within the pause. */
 static int64_t
-without_pause(int64_t start, int64_t gap, int64_t now)
+exclude_pause(int64_t start, int64_t gap, int64_t now)
 {
     return MAX(start, MIN(start + gap, now));
 }
 
 /*
- * Takes a pause of this process off what was awaited meanwhile.  What began
- * within the pause gets no more than it has without one.
+ * Extends every running timeout by a pause of this process. A timeout that
+ * began within the pause is extended only as far as its normal length from
+ * now.
  */
 static void
-take_off_pause(struct ch_peers *peers, int64_t gap, int64_t now)
+apply_pause(struct ch_peers *peers, int64_t gap, int64_t now)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
@@ -404,9 +423,9 @@
         struct connection *connection =
             g_ptr_array_index(peers->connections, i);
         if (connection->asked > 0) {
-            connection->asked = without_pause(connection->asked, gap, now);
+            connection->asked = exclude_pause(connection->asked, gap, now);
         }
-        connection->opened = without_pause(connection->opened, gap, now);
+        connection->opened = exclude_pause(connection->opened, gap, now);
     }
     g_hash_table_iter_init(&iterator, peers->requests);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
@@ -414,30 +433,31 @@
         if (request->due > 0) {
             request->due =
                 request->limit +
-                without_pause(request->due - request->limit, gap, now);
+                exclude_pause(request->due - request->limit, gap, now);
         }
     }
 }
 
-/* What is done each tick; all that had come at `now` is read. */
+/* Checks all timeouts; everything that had arrived at `now` has been read. */
 static void
 tick(struct ch_peers *peers, int64_t now)
 {
     int64_t gap = now - peers->last_tick;
-    if (peers->last_tick > 0 && gap > PAUSE + TICK_MS * INT64_C(1000)) {
-        take_off_pause(peers, gap, now);
+    if (peers->last_tick > 0 && gap > MIN_PAUSE_US + TICK_MS * INT64_C(1000)) {
+        apply_pause(peers, gap, now);
     }
     peers->last_tick = now;
     ch_members_ready_self(peers->members, ck_pr_load_uint(&peers->ready) != 0);
     for (guint i = 0; i < peers->connections->len; i++) {
-        watch_connection(peers, g_ptr_array_index(peers->connections, i), now);
+        check_connection(peers, g_ptr_array_index(peers->connections, i), now);
     }
     expire_requests(peers, now);
     probe_members(peers, now);
 }
 
-/* Looks whether this node knows by now what a home must know; it does not
- * forget it again.  Without the lock, which comes after the others'. */
+/* Sets ready once this node knows a configuration and enough of the upstreams
+ * to be a home node; ready is never cleared. Called without the lock, which
+ * comes after the router's and the configuration's in the lock order. */
 static void
 refresh_ready(struct ch_peers *peers)
 {
@@ -451,42 +471,41 @@
 
 /* Milliseconds until the next tick is due. */
 static int
-until_tick(const struct ch_peers *peers, int64_t now)
+get_ms_until_tick(const struct ch_peers *peers, int64_t now)
 {
     int64_t left = peers->last_tick + TICK_MS * INT64_C(1000) - now;
     return (int)CLAMP((left + 999) / 1000, 0, TICK_MS);
 }
 
 /*
- * Waits for events and takes them, then does the clock's part when it is due.
- * A thread that had no turn for a while finds replies beside limits that have
- * passed, and would tell its callers that others were silent.  So limits are
- * judged by a time at which all that had come is surely read: before the wait,
- * or at the end of one that brought nothing.
+ * Waits for events and handles them, then runs the tick when it is due. A
+ * thread that did not run for a while finds replies next to timeouts that have
+ * passed, and would report other nodes as silent. So timeouts are compared
+ * with a time at which everything that had arrived is known to be read: the
+ * time before the wait, or the end of a wait that brought no event.
  */
 static void
-take_turn(struct ch_peers *peers)
+poll_once(struct ch_peers *peers)
 {
-    struct epoll_event events[EVENTS];
+    struct epoll_event events[MAX_EVENTS];
     const struct ch_client *client = peers->node->client;
     int64_t before = ch_client_now(client);
-    int wait = until_tick(peers, before);
-    int count = epoll_wait(peers->epoll, events, EVENTS, wait);
+    int wait = get_ms_until_tick(peers, before);
+    int count = epoll_wait(peers->epoll, events, MAX_EVENTS, wait);
     int64_t now = ch_client_now(client);
-    int64_t read_at =
+    int64_t read_up_to =
         count == 0 ? MIN(before + wait * INT64_C(1000), now) : before;
     pthread_mutex_lock(&peers->lock);
-    bool left = take_events(peers, events, count, now);
-    peers->behind = left ? (peers->behind + 1) % MOST_BEHIND : 0;
+    bool more_left = handle_events(peers, events, count, now);
+    peers->behind = more_left ? (peers->behind + 1) % MAX_POLLS_BEHIND : 0;
     if (peers->behind == 0 &&
-        read_at - peers->last_tick >= TICK_MS * INT64_C(1000)) {
-        tick(peers, read_at);
+        read_up_to - peers->last_tick >= TICK_MS * INT64_C(1000)) {
+        tick(peers, read_up_to);
     }
-    sweep_connections(peers, read_at);
+    close_failed_connections(peers, read_up_to);
     pthread_mutex_unlock(&peers->lock);
 }
 
-/* Whether the thread is to end. */
 static bool
 is_stopping(struct ch_peers *peers)
 {
@@ -496,14 +515,14 @@
     return stopping;
 }
 
-/* The thread. */
+/* See peers_internal.h. */
 void *
 peers_run(void *data)
 {
     struct ch_peers *peers = data;
     while (!is_stopping(peers)) {
         refresh_ready(peers);
-        take_turn(peers);
+        poll_once(peers);
     }
     return NULL;
 }
--- a/libchestnuthitch/node/peers_members.c
+++ b/libchestnuthitch/node/peers_members.c
@@ -1,17 +1,17 @@
-/* Who answers among the nodes, and which of them is home of what. */
+/* Which nodes are live, and which of them is the home node of a key. */
 
 #include "node/peers_internal.h"
 
 #include <string.h>
 
-/* The name of a home that was found, or this node's own. */
+/* The name of the home node, or this node's own name when home is NULL. */
 static const char *
 home_or_self(const struct ch_peers *peers, const char *home)
 {
     return home != NULL ? home : peers->node->settings->name;
 }
 
-/* A new string: the node to ask as home of an upstream. */
+/* The node to ask as home node of an upstream; a new string. */
 char *
 ch_peers_upstream_home(struct ch_peers *peers, uint64_t key,
                        const char *region, const char *data_centre)
@@ -25,38 +25,39 @@
 }
 
 /*
- * A home opens where the weights put it, once that node is ready; a node that
- * is home goes on until its successor is.  So a restarted node learns from the
- * homes before it what is resident where before it takes over, and the first
- * node that is ready in a fleet that starts does not open every home.
+ * A node becomes home node when it has the highest weight and is ready; the
+ * previous home node continues until its successor is ready. So a restarted
+ * node learns from the previous home nodes which upstream holds which models
+ * before it takes over, and the first ready node of a starting fleet does not
+ * become home node of every upstream.
  */
 bool
 ch_peers_is_home(struct ch_peers *peers, uint64_t key, const char *region,
                  const char *data_centre, bool *becomes)
 {
     pthread_mutex_lock(&peers->lock);
-    const char *owner = home_or_self(
+    const char *home = home_or_self(
         peers, ch_members_home(peers->members, key, region, data_centre));
-    const char *asked =
+    const char *ready_home =
         home_or_self(peers, ch_members_ready_home(peers->members, key, region,
                                                   data_centre));
-    bool owns = peers_is_self(peers, owner);
-    bool is_asked = peers_is_self(peers, asked);
+    bool is_home = peers_is_self(peers, home);
+    bool is_ready_home = peers_is_self(peers, ready_home);
     pthread_mutex_unlock(&peers->lock);
-    *becomes = owns && is_asked;
-    return owns || is_asked;
+    *becomes = is_home && is_ready_home;
+    return is_home || is_ready_home;
 }
 
-/* Whether a node is of this node's region; true for one that is not known. */
+/* Whether a node is in this node's region; true for an unknown node. */
 bool
 ch_peers_is_near(struct ch_peers *peers, const char *name)
 {
     pthread_mutex_lock(&peers->lock);
     const struct ch_member *member = ch_members_find(peers->members, name);
-    bool near = member == NULL || member->region == NULL ||
-                strcmp(member->region, peers->node->settings->region) == 0;
+    bool is_near = member == NULL || member->region == NULL ||
+                   strcmp(member->region, peers->node->settings->region) == 0;
     pthread_mutex_unlock(&peers->lock);
-    return near;
+    return is_near;
 }
 
 /* See node.h. */
@@ -70,7 +71,7 @@
     return unpacks;
 }
 
-/* The membership's version; see ch_members_version. */
+/* Changes when a home node may have moved; see ch_members_get_version. */
 uint64_t
 ch_peers_version(struct ch_peers *peers)
 {
@@ -80,8 +81,9 @@
     return version;
 }
 
-/* A new string: the home of a key in a data centre, or among all.  Ready or
- * not: what is asked of it needs the key-value service alone. */
+/* The home node of a key in a data centre, or among all nodes with data_centre
+ * NULL; a new string. The node need not be ready: its work for the key needs
+ * only the key-value store. */
 char *
 ch_peers_home(struct ch_peers *peers, uint64_t key, const char *data_centre)
 {
@@ -92,7 +94,7 @@
     return home;
 }
 
-/* The names of the live nodes with this one, in order; g_strfreev. */
+/* The sorted names of the live nodes and this node; free with g_strfreev. */
 char **
 ch_peers_live(struct ch_peers *peers)
 {
@@ -118,10 +120,10 @@
     return (char **)g_ptr_array_free(names, FALSE);
 }
 
-/* The other live nodes, from the first that comes after this one in order of
- * names: nodes that begin together do not all begin with the same one. */
+/* The other live nodes, beginning with the name that follows this node's own:
+ * so nodes that start at the same time do not all begin with the same node. */
 void
-ch_peers_others(struct ch_peers *peers, GPtrArray *near, GPtrArray *far)
+ch_peers_others(struct ch_peers *peers, GPtrArray *local, GPtrArray *remote)
 {
     const struct ch_settings *settings = peers->node->settings;
     pthread_mutex_lock(&peers->lock);
@@ -137,8 +139,9 @@
         if (!ch_member_serves(member)) {
             continue;
         }
-        bool is_near = strcmp(member->data_centre, settings->data_centre) == 0;
-        g_ptr_array_add(is_near ? near : far, g_strdup(member->name));
+        bool is_local =
+            strcmp(member->data_centre, settings->data_centre) == 0;
+        g_ptr_array_add(is_local ? local : remote, g_strdup(member->name));
     }
     pthread_mutex_unlock(&peers->lock);
 }
@@ -160,7 +163,7 @@
     pthread_mutex_unlock(&peers->lock);
 }
 
-/* Takes the platform's list of entry hosts. */
+/* Updates the members from the host list; only entry hosts count. */
 void
 ch_peers_list(struct ch_peers *peers, const struct ch_host_list *list)
 {
@@ -191,7 +194,8 @@
     return listed;
 }
 
-/* When anything last came from a node, on the client's clock; 0: unknown. */
+/* When a frame last came from a node, on the client's clock; 0: unknown node.
+ */
 int64_t
 ch_peers_heard(struct ch_peers *peers, const char *name, uint64_t *incarnation)
 {
@@ -214,7 +218,7 @@
     return heard;
 }
 
-/* Adds the names (new strings) of members found silent of late. */
+/* Adds the names (new strings) of members recently found silent. */
 void
 ch_peers_hints(struct ch_peers *peers, GPtrArray *silent_names)
 {
@@ -229,8 +233,8 @@
     pthread_mutex_unlock(&peers->lock);
 }
 
-/* Takes what another node tells of members: a silence to look into, or its own
- * word that it stops. */
+/* Applies the member states from another node's gossip: a silent member, which
+ * this node then probes, or the sender's notice that it is stopping. */
 void
 ch_peers_told(struct ch_peers *peers,
               const Chestnuthitch__Wire__Gossip *gossip)
@@ -250,7 +254,8 @@
     peers_wake(peers);
 }
 
-/* This node stops: no key has its home here from now on. */
+/* Marks this node as stopping: no key has its home node here from now on,
+ * unless this node is alone. */
 void
 ch_peers_stopping(struct ch_peers *peers)
 {
@@ -266,7 +271,7 @@
     return peers->port;
 }
 
-/* The members, as an array "nodes" in an open JSON object. */
+/* Writes the members as an array "nodes" into an open JSON object. */
 void
 ch_peers_status(struct ch_peers *peers, JsonBuilder *builder)
 {
--- a/libchestnuthitch/node/peers_role.c
+++ b/libchestnuthitch/node/peers_role.c
@@ -1,18 +1,18 @@
-/* Which few nodes do something for all others. */
+/* Selection of the few nodes that have a role for all others. */
 
 #include "decide/rank.h"
 #include "node/peers_internal.h"
 
 #include <string.h>
 
-/* Whether a node is of a data centre and a region; NULL for either means any.
+/* Whether a node is in a data centre and a region; NULL for either means any.
  */
 static bool
-is_of(const char *data_centre, const char *region, const char *own_centre,
-      const char *own_region)
+is_located_in(const char *data_centre, const char *region,
+              const char *node_centre, const char *node_region)
 {
-    return (data_centre == NULL || g_strcmp0(data_centre, own_centre) == 0) &&
-           (region == NULL || g_strcmp0(region, own_region) == 0);
+    return (data_centre == NULL || g_strcmp0(data_centre, node_centre) == 0) &&
+           (region == NULL || g_strcmp0(region, node_region) == 0);
 }
 
 /* See node.h. */
@@ -32,7 +32,8 @@
         const struct ch_member *member = ch_members_at(peers->members, i);
         const struct ch_rank_node node = {member->hash, member->capacity};
         if (ch_member_serves(member) &&
-            is_of(data_centre, region, member->data_centre, member->region)) {
+            is_located_in(data_centre, region, member->data_centre,
+                          member->region)) {
             g_array_append_val(nodes, node);
         }
     }
--- a/libchestnuthitch/node/peers_traffic.c
+++ b/libchestnuthitch/node/peers_traffic.c
@@ -1,4 +1,5 @@
-/* Frames and bytes to and from other nodes, by kind and by way. */
+/* Counters of frames and bytes to and from other nodes, by kind, direction and
+ * region. */
 
 #include "node/peers_internal.h"
 
@@ -12,13 +13,13 @@
     [PEERS_RECEIVED] = "received",
 };
 
-/* By whether the other node is of another region. */
+/* Indexed by whether the other node is in another region. */
 static const char *const way_names[] = {"region", "other_region"};
 
-/* The name of a kind of frame, as the protocol's description has it; NULL: no
+/* The name of a kind of frame in the protocol description; NULL: there is no
  * such kind. */
 static const char *
-kind_name(unsigned kind)
+get_kind_name(unsigned kind)
 {
     const ProtobufCFieldDescriptor *field =
         protobuf_c_message_descriptor_get_field(
@@ -41,15 +42,16 @@
     ck_pr_add_64(&traffic->bytes, bytes);
 }
 
-/* Calls each for what was counted, by kind, direction and way. */
+/* Calls each for every nonzero counter. */
 static void
-each_traffic(const struct ch_peers *peers,
-             void (*each)(void *data, const char *kind, const char *direction,
-                          const char *way, uint64_t frames, uint64_t bytes),
-             void *data)
+foreach_counter(const struct ch_peers *peers,
+                void (*each)(void *data, const char *kind,
+                             const char *direction, const char *way,
+                             uint64_t frames, uint64_t bytes),
+                void *data)
 {
     for (unsigned kind = 0; kind < PEERS_BODY_CASES; kind++) {
-        const char *name = kind_name(kind);
+        const char *name = get_kind_name(kind);
         for (unsigned i = 0; name != NULL && i < PEERS_DIRECTIONS; i++) {
             for (unsigned j = 0; j < G_N_ELEMENTS(way_names); j++) {
                 const struct traffic *traffic = &peers->traffic[kind][i][j];
@@ -63,17 +65,17 @@
     }
 }
 
-struct rendering {
+struct metric_rendering {
     GString *out;
     bool bytes;
 };
 
-/* One line of a metric. */
+/* Appends one line of a metric. */
 static void
-render_line(void *data, const char *kind, const char *direction,
-            const char *way, uint64_t frames, uint64_t bytes)
+append_metric_line(void *data, const char *kind, const char *direction,
+                   const char *way, uint64_t frames, uint64_t bytes)
 {
-    const struct rendering *rendering = data;
+    const struct metric_rendering *rendering = data;
     g_string_append_printf(
         rendering->out,
         "chestnuthitch_peer_%s_total{kind=\"%s\",direction=\"%s\",way=\"%s\"}"
@@ -82,11 +84,11 @@
         rendering->bytes ? bytes : frames);
 }
 
-/* Appends the counts in the Prometheus text exposition format. */
+/* Appends the counters in the Prometheus text exposition format. */
 void
 ch_peers_render(const struct ch_peers *peers, GString *out)
 {
-    struct rendering rendering = {out, false};
+    struct metric_rendering rendering = {out, false};
     if (peers == NULL) {
         return;
     }
@@ -94,19 +96,19 @@
                     "# HELP chestnuthitch_peer_frames_total frames to and "
                     "from other nodes, by kind\n"
                     "# TYPE chestnuthitch_peer_frames_total counter\n");
-    each_traffic(peers, render_line, &rendering);
+    foreach_counter(peers, append_metric_line, &rendering);
     rendering.bytes = true;
     g_string_append(out,
                     "# HELP chestnuthitch_peer_bytes_total bytes of frames to "
                     "and from other nodes, by kind\n"
                     "# TYPE chestnuthitch_peer_bytes_total counter\n");
-    each_traffic(peers, render_line, &rendering);
+    foreach_counter(peers, append_metric_line, &rendering);
 }
 
-/* One entry of the status. */
+/* Adds one entry to the status. */
 static void
-add_entry(void *data, const char *kind, const char *direction, const char *way,
-          uint64_t frames, uint64_t bytes)
+add_status_entry(void *data, const char *kind, const char *direction,
+                 const char *way, uint64_t frames, uint64_t bytes)
 {
     JsonBuilder *builder = data;
     json_builder_begin_object(builder);
@@ -123,12 +125,12 @@
     json_builder_end_object(builder);
 }
 
-/* The counts, as an array "traffic" in an open JSON object. */
+/* Writes the counters as an array "traffic" into an open JSON object. */
 void
 ch_peers_traffic_status(const struct ch_peers *peers, JsonBuilder *builder)
 {
     json_builder_set_member_name(builder, "traffic");
     json_builder_begin_array(builder);
-    each_traffic(peers, add_entry, builder);
+    foreach_counter(peers, add_status_entry, builder);
     json_builder_end_array(builder);
 }
