--- a/libchestnuthitch/node/peers_internal.h
+++ b/libchestnuthitch/node/peers_internal.h
@@ -43,8 +43,7 @@
     size_t out_sent;
     int64_t opened;
     int64_t heard;
-    int64_t asked;  /* when the first unanswered request or ping was sent; 0:
-                       none is */
+    int64_t asked; /* first unanswered ping, or data received since; 0: none */
     int64_t pinged; /* when the last ping was sent */
     int64_t used;
     unsigned awaited; /* requests that wait for a reply */
@@ -53,8 +52,7 @@
 
 struct request {
     uint64_t id;
-    struct connection
-        *connection; /* NULL: the request is to this node itself */
+    struct connection *connection; /* NULL: to this node itself */
     int64_t limit;
     int64_t due; /* 0: no deadline but the end of the connection */
     void (*done)(void *data, enum ch_code code,
--- a/libchestnuthitch/node/roster.c
+++ b/libchestnuthitch/node/roster.c
@@ -1,12 +1,11 @@
 /*
- * The upstreams and nodes that describe themselves in the key-value service.
- *
- * A few nodes watch the service and tell all others what has changed, each
- * entry with its revision, so that none is ever replaced by an older one.  A
- * watch from every node would cost the service a call for each node at each
- * change, and joining nodes change the list themselves: calls that grow with
- * the square of the fleet.  A node that is told nothing for a while, as it is
- * cut off from those that watch, reads the service by itself.
+ * The upstreams and nodes that describe themselves in the key-value store. A
+ * few nodes, the watchers, watch the store and send the changes to all others,
+ * each entry with its revision, so that an entry is never replaced by an older
+ * one. A watch from every node would cost the store one call per node at each
+ * change, and joining nodes change the list themselves, so that the calls
+ * would grow with the square of the fleet. A node that receives no message for
+ * a while, because it is cut off from the watchers, reads the store itself.
  */
 
 #include "node/kv_call.h"
@@ -15,71 +14,74 @@
 #include <string.h>
 
 enum {
-    TICK = 100 * 1000,
-    /* As long as a leaving upstream may get new work, less what it takes to
-     * tell of it: see the configuration's watches for why they are short. */
-    LEAST_WATCH = 1500 * 1000,
-    MOST_WATCH = 2500 * 1000,
-    FIRST_PAUSE = 250 * 1000,
-    MOST_PAUSE = 2 * 1000 * 1000,
-    /* After a watch that brought nothing that is for all nodes, the next one
-     * begins this much later and brings what came meanwhile.  Engines change
-     * their models all the time where demand moves; three nodes that watch do
-     * not pause together, so that what is for all is seen soon. */
-    GATHER = 1000 * 1000,
-    /* Nodes that watch: three, so that one lost and one paused leave one. */
-    WATCHERS = 3,
-    /* A node that was told nothing for so long reads by itself, this often:
-     * three messages that did not come. */
-    UNTOLD = 3000 * 1000,
+    TICK_US = 100 * 1000,
+    /* Bounds of a watch's duration. At most the time for which a draining
+     * upstream may still get new requests, less the time to publish its state;
+     * the configuration's watches give the reason for short watches. */
+    MIN_WATCH_US = 1500 * 1000,
+    MAX_WATCH_US = 2500 * 1000,
+    MIN_BACKOFF_US = 250 * 1000,
+    MAX_BACKOFF_US = 2 * 1000 * 1000,
     /*
-     * A node reads the others' entries this long after it wrote its own, and
-     * this long after its start at the latest.  Nodes that start at the same
-     * time know of one another then; without the wait each of them finds
-     * itself alone, and reads, watches and tells all that a few do for all.
-     * One whose earlier process is still listed need not wait: so are those of
-     * the others.
+     * After a watch that returned no change for all nodes, the next watch
+     * starts this much later and returns all changes since. Engines change
+     * their models all the time where demand moves. The three watchers do not
+     * wait at the same times, so a change for all nodes is still seen soon.
      */
-    ENTER = 400 * 1000,
-    MOST_ENTER = 800 * 1000,
-    /* The service is taken to be away when it gave no list this long after the
-     * start. */
-    SERVICE_LATE = 1000 * 1000,
-    /* Others are asked this often for what is not known. */
-    ASK_AGAIN = 500 * 1000,
-    /* A node that was told of no upstreams this long after its start reads
-     * them by itself. */
-    FIRST_UNTOLD = 3000 * 1000,
-    /* A node that has just read and is not listed itself waits for this long
-     * before it watches: by then it knows who else is there. */
-    SETTLE = 1500 * 1000,
+    BATCH_DELAY_US = 1000 * 1000,
+    /* With three watchers, one remains if one is lost and one paused. */
+    WATCHER_COUNT = 3,
+    /* A node that received no message for this long, which is three missed
+     * messages, reads the store itself, this often. */
+    MESSAGE_TIMEOUT_US = 3000 * 1000,
     /*
-     * Entries lapse while the service is away, and their owners write them
-     * again when it is back: within two seconds, as the platform says.  Until
-     * then what has vanished is still used; the rest of the three seconds
-     * within which a leaving upstream must get no new work is for this list
-     * to get around.
+     * A node reads the other nodes' entries this long after it wrote its own,
+     * and at the latest MAX_FIRST_READ_DELAY_US after its start. So nodes that
+     * start at the same time find one another; without the delay each of them
+     * finds itself alone, and reads, watches and publishes everything itself,
+     * which is the role of a few nodes. A node whose earlier process is still
+     * listed need not wait, since the other nodes are still listed too.
      */
-    LAPSE_GRACE = 2200 * 1000,
-    /* A node that is no longer listed is still asked by its peers for this
-     * long, for the same reason. */
-    NODE_GRACE = 15 * 1000 * 1000,
+    FIRST_READ_DELAY_US = 400 * 1000,
+    MAX_FIRST_READ_DELAY_US = 800 * 1000,
+    /* The key-value store counts as unavailable when it has returned no list
+     * this long after the start. */
+    STORE_TIMEOUT_US = 1000 * 1000,
+    /* How often other nodes are asked for unknown lists. */
+    PEER_REQUEST_INTERVAL_US = 500 * 1000,
+    /* A node that received no upstreams this long after its start reads them
+     * from the store. */
+    FIRST_MESSAGE_TIMEOUT_US = 3000 * 1000,
+    /* A node that has just read the list and is not listed itself waits this
+     * long before it watches; by then it knows which other nodes exist. */
+    FIRST_WATCH_DELAY_US = 1500 * 1000,
+    /*
+     * Entries expire while the key-value store is unavailable, and their
+     * owners write them again within two seconds of its return, as the
+     * platform specifies. Until then a vanished entry is still used. A
+     * draining upstream must get no new requests after three seconds; the
+     * 0.8 seconds left are for publishing the change.
+     */
+    EXPIRED_UPSTREAM_GRACE_US = 2200 * 1000,
+    /* Peers still ask a node that is no longer listed for this long, for the
+     * same reason. */
+    EXPIRED_NODE_GRACE_US = 15 * 1000 * 1000,
 };
 
 /*
- * Watches that bring something, of each watcher, a second and at once.  A
- * watch ends with its first event, and dozens of engines that change their
- * models make several a second for as long as demand moves: each would be a
- * call.  A few in a row go on at once, since a pause of 0.3 s after each cost
- * a fleet of seven nodes 0.03 of its worth: a crash and what follows it come
- * as a few events.
+ * Watches that return changes, for each watcher: per second, and in a burst. A
+ * watch ends at its first event, and dozens of engines that change their
+ * models cause several events a second for as long as demand moves; each event
+ * would cost a call. The burst lets a few watches follow one another at once,
+ * since a crash and its consequences arrive as a few events: a pause of 0.3 s
+ * after each event cost a fleet of seven nodes 0.03 of its score.
  */
-static const double WATCH_RATE = 3.3;
+static const double WATCHES_PER_S = 3.3;
 static const double WATCH_BURST = 10;
 
-/* ---- ownership ---- */
+/* ---- references ---- */
 
-/* One more owner: a call or timer under way. */
+/* See roster_internal.h. */
 struct ch_roster *
 roster_ref(struct ch_roster *roster)
 {
@@ -87,7 +89,7 @@
     return roster;
 }
 
-/* One owner less; the last frees it. */
+/* See roster_internal.h. */
 void
 roster_unref(struct ch_roster *roster)
 {
@@ -103,9 +105,9 @@
 
 /* ---- users ---- */
 
-/* Gives the nodes to the peers. */
+/* Passes the list of nodes to the peers. */
 static void
-tell_peers(struct ch_roster *roster)
+update_peers(struct ch_roster *roster)
 {
     pthread_mutex_lock(&roster->lock);
     guint count = g_hash_table_size(roster->nodes.entries);
@@ -115,250 +117,257 @@
     g_hash_table_iter_init(&iterator, roster->nodes.entries);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const struct entry *entry = value;
-        list.hosts[list.count++] = entry->host; /* the strings stay there */
+        list.hosts[list.count++] = entry->host; /* borrows the strings */
     }
     ch_peers_list(roster->node->peers, &list);
     pthread_mutex_unlock(&roster->lock);
     g_free(list.hosts);
 }
 
-/* Tells who uses the list that it has changed. */
+/* See roster_internal.h. */
 void
-roster_tell_users(struct feed *feed)
+roster_tell_users(struct feed *list)
 {
-    if (feed == &feed->roster->nodes) {
-        tell_peers(feed->roster);
+    if (list == &list->roster->nodes) {
+        update_peers(list->roster);
     }
-    feed->roster->changed(feed->roster->data);
+    list->roster->changed(list->roster->data);
 }
 
 /* ---- calls ---- */
 
-/* True when this node is one of the few that watch. */
+/* Whether this node is one of the few watchers. */
 static bool
 is_watcher(const struct ch_roster *roster)
 {
     const struct ch_node *node = roster->node;
-    return ch_peers_has_role(node->peers, "roster-watch", WATCHERS, NULL);
+    return ch_peers_has_role(node->peers, "roster-watch", WATCHER_COUNT, NULL);
 }
 
-static void begin_call(struct feed *feed, bool watcher);
+static void start_call(struct feed *list, bool watcher);
 
-/* Notes how a call went, and when the next may begin.  Lock held. */
+/* Records the result of a call and when the next may start. Lock held. */
 static void
-end_call(struct feed *feed, enum ch_code code, int64_t now)
+record_call_result(struct feed *list, enum ch_code code, int64_t now)
 {
-    feed->calling = false;
+    list->calling = false;
     if (code == CH_OK || code == CH_KV_MISSING) {
-        feed->pause = 0;
+        list->pause = 0;
         return;
     }
-    /* After a watch that failed all is read anew.  A service that drops
-     * history also cuts its watches, and may take the next one from before the
-     * gap without a word: an upstream that began to leave in it would get work
-     * until it is gone. */
-    feed->at = 0;
+    /*
+     * After a failed watch the whole list is read again. A store that drops
+     * its history also interrupts its watches, and may accept the next watch
+     * from a revision before the gap without an error: an upstream that began
+     * to drain within the gap would get requests until it is gone.
+     */
+    list->at = 0;
     if (code == CH_KV_HISTORY_GONE) {
         return;
     }
-    if (feed->troubled == 0 || feed->pause == 0) {
-        ch_log(feed->roster->node->client, CH_LOG_WARNING, "list-unreachable",
-               CH_F_STR("prefix", feed->prefix), CH_F_INT("code", code),
+    if (list->troubled == 0 || list->pause == 0) {
+        ch_log(list->roster->node->client, CH_LOG_WARNING, "list-unreachable",
+               CH_F_STR("prefix", list->prefix), CH_F_INT("code", code),
                CH_F_END);
     }
-    feed->troubled = now;
-    feed->pause = CLAMP(feed->pause * 2, FIRST_PAUSE, MOST_PAUSE);
-    feed->not_before = now + feed->pause;
+    list->troubled = now;
+    list->pause = CLAMP(list->pause * 2, MIN_BACKOFF_US, MAX_BACKOFF_US);
+    list->not_before = now + list->pause;
 }
 
-/* How long to wait after a watch that brought something.  Lock held. */
+/* Time to wait after a watch that returned changes. Lock held. */
 static int64_t
-gather_time(struct feed *feed, int64_t now)
+get_batch_delay(struct feed *list, int64_t now)
 {
-    if (!feed_has_news_for_all(feed)) {
-        return GATHER;
+    if (!feed_has_news_for_all(list)) {
+        return BATCH_DELAY_US;
     }
-    return ch_bucket_take(&feed->watches, 1, now)
+    return ch_bucket_take(&list->watches, 1, now)
                ? 0
-               : (int64_t)(G_USEC_PER_SEC / WATCH_RATE);
+               : (int64_t)(G_USEC_PER_SEC / WATCHES_PER_S);
 }
 
-/* On the pool: what a range or a watch brought. */
+/* Applies the result of a range call (is_full_read) or a watch, and starts the
+ * next call; on the pool. */
 static void
-call_done(struct feed *feed, const struct ch_kv_range *range, bool whole)
+handle_call_result(struct feed *list, const struct ch_kv_range *range,
+                   bool is_full_read)
 {
-    struct ch_roster *roster = feed->roster;
+    struct ch_roster *roster = list->roster;
     int64_t now = ch_client_now(roster->node->client);
-    bool fresh = range->code == CH_OK || range->code == CH_KV_MISSING;
+    bool is_current = range->code == CH_OK || range->code == CH_KV_MISSING;
     pthread_mutex_lock(&roster->lock);
-    if (whole && range->code == CH_OK) {
-        bool alone = !feed->known && roster->listed_at == 0;
-        feed->not_before = alone ? now + SETTLE : 0;
-        feed->heard = now;
-        feed_take_all(feed, range, now);
+    if (is_full_read && range->code == CH_OK) {
+        bool read_before_listed = !list->known && roster->listed_at == 0;
+        list->not_before = read_before_listed ? now + FIRST_WATCH_DELAY_US : 0;
+        list->heard = now;
+        feed_take_all(list, range, now);
     }
     else if (range->code == CH_OK) {
-        feed_take_changes(feed, range, now);
-        feed->not_before = now + gather_time(feed, now);
+        feed_take_changes(list, range, now);
+        list->not_before = now + get_batch_delay(list, now);
     }
-    if (fresh) {
-        feed->at = MAX(feed->at, range->at);
+    if (is_current) {
+        list->at = MAX(list->at, range->at);
     }
-    end_call(feed, range->code, now);
+    record_call_result(list, range->code, now);
     pthread_mutex_unlock(&roster->lock);
     if (range->code == CH_OK) {
-        if (feed == &roster->nodes) {
-            tell_peers(roster);
+        if (list == &roster->nodes) {
+            update_peers(roster);
         }
         roster->changed(roster->data);
     }
-    begin_call(feed, is_watcher(roster));
+    start_call(list, is_watcher(roster));
     roster_unref(roster);
 }
 
-/* What a range brought. */
 static void
-range_done(void *data, const struct ch_kv_range *range)
+handle_range(void *data, const struct ch_kv_range *range)
 {
-    call_done(data, range, true);
+    handle_call_result(data, range, true);
 }
 
-/* What a watch brought. */
 static void
-changes_done(void *data, const struct ch_kv_range *range)
+handle_changes(void *data, const struct ch_kv_range *range)
 {
-    call_done(data, range, false);
+    handle_call_result(data, range, false);
 }
 
-/* Whether a feed that is not known may be read now.  Lock held. */
+/* Whether a list that is not known yet may be read now. Lock held. */
 static bool
-may_read_first(const struct feed *feed, bool watcher, int64_t now)
+may_read_first(const struct feed *list, bool watcher, int64_t now)
 {
-    const struct ch_roster *roster = feed->roster;
-    if (feed == &roster->nodes) {
+    const struct ch_roster *roster = list->roster;
+    if (list == &roster->nodes) {
         return roster->returns ||
-               (roster->listed_at != 0 && now - roster->listed_at >= ENTER) ||
-               now - roster->started >= MOST_ENTER;
+               (roster->listed_at != 0 &&
+                now - roster->listed_at >= FIRST_READ_DELAY_US) ||
+               now - roster->started >= MAX_FIRST_READ_DELAY_US;
     }
     return (roster->nodes.known && watcher) ||
-           now - roster->started >= FIRST_UNTOLD;
+           now - roster->started >= FIRST_MESSAGE_TIMEOUT_US;
 }
 
-/* Begins a range while nothing is known, or where nothing was told for long;
- * on a node that watches, a watch; unless a call is under way or the service
- * is given time. */
+/* Starts a range call when the list is unknown or no message was received for
+ * too long, or a watch on a watcher; unless a call is in progress or a backoff
+ * or delay has not ended. */
 static void
-begin_call(struct feed *feed, bool watcher)
+start_call(struct feed *list, bool watcher)
 {
-    struct ch_roster *roster = feed->roster;
+    struct ch_roster *roster = list->roster;
     int64_t now = ch_client_now(roster->node->client);
     pthread_mutex_lock(&roster->lock);
-    bool begins = watcher && !feed->watched && feed->known;
-    if (begins || (!watcher && now - feed->heard >= UNTOLD)) {
-        feed->at = 0; /* whatever was missed is in a range */
+    bool becomes_watcher = watcher && !list->watched && list->known;
+    if (becomes_watcher ||
+        (!watcher && now - list->heard >= MESSAGE_TIMEOUT_US)) {
+        list->at = 0; /* a range call returns whatever was missed */
     }
-    feed->watched = watcher;
-    uint64_t at = feed->at;
-    bool begin = !roster->stopped && !feed->calling &&
-                 now >= feed->not_before && (watcher || at == 0) &&
-                 (feed->known || may_read_first(feed, watcher, now));
-    if (begin) {
-        feed->calling = true;
+    list->watched = watcher;
+    uint64_t revision = list->at;
+    bool may_start = !roster->stopped && !list->calling &&
+                     now >= list->not_before && (watcher || revision == 0) &&
+                     (list->known || may_read_first(list, watcher, now));
+    if (may_start) {
+        list->calling = true;
         roster_ref(roster);
     }
     pthread_mutex_unlock(&roster->lock);
-    if (!begin) {
+    if (!may_start) {
         return;
     }
-    if (at == 0) {
-        ch_kv_call_range(roster->node, feed->prefix, range_done, feed);
+    if (revision == 0) {
+        ch_kv_call_range(roster->node, list->prefix, handle_range, list);
     }
     else {
-        ch_kv_call_changes(roster->node, feed->prefix, at,
-                           g_random_int_range(LEAST_WATCH, MOST_WATCH),
-                           changes_done, feed);
+        ch_kv_call_changes(roster->node, list->prefix, revision,
+                           g_random_int_range(MIN_WATCH_US, MAX_WATCH_US),
+                           handle_changes, list);
     }
 }
 
 /* ---- the tick ---- */
 
-/* What is to be asked of another node, as it is not known here; NULL: nothing.
- * Who watches reads the service, unless that does not answer.  Lock held. */
+/* The list to request from another node because this node does not know it;
+ * NULL: none. Watchers read the store instead, unless it does not respond.
+ * Lock held. */
 static struct feed *
-feed_to_ask(struct ch_roster *roster, bool watcher, int64_t now)
+find_list_to_request(struct ch_roster *roster, bool watcher, int64_t now)
 {
-    bool late = now - roster->started >= SERVICE_LATE;
+    bool store_timed_out = now - roster->started >= STORE_TIMEOUT_US;
     if (roster->stopped || now < roster->ask_at) {
         return NULL;
     }
     if (!roster->nodes.known) {
-        return late ? &roster->nodes : NULL;
+        return store_timed_out ? &roster->nodes : NULL;
     }
-    return !roster->upstreams.known && (late || !watcher) ? &roster->upstreams
-                                                          : NULL;
+    return !roster->upstreams.known && (store_timed_out || !watcher)
+               ? &roster->upstreams
+               : NULL;
 }
 
-/* Asks one of the others for what this node does not know: one that starts in
- * a fleet that runs knows it so at once, and while the service is away. */
+/* Requests an unknown list from a random other node, preferably in the same
+ * data centre. So a node that starts in a running fleet knows the list at
+ * once, even while the key-value store is unavailable. */
 static void
-ask_first(struct ch_roster *roster, bool watcher, int64_t now)
+request_unknown_list(struct ch_roster *roster, bool watcher, int64_t now)
 {
     pthread_mutex_lock(&roster->lock);
-    struct feed *feed = feed_to_ask(roster, watcher, now);
-    if (feed != NULL) {
-        roster->ask_at = now + ASK_AGAIN;
+    struct feed *list = find_list_to_request(roster, watcher, now);
+    if (list != NULL) {
+        roster->ask_at = now + PEER_REQUEST_INTERVAL_US;
     }
     pthread_mutex_unlock(&roster->lock);
-    if (feed == NULL) {
+    if (list == NULL) {
         return;
     }
-    GPtrArray *near = g_ptr_array_new_with_free_func(g_free);
-    GPtrArray *far = g_ptr_array_new_with_free_func(g_free);
-    ch_peers_others(roster->node->peers, near, far);
-    const GPtrArray *from = near->len > 0 ? near : far;
-    if (from->len > 0) {
-        guint at = (guint)g_random_int_range(0, (gint32)from->len);
-        feed_pull(feed, g_ptr_array_index(from, at));
+    GPtrArray *local = g_ptr_array_new_with_free_func(g_free);
+    GPtrArray *remote = g_ptr_array_new_with_free_func(g_free);
+    ch_peers_others(roster->node->peers, local, remote);
+    const GPtrArray *candidates = local->len > 0 ? local : remote;
+    if (candidates->len > 0) {
+        guint index = (guint)g_random_int_range(0, (gint32)candidates->len);
+        feed_pull(list, g_ptr_array_index(candidates, index));
     }
-    g_ptr_array_free(near, TRUE);
-    g_ptr_array_free(far, TRUE);
+    g_ptr_array_free(local, TRUE);
+    g_ptr_array_free(remote, TRUE);
 }
 
-/* Calls that wait for their time, entries that are gone for good, and this
- * node's own entry. */
+/* Starts the calls that are due, publishes changes, removes expired entries
+ * and maintains this node's own entry. */
 static void
 tick(void *data)
 {
     struct ch_roster *roster = data;
     int64_t now = ch_client_now(roster->node->client);
     bool watcher = is_watcher(roster);
-    begin_call(&roster->upstreams, watcher);
-    begin_call(&roster->nodes, watcher);
-    ask_first(roster, watcher, now);
+    start_call(&roster->upstreams, watcher);
+    start_call(&roster->nodes, watcher);
+    request_unknown_list(roster, watcher, now);
     roster_tell(&roster->upstreams, watcher, now);
     roster_tell(&roster->nodes, watcher, now);
     roster_keep_own(roster, now);
     pthread_mutex_lock(&roster->lock);
-    bool dropped = feed_drop_gone(&roster->upstreams, now);
-    bool nodes_dropped = feed_drop_gone(&roster->nodes, now);
-    bool again = !roster->stopped;
-    if (again) {
+    bool upstreams_removed = feed_drop_gone(&roster->upstreams, now);
+    bool nodes_removed = feed_drop_gone(&roster->nodes, now);
+    bool continues = !roster->stopped;
+    if (continues) {
         roster->timer =
-            ch_timers_after(roster->node->timers, TICK, tick, roster);
+            ch_timers_after(roster->node->timers, TICK_US, tick, roster);
     }
     pthread_mutex_unlock(&roster->lock);
-    if (nodes_dropped) {
-        tell_peers(roster);
+    if (nodes_removed) {
+        update_peers(roster);
     }
-    if (dropped) {
+    if (upstreams_removed) {
         roster->changed(roster->data);
     }
-    if (!again) {
+    if (!continues) {
         roster_unref(roster);
     }
 }
 
-/* ---- what is known ---- */
+/* ---- queries ---- */
 
 /* See roster.h. */
 bool
@@ -405,9 +414,9 @@
     pthread_mutex_unlock(&roster->lock);
 }
 
-/* ---- life ---- */
+/* ---- lifetime ---- */
 
-/* A roster that knows nothing yet; node outlives it. */
+/* A roster with empty lists; node must outlive it. */
 struct ch_roster *
 ch_roster_new(struct ch_node *node, void (*changed)(void *data), void *data)
 {
@@ -420,17 +429,17 @@
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     pthread_mutex_init(&roster->lock, NULL);
     feed_init(&roster->upstreams, roster, node->dialect->hosts_prefix,
-              LAPSE_GRACE);
-    feed_init(&roster->nodes, roster, NODES_PREFIX, NODE_GRACE);
-    ch_bucket_init(&roster->upstreams.watches, WATCH_RATE, WATCH_BURST,
+              EXPIRED_UPSTREAM_GRACE_US);
+    feed_init(&roster->nodes, roster, NODES_PREFIX, EXPIRED_NODE_GRACE_US);
+    ch_bucket_init(&roster->upstreams.watches, WATCHES_PER_S, WATCH_BURST,
                    ch_client_now(node->client));
-    ch_bucket_init(&roster->nodes.watches, WATCH_RATE, WATCH_BURST,
+    ch_bucket_init(&roster->nodes.watches, WATCHES_PER_S, WATCH_BURST,
                    ch_client_now(node->client));
     roster_tell_init(roster);
     return roster;
 }
 
-/* Begins to read, watch and be listed. */
+/* Starts reading, watching, and registering this node. */
 void
 ch_roster_start(struct ch_roster *roster)
 {
@@ -438,7 +447,7 @@
     ch_pool_submit(roster->node->pool, tick, roster_ref(roster));
 }
 
-/* Ends the tick; calls under way run out. */
+/* Stops the tick; calls in progress end by themselves. */
 void
 ch_roster_stop(struct ch_roster *roster)
 {
@@ -451,7 +460,7 @@
     }
 }
 
-/* Drops the node's hold. */
+/* Drops the owner's reference. */
 void
 ch_roster_free(struct ch_roster *roster)
 {
--- a/libchestnuthitch/node/roster.h
+++ b/libchestnuthitch/node/roster.h
@@ -2,33 +2,36 @@
 #define CH_NODE_ROSTER_H
 
 /*
- * Who is there, where upstreams and nodes describe themselves in keys of the
- * key-value service: kept by a watch, and told to whoever wants to know.
+ * The upstreams and nodes that exist. Each describes itself in a key of the
+ * key-value store; the roster watches these keys and notifies its users of
+ * changes.
  */
 
 #include "node/node.h"
 
 struct ch_roster;
 
-/* changed runs on a pool worker after each change, no lock held. */
+/* changed runs on a pool worker after each change, with no lock held. */
 struct ch_roster *ch_roster_new(struct ch_node *node,
                                 void (*changed)(void *data), void *data);
 void ch_roster_start(struct ch_roster *roster);
-/* This node is no longer listed. */
+/* Removes this node's entry from the key-value store. */
 void ch_roster_leave(struct ch_roster *roster);
 void ch_roster_stop(struct ch_roster *roster);
 void ch_roster_free(struct ch_roster *roster);
-/* True once the upstreams were read. */
+/* True once the upstreams have been read. */
 bool ch_roster_known(struct ch_roster *roster);
 /*
- * Names the nodes that order engines, among them this one perhaps: they are
- * told of every change, all others of what changes whom they may use, and
- * how.  Before ch_roster_start; called with no lock of the roster's held.
+ * Sets a function that adds the names of the lease holders, which may include
+ * this node. Lease holders receive every change; all other nodes receive only
+ * changes of which upstreams they may use, and how. Only before
+ * ch_roster_start; names is called without the roster's lock.
  */
 void ch_roster_set_orderers(struct ch_roster *roster,
                             void (*names)(void *data, GPtrArray *names),
                             void *data);
-/* Reads the upstreams anew, with what was not told to this node. */
+/* Reads the upstreams again, to include changes that were not sent to this
+   node. */
 void ch_roster_refresh(struct ch_roster *roster);
 /* Calls each(data, host) for every upstream, with the roster's lock held. */
 void ch_roster_each(struct ch_roster *roster,
--- a/libchestnuthitch/node/roster_entries.c
+++ b/libchestnuthitch/node/roster_entries.c
@@ -1,4 +1,4 @@
-/* What entries say, and what has changed of them. */
+/* Parsing entries, applying them to a list, and recording the changes. */
 
 #include "base/json.h"
 #include "node/roster_internal.h"
@@ -6,12 +6,11 @@
 #include <string.h>
 
 enum {
-    MOST_CAPACITY = 1000 * 1000 * 1000,
+    MAX_CAPACITY = 1000 * 1000 * 1000,
 };
 
-/* ---- a feed ---- */
+/* ---- lists ---- */
 
-/* Frees an entry. */
 static void
 free_entry(void *data)
 {
@@ -21,43 +20,42 @@
     g_free(entry);
 }
 
-/* For g_array_set_clear_func. */
+/* A clear function for g_array_set_clear_func. */
 static void
-clear_news(void *data)
+clear_change(void *data)
 {
-    struct news *news = data;
-    g_free(news->key);
+    struct news *change = data;
+    g_free(change->key);
 }
 
-/* Frees what a feed holds. */
 void
-feed_clear(struct feed *feed)
+feed_clear(struct feed *list)
 {
-    g_hash_table_destroy(feed->entries);
-    g_hash_table_destroy(feed->removed);
-    g_array_free(feed->news, TRUE);
-    g_free(feed->prefix);
+    g_hash_table_destroy(list->entries);
+    g_hash_table_destroy(list->removed);
+    g_array_free(list->news, TRUE);
+    g_free(list->prefix);
 }
 
-/* An empty feed. */
+/* An empty list; grace in microseconds. */
 void
-feed_init(struct feed *feed, struct ch_roster *roster, const char *prefix,
+feed_init(struct feed *list, struct ch_roster *roster, const char *prefix,
           int64_t grace)
 {
-    feed->roster = roster;
-    feed->prefix = g_strdup(prefix);
-    feed->grace = grace;
-    feed->entries =
+    list->roster = roster;
+    list->prefix = g_strdup(prefix);
+    list->grace = grace;
+    list->entries =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_entry);
-    feed->removed =
+    list->removed =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    feed->news = g_array_new(FALSE, FALSE, sizeof(struct news));
-    g_array_set_clear_func(feed->news, clear_news);
+    list->news = g_array_new(FALSE, FALSE, sizeof(struct news));
+    g_array_set_clear_func(list->news, clear_change);
 }
 
-/* ---- reading entries ---- */
+/* ---- parsing ---- */
 
-/* Reads a node's entry. */
+/* Parses a node's entry; host is owned by the caller. */
 static bool
 parse_node(const char *key, const char *value, size_t length,
            struct ch_host *host, struct ch_error *error)
@@ -83,263 +81,270 @@
         .data_centre = g_strdup(data_centre),
         .region = g_strdup(region),
         .capacity = (uint32_t)CLAMP(ch_json_integer(object, "capacity", 0), 0,
-                                    MOST_CAPACITY),
+                                    MAX_CAPACITY),
     };
     return true;
 }
 
-/* Reads an entry of either kind; complains once of what is none.  Lock held.
- */
+/* Parses the entry of an upstream or a node. Logs an unreadable entry only
+ * once for each key. Lock held. */
 static bool
-parse_entry(struct feed *feed, const struct ch_kv_entry *from,
+parse_entry(struct feed *list, const struct ch_kv_entry *source,
             struct ch_host *host)
 {
-    struct ch_roster *roster = feed->roster;
+    struct ch_roster *roster = list->roster;
     const struct ch_node *node = roster->node;
     struct ch_error error = {0};
-    bool good = false;
-    if (feed == &roster->nodes) {
-        good = parse_node(from->key, from->value, from->length, host, &error);
+    bool is_valid = false;
+    if (list == &roster->nodes) {
+        is_valid = parse_node(source->key, source->value, source->length, host,
+                              &error);
     }
     else {
-        good = node->dialect->host_parse(from->key, from->value, from->length,
-                                         host, &error);
-        if (good) {
+        is_valid = node->dialect->host_parse(source->key, source->value,
+                                             source->length, host, &error);
+        if (is_valid) {
             host->region =
                 ch_settings_region(node->settings, host->data_centre);
         }
     }
-    if (!good && g_hash_table_add(roster->strangers, g_strdup(from->key))) {
+    if (!is_valid &&
+        g_hash_table_add(roster->strangers, g_strdup(source->key))) {
         ch_log(node->client, CH_LOG_WARNING, "entry-unreadable",
-               CH_F_STR("key", from->key), CH_F_STR("message", error.message),
-               CH_F_END);
+               CH_F_STR("key", source->key),
+               CH_F_STR("message", error.message), CH_F_END);
     }
-    return good;
+    return is_valid;
 }
 
 /* ---- changes ---- */
 
-/* Says what became of an upstream or a node.  Lock held. */
+/* Logs a change of an upstream or a node. Lock held. */
 static void
-log_entry(const struct feed *feed, const struct ch_host *host,
-          const char *what, enum ch_level level)
+log_entry(const struct feed *list, const struct ch_host *host,
+          const char *state, enum ch_level level)
 {
     char *resident = host->resident == NULL
                          ? NULL
                          : g_strjoinv(" ", (char **)host->resident);
-    char *copies =
+    char *local_copies =
         host->copies == NULL ? NULL : g_strjoinv(" ", (char **)host->copies);
-    ch_log(feed->roster->node->client, level, "listed",
-           CH_F_STR("host", host->name), CH_F_STR("state", what),
+    ch_log(list->roster->node->client, level, "listed",
+           CH_F_STR("host", host->name), CH_F_STR("state", state),
            CH_F_BOOL("leaving", host->leaving),
            CH_F_STR("data_centre", host->data_centre),
            CH_F_STR("service", host->service), CH_F_STR("resident", resident),
-           CH_F_STR("copies", copies), CH_F_END);
+           CH_F_STR("copies", local_copies), CH_F_END);
     g_free(resident);
-    g_free(copies);
+    g_free(local_copies);
 }
 
-/* Notes what is to be told, in place of what was of the same key.  Lock held.
- */
+/* Records a change to publish, in place of an earlier one for the same key.
+ * Lock held. */
 static void
-add_news(struct feed *feed, const char *key, uint64_t removed, bool for_all)
+record_change(struct feed *list, const char *key, uint64_t removed,
+              bool for_all)
 {
-    feed->changes++;
-    for (guint i = 0; i < feed->news->len; i++) {
-        struct news *news = &g_array_index(feed->news, struct news, i);
-        if (strcmp(news->key, key) == 0) {
-            news->removed = removed;
-            news->for_all = news->for_all || for_all;
+    list->changes++;
+    for (guint i = 0; i < list->news->len; i++) {
+        struct news *change = &g_array_index(list->news, struct news, i);
+        if (strcmp(change->key, key) == 0) {
+            change->removed = removed;
+            change->for_all = change->for_all || for_all;
             return;
         }
     }
-    const struct news news = {g_strdup(key), removed, for_all};
-    g_array_append_val(feed->news, news);
+    const struct news change = {g_strdup(key), removed, for_all};
+    g_array_append_val(list->news, change);
 }
 
 /*
- * Whether a new word on a host changes who may be used, and how: for every
- * node.  Load: hundreds of engines whose entries change with each model and
- * adapter that they load.  Harm prevented: each of those changes sent to each
- * node by each that watches, which fills the link between regions and those
- * of the nodes that watch.  What engines hold, nodes hear from those that
- * order them.
+ * Whether a change affects which upstreams may be used, and how, so that every
+ * node needs it. Hundreds of engines change their entries with each model and
+ * adapter that they load; if every watcher sent each of these changes to every
+ * node, they would fill the links between regions and the watchers' own links.
+ * What engines hold, nodes receive from the lease holders.
  */
 static bool
-is_for_all(const struct ch_host *was, const struct ch_host *is)
+needs_all_nodes(const struct ch_host *old_host, const struct ch_host *new_host)
 {
-    return g_strcmp0(was->address, is->address) != 0 ||
-           g_strcmp0(was->data_centre, is->data_centre) != 0 ||
-           g_strcmp0(was->service, is->service) != 0 ||
-           was->kind != is->kind || was->leaving != is->leaving ||
-           was->boot != is->boot || was->batch != is->batch ||
-           was->memory_mb != is->memory_mb || was->capacity != is->capacity;
+    return g_strcmp0(old_host->address, new_host->address) != 0 ||
+           g_strcmp0(old_host->data_centre, new_host->data_centre) != 0 ||
+           g_strcmp0(old_host->service, new_host->service) != 0 ||
+           old_host->kind != new_host->kind ||
+           old_host->leaving != new_host->leaving ||
+           old_host->boot != new_host->boot ||
+           old_host->batch != new_host->batch ||
+           old_host->memory_mb != new_host->memory_mb ||
+           old_host->capacity != new_host->capacity;
 }
 
-/* Notes the latest removal of a key.  Lock held. */
+/* Records the latest removal of a key. Lock held. */
 static void
-note_removal(struct feed *feed, const char *key, uint64_t revision)
+record_removal(struct feed *list, const char *key, uint64_t revision)
 {
     uint64_t *copy = g_new(uint64_t, 1);
     *copy = revision;
-    g_hash_table_replace(feed->removed, g_strdup(key), copy);
+    g_hash_table_replace(list->removed, g_strdup(key), copy);
 }
 
-/* Whether something later is known of a key than this revision.  Lock held. */
+/* Whether this revision or a later one of the key is known. Lock held. */
 static bool
-is_stale(const struct feed *feed, const char *key, uint64_t revision)
+knows_revision(const struct feed *list, const char *key, uint64_t revision)
 {
-    const struct entry *entry = g_hash_table_lookup(feed->entries, key);
-    const uint64_t *removed = g_hash_table_lookup(feed->removed, key);
+    const struct entry *entry = g_hash_table_lookup(list->entries, key);
+    const uint64_t *removed = g_hash_table_lookup(list->removed, key);
     return (entry != NULL && entry->revision >= revision) ||
            (removed != NULL && *removed >= revision);
 }
 
-/* See roster_internal.h.  One that can't be read names
- * nothing to use; what its key named before is left as it was, since a
- * stranger may have written over it.  Lock held. */
+/* See roster_internal.h. An unreadable entry is ignored and the previous entry
+ * of its key kept, since another program may have written over it. Lock held.
+ */
 void
-feed_put(struct feed *feed, const struct ch_kv_entry *from)
+feed_put(struct feed *list, const struct ch_kv_entry *source)
 {
     struct ch_host host = {0};
-    struct entry *known = g_hash_table_lookup(feed->entries, from->key);
-    if (known != NULL && known->revision == from->revision) {
-        known->gone_at = 0; /* it is there after all */
+    struct entry *previous = g_hash_table_lookup(list->entries, source->key);
+    if (previous != NULL && previous->revision == source->revision) {
+        previous->gone_at = 0; /* the entry was not deleted after all */
     }
-    if (is_stale(feed, from->key, from->revision) ||
-        !parse_entry(feed, from, &host)) {
+    if (knows_revision(list, source->key, source->revision) ||
+        !parse_entry(list, source, &host)) {
         return;
     }
-    bool for_all = known == NULL || is_for_all(&known->host, &host);
-    log_entry(feed, &host, "there", for_all ? CH_LOG_INFO : CH_LOG_DEBUG);
+    bool for_all = previous == NULL || needs_all_nodes(&previous->host, &host);
+    log_entry(list, &host, "there", for_all ? CH_LOG_INFO : CH_LOG_DEBUG);
     struct entry *entry = g_new0(struct entry, 1);
     entry->host = host;
-    entry->host.read_at = ch_client_now(feed->roster->node->client);
-    entry->revision = from->revision;
-    entry->length = from->length;
-    entry->value = g_memdup2(from->value, from->length);
-    g_hash_table_replace(feed->entries, g_strdup(from->key), entry);
-    add_news(feed, from->key, 0, for_all);
+    entry->host.read_at = ch_client_now(list->roster->node->client);
+    entry->revision = source->revision;
+    entry->length = source->length;
+    entry->value = g_memdup2(source->value, source->length);
+    g_hash_table_replace(list->entries, g_strdup(source->key), entry);
+    record_change(list, source->key, 0, for_all);
 }
 
-/* Takes an entry away for good.  Lock held. */
+/* Removes an entry for good. Lock held. */
 static void
-drop_entry(struct feed *feed, const char *key, uint64_t revision)
+remove_for_good(struct feed *list, const char *key, uint64_t revision)
 {
-    g_autofree char *copy = g_strdup(key); /* key may be the table's own */
-    note_removal(feed, copy, revision);
-    add_news(feed, copy, revision, true);
-    g_hash_table_remove(feed->entries, copy);
+    g_autofree char *copy = g_strdup(key); /* key may belong to the table */
+    record_removal(list, copy, revision);
+    record_change(list, copy, revision, true);
+    g_hash_table_remove(list->entries, copy);
 }
 
-/* Takes an entry that has gone.  After a failure of the service it may only
- * have lapsed, and stays for a while.  Lock held. */
+/* Handles a deleted entry. After a failure of the key-value store the entry
+ * may only have expired, and stays in use for a while; nodes' entries always
+ * do. Lock held. */
 static void
-remove_entry(struct feed *feed, const char *key, uint64_t revision,
-             int64_t now)
+handle_deletion(struct feed *list, const char *key, uint64_t revision,
+                int64_t now)
 {
-    struct entry *entry = g_hash_table_lookup(feed->entries, key);
+    struct entry *entry = g_hash_table_lookup(list->entries, key);
     if (entry == NULL || entry->revision > revision) {
         return;
     }
-    bool lapsed = feed == &feed->roster->nodes ||
-                  (feed->troubled != 0 && now - feed->troubled < feed->grace);
-    log_entry(feed, &entry->host, lapsed ? "vanished" : "gone", CH_LOG_INFO);
-    if (!lapsed) {
-        drop_entry(feed, key, revision);
+    bool may_return =
+        list == &list->roster->nodes ||
+        (list->troubled != 0 && now - list->troubled < list->grace);
+    log_entry(list, &entry->host, may_return ? "vanished" : "gone",
+              CH_LOG_INFO);
+    if (!may_return) {
+        remove_for_good(list, key, revision);
         return;
     }
     if (entry->gone_at == 0) {
-        entry->gone_at = now + feed->grace;
+        entry->gone_at = now + list->grace;
         entry->gone = revision;
     }
 }
 
-/* Drops what has been gone for long enough; true when there was any.  Lock
- * held. */
+/* See roster_internal.h. */
 bool
-feed_drop_gone(struct feed *feed, int64_t now)
+feed_drop_gone(struct feed *list, int64_t now)
 {
-    GPtrArray *gone = g_ptr_array_new();
+    GPtrArray *expired = g_ptr_array_new();
     GHashTableIter iterator;
     gpointer key = NULL;
     gpointer value = NULL;
-    g_hash_table_iter_init(&iterator, feed->entries);
+    g_hash_table_iter_init(&iterator, list->entries);
     while (g_hash_table_iter_next(&iterator, &key, &value)) {
         const struct entry *entry = value;
         if (entry->gone_at != 0 && entry->gone_at <= now) {
-            g_ptr_array_add(gone, key);
+            g_ptr_array_add(expired, key);
         }
     }
-    for (guint i = 0; i < gone->len; i++) {
-        const char *name = g_ptr_array_index(gone, i);
-        const struct entry *entry = g_hash_table_lookup(feed->entries, name);
-        drop_entry(feed, name, entry->gone);
+    for (guint i = 0; i < expired->len; i++) {
+        const char *name = g_ptr_array_index(expired, i);
+        const struct entry *entry = g_hash_table_lookup(list->entries, name);
+        remove_for_good(list, name, entry->gone);
     }
-    bool dropped = gone->len > 0;
-    g_ptr_array_free(gone, TRUE);
-    return dropped;
+    bool removed = expired->len > 0;
+    g_ptr_array_free(expired, TRUE);
+    return removed;
 }
 
-/* Compares all that is there now with what was known.  Lock held. */
+/* See roster_internal.h. */
 void
-feed_take_all(struct feed *feed, const struct ch_kv_range *range, int64_t now)
+feed_take_all(struct feed *list, const struct ch_kv_range *range, int64_t now)
 {
-    GHashTable *there = g_hash_table_new(g_str_hash, g_str_equal);
+    GHashTable *present = g_hash_table_new(g_str_hash, g_str_equal);
     for (size_t i = 0; i < range->count; i++) {
-        g_hash_table_add(there, range->entries[i].key);
-        feed_put(feed, &range->entries[i]);
+        g_hash_table_add(present, range->entries[i].key);
+        feed_put(list, &range->entries[i]);
     }
     GPtrArray *missing = g_ptr_array_new_with_free_func(g_free);
     GHashTableIter iterator;
     gpointer key = NULL;
-    g_hash_table_iter_init(&iterator, feed->entries);
+    g_hash_table_iter_init(&iterator, list->entries);
     while (g_hash_table_iter_next(&iterator, &key, NULL)) {
-        if (!g_hash_table_contains(there, key)) {
+        if (!g_hash_table_contains(present, key)) {
             g_ptr_array_add(missing, g_strdup(key));
         }
     }
     for (guint i = 0; i < missing->len; i++) {
-        remove_entry(feed, g_ptr_array_index(missing, i), range->at, now);
+        handle_deletion(list, g_ptr_array_index(missing, i), range->at, now);
     }
     g_ptr_array_free(missing, TRUE);
-    g_hash_table_destroy(there);
-    feed->known = true;
+    g_hash_table_destroy(present);
+    list->known = true;
 }
 
-/* Takes what a watch told, in order.  Lock held. */
+/* See roster_internal.h. */
 void
-feed_take_changes(struct feed *feed, const struct ch_kv_range *range,
+feed_take_changes(struct feed *list, const struct ch_kv_range *range,
                   int64_t now)
 {
     for (size_t i = 0; i < range->count; i++) {
         const struct ch_kv_entry *entry = &range->entries[i];
         if (entry->value == NULL) {
-            remove_entry(feed, entry->key, entry->revision, now);
+            handle_deletion(list, entry->key, entry->revision, now);
         }
         else {
-            feed_put(feed, entry);
+            feed_put(list, entry);
         }
     }
 }
 
 /* See roster_internal.h. */
 void
-feed_take_removal(struct feed *feed, const char *key, uint64_t revision)
+feed_take_removal(struct feed *list, const char *key, uint64_t revision)
 {
-    const struct entry *entry = g_hash_table_lookup(feed->entries, key);
+    const struct entry *entry = g_hash_table_lookup(list->entries, key);
     if (entry != NULL && entry->revision <= revision) {
-        log_entry(feed, &entry->host, "gone", CH_LOG_INFO);
-        drop_entry(feed, key, revision);
+        log_entry(list, &entry->host, "gone", CH_LOG_INFO);
+        remove_for_good(list, key, revision);
     }
 }
 
-/* Whether something that is new is for all nodes.  Lock held. */
+/* See roster_internal.h. */
 bool
-feed_has_news_for_all(const struct feed *feed)
+feed_has_news_for_all(const struct feed *list)
 {
-    for (guint i = 0; i < feed->news->len; i++) {
-        if (g_array_index(feed->news, struct news, i).for_all) {
+    for (guint i = 0; i < list->news->len; i++) {
+        if (g_array_index(list->news, struct news, i).for_all) {
             return true;
         }
     }
--- a/libchestnuthitch/node/roster_internal.h
+++ b/libchestnuthitch/node/roster_internal.h
@@ -2,9 +2,10 @@
 #define CH_NODE_ROSTER_INTERNAL_H
 
 /*
- * What roster.c (calls, the tick, life), roster_entries.c (what entries say),
- * roster_tell.c (from node to node) and roster_own.c (this node's own entry)
- * share.  One lock guards all of it.
+ * Shared by roster.c (calls to the key-value store, the tick, lifetime),
+ * roster_entries.c (parsing and applying entries), roster_publish.c (messages
+ * between nodes) and roster_own.c (this node's own entry). One lock guards all
+ * of it.
  */
 
 #include "decide/fleet.h"
@@ -15,52 +16,52 @@
 
 #define NODES_PREFIX "nodes/"
 
-/* One entry. */
+/* The entry of one upstream or node. */
 struct entry {
     struct ch_host host;
     uint64_t revision;
-    char *value; /* as it lies in the service */
+    char *value; /* as stored in the key-value store */
     size_t length;
-    int64_t gone_at; /* it is removed then; 0: it is there */
-    uint64_t gone;   /* revision of its removal */
+    int64_t gone_at; /* when to remove the entry; 0: its key exists */
+    uint64_t gone;   /* revision in which its key was deleted */
 };
 
-/* A removal, to be told; or an entry that is to be told. */
+/* A changed entry, or a removal, that other nodes have not received yet. */
 struct news {
     char *key;
-    uint64_t removed; /* revision; 0: the entry that is there */
-    bool for_all;     /* else it is of use to those that order engines */
+    uint64_t removed; /* revision of the removal; 0: an entry that exists */
+    bool for_all;     /* false: only lease holders need it */
 };
 
-/* What lies below one prefix. */
+/* The entries below one key prefix. */
 struct feed {
     struct ch_roster *roster;
     char *prefix;
     GHashTable *entries;  /* key to struct entry */
-    GHashTable *removed;  /* key to revision of its latest removal */
-    GArray *news;         /* struct news: not told yet */
-    uint64_t changes;     /* so many were noted */
-    uint64_t told_at;     /* revision up to which all were told */
-    uint64_t orderers_at; /* ... those that order engines */
-    int64_t tell_at;      /* next time to tell all */
-    bool watched;         /* by this node, at the last tick */
-    int64_t heard;        /* when a node that watches last told something */
+    GHashTable *removed;  /* key to the revision of its latest removal */
+    GArray *news;         /* of struct unpublished_change */
+    uint64_t changes;     /* number of changes recorded so far */
+    uint64_t told_at;     /* revision up to which all nodes have the changes */
+    uint64_t orderers_at; /* the same for lease holders */
+    int64_t tell_at;      /* next time to publish to all nodes */
+    bool watched;         /* this node was a watcher at the last tick */
+    int64_t heard;        /* last message received, or successful read */
     bool pulling;
-    uint64_t at; /* revision up to which it is known; 0: nothing is */
+    uint64_t at; /* revision up to which changes are known; 0: unknown */
     bool known;
     bool calling;
     int64_t pause;
     int64_t not_before;
-    struct ch_bucket watches; /* that bring something */
-    int64_t troubled;         /* the service last failed; 0: it did not */
-    int64_t grace;            /* of entries that vanish after a failure */
+    struct ch_bucket watches; /* limits watches that return changes */
+    int64_t troubled;         /* when the store last failed; 0: never */
+    int64_t grace; /* time that an entry stays in use after its key is gone */
 };
 
 struct ch_roster {
     struct ch_node *node;
     void (*changed)(void *data);
     void *data;
-    void (*orderers)(void *data, GPtrArray *names); /* NULL: none */
+    void (*orderers)(void *data, GPtrArray *names); /* NULL: there are none */
     void *orderers_data;
     pthread_mutex_t lock;
     int references;
@@ -69,62 +70,62 @@
     uint64_t timer;
     struct feed upstreams;
     struct feed nodes;
-    GHashTable *strangers; /* keys that were complained of */
+    GHashTable *strangers; /* keys logged as unreadable */
     /* This node's own entry. */
     bool writing;
     uint64_t lease;
     bool listed;
-    uint64_t own_revision; /* of the entry that is in the way; 0: none */
+    uint64_t own_revision; /* of an earlier process's entry; 0: none */
     int64_t renewed;
     int64_t started;
-    int64_t listed_at; /* when the entry was first written; 0: it was not */
-    int64_t ask_at;    /* others are asked no sooner for what is not known */
-    bool returns;      /* an earlier process of this host left its entry */
-    int64_t own_pause; /* after the last call for it; 0: it was answered */
+    int64_t listed_at; /* when the own entry was first written; 0: not yet */
+    int64_t ask_at; /* when other nodes may next be asked for unknown lists */
+    bool returns;   /* an earlier process of this host left its entry */
+    int64_t own_pause; /* 0: the last call for the own entry was answered */
     int64_t own_not_before;
 };
 
 /* ---- roster.c; lock not held ---- */
 
-/* One more owner: a call or timer under way. */
+/* Takes a reference, for a call or timer in progress. */
 struct ch_roster *roster_ref(struct ch_roster *roster);
-/* One owner less; the last frees it. */
+/* Drops a reference; the last one frees the roster. */
 void roster_unref(struct ch_roster *roster);
-/* Tells who uses the list of a feed that it has changed. */
-void roster_tell_users(struct feed *feed);
+/* Notifies the users of a list of a change. */
+void roster_tell_users(struct feed *list);
 
 /* ---- roster_entries.c; lock held ---- */
 
-void feed_init(struct feed *feed, struct ch_roster *roster, const char *prefix,
+void feed_init(struct feed *list, struct ch_roster *roster, const char *prefix,
                int64_t grace);
-void feed_clear(struct feed *feed);
-/* Puts an entry in place of what the key had, unless that is later. */
-void feed_put(struct feed *feed, const struct ch_kv_entry *from);
-/* Another node's word that an entry is gone for good. */
-void feed_take_removal(struct feed *feed, const char *key, uint64_t revision);
-/* Compares all that is there now with what was known. */
-void feed_take_all(struct feed *feed, const struct ch_kv_range *range,
+void feed_clear(struct feed *list);
+/* Adds or replaces an entry, unless a later revision of its key is known. */
+void feed_put(struct feed *list, const struct ch_kv_entry *from);
+/* Applies another node's message that an entry was removed for good. */
+void feed_take_removal(struct feed *list, const char *key, uint64_t revision);
+/* Replaces the list by the result of a range call. */
+void feed_take_all(struct feed *list, const struct ch_kv_range *range,
                    int64_t now);
-/* Takes what a watch told, in order. */
-void feed_take_changes(struct feed *feed, const struct ch_kv_range *range,
+/* Applies the changes that a watch returned, in order. */
+void feed_take_changes(struct feed *list, const struct ch_kv_range *range,
                        int64_t now);
-/* Drops what has been gone for long enough; true when there was any. */
-bool feed_drop_gone(struct feed *feed, int64_t now);
-/* Whether something that is new is for all nodes. */
-bool feed_has_news_for_all(const struct feed *feed);
+/* Removes the entries whose grace has ended; true when there were any. */
+bool feed_drop_gone(struct feed *list, int64_t now);
+/* Whether an unpublished change is for all nodes. */
+bool feed_has_news_for_all(const struct feed *list);
 
-/* ---- roster_tell.c; lock not held ---- */
+/* ---- roster_publish.c; lock not held ---- */
 
-/* Takes what other nodes tell, from now on. */
+/* Sets the handlers of messages from other nodes. */
 void roster_tell_init(struct ch_roster *roster);
-/* Asks a node that watches, or another one, for all that is there. */
-void feed_pull(struct feed *feed, const char *from);
-/* Tells others what is due, on a node that watches. */
-void roster_tell(struct feed *feed, bool watcher, int64_t now);
+/* Requests the whole list from another node, preferably a watcher. */
+void feed_pull(struct feed *list, const char *from);
+/* On a watcher, sends the unpublished changes that are due to other nodes. */
+void roster_tell(struct feed *list, bool watcher, int64_t now);
 
 /* ---- roster_own.c; lock not held ---- */
 
-/* Does the next step for this node's entry, if one is due. */
+/* Starts the next call for this node's entry, if one is due. */
 void roster_keep_own(struct ch_roster *roster, int64_t now);
 
 #endif
--- a/libchestnuthitch/node/roster_own.c
+++ b/libchestnuthitch/node/roster_own.c
@@ -1,4 +1,4 @@
-/* This node's own entry, under its own lease. */
+/* This node's own entry, which has its own key-value lease. */
 
 #include "base/json.h"
 #include "node/kv_call.h"
@@ -7,25 +7,25 @@
 #include <string.h>
 
 enum {
-    FIRST_PAUSE = 250 * 1000,
-    MOST_PAUSE = 2 * 1000 * 1000,
-    /* A node's own entry goes this long after its last renewal.  Whether a
-     * node answers is judged by its peers much sooner; the entry alone says
-     * that it may exist. */
-    NODE_TTL = 30 * 1000 * 1000,
-    NODE_RENEWAL = 8 * 1000 * 1000,
+    MIN_BACKOFF_US = 250 * 1000,
+    MAX_BACKOFF_US = 2 * 1000 * 1000,
+    /* The entry expires this long after the last renewal. Peers detect a lost
+     * node much sooner; the entry only says that the node may exist. */
+    NODE_LEASE_TTL_US = 30 * 1000 * 1000,
+    NODE_RENEWAL_INTERVAL_US = 8 * 1000 * 1000,
     /*
-     * While the service is away or refuses, the fleet asks for its own entries
-     * some ten times a second in all, whatever its size: each node this often
-     * for each live node, and at least once in a renewal's time.  Asked again
-     * at each tick, a hundred nodes made most of a thousand calls a second.
+     * Backoff for each live node, with a maximum of at least MAX_BACKOFF_US
+     * and at most the renewal interval. While the key-value store is
+     * unavailable or refuses, it keeps the fleet's calls for its own entries
+     * at about ten a second, whatever the fleet's size. With a retry at each
+     * tick, a hundred nodes made most of a thousand calls a second.
      */
-    OWN_PAUSE_EACH = 100 * 1000,
+    BACKOFF_US_PER_NODE = 100 * 1000,
 };
 
 /* The entry's value; a new string. */
 static char *
-print_own(const struct ch_settings *settings)
+own_entry_to_json(const struct ch_settings *settings)
 {
     JsonBuilder *builder = json_builder_new_immutable();
     json_builder_begin_object(builder);
@@ -41,10 +41,11 @@
     return ch_json_print(builder);
 }
 
-/* Notes how a call for the own entry went, and when the next may begin: not
- * all nodes at once after an outage that they all saw.  Lock held. */
+/* Records the result of a call for the own entry, and when the next call may
+ * start; a random delay keeps all nodes from calling at once after an outage.
+ * Lock held. */
 static void
-end_own(struct ch_roster *roster, enum ch_code code)
+record_own_result(struct ch_roster *roster, enum ch_code code)
 {
     roster->writing = false;
     if (code == CH_OK || code == CH_KV_CONFLICT || code == CH_KV_MISSING) {
@@ -53,22 +54,23 @@
     }
     struct ch_node *node = roster->node;
     g_auto(GStrv) live = ch_peers_live(node->peers);
-    int64_t most = (int64_t)OWN_PAUSE_EACH * g_strv_length(live);
-    most = CLAMP(most, MOST_PAUSE, NODE_RENEWAL);
-    roster->own_pause = CLAMP(roster->own_pause * 2, FIRST_PAUSE, most);
+    int64_t max_backoff = (int64_t)BACKOFF_US_PER_NODE * g_strv_length(live);
+    max_backoff = CLAMP(max_backoff, MAX_BACKOFF_US, NODE_RENEWAL_INTERVAL_US);
+    roster->own_pause =
+        CLAMP(roster->own_pause * 2, MIN_BACKOFF_US, max_backoff);
     roster->own_not_before =
         ch_client_now(node->client) +
         (int64_t)(g_random_double_range(0.5, 1.5) * (double)roster->own_pause);
 }
 
-/* The entry was written, or another is in the way: an earlier process of this
- * node left it, and it is written over next time. */
+/* Handles the result of writing the own entry. On a conflict an earlier
+ * process of this node left its entry, which the next write replaces. */
 static void
-own_written(void *data, const struct ch_kv_answer *answer)
+handle_own_write(void *data, const struct ch_kv_answer *answer)
 {
     struct ch_roster *roster = data;
     pthread_mutex_lock(&roster->lock);
-    end_own(roster, answer->code);
+    record_own_result(roster, answer->code);
     roster->listed = answer->code == CH_OK;
     if (roster->listed && roster->listed_at == 0) {
         roster->listed_at = ch_client_now(roster->node->client);
@@ -85,13 +87,13 @@
     roster_unref(roster);
 }
 
-/* The lease was given or renewed, or neither. */
+/* Handles the result of granting or renewing the key-value lease. */
 static void
-own_leased(void *data, const struct ch_kv_answer *answer)
+handle_own_lease(void *data, const struct ch_kv_answer *answer)
 {
     struct ch_roster *roster = data;
     pthread_mutex_lock(&roster->lock);
-    end_own(roster, answer->code);
+    record_own_result(roster, answer->code);
     if (answer->code == CH_OK) {
         roster->renewed = ch_client_now(roster->node->client);
         if (answer->revision != 0) {
@@ -106,20 +108,20 @@
     roster_unref(roster);
 }
 
-/* Does the next step for this node's entry, if one is due: a lease, the entry,
- * a renewal.  Lock not held. */
+/* Starts the next call for this node's entry, if one is due: a grant of the
+ * key-value lease, a write of the entry, or a renewal. Lock not held. */
 void
 roster_keep_own(struct ch_roster *roster, int64_t now)
 {
     struct ch_node *node = roster->node;
     pthread_mutex_lock(&roster->lock);
-    bool renew = now - roster->renewed >= NODE_RENEWAL;
-    bool paused = roster->own_pause > 0 && now < roster->own_not_before;
-    bool due = !roster->writing && !roster->leaving && !paused &&
-               (roster->lease == 0 || !roster->listed || renew);
-    uint64_t lease = roster->lease;
+    bool renewal_due = now - roster->renewed >= NODE_RENEWAL_INTERVAL_US;
+    bool in_backoff = roster->own_pause > 0 && now < roster->own_not_before;
+    bool due = !roster->writing && !roster->leaving && !in_backoff &&
+               (roster->lease == 0 || !roster->listed || renewal_due);
+    uint64_t kv_lease_id = roster->lease;
     uint64_t revision = roster->own_revision;
-    bool listed = roster->listed;
+    bool is_listed = roster->listed;
     if (due) {
         roster->writing = true;
         roster_ref(roster);
@@ -128,24 +130,25 @@
     if (!due) {
         return;
     }
-    if (lease == 0) {
-        ch_kv_call_lease(node, NODE_TTL, own_leased, roster);
+    if (kv_lease_id == 0) {
+        ch_kv_call_lease(node, NODE_LEASE_TTL_US, handle_own_lease, roster);
     }
-    else if (!listed) {
+    else if (!is_listed) {
         g_autofree char *key =
             g_strconcat(NODES_PREFIX, node->settings->name, NULL);
-        g_autofree char *value = print_own(node->settings);
-        ch_kv_call_put_leased(node, key, value, strlen(value), revision, lease,
-                              own_written, roster);
+        g_autofree char *value = own_entry_to_json(node->settings);
+        ch_kv_call_put_leased(node, key, value, strlen(value), revision,
+                              kv_lease_id, handle_own_write, roster);
     }
     else {
-        ch_kv_call_renew(node, lease, own_leased, roster);
+        ch_kv_call_renew(node, kv_lease_id, handle_own_lease, roster);
     }
 }
 
-/* The lease's end was told, or not: it ends by itself then. */
+/* A failure to end the key-value lease does no harm: the lease expires by
+ * itself. */
 static void
-own_ended(void *data, const struct ch_kv_answer *answer)
+handle_own_lease_end(void *data, const struct ch_kv_answer *answer)
 {
     (void)answer;
     roster_unref(data);
@@ -157,10 +160,10 @@
 {
     pthread_mutex_lock(&roster->lock);
     roster->leaving = true;
-    uint64_t lease = roster->lease;
+    uint64_t kv_lease_id = roster->lease;
     pthread_mutex_unlock(&roster->lock);
-    if (lease != 0) {
-        ch_kv_call_end_lease(roster->node, lease, own_ended,
+    if (kv_lease_id != 0) {
+        ch_kv_call_end_lease(roster->node, kv_lease_id, handle_own_lease_end,
                              roster_ref(roster));
     }
 }
--- a/libchestnuthitch/node/roster_tell.c
+++ b/libchestnuthitch/node/roster_tell.c
@@ -1,4 +1,4 @@
-/* What the nodes that watch tell the others. */
+/* Messages between nodes: watchers publish changes of the roster. */
 
 #include "node/pack.h"
 #include "node/roster_internal.h"
@@ -7,18 +7,20 @@
 #include <string.h>
 
 enum {
-    /* What is new is told at the next tick; this often when nothing is, so
-     * that the others know that they miss nothing. */
-    TELL_AGAIN = 1000 * 1000,
-    PULL_LIMIT = 1500 * 1000,
+    /* Changes are published at the next tick; without changes an empty message
+     * is sent this often, so that other nodes know that they have missed
+     * nothing. */
+    HEARTBEAT_INTERVAL_US = 1000 * 1000,
+    PULL_TIMEOUT_US = 1500 * 1000,
     /* Shorter messages are not worth packing. */
-    LEAST_PACKED = 600,
+    MIN_PACKED_BYTES = 600,
 };
 
-/* The entries of a packed message, to be freed; NULL: it is damaged, which is
- * logged. */
+/* The entries of a packed message, to be freed by the caller; NULL when it is
+ * damaged, which is logged and counted. */
 static Chestnuthitch__Wire__Roster *
-unpack(const struct ch_roster *roster, const ProtobufCBinaryData *packed)
+unpack_entries(const struct ch_roster *roster,
+               const ProtobufCBinaryData *packed)
 {
     struct ch_error error = {0};
     size_t length = 0;
@@ -33,64 +35,66 @@
         ch_metrics_count(roster->node->client->metrics, CH_COUNT_FRAMES_BAD,
                          1);
         ch_log(roster->node->client, CH_LOG_WARNING, "bad-entries",
-               CH_F_STR("message",
-                        bytes == NULL ? error.message : "they do not decode"),
+               CH_F_STR("message", bytes == NULL
+                                       ? error.message
+                                       : "the entries do not decode"),
                CH_F_END);
     }
     g_free(bytes);
     return entries;
 }
 
-/* Takes the entries of a message. */
+/* Applies the entries of a message. Lock held. */
 static void
-take_entries(struct feed *feed, const Chestnuthitch__Wire__Roster *roster)
+apply_entries(struct feed *list, const Chestnuthitch__Wire__Roster *roster)
 {
     for (size_t i = 0; i < roster->n_entries; i++) {
-        const Chestnuthitch__Wire__RosterEntry *told = roster->entries[i];
-        if (told->removed) {
-            feed_take_removal(feed, told->key, told->revision);
+        const Chestnuthitch__Wire__RosterEntry *wire_entry =
+            roster->entries[i];
+        if (wire_entry->removed) {
+            feed_take_removal(list, wire_entry->key, wire_entry->revision);
             continue;
         }
         const struct ch_kv_entry entry = {
-            .key = told->key,
-            .value = (char *)told->value.data,
-            .length = told->value.len,
-            .revision = told->revision,
+            .key = wire_entry->key,
+            .value = (char *)wire_entry->value.data,
+            .length = wire_entry->value.len,
+            .revision = wire_entry->revision,
         };
-        feed_put(feed, &entry);
+        feed_put(list, &entry);
     }
 }
 
-/* What came of a message. */
-enum taken {
-    TAKEN_NOTHING, /* new */
-    TAKEN_NEWS,
-    TAKEN_DAMAGED,
+/* The result of applying a message. */
+enum apply_result {
+    APPLY_UNCHANGED,
+    APPLY_CHANGED,
+    APPLY_DAMAGED,
 };
 
-/* Takes what another node told.  Lock held. */
-static enum taken
-take_told(struct feed *feed, const Chestnuthitch__Wire__Roster *roster,
-          int64_t now)
+/* Applies a message from another node. Lock held. */
+static enum apply_result
+apply_message(struct feed *list, const Chestnuthitch__Wire__Roster *roster,
+              int64_t now)
 {
-    uint64_t before = feed->changes;
+    uint64_t previous_changes = list->changes;
     if (roster->packed.len > 0) {
         Chestnuthitch__Wire__Roster *entries =
-            unpack(feed->roster, &roster->packed);
+            unpack_entries(list->roster, &roster->packed);
         if (entries == NULL) {
-            return TAKEN_DAMAGED;
+            return APPLY_DAMAGED;
         }
-        take_entries(feed, entries);
+        apply_entries(list, entries);
         chestnuthitch__wire__roster__free_unpacked(entries, NULL);
     }
-    take_entries(feed, roster);
-    feed->heard = now;
-    return feed->changes > before ? TAKEN_NEWS : TAKEN_NOTHING;
+    apply_entries(list, roster);
+    list->heard = now;
+    return list->changes > previous_changes ? APPLY_CHANGED : APPLY_UNCHANGED;
 }
 
-/* The feed of a prefix, or NULL. */
+/* The list with a prefix; NULL: there is none. */
 static struct feed *
-feed_of(struct ch_roster *roster, const char *prefix)
+find_list(struct ch_roster *roster, const char *prefix)
 {
     if (strcmp(prefix, roster->upstreams.prefix) == 0) {
         return &roster->upstreams;
@@ -98,235 +102,241 @@
     return strcmp(prefix, roster->nodes.prefix) == 0 ? &roster->nodes : NULL;
 }
 
-/* All that another node knows, or nothing. */
+/* Applies another node's reply with the whole list. */
 static void
-pull_done(void *data, enum ch_code code,
-          const Chestnuthitch__Wire__Frame *reply)
+handle_pull_reply(void *data, enum ch_code code,
+                  const Chestnuthitch__Wire__Frame *reply)
 {
-    struct feed *feed = data;
-    struct ch_roster *roster = feed->roster;
-    /* A node that knows nothing yet says so by the revision. */
-    bool good = code == CH_OK && reply != NULL &&
-                reply->body_case == CHESTNUTHITCH__WIRE__FRAME__BODY_ROSTER &&
-                reply->roster->at != 0;
-    enum taken taken = TAKEN_NOTHING;
+    struct feed *list = data;
+    struct ch_roster *roster = list->roster;
+    /* Revision 0: that node does not know the list yet. */
+    bool is_valid =
+        code == CH_OK && reply != NULL &&
+        reply->body_case == CHESTNUTHITCH__WIRE__FRAME__BODY_ROSTER &&
+        reply->roster->at != 0;
+    enum apply_result result = APPLY_UNCHANGED;
     pthread_mutex_lock(&roster->lock);
-    feed->pulling = false;
-    if (good) {
-        taken = take_told(feed, reply->roster,
-                          ch_client_now(roster->node->client));
+    list->pulling = false;
+    if (is_valid) {
+        result = apply_message(list, reply->roster,
+                               ch_client_now(roster->node->client));
     }
-    if (good && taken != TAKEN_DAMAGED) {
-        feed->at = MAX(feed->at, reply->roster->at);
-        feed->known = true;
+    if (is_valid && result != APPLY_DAMAGED) {
+        list->at = MAX(list->at, reply->roster->at);
+        list->known = true;
     }
     pthread_mutex_unlock(&roster->lock);
-    if (taken == TAKEN_NEWS) {
-        roster_tell_users(feed);
+    if (result == APPLY_CHANGED) {
+        roster_tell_users(list);
     }
     roster_unref(roster);
 }
 
 /* See roster_internal.h. */
 void
-feed_pull(struct feed *feed, const char *from)
+feed_pull(struct feed *list, const char *from)
 {
-    struct ch_roster *roster = feed->roster;
+    struct ch_roster *roster = list->roster;
     pthread_mutex_lock(&roster->lock);
-    bool begin = !feed->pulling && !roster->stopped;
-    if (begin) {
-        feed->pulling = true;
+    bool may_start = !list->pulling && !roster->stopped;
+    if (may_start) {
+        list->pulling = true;
         roster_ref(roster);
     }
     pthread_mutex_unlock(&roster->lock);
-    if (!begin) {
+    if (!may_start) {
         return;
     }
     Chestnuthitch__Wire__RosterPull pull =
         CHESTNUTHITCH__WIRE__ROSTER_PULL__INIT;
     Chestnuthitch__Wire__Frame frame = CHESTNUTHITCH__WIRE__FRAME__INIT;
-    pull.prefix = feed->prefix;
+    pull.prefix = list->prefix;
     pull.unpacks = true;
     frame.body_case = CHESTNUTHITCH__WIRE__FRAME__BODY_ROSTER_PULL;
     frame.roster_pull = &pull;
-    ch_peers_request(roster->node->peers, from, &frame, PULL_LIMIT, pull_done,
-                     feed);
+    ch_peers_request(roster->node->peers, from, &frame, PULL_TIMEOUT_US,
+                     handle_pull_reply, list);
 }
 
-/* A node that watches tells what has changed.  What came before its message
- * and was not told here is asked for. */
+/* Handles a watcher's message. Requests the whole list when this node has
+ * missed earlier changes or the message is damaged. */
 static void
 handle_roster(void *data, const Chestnuthitch__Wire__Frame *frame)
 {
     struct ch_roster *roster = data;
-    const Chestnuthitch__Wire__Roster *told = frame->roster;
-    struct feed *feed = feed_of(roster, told->prefix);
-    if (feed == NULL ||
+    const Chestnuthitch__Wire__Roster *message = frame->roster;
+    struct feed *list = find_list(roster, message->prefix);
+    if (list == NULL ||
         strcmp(frame->from, roster->node->settings->name) == 0) {
         return;
     }
     pthread_mutex_lock(&roster->lock);
-    enum taken taken =
-        take_told(feed, told, ch_client_now(roster->node->client));
+    enum apply_result result =
+        apply_message(list, message, ch_client_now(roster->node->client));
     bool missed =
-        !feed->known || told->since > feed->at || taken == TAKEN_DAMAGED;
+        !list->known || message->since > list->at || result == APPLY_DAMAGED;
     if (!missed) {
-        feed->at = MAX(feed->at, told->at);
+        list->at = MAX(list->at, message->at);
     }
     pthread_mutex_unlock(&roster->lock);
-    if (taken == TAKEN_NEWS) {
-        roster_tell_users(feed);
+    if (result == APPLY_CHANGED) {
+        roster_tell_users(list);
     }
     if (missed) {
-        feed_pull(feed, frame->from);
+        feed_pull(list, frame->from);
     }
 }
 
-/* Fills in an entry of a message; the strings stay the roster's.  Lock held.
- */
+/* Fills in an entry of a message; the strings stay owned by the roster. Lock
+ * held. */
 static void
-fill_told(Chestnuthitch__Wire__RosterEntry *told, const char *key,
-          const struct entry *entry, uint64_t removed)
+fill_entry(Chestnuthitch__Wire__RosterEntry *wire_entry, const char *key,
+           const struct entry *entry, uint64_t removed)
 {
-    chestnuthitch__wire__roster_entry__init(told);
-    told->key = (char *)key;
-    told->removed = entry == NULL;
-    told->revision = entry == NULL ? removed : entry->revision;
+    chestnuthitch__wire__roster_entry__init(wire_entry);
+    wire_entry->key = (char *)key;
+    wire_entry->removed = entry == NULL;
+    wire_entry->revision = entry == NULL ? removed : entry->revision;
     if (entry != NULL) {
-        told->value.data = (uint8_t *)entry->value;
-        told->value.len = entry->length;
+        wire_entry->value.data = (uint8_t *)entry->value;
+        wire_entry->value.len = entry->length;
     }
 }
 
-/* A message of a feed, and the arrays that it is made of. */
-struct telling {
+/* A message with entries of a list, and the arrays that it refers to. */
+struct roster_message {
     Chestnuthitch__Wire__Roster roster;
     Chestnuthitch__Wire__RosterEntry *entries;
     Chestnuthitch__Wire__RosterEntry **pointers;
-    /* The same with its entries packed, for nodes that unpack it. */
+    /* The same with packed entries, for nodes that can unpack them. */
     Chestnuthitch__Wire__Roster packed;
-    GBytes *bytes; /* NULL: it is not worth it */
+    GBytes *bytes; /* NULL: not packed, as it is too short */
 };
 
-/* An empty message with room for so many entries. */
+/* An empty message with space for max_entries. */
 static void
-telling_init(struct telling *telling, const struct feed *feed, size_t most)
+message_init(struct roster_message *message, const struct feed *list,
+             size_t max_entries)
 {
-    chestnuthitch__wire__roster__init(&telling->roster);
-    telling->entries = g_new0(Chestnuthitch__Wire__RosterEntry, most + 1);
-    telling->pointers = g_new0(Chestnuthitch__Wire__RosterEntry *, most + 1);
-    for (size_t i = 0; i < most; i++) {
-        telling->pointers[i] = &telling->entries[i];
+    chestnuthitch__wire__roster__init(&message->roster);
+    message->entries =
+        g_new0(Chestnuthitch__Wire__RosterEntry, max_entries + 1);
+    message->pointers =
+        g_new0(Chestnuthitch__Wire__RosterEntry *, max_entries + 1);
+    for (size_t i = 0; i < max_entries; i++) {
+        message->pointers[i] = &message->entries[i];
     }
-    telling->roster.prefix = feed->prefix;
-    telling->roster.at = feed->at;
-    telling->roster.entries = telling->pointers;
+    message->roster.prefix = list->prefix;
+    message->roster.at = list->at;
+    message->roster.entries = message->pointers;
 }
 
-/* Frees a message's arrays. */
 static void
-telling_clear(struct telling *telling)
+message_clear(struct roster_message *message)
 {
-    g_free(telling->entries);
-    g_free(telling->pointers);
-    g_bytes_unref(telling->bytes);
-    telling->bytes = NULL;
+    g_free(message->entries);
+    g_free(message->pointers);
+    g_bytes_unref(message->bytes);
+    message->bytes = NULL;
 }
 
-/* Packs the entries once all are in. */
+/* Packs the entries; called after the last one was added. */
 static void
-telling_pack(struct telling *telling)
+message_pack(struct roster_message *message)
 {
     Chestnuthitch__Wire__Roster entries = CHESTNUTHITCH__WIRE__ROSTER__INIT;
     gsize packed = 0;
-    entries.n_entries = telling->roster.n_entries;
-    entries.entries = telling->roster.entries;
-    telling->bytes = NULL;
-    telling->packed = telling->roster;
+    entries.n_entries = message->roster.n_entries;
+    entries.entries = message->roster.entries;
+    message->bytes = NULL;
+    message->packed = message->roster;
     size_t length = chestnuthitch__wire__roster__get_packed_size(&entries);
-    if (length < LEAST_PACKED) {
+    if (length < MIN_PACKED_BYTES) {
         return;
     }
     uint8_t *bytes = g_malloc(length);
     chestnuthitch__wire__roster__pack(&entries, bytes);
-    telling->bytes = ch_pack(bytes, length);
+    message->bytes = ch_pack(bytes, length);
     g_free(bytes);
-    telling->packed.n_entries = 0;
-    telling->packed.entries = NULL;
-    telling->packed.packed.data =
-        (uint8_t *)g_bytes_get_data(telling->bytes, &packed);
-    telling->packed.packed.len = packed;
+    message->packed.n_entries = 0;
+    message->packed.entries = NULL;
+    message->packed.packed.data =
+        (uint8_t *)g_bytes_get_data(message->bytes, &packed);
+    message->packed.packed.len = packed;
 }
 
-/* A node asks for all that is there. */
+/* Replies with the whole list. */
 static void
 handle_pull(void *data, const Chestnuthitch__Wire__Frame *frame)
 {
     struct ch_roster *roster = data;
-    struct feed *feed = feed_of(roster, frame->roster_pull->prefix);
-    if (feed == NULL) {
+    struct feed *list = find_list(roster, frame->roster_pull->prefix);
+    if (list == NULL) {
         return;
     }
     Chestnuthitch__Wire__Frame reply = CHESTNUTHITCH__WIRE__FRAME__INIT;
-    struct telling telling;
+    struct roster_message message;
     GHashTableIter iterator;
     gpointer key = NULL;
     gpointer value = NULL;
     pthread_mutex_lock(&roster->lock);
-    telling_init(&telling, feed, g_hash_table_size(feed->entries));
-    telling.roster.at = feed->known ? feed->at : 0;
-    g_hash_table_iter_init(&iterator, feed->entries);
+    message_init(&message, list, g_hash_table_size(list->entries));
+    message.roster.at = list->known ? list->at : 0;
+    g_hash_table_iter_init(&iterator, list->entries);
     while (g_hash_table_iter_next(&iterator, &key, &value)) {
-        fill_told(&telling.entries[telling.roster.n_entries++], key, value, 0);
+        fill_entry(&message.entries[message.roster.n_entries++], key, value,
+                   0);
     }
     reply.body_case = CHESTNUTHITCH__WIRE__FRAME__BODY_ROSTER;
-    telling_pack(&telling);
+    message_pack(&message);
     reply.roster =
-        frame->roster_pull->unpacks ? &telling.packed : &telling.roster;
+        frame->roster_pull->unpacks ? &message.packed : &message.roster;
     ch_peers_reply(roster->node->peers, frame->from, frame->id, &reply);
     pthread_mutex_unlock(&roster->lock);
-    telling_clear(&telling);
+    message_clear(&message);
 }
 
-/* Fills in what is new: for all nodes, or for those that order engines.  Lock
- * held. */
+/* Adds the unpublished changes for all nodes or lease holders. Lock held. */
 static void
-telling_fill(struct telling *telling, const struct feed *feed, bool for_all)
+message_fill(struct roster_message *message, const struct feed *list,
+             bool for_all)
 {
-    telling_init(telling, feed, feed->news->len);
-    telling->roster.since = for_all ? feed->told_at : feed->orderers_at;
-    for (guint i = 0; i < feed->news->len; i++) {
-        const struct news *news = &g_array_index(feed->news, struct news, i);
+    message_init(message, list, list->news->len);
+    message->roster.since = for_all ? list->told_at : list->orderers_at;
+    for (guint i = 0; i < list->news->len; i++) {
+        const struct news *change = &g_array_index(list->news, struct news, i);
         const struct entry *entry =
-            news->removed != 0 ? NULL
-                               : g_hash_table_lookup(feed->entries, news->key);
-        if ((entry != NULL || news->removed != 0) &&
-            (news->for_all || !for_all)) {
-            fill_told(&telling->entries[telling->roster.n_entries++],
-                      news->key, entry, news->removed);
+            change->removed != 0
+                ? NULL
+                : g_hash_table_lookup(list->entries, change->key);
+        if ((entry != NULL || change->removed != 0) &&
+            (change->for_all || !for_all)) {
+            fill_entry(&message->entries[message->roster.n_entries++],
+                       change->key, entry, change->removed);
         }
     }
-    telling_pack(telling);
+    message_pack(message);
 }
 
-/* Sends a message to live nodes: to those that order engines, or the others.
- * Lock held. */
+/* Sends a message to the live lease holders, or with for_all to all other live
+ * nodes. Lock held. */
 static void
-telling_send(const struct telling *telling, const struct ch_roster *roster,
-             GPtrArray *orderers, bool for_all)
+message_send(const struct roster_message *message,
+             const struct ch_roster *roster, GPtrArray *lease_holders,
+             bool for_all)
 {
     char **live = ch_peers_live(roster->node->peers);
     for (size_t i = 0; live[i] != NULL; i++) {
         Chestnuthitch__Wire__Frame frame = CHESTNUTHITCH__WIRE__FRAME__INIT;
-        bool orders = g_ptr_array_find_with_equal_func(orderers, live[i],
-                                                       g_str_equal, NULL);
+        bool is_lease_holder = g_ptr_array_find_with_equal_func(
+            lease_holders, live[i], g_str_equal, NULL);
         frame.body_case = CHESTNUTHITCH__WIRE__FRAME__BODY_ROSTER;
         frame.roster =
             (Chestnuthitch__Wire__Roster *)(ch_peers_unpacks(
                                                 roster->node->peers, live[i])
-                                                ? &telling->packed
-                                                : &telling->roster);
-        if (orders != for_all &&
+                                                ? &message->packed
+                                                : &message->roster);
+        if (is_lease_holder != for_all &&
             strcmp(live[i], roster->node->settings->name) != 0) {
             ch_peers_send(roster->node->peers, live[i], &frame);
         }
@@ -334,50 +344,51 @@
     g_strfreev(live);
 }
 
-/* Tells live nodes what is new, or that nothing is; on nodes that watch.  On
- * the others what is new was told to them.  Lock held. */
+/* Sends the unpublished changes to live nodes, or an empty message when one is
+ * due; only on watchers. Other nodes need not send: they received the changes
+ * from watchers. Lock held. */
 static void
-tell_news(struct feed *feed, GPtrArray *orderers, int64_t now)
+publish_changes(struct feed *list, GPtrArray *lease_holders, int64_t now)
 {
-    struct telling telling;
-    bool all = now >= feed->tell_at || feed_has_news_for_all(feed);
-    if (all || feed->news->len > 0) {
-        telling_fill(&telling, feed, false);
-        telling_send(&telling, feed->roster, orderers, false);
-        telling_clear(&telling);
-        feed->orderers_at = feed->at;
+    struct roster_message message;
+    bool publish_to_all = now >= list->tell_at || feed_has_news_for_all(list);
+    if (publish_to_all || list->news->len > 0) {
+        message_fill(&message, list, false);
+        message_send(&message, list->roster, lease_holders, false);
+        message_clear(&message);
+        list->orderers_at = list->at;
     }
-    if (all) {
-        telling_fill(&telling, feed, true);
-        telling_send(&telling, feed->roster, orderers, true);
-        telling_clear(&telling);
-        feed->told_at = feed->at;
-        feed->tell_at = now + TELL_AGAIN;
+    if (publish_to_all) {
+        message_fill(&message, list, true);
+        message_send(&message, list->roster, lease_holders, true);
+        message_clear(&message);
+        list->told_at = list->at;
+        list->tell_at = now + HEARTBEAT_INTERVAL_US;
     }
 }
 
-/* Tells others, on nodes that watch.  Lock not held. */
+/* See roster_internal.h. */
 void
-roster_tell(struct feed *feed, bool watcher, int64_t now)
+roster_tell(struct feed *list, bool watcher, int64_t now)
 {
-    struct ch_roster *roster = feed->roster;
-    GPtrArray *orderers = g_ptr_array_new_with_free_func(g_free);
+    struct ch_roster *roster = list->roster;
+    GPtrArray *lease_holders = g_ptr_array_new_with_free_func(g_free);
     if (watcher && roster->orderers != NULL) {
-        roster->orderers(roster->orderers_data, orderers);
+        roster->orderers(roster->orderers_data, lease_holders);
     }
     pthread_mutex_lock(&roster->lock);
     if (!watcher) {
-        feed->told_at = feed->at;
-        feed->orderers_at = feed->at;
+        list->told_at = list->at;
+        list->orderers_at = list->at;
     }
-    else if (feed->known) {
-        tell_news(feed, orderers, now);
+    else if (list->known) {
+        publish_changes(list, lease_holders, now);
     }
-    if (!watcher || feed->known) {
-        g_array_set_size(feed->news, 0);
+    if (!watcher || list->known) {
+        g_array_set_size(list->news, 0);
     }
     pthread_mutex_unlock(&roster->lock);
-    g_ptr_array_free(orderers, TRUE);
+    g_ptr_array_free(lease_holders, TRUE);
 }
 
 /* See roster_internal.h. */
