--- a/libchestnuthitch/node/gossip.c
+++ b/libchestnuthitch/node/gossip.c
@@ -31,8 +31,9 @@
     return ch_hash_pair(hash, view->loading->len);
 }
 
-/* Gives an upstream's state a new sequence when the state has changed or
- * CH_GOSSIP_REFRESH_US has passed. */
+/* Gives an upstream's state a new sequence and marks it for sending when the
+ * state or the number of live nodes has changed, or CH_GOSSIP_REFRESH_US has
+ * passed. */
 static void
 update_sequence(struct ch_homes *homes, struct upstream *upstream, int64_t now)
 {
@@ -108,7 +109,7 @@
     g_free(state);
 }
 
-/* Sends the message to `count` of the nodes, starting at index `turn`. */
+/* Sends the message to `count` of the nodes, starting at turn_index. */
 static void
 send_message(struct ch_homes *homes, const struct message *message,
              const GPtrArray *names, unsigned turn_index, unsigned count)
