--- a/libchestnuthitch/node/ledger_compose.c
+++ b/libchestnuthitch/node/ledger_compose.c
@@ -1,89 +1,93 @@
-/* The next version of a ledger: what has ended, what was reported, what is
- * wanted and what is to be sent again. */
+/* Builds the next version of a ledger from ended sends, reports, intents and
+ * retries. */
 
 #include "node/ledger_internal.h"
 
 #include <string.h>
 
-/* Drops the write under way, with the orders that were to follow it. */
+/* Discards the pending version with the orders that were to follow its
+ * write. */
 void
-ledger_drop_writing(struct ch_ledger_holding *holding)
+ledger_drop_writing(struct ch_ledger_holding *ledger)
 {
-    ch_ledger_free(holding->writing);
-    holding->writing = NULL;
-    g_clear_pointer(&holding->bytes, g_free);
-    if (holding->outgoing != NULL) {
-        g_ptr_array_unref(holding->outgoing);
-        holding->outgoing = NULL;
+    ch_ledger_free(ledger->writing);
+    ledger->writing = NULL;
+    g_clear_pointer(&ledger->bytes, g_free);
+    if (ledger->outgoing != NULL) {
+        g_ptr_array_unref(ledger->outgoing);
+        ledger->outgoing = NULL;
     }
 }
 
-/* A mark that no other order or write of any process bears. */
+/* A new ID that no other order or write of any process has. */
 char *
-ledger_new_mark(struct ch_ledger_office *office)
+ledger_new_mark(struct ch_ledger_office *context)
 {
-    uint64_t number = __atomic_add_fetch(&office->marks, 1, __ATOMIC_RELAXED);
+    uint64_t number = __atomic_add_fetch(&context->marks, 1, __ATOMIC_RELAXED);
     return g_strdup_printf("%016" G_GINT64_MODIFIER "x-%" G_GINT64_MODIFIER
                            "x",
-                           ch_hash_string(office->sender), number);
+                           ch_hash_string(context->sender), number);
 }
 
-/* Applies the copies that have ended, where that may be written now. */
+/* Records ended sends: those that were refused, those followed by a report
+ * that was requested after their end, and all once this node is no longer
+ * home. */
 static bool
-apply_endings(struct ch_ledger_holding *holding, struct ch_ledger *next)
+apply_ended_sends(struct ch_ledger_holding *ledger, struct ch_ledger *next)
 {
     bool changed = false;
-    for (guint i = holding->endings->len; i-- > 0;) {
-        struct ending *ending =
-            &g_array_index(holding->endings, struct ending, i);
-        if (!ending->ripe && !ending->refused && holding->engine != NULL) {
+    for (guint i = ledger->endings->len; i-- > 0;) {
+        struct ending *ended =
+            &g_array_index(ledger->endings, struct ending, i);
+        if (!ended->ripe && !ended->refused && ledger->engine != NULL) {
             continue;
         }
-        changed |= ch_ledger_end(next, ending->order, holding->office->sender,
-                                 ending->refused);
+        changed |= ch_ledger_end(next, ended->order, ledger->office->sender,
+                                 ended->refused);
     }
     return changed;
 }
 
-/* True while an order is on its way from here, or its end is still to be
- * noted.  An end after the read that is noted with the read would let a report
- * settle it that was asked for before it (found by tests/spec/ledger.pml,
- * MUTATION_ADOPT_ENDED). */
+/* True while a send of the order is under way from this process, or its end is
+ * not yet recorded.  If a send that ended after the read were recorded as
+ * ended together with the read, a report requested before its end could settle
+ * the order (found by tests/spec/ledger.pml, MUTATION_ADOPT_ENDED). */
 static bool
-followed_up(const struct ch_ledger_holding *holding, const char *order)
+is_tracked_send(const struct ch_ledger_holding *ledger, const char *order_id)
 {
-    for (guint i = 0; i < holding->endings->len; i++) {
-        if (strcmp(g_array_index(holding->endings, struct ending, i).order,
-                   order) == 0) {
+    for (guint i = 0; i < ledger->endings->len; i++) {
+        if (strcmp(g_array_index(ledger->endings, struct ending, i).order,
+                   order_id) == 0) {
             return true;
         }
     }
-    return g_hash_table_contains(holding->inflight, order);
+    return g_hash_table_contains(ledger->inflight, order_id);
 }
 
-/* After a read: what this process is noted as sending and does not send.  It
- * wrote so and then lost sight of the write, or an earlier process of this
- * node's name did. */
+/* After a read: records as ended the sends that the ledger lists for this
+ * process but that this process is not sending.  Either this process wrote
+ * them in a write whose outcome it did not learn, or an earlier process of
+ * this node's name did. */
 static bool
-apply_adoption(struct ch_ledger_holding *holding, struct ch_ledger *next)
+end_untracked_sends(struct ch_ledger_holding *ledger, struct ch_ledger *next)
 {
-    const char *sender = holding->office->sender;
+    const char *sender = ledger->office->sender;
     bool changed = ch_ledger_end_earlier(next, sender);
     for (size_t i = 0; i < next->send_count; i++) {
         const struct ch_ledger_send *sending = &next->sends[i];
         if (strcmp(sending->sender, sender) == 0 &&
-            !followed_up(holding, sending->order)) {
+            !is_tracked_send(ledger, sending->order)) {
             changed |= ch_ledger_end(next, sending->order, sender, false);
         }
     }
     return changed;
 }
 
-/* Applies a report. */
+/* Applies the pending report. */
 static bool
-apply_report(const struct ch_ledger_holding *holding, struct ch_ledger *next)
+apply_report(const struct ch_ledger_holding *ledger, struct ch_ledger *next)
 {
-    const struct ch_report *report = holding->report;
+    const struct ch_report *report = ledger->report;
     if (report == NULL || report->boot == NULL) {
         return false;
     }
@@ -106,36 +110,39 @@
     return ch_ledger_observe(next, &evidence);
 }
 
-/* Applies one intent; its code tells whether it could be. */
+/* Applies one intent.  False with intent->code set when it can't be carried
+ * out. */
 static bool
-apply_intent(struct ch_ledger_holding *holding, struct ch_ledger *next,
+apply_intent(struct ch_ledger_holding *ledger, struct ch_ledger *next,
              struct intent *intent)
 {
     struct ch_error error = {0};
     const char *item = g_quark_to_string(intent->item);
-    g_autofree char *order = ledger_new_mark(holding->office);
-    bool right = intent->kind == CH_ACTION_LOAD
-                     ? ch_ledger_reserve(next, item, intent->memory_mb, order,
-                                         holding->office->sender, &error)
-                     : ch_ledger_release(next, item, order, &error);
+    g_autofree char *order_id = ledger_new_mark(ledger->office);
+    bool applied =
+        intent->kind == CH_ACTION_LOAD
+            ? ch_ledger_reserve(next, item, intent->memory_mb, order_id,
+                                ledger->office->sender, &error)
+            : ch_ledger_release(next, item, order_id, &error);
     intent->code = error.code;
-    if (right) {
-        g_hash_table_remove(holding->resends, item);
-        ledger_add_outgoing(holding, ch_ledger_find(next, item));
+    if (applied) {
+        g_hash_table_remove(ledger->resends, item);
+        ledger_add_outgoing(ledger, ch_ledger_find(next, item));
     }
-    return right;
+    return applied;
 }
 
-/* Applies every intent; those that can't be done go to failed. */
+/* Applies every intent; those that can't be carried out are added to
+ * failed. */
 static bool
-apply_intents(struct ch_ledger_holding *holding, struct ch_ledger *next,
+apply_intents(struct ch_ledger_holding *ledger, struct ch_ledger *next,
               GArray *failed)
 {
     bool changed = false;
-    for (guint i = 0; i < holding->intents->len; i++) {
+    for (guint i = 0; i < ledger->intents->len; i++) {
         struct intent *intent =
-            &g_array_index(holding->intents, struct intent, i);
-        if (apply_intent(holding, next, intent)) {
+            &g_array_index(ledger->intents, struct intent, i);
+        if (apply_intent(ledger, next, intent)) {
             changed = true;
         }
         else {
@@ -145,11 +152,11 @@
     return changed;
 }
 
-/* Opens another copy of each order that is due. */
+/* Records another send of each order that is due. */
 static bool
-apply_resends(struct ch_ledger_holding *holding, struct ch_ledger *next)
+apply_retries(struct ch_ledger_holding *ledger, struct ch_ledger *next)
 {
-    int64_t now = ch_client_now(holding->office->node->client);
+    int64_t now = ch_client_now(ledger->office->node->client);
     bool changed = false;
     for (size_t i = 0; i < next->count; i++) {
         const char *item = next->entries[i].item;
@@ -157,14 +164,14 @@
             ch_ledger_unclosed(next, item) == NULL) {
             continue;
         }
-        const struct resend *resend =
-            g_hash_table_lookup(holding->resends, item);
-        if (resend == NULL) {
-            ledger_delay_resend(holding, item, RESEND_LOST);
+        const struct resend *retry =
+            g_hash_table_lookup(ledger->resends, item);
+        if (retry == NULL) {
+            ledger_delay_resend(ledger, item, RESEND_LOST);
         }
-        else if (now >= resend->due &&
-                 ch_ledger_resend(next, item, holding->office->sender, NULL)) {
-            ledger_add_outgoing(holding, &next->entries[i]);
+        else if (now >= retry->due &&
+                 ch_ledger_resend(next, item, ledger->office->sender, NULL)) {
+            ledger_add_outgoing(ledger, &next->entries[i]);
             changed = true;
         }
     }
@@ -172,56 +179,57 @@
 }
 
 /*
- * Makes the next version in holding->writing; false when there is nothing to
- * write.  Orders wait until none is on its way: two of different versions
- * could overtake each other, and an engine that refuses old fencing numbers
- * would refuse the first.  They wait, too, for the first report of a new
- * upstream: nothing may be reserved before its boot is known, and failing them
- * refused the first callers of every model for a second.  Lock held.
+ * Builds the next version in ledger->pending_version; false when nothing has
+ * changed.  New orders wait until none is in flight: two orders of different
+ * versions could overtake each other, and an engine that refuses old fencing
+ * tokens would refuse the first.  They also wait for the first report of a new
+ * upstream: nothing may be reserved before its boot ID is known, and failing
+ * the orders meanwhile refused the first callers of every model for a second.
+ * Lock held.
  */
 bool
-ledger_compose(struct ch_ledger_holding *holding, GArray *failed)
+ledger_compose(struct ch_ledger_holding *ledger, GArray *failed)
 {
-    g_autofree char *mark = ledger_new_mark(holding->office);
-    struct ch_ledger *next = ch_ledger_next(holding->ledger, mark);
+    g_autofree char *write_id = ledger_new_mark(ledger->office);
+    struct ch_ledger *next = ch_ledger_next(ledger->ledger, write_id);
     bool changed = false;
-    holding->outgoing = g_ptr_array_new_with_free_func(ledger_outgoing_free);
-    if (!holding->adopted) {
-        changed |= apply_adoption(holding, next);
+    ledger->outgoing = g_ptr_array_new_with_free_func(ledger_outgoing_free);
+    if (!ledger->adopted) {
+        changed |= end_untracked_sends(ledger, next);
     }
-    changed |= apply_endings(holding, next);
-    if (holding->engine != NULL) {
-        changed |= next->capacity_mb != holding->capacity_mb;
-        next->capacity_mb = holding->capacity_mb;
-        changed |= apply_report(holding, next);
-        if (g_hash_table_size(holding->inflight) == 0 && next->boot != NULL) {
-            changed |= apply_intents(holding, next, failed);
-            g_array_set_size(holding->intents, 0);
-            changed |= apply_resends(holding, next);
+    changed |= apply_ended_sends(ledger, next);
+    if (ledger->engine != NULL) {
+        changed |= next->capacity_mb != ledger->capacity_mb;
+        next->capacity_mb = ledger->capacity_mb;
+        changed |= apply_report(ledger, next);
+        if (g_hash_table_size(ledger->inflight) == 0 && next->boot != NULL) {
+            changed |= apply_intents(ledger, next, failed);
+            g_array_set_size(ledger->intents, 0);
+            changed |= apply_retries(ledger, next);
         }
     }
     if (!changed) {
         ch_ledger_free(next);
-        ledger_drop_writing(holding);
+        ledger_drop_writing(ledger);
         return false;
     }
-    holding->writing = next;
-    holding->bytes = ch_ledger_print(next);
+    ledger->writing = next;
+    ledger->bytes = ch_ledger_print(next);
     return true;
 }
 
-/* Forgets what has gone into the ledger.  Lock held. */
+/* Discards what the new version contains.  Lock held. */
 void
-ledger_consume(struct ch_ledger_holding *holding)
+ledger_consume(struct ch_ledger_holding *ledger)
 {
-    for (guint i = holding->endings->len; i-- > 0;) {
-        const struct ending *ending =
-            &g_array_index(holding->endings, struct ending, i);
-        if (ending->ripe || ending->refused || holding->engine == NULL) {
-            g_array_remove_index(holding->endings, i);
+    for (guint i = ledger->endings->len; i-- > 0;) {
+        const struct ending *ended =
+            &g_array_index(ledger->endings, struct ending, i);
+        if (ended->ripe || ended->refused || ledger->engine == NULL) {
+            g_array_remove_index(ledger->endings, i);
         }
     }
-    ch_report_free(holding->report);
-    holding->report = NULL;
-    holding->adopted = true;
+    ch_report_free(ledger->report);
+    ledger->report = NULL;
+    ledger->adopted = true;
 }
--- a/libchestnuthitch/node/ledger_holding.c
+++ b/libchestnuthitch/node/ledger_holding.c
@@ -9,295 +9,301 @@
 
 enum {
     /*
-     * While the key-value service is away, one try after each pause: 250 ms,
-     * doubled up to 8 s, so that 1,900 ledgers ask it for a few hundred calls
-     * a second at most and it can come back under them.
+     * While the key-value store is unavailable, one call is made after each
+     * backoff of 250 ms, doubled up to 8 s.  1,900 ledgers then make a few
+     * hundred calls a second at most, and the store can recover under that
+     * load.
      */
-    FIRST_PAUSE = 250 * 1000,
-    MOST_PAUSE = 8 * 1000 * 1000,
+    MIN_BACKOFF_US = 250 * 1000,
+    MAX_BACKOFF_US = 8 * 1000 * 1000,
 };
 
 /* ---- construction ---- */
 
-/* A closed holding with one reference. */
+/* A closed ledger with one reference. */
 struct ch_ledger_holding *
-ch_ledger_holding_new(struct ch_ledger_office *office, GQuark upstream)
+ch_ledger_holding_new(struct ch_ledger_office *context, GQuark upstream)
 {
-    struct ch_ledger_holding *holding = g_new0(struct ch_ledger_holding, 1);
-    holding->office = office;
-    holding->upstream = upstream;
-    holding->key = g_strconcat("ledger/", g_quark_to_string(upstream), NULL);
-    pthread_mutex_init(&holding->lock, NULL);
+    struct ch_ledger_holding *ledger = g_new0(struct ch_ledger_holding, 1);
+    ledger->office = context;
+    ledger->upstream = upstream;
+    ledger->key = g_strconcat("ledger/", g_quark_to_string(upstream), NULL);
+    pthread_mutex_init(&ledger->lock, NULL);
     pthread_condattr_t attributes;
     pthread_condattr_init(&attributes);
     pthread_condattr_setclock(&attributes, CLOCK_MONOTONIC);
-    pthread_cond_init(&holding->idle, &attributes);
+    pthread_cond_init(&ledger->idle, &attributes);
     pthread_condattr_destroy(&attributes);
-    holding->references = 1;
-    holding->reread = true;
-    holding->intents = g_array_new(FALSE, TRUE, sizeof(struct intent));
-    holding->endings = g_array_new(FALSE, TRUE, sizeof(struct ending));
-    holding->inflight =
+    ledger->references = 1;
+    ledger->reread = true;
+    ledger->intents = g_array_new(FALSE, TRUE, sizeof(struct intent));
+    ledger->endings = g_array_new(FALSE, TRUE, sizeof(struct ending));
+    ledger->inflight =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    holding->resends =
+    ledger->resends =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    return holding;
+    return ledger;
 }
 
-/* One more owner. */
+/* Adds a reference; returns ledger. */
 struct ch_ledger_holding *
-ch_ledger_holding_ref(struct ch_ledger_holding *holding)
+ch_ledger_holding_ref(struct ch_ledger_holding *ledger)
 {
-    g_atomic_int_inc(&holding->references);
-    return holding;
+    g_atomic_int_inc(&ledger->references);
+    return ledger;
 }
 
-/* One owner less; the last frees it. */
+/* Drops a reference; the last frees the ledger. */
 void
-ch_ledger_holding_unref(struct ch_ledger_holding *holding)
+ch_ledger_holding_unref(struct ch_ledger_holding *ledger)
 {
-    if (!g_atomic_int_dec_and_test(&holding->references)) {
+    if (!g_atomic_int_dec_and_test(&ledger->references)) {
         return;
     }
-    ledger_drop_writing(holding);
-    ch_ledger_free(holding->ledger);
-    ch_report_free(holding->report);
-    g_array_free(holding->intents, TRUE);
-    g_array_free(holding->endings, TRUE);
-    g_hash_table_destroy(holding->inflight);
-    g_hash_table_destroy(holding->resends);
-    pthread_cond_destroy(&holding->idle);
-    pthread_mutex_destroy(&holding->lock);
-    g_free(holding->key);
-    g_free(holding);
+    ledger_drop_writing(ledger);
+    ch_ledger_free(ledger->ledger);
+    ch_report_free(ledger->report);
+    g_array_free(ledger->intents, TRUE);
+    g_array_free(ledger->endings, TRUE);
+    g_hash_table_destroy(ledger->inflight);
+    g_hash_table_destroy(ledger->resends);
+    pthread_cond_destroy(&ledger->idle);
+    pthread_mutex_destroy(&ledger->lock);
+    g_free(ledger->key);
+    g_free(ledger);
 }
 
-/* ---- what the handlers are told, with no lock held ---- */
+/* ---- calls to the handlers, with no lock held ---- */
 
-/* Tells the home of the ledger as now known. */
+/* Passes a copy of the current ledger to the home. */
 static void
-tell_changed(struct ch_ledger_holding *holding)
+notify_changed(struct ch_ledger_holding *ledger)
 {
-    const struct ch_ledger_office *office = holding->office;
-    pthread_mutex_lock(&holding->lock);
+    const struct ch_ledger_office *context = ledger->office;
+    pthread_mutex_lock(&ledger->lock);
     struct ch_ledger *copy = NULL;
-    if (holding->engine != NULL && holding->ledger != NULL) {
-        copy = ch_ledger_copy(holding->ledger);
+    if (ledger->engine != NULL && ledger->ledger != NULL) {
+        copy = ch_ledger_copy(ledger->ledger);
     }
-    pthread_mutex_unlock(&holding->lock);
+    pthread_mutex_unlock(&ledger->lock);
     if (copy != NULL) {
-        office->handlers.changed(office->data, holding->upstream, copy);
+        context->handlers.changed(context->data, ledger->upstream, copy);
         ch_ledger_free(copy);
     }
 }
 
-/* Tells the home of each intent that will not be done, and frees the list. */
+/* Tells the home of each intent that will not be carried out, and frees the
+ * list. */
 void
-ledger_tell_failed(struct ch_ledger_holding *holding, GArray *failed)
+ledger_tell_failed(struct ch_ledger_holding *ledger, GArray *failed)
 {
-    const struct ch_ledger_office *office = holding->office;
+    const struct ch_ledger_office *context = ledger->office;
     for (guint i = 0; i < failed->len; i++) {
         const struct intent *intent = &g_array_index(failed, struct intent, i);
-        office->handlers.failed(office->data, holding->upstream, intent->item,
-                                intent->kind, intent->code);
+        context->handlers.failed(context->data, ledger->upstream, intent->item,
+                                 intent->kind, intent->code);
     }
     g_array_free(failed, TRUE);
 }
 
-/* ---- steps: one at a time; the thread that set busy does it ---- */
+/* ---- steps: one at a time, by the thread that set step_running ---- */
 
-static void step(void *data);
+static void run_step(void *data);
 
-/* Has a worker look for the next step.  A reference goes with the job. */
+/* Has a pool worker run the next step.  The job holds a reference. */
 void
-ledger_submit_step(struct ch_ledger_holding *holding)
+ledger_submit_step(struct ch_ledger_holding *ledger)
 {
-    ch_pool_submit(holding->office->node->pool, step,
-                   ch_ledger_holding_ref(holding));
+    ch_pool_submit(ledger->office->node->pool, run_step,
+                   ch_ledger_holding_ref(ledger));
 }
 
-/* Ends a step: another may begin. */
+/* Ends a step, so that another may start. */
 static void
-step_over(struct ch_ledger_holding *holding)
+finish_step(struct ch_ledger_holding *ledger)
 {
-    pthread_mutex_lock(&holding->lock);
-    holding->busy = false;
-    pthread_cond_broadcast(&holding->idle);
-    pthread_mutex_unlock(&holding->lock);
-    ledger_submit_step(holding);
+    pthread_mutex_lock(&ledger->lock);
+    ledger->busy = false;
+    pthread_cond_broadcast(&ledger->idle);
+    pthread_mutex_unlock(&ledger->lock);
+    ledger_submit_step(ledger);
 }
 
-/* The timer after a pause.  Its reference is the timer's. */
+/* Timer callback after a backoff; owns the timer's reference. */
 static void
-pause_over(void *data)
+handle_backoff_end(void *data)
 {
-    struct ch_ledger_holding *holding = data;
-    pthread_mutex_lock(&holding->lock);
-    holding->timer = 0;
-    pthread_mutex_unlock(&holding->lock);
-    step(holding);
+    struct ch_ledger_holding *ledger = data;
+    pthread_mutex_lock(&ledger->lock);
+    ledger->timer = 0;
+    pthread_mutex_unlock(&ledger->lock);
+    run_step(ledger);
 }
 
-/* After a call that the service did not answer: the next one only after a
- * pause.  Lock held. */
+/* Delays the next call after the store gave no reply.  Lock held. */
 static void
-begin_pause(struct ch_ledger_holding *holding)
+start_backoff(struct ch_ledger_holding *ledger)
 {
-    const struct ch_node *node = holding->office->node;
-    holding->pause = CLAMP(holding->pause * 2, FIRST_PAUSE, MOST_PAUSE);
-    holding->not_before = ch_client_now(node->client) + holding->pause;
-    if (holding->timer == 0 && !holding->stopped) {
-        holding->timer =
-            ch_timers_after(node->timers, holding->pause, pause_over,
-                            ch_ledger_holding_ref(holding));
+    const struct ch_node *node = ledger->office->node;
+    ledger->pause = CLAMP(ledger->pause * 2, MIN_BACKOFF_US, MAX_BACKOFF_US);
+    ledger->not_before = ch_client_now(node->client) + ledger->pause;
+    if (ledger->timer == 0 && !ledger->stopped) {
+        ledger->timer =
+            ch_timers_after(node->timers, ledger->pause, handle_backoff_end,
+                            ch_ledger_holding_ref(ledger));
     }
 }
 
-/* ---- calls to the key-value service ---- */
+/* ---- calls to the key-value store ---- */
 
-static void write_done(void *data, const struct ch_kv_answer *answer);
+static void handle_write_reply(void *data, const struct ch_kv_answer *reply);
 
-/* Sends the write under way. */
+/* Sends the pending version. */
 static void
-send_write(struct ch_ledger_holding *holding)
+send_write(struct ch_ledger_holding *ledger)
 {
-    ch_kv_call_put(holding->office->node, holding->key, holding->bytes,
-                   strlen(holding->bytes), holding->revision, write_done,
-                   ch_ledger_holding_ref(holding));
+    ch_kv_call_put(ledger->office->node, ledger->key, ledger->bytes,
+                   strlen(ledger->bytes), ledger->revision, handle_write_reply,
+                   ch_ledger_holding_ref(ledger));
 }
 
-/* Every intent that the write under way was to carry out has failed. */
+/* Adds the intents that the pending write was to carry out to failed. */
 static void
-fail_outgoing(struct ch_ledger_holding *holding, enum ch_code code,
-              GArray *failed)
+fail_pending_orders(struct ch_ledger_holding *ledger, enum ch_code code,
+                    GArray *failed)
 {
-    for (guint i = 0; holding->outgoing != NULL && i < holding->outgoing->len;
+    for (guint i = 0; ledger->outgoing != NULL && i < ledger->outgoing->len;
          i++) {
-        const struct outgoing *out = g_ptr_array_index(holding->outgoing, i);
+        const struct outgoing *pending =
+            g_ptr_array_index(ledger->outgoing, i);
         struct intent intent = {
-            .item = g_quark_from_string(out->item),
-            .kind = out->order.action == CH_ORDER_LOAD ? CH_ACTION_LOAD
-                                                       : CH_ACTION_UNLOAD,
+            .item = g_quark_from_string(pending->item),
+            .kind = pending->order.action == CH_ORDER_LOAD ? CH_ACTION_LOAD
+                                                           : CH_ACTION_UNLOAD,
             .code = code,
         };
         g_array_append_val(failed, intent);
     }
 }
 
-/* The write succeeded at revision: the orders may go. */
+/* Handles a successful write: its orders are sent. */
 static void
-write_succeeded(struct ch_ledger_holding *holding, uint64_t revision)
+handle_write_success(struct ch_ledger_holding *ledger, uint64_t revision)
 {
-    pthread_mutex_lock(&holding->lock);
-    ch_ledger_free(holding->ledger);
-    holding->ledger = holding->writing;
-    holding->writing = NULL;
-    holding->revision = revision;
-    holding->pause = 0;
-    GPtrArray *orders = g_ptr_array_ref(holding->outgoing);
-    ledger_drop_writing(holding);
-    pthread_mutex_unlock(&holding->lock);
-    ledger_send_orders(holding, orders);
+    pthread_mutex_lock(&ledger->lock);
+    ch_ledger_free(ledger->ledger);
+    ledger->ledger = ledger->writing;
+    ledger->writing = NULL;
+    ledger->revision = revision;
+    ledger->pause = 0;
+    GPtrArray *orders = g_ptr_array_ref(ledger->outgoing);
+    ledger_drop_writing(ledger);
+    pthread_mutex_unlock(&ledger->lock);
+    ledger_send_orders(ledger, orders);
     g_ptr_array_unref(orders);
-    tell_changed(holding);
-    step_over(holding);
+    notify_changed(ledger);
+    finish_step(ledger);
 }
 
-/* The write did not take place, or nobody knows: the ledger is read again
- * before anything else, after a pause when the service is away. */
+/* Handles a write that failed or whose outcome is unknown: the ledger is read
+ * again before anything else, after a backoff when the store is
+ * unavailable. */
 static void
-write_failed(struct ch_ledger_holding *holding, enum ch_code code)
+handle_write_failure(struct ch_ledger_holding *ledger, enum ch_code code)
 {
     GArray *failed = g_array_new(FALSE, TRUE, sizeof(struct intent));
-    pthread_mutex_lock(&holding->lock);
-    fail_outgoing(holding, code, failed);
-    ledger_drop_writing(holding);
-    holding->reread = true;
+    pthread_mutex_lock(&ledger->lock);
+    fail_pending_orders(ledger, code, failed);
+    ledger_drop_writing(ledger);
+    ledger->reread = true;
     if (code != CH_KV_CONFLICT) {
-        begin_pause(holding);
+        start_backoff(ledger);
     }
-    pthread_mutex_unlock(&holding->lock);
-    ch_log(holding->office->node->client, CH_LOG_NOTICE, "ledger-not-written",
-           CH_F_STR("upstream", g_quark_to_string(holding->upstream)),
+    pthread_mutex_unlock(&ledger->lock);
+    ch_log(ledger->office->node->client, CH_LOG_NOTICE, "ledger-not-written",
+           CH_F_STR("upstream", g_quark_to_string(ledger->upstream)),
            CH_F_STR("code", ch_code_name(code)), CH_F_END);
-    ledger_tell_failed(holding, failed);
-    step_over(holding);
+    ledger_tell_failed(ledger, failed);
+    finish_step(ledger);
 }
 
 /*
- * An ambiguous write is never taken for done or for not done.  Its orders are
- * not sent; the ledger is read, and what it then holds of this process counts
- * as a copy that ended, which the next steps send again.
+ * A write whose outcome is unknown is treated neither as done nor as not done.
+ * Its orders are not sent and the ledger is read again.  Sends that the ledger
+ * then records for this process count as ended, and the next steps send them
+ * again.
  */
 static void
-write_done(void *data, const struct ch_kv_answer *answer)
+handle_write_reply(void *data, const struct ch_kv_answer *reply)
 {
-    struct ch_ledger_holding *holding = data;
-    if (answer->code == CH_OK) {
-        write_succeeded(holding, answer->revision);
+    struct ch_ledger_holding *ledger = data;
+    if (reply->code == CH_OK) {
+        handle_write_success(ledger, reply->revision);
     }
     else {
-        write_failed(holding, answer->code == CH_KV_MISSING ? CH_KV_CONFLICT
-                                                            : answer->code);
+        handle_write_failure(ledger, reply->code == CH_KV_MISSING
+                                         ? CH_KV_CONFLICT
+                                         : reply->code);
     }
-    ch_ledger_holding_unref(holding);
+    ch_ledger_holding_unref(ledger);
 }
 
-/* Takes the ledger that was read (owned) into use.  Reports on hand, or on
- * their way, may be older than it and are no evidence. */
+/* Uses the ledger that was read, and owns it.  Reports that are already here
+ * or on their way may be older than the ledger and are ignored. */
 static void
-take_ledger(struct ch_ledger_holding *holding, struct ch_ledger *ledger,
-            uint64_t revision)
+use_ledger(struct ch_ledger_holding *ledger, struct ch_ledger *read_ledger,
+           uint64_t revision)
 {
-    pthread_mutex_lock(&holding->lock);
-    ch_ledger_free(holding->ledger);
-    holding->ledger = ledger;
-    holding->revision = revision;
-    holding->reread = false;
-    holding->adopted = false;
-    holding->skip_report = true;
-    holding->pause = 0;
-    ch_report_free(holding->report);
-    holding->report = NULL;
-    pthread_mutex_unlock(&holding->lock);
-    tell_changed(holding);
+    pthread_mutex_lock(&ledger->lock);
+    ch_ledger_free(ledger->ledger);
+    ledger->ledger = read_ledger;
+    ledger->revision = revision;
+    ledger->reread = false;
+    ledger->adopted = false;
+    ledger->skip_report = true;
+    ledger->pause = 0;
+    ch_report_free(ledger->report);
+    ledger->report = NULL;
+    pthread_mutex_unlock(&ledger->lock);
+    notify_changed(ledger);
 }
 
-/* The ledger could not be read: after a pause, again. */
+/* Schedules another read after a backoff. */
 static void
-read_failed(struct ch_ledger_holding *holding, enum ch_code code)
+handle_read_failure(struct ch_ledger_holding *ledger, enum ch_code code)
 {
-    pthread_mutex_lock(&holding->lock);
-    begin_pause(holding);
-    pthread_mutex_unlock(&holding->lock);
-    ch_log(holding->office->node->client, CH_LOG_WARNING, "ledger-not-read",
-           CH_F_STR("upstream", g_quark_to_string(holding->upstream)),
+    pthread_mutex_lock(&ledger->lock);
+    start_backoff(ledger);
+    pthread_mutex_unlock(&ledger->lock);
+    ch_log(ledger->office->node->client, CH_LOG_WARNING, "ledger-not-read",
+           CH_F_STR("upstream", g_quark_to_string(ledger->upstream)),
            CH_F_STR("code", ch_code_name(code)), CH_F_END);
 }
 
-/* The answer to a read. */
+/* Handles the reply to a read. */
 static void
-read_done(void *data, const struct ch_kv_answer *answer)
+handle_read_reply(void *data, const struct ch_kv_answer *reply)
 {
-    struct ch_ledger_holding *holding = data;
+    struct ch_ledger_holding *ledger = data;
     struct ch_error error = {0};
-    struct ch_ledger *ledger = NULL;
-    uint64_t revision = answer->revision;
-    if (answer->code == CH_KV_MISSING) {
-        ledger = ch_ledger_new(g_quark_to_string(holding->upstream), 0);
+    struct ch_ledger *read_ledger = NULL;
+    uint64_t revision = reply->revision;
+    if (reply->code == CH_KV_MISSING) {
+        read_ledger = ch_ledger_new(g_quark_to_string(ledger->upstream), 0);
         revision = 0;
     }
-    else if (answer->code == CH_OK) {
-        ledger = ch_ledger_parse(answer->value, answer->length, &error);
+    else if (reply->code == CH_OK) {
+        read_ledger = ch_ledger_parse(reply->value, reply->length, &error);
     }
-    if (ledger != NULL) {
-        take_ledger(holding, ledger, revision);
+    if (read_ledger != NULL) {
+        use_ledger(ledger, read_ledger, revision);
     }
     else {
-        read_failed(holding, error.code != CH_OK ? error.code : answer->code);
+        handle_read_failure(ledger,
+                            error.code != CH_OK ? error.code : reply->code);
     }
-    step_over(holding);
-    ch_ledger_holding_unref(holding);
+    finish_step(ledger);
+    ch_ledger_holding_unref(ledger);
 }
 
 /* ---- choosing the next step ---- */
@@ -308,144 +314,145 @@
     STEP_WRITE,
 };
 
-/* Moves the intents to failed: the service is away, and a model that is
- * wanted now may be brought in elsewhere.  Lock held. */
+/* Moves the intents to failed: the store is unavailable, and a model that is
+ * needed now may be loaded elsewhere.  Lock held. */
 static void
-fail_intents(struct ch_ledger_holding *holding, GArray *failed)
+fail_intents(struct ch_ledger_holding *ledger, GArray *failed)
 {
-    for (guint i = 0; i < holding->intents->len; i++) {
+    for (guint i = 0; i < ledger->intents->len; i++) {
         struct intent intent =
-            g_array_index(holding->intents, struct intent, i);
+            g_array_index(ledger->intents, struct intent, i);
         intent.code = CH_KV_UNREACHABLE;
         g_array_append_val(failed, intent);
     }
-    g_array_set_size(holding->intents, 0);
+    g_array_set_size(ledger->intents, 0);
 }
 
-/* What is to be done now.  Lock held. */
+/* Chooses the next step.  Lock held. */
 static enum next_step
-choose_step(struct ch_ledger_holding *holding, GArray *failed)
+choose_step(struct ch_ledger_holding *ledger, GArray *failed)
 {
-    bool follow_up =
-        g_hash_table_size(holding->inflight) > 0 || holding->endings->len > 0;
-    if (holding->stopped || holding->busy ||
-        (holding->engine == NULL && !follow_up)) {
+    bool has_unrecorded_sends =
+        g_hash_table_size(ledger->inflight) > 0 || ledger->endings->len > 0;
+    if (ledger->stopped || ledger->busy ||
+        (ledger->engine == NULL && !has_unrecorded_sends)) {
         return STEP_NONE;
     }
-    if (ch_client_now(holding->office->node->client) < holding->not_before) {
-        fail_intents(holding, failed);
+    if (ch_client_now(ledger->office->node->client) < ledger->not_before) {
+        fail_intents(ledger, failed);
         return STEP_NONE;
     }
-    if (holding->reread) {
+    if (ledger->reread) {
         return STEP_READ;
     }
-    if (ledger_compose(holding, failed)) {
-        ledger_consume(holding);
+    if (ledger_compose(ledger, failed)) {
+        ledger_consume(ledger);
         return STEP_WRITE;
     }
-    ledger_consume(holding);
+    ledger_consume(ledger);
     return STEP_NONE;
 }
 
-/* On a worker, with a reference that it drops: does the next step, if any. */
+/* Runs the next step, if any, on a pool worker.  Drops the reference that the
+ * job holds. */
 static void
-step(void *data)
+run_step(void *data)
 {
-    struct ch_ledger_holding *holding = data;
+    struct ch_ledger_holding *ledger = data;
     GArray *failed = g_array_new(FALSE, TRUE, sizeof(struct intent));
-    pthread_mutex_lock(&holding->lock);
-    enum next_step next = choose_step(holding, failed);
-    holding->busy |= next != STEP_NONE;
-    pthread_cond_broadcast(&holding->idle);
-    pthread_mutex_unlock(&holding->lock);
-    ledger_tell_failed(holding, failed);
+    pthread_mutex_lock(&ledger->lock);
+    enum next_step next = choose_step(ledger, failed);
+    ledger->busy |= next != STEP_NONE;
+    pthread_cond_broadcast(&ledger->idle);
+    pthread_mutex_unlock(&ledger->lock);
+    ledger_tell_failed(ledger, failed);
     if (next == STEP_READ) {
-        ch_kv_call_get(holding->office->node, holding->key, read_done,
-                       ch_ledger_holding_ref(holding));
+        ch_kv_call_get(ledger->office->node, ledger->key, handle_read_reply,
+                       ch_ledger_holding_ref(ledger));
     }
     else if (next == STEP_WRITE) {
-        send_write(holding);
+        send_write(ledger);
     }
-    ch_ledger_holding_unref(holding);
+    ch_ledger_holding_unref(ledger);
 }
 
-/* ---- what the keeper calls ---- */
+/* ---- functions for the ledger keeper ---- */
 
-/* This node became home: the ledger is read before anything else. */
+/* Called when this node became home: the ledger is read before anything
+ * else. */
 void
-ch_ledger_holding_open(struct ch_ledger_holding *holding,
+ch_ledger_holding_open(struct ch_ledger_holding *ledger,
                        struct ch_upstream *engine, uint32_t capacity_mb)
 {
-    pthread_mutex_lock(&holding->lock);
-    holding->engine = engine;
-    holding->capacity_mb = capacity_mb;
-    holding->reread = true;
-    pthread_mutex_unlock(&holding->lock);
-    ledger_submit_step(holding);
+    pthread_mutex_lock(&ledger->lock);
+    ledger->engine = engine;
+    ledger->capacity_mb = capacity_mb;
+    ledger->reread = true;
+    pthread_mutex_unlock(&ledger->lock);
+    ledger_submit_step(ledger);
 }
 
-/* This node ceased to be home. */
+/* Called when this node is no longer home. */
 void
-ch_ledger_holding_close(struct ch_ledger_holding *holding)
+ch_ledger_holding_close(struct ch_ledger_holding *ledger)
 {
-    pthread_mutex_lock(&holding->lock);
-    holding->engine = NULL;
-    g_array_set_size(holding->intents, 0);
-    while (holding->sending > 0) {
-        pthread_cond_wait(&holding->idle, &holding->lock);
+    pthread_mutex_lock(&ledger->lock);
+    ledger->engine = NULL;
+    g_array_set_size(ledger->intents, 0);
+    while (ledger->sending > 0) {
+        pthread_cond_wait(&ledger->idle, &ledger->lock);
     }
-    pthread_mutex_unlock(&holding->lock);
-    ledger_submit_step(holding);
+    pthread_mutex_unlock(&ledger->lock);
+    ledger_submit_step(ledger);
 }
 
-/* Copies of a process that has gone are never noted as ended, and their room
- * is kept free for a new boot of the engine for good.  So a planned stop waits
- * for what this process has on its way. */
+/* Sends of a process that has gone are never recorded as ended.  Their memory
+ * then stays reserved for good, even after the engine restarts.  So a planned
+ * stop waits for the sends of this process. */
 void
-ch_ledger_holding_settle(struct ch_ledger_holding *holding,
+ch_ledger_holding_settle(struct ch_ledger_holding *ledger,
                          const struct timespec *deadline)
 {
-    const struct ch_client *client = holding->office->node->client;
-    bool late = false;
-    pthread_mutex_lock(&holding->lock);
-    while (!late && holding->ledger != NULL &&
-           (holding->busy || holding->endings->len > 0 ||
-            g_hash_table_size(holding->inflight) > 0) &&
-           ch_client_now(client) >= holding->not_before) {
-        late = pthread_cond_timedwait(&holding->idle, &holding->lock,
-                                      deadline) != 0;
+    const struct ch_client *client = ledger->office->node->client;
+    bool timed_out = false;
+    pthread_mutex_lock(&ledger->lock);
+    while (!timed_out && ledger->ledger != NULL &&
+           (ledger->busy || ledger->endings->len > 0 ||
+            g_hash_table_size(ledger->inflight) > 0) &&
+           ch_client_now(client) >= ledger->not_before) {
+        timed_out = pthread_cond_timedwait(&ledger->idle, &ledger->lock,
+                                           deadline) != 0;
     }
-    pthread_mutex_unlock(&holding->lock);
+    pthread_mutex_unlock(&ledger->lock);
 }
 
-/* Ends the timer; calls under way still run out. */
+/* Cancels the backoff timer; calls under way still finish. */
 void
-ch_ledger_holding_stop(struct ch_ledger_holding *holding)
+ch_ledger_holding_stop(struct ch_ledger_holding *ledger)
 {
-    pthread_mutex_lock(&holding->lock);
-    holding->stopped = true;
-    uint64_t timer = holding->timer;
-    holding->timer = 0;
-    pthread_mutex_unlock(&holding->lock);
-    if (timer != 0 && ch_timers_cancel(holding->office->node->timers, timer)) {
-        ch_ledger_holding_unref(holding);
+    pthread_mutex_lock(&ledger->lock);
+    ledger->stopped = true;
+    uint64_t timer = ledger->timer;
+    ledger->timer = 0;
+    pthread_mutex_unlock(&ledger->lock);
+    if (timer != 0 && ch_timers_cancel(ledger->office->node->timers, timer)) {
+        ch_ledger_holding_unref(ledger);
     }
 }
 
-/* Notes that an item is wanted in or out of memory. */
+/* Records that an item is to be loaded or unloaded. */
 void
-ch_ledger_holding_intend(struct ch_ledger_holding *holding, GQuark item,
+ch_ledger_holding_intend(struct ch_ledger_holding *ledger, GQuark item,
                          enum ch_action_kind kind, uint32_t memory_mb)
 {
     const struct intent intent = {
         .item = item, .kind = kind, .memory_mb = memory_mb};
-    pthread_mutex_lock(&holding->lock);
-    g_array_append_val(holding->intents, intent);
-    pthread_mutex_unlock(&holding->lock);
-    ledger_submit_step(holding);
+    pthread_mutex_lock(&ledger->lock);
+    g_array_append_val(ledger->intents, intent);
+    pthread_mutex_unlock(&ledger->lock);
+    ledger_submit_step(ledger);
 }
 
-/* A deep copy of a report. */
 static struct ch_report *
 copy_report(const struct ch_report *report)
 {
@@ -466,28 +473,28 @@
 }
 
 /*
- * Takes a report.  Reports are asked for one at a time, so that the second
- * one that comes after an event was asked for after that event: only this one
- * is evidence of what came of it.
+ * Applies a report.  Reports are requested one at a time, so the second report
+ * to arrive after an event was requested after that event: only that report
+ * shows the event's result.
  */
 void
-ch_ledger_holding_report(struct ch_ledger_holding *holding,
+ch_ledger_holding_report(struct ch_ledger_holding *ledger,
                          const struct ch_report *report)
 {
-    pthread_mutex_lock(&holding->lock);
-    for (guint i = 0; i < holding->endings->len; i++) {
-        struct ending *ending =
-            &g_array_index(holding->endings, struct ending, i);
-        ending->ripe |= ending->report_seen;
-        ending->report_seen = true;
+    pthread_mutex_lock(&ledger->lock);
+    for (guint i = 0; i < ledger->endings->len; i++) {
+        struct ending *ended =
+            &g_array_index(ledger->endings, struct ending, i);
+        ended->ripe |= ended->report_seen;
+        ended->report_seen = true;
     }
-    if (holding->skip_report) {
-        holding->skip_report = false;
+    if (ledger->skip_report) {
+        ledger->skip_report = false;
     }
-    else if (holding->ledger != NULL && !holding->reread) {
-        ch_report_free(holding->report);
-        holding->report = copy_report(report);
+    else if (ledger->ledger != NULL && !ledger->reread) {
+        ch_report_free(ledger->report);
+        ledger->report = copy_report(report);
     }
-    pthread_mutex_unlock(&holding->lock);
-    ledger_submit_step(holding);
+    pthread_mutex_unlock(&ledger->lock);
+    ledger_submit_step(ledger);
 }
--- a/libchestnuthitch/node/ledger_keeper.c
+++ b/libchestnuthitch/node/ledger_keeper.c
@@ -1,29 +1,31 @@
-/* The ledgers of the upstreams that this node is home of. */
+/* The ledgers of the upstreams whose home is this node. */
 
 #include "node/ledger_holding.h"
 
 #include <pthread.h>
 
 enum {
-    /* A stop waits this long for the answers to orders and their writes. */
-    STOP_WAIT_S = 3,
+    /* Max wait of a planned stop for replies to orders and for the writes that
+     * record them. */
+    MAX_STOP_WAIT_S = 3,
 };
 
 struct ch_ledger_keeper {
     struct ch_ledger_office office;
     pthread_mutex_t lock;
-    GHashTable *holdings; /* upstream to struct ch_ledger_holding */
+    /* GQuark of the upstream to struct ch_upstream_ledger. */
+    GHashTable *ledgers;
     bool stopped;
 };
 
-/* Drops the table's reference. */
 static void
-unref_holding(void *data)
+unref_ledger(void *data)
 {
     ch_ledger_holding_unref(data);
 }
 
-/* An empty keeper; node outlives it.  The handlers run on pool workers. */
+/* Creates an empty keeper; node must outlive it.  The handlers run on pool
+ * workers. */
 struct ch_ledger_keeper *
 ch_ledger_keeper_new(struct ch_node *node,
                      const struct ch_ledger_handlers *handlers, void *data)
@@ -35,124 +37,127 @@
     keeper->office.sender = g_strdup_printf(
         "%s#%" G_GUINT64_FORMAT, node->settings->name, node->incarnation);
     pthread_mutex_init(&keeper->lock, NULL);
-    keeper->holdings = g_hash_table_new_full(g_direct_hash, g_direct_equal,
-                                             NULL, unref_holding);
+    keeper->ledgers = g_hash_table_new_full(g_direct_hash, g_direct_equal,
+                                            NULL, unref_ledger);
     return keeper;
 }
 
-/* A reference to the holding of an upstream, or NULL; create makes one. */
+/* A reference to an upstream's ledger.  NULL if there is none and create is
+ * false, or after a stop. */
 static struct ch_ledger_holding *
-find_holding(struct ch_ledger_keeper *keeper, GQuark upstream, bool create)
+find_ledger(struct ch_ledger_keeper *keeper, GQuark upstream, bool create)
 {
     pthread_mutex_lock(&keeper->lock);
-    struct ch_ledger_holding *holding =
-        g_hash_table_lookup(keeper->holdings, GUINT_TO_POINTER(upstream));
-    if (holding == NULL && create && !keeper->stopped) {
-        holding = ch_ledger_holding_new(&keeper->office, upstream);
-        g_hash_table_insert(keeper->holdings, GUINT_TO_POINTER(upstream),
-                            holding);
+    struct ch_ledger_holding *ledger =
+        g_hash_table_lookup(keeper->ledgers, GUINT_TO_POINTER(upstream));
+    if (ledger == NULL && create && !keeper->stopped) {
+        ledger = ch_ledger_holding_new(&keeper->office, upstream);
+        g_hash_table_insert(keeper->ledgers, GUINT_TO_POINTER(upstream),
+                            ledger);
     }
-    if (holding != NULL) {
-        ch_ledger_holding_ref(holding);
+    if (ledger != NULL) {
+        ch_ledger_holding_ref(ledger);
     }
     pthread_mutex_unlock(&keeper->lock);
-    return holding;
+    return ledger;
 }
 
-/* Closes every holding, waits a little for what is on its way, and stops: no
- * call is begun after it. */
+/* Closes every ledger, waits up to MAX_STOP_WAIT_S for sends under way, and
+ * stops: no calls are started afterwards. */
 void
 ch_ledger_keeper_stop(struct ch_ledger_keeper *keeper)
 {
     pthread_mutex_lock(&keeper->lock);
     keeper->stopped = true;
-    GList *holdings = g_hash_table_get_values(keeper->holdings);
-    for (GList *at = holdings; at != NULL; at = at->next) {
-        ch_ledger_holding_ref(at->data);
+    GList *ledgers = g_hash_table_get_values(keeper->ledgers);
+    for (GList *link = ledgers; link != NULL; link = link->next) {
+        ch_ledger_holding_ref(link->data);
     }
     pthread_mutex_unlock(&keeper->lock);
     struct timespec deadline;
     clock_gettime(CLOCK_MONOTONIC, &deadline);
-    deadline.tv_sec += STOP_WAIT_S;
-    for (GList *at = holdings; at != NULL; at = at->next) {
-        ch_ledger_holding_close(at->data);
+    deadline.tv_sec += MAX_STOP_WAIT_S;
+    for (GList *link = ledgers; link != NULL; link = link->next) {
+        ch_ledger_holding_close(link->data);
     }
-    for (GList *at = holdings; at != NULL; at = at->next) {
-        ch_ledger_holding_settle(at->data, &deadline);
-        ch_ledger_holding_stop(at->data);
-        ch_ledger_holding_unref(at->data);
+    for (GList *link = ledgers; link != NULL; link = link->next) {
+        ch_ledger_holding_settle(link->data, &deadline);
+        ch_ledger_holding_stop(link->data);
+        ch_ledger_holding_unref(link->data);
     }
-    g_list_free(holdings);
+    g_list_free(ledgers);
 }
 
-/* Frees the keeper.  HTTP loop and pool have run out what was under way. */
+/* Frees the keeper after the HTTP loop and the pool have finished all jobs. */
 void
 ch_ledger_keeper_free(struct ch_ledger_keeper *keeper)
 {
     if (keeper == NULL) {
         return;
     }
-    g_hash_table_destroy(keeper->holdings);
+    g_hash_table_destroy(keeper->ledgers);
     pthread_mutex_destroy(&keeper->lock);
     g_free(keeper->office.sender);
     g_free(keeper);
 }
 
-/* This node is home of the upstream from now on; see node.h. */
+/* Called when this node becomes home of the upstream; see node.h. */
 void
 ch_ledger_keeper_open(struct ch_ledger_keeper *keeper, GQuark upstream,
                       struct ch_upstream *engine, uint32_t capacity_mb)
 {
-    struct ch_ledger_holding *holding = find_holding(keeper, upstream, true);
-    if (holding != NULL) {
-        ch_ledger_holding_open(holding, engine, capacity_mb);
-        ch_ledger_holding_unref(holding);
+    struct ch_ledger_holding *ledger = find_ledger(keeper, upstream, true);
+    if (ledger != NULL) {
+        ch_ledger_holding_open(ledger, engine, capacity_mb);
+        ch_ledger_holding_unref(ledger);
     }
 }
 
-/* This node is no longer home of the upstream; see node.h. */
+/* Called when this node is no longer home of the upstream; see node.h. */
 void
 ch_ledger_keeper_close(struct ch_ledger_keeper *keeper, GQuark upstream)
 {
-    struct ch_ledger_holding *holding = find_holding(keeper, upstream, false);
-    if (holding != NULL) {
-        ch_ledger_holding_close(holding);
-        ch_ledger_holding_unref(holding);
+    struct ch_ledger_holding *ledger = find_ledger(keeper, upstream, false);
+    if (ledger != NULL) {
+        ch_ledger_holding_close(ledger);
+        ch_ledger_holding_unref(ledger);
     }
 }
 
-/* Wants an item in the upstream's memory; `changed` or `failed` tells. */
+/* Requests that an item be loaded; the `changed` or `failed` handler reports
+ * the result. */
 void
 ch_ledger_keeper_load(struct ch_ledger_keeper *keeper, GQuark upstream,
                       GQuark item, uint32_t memory_mb)
 {
-    struct ch_ledger_holding *holding = find_holding(keeper, upstream, false);
-    if (holding != NULL) {
-        ch_ledger_holding_intend(holding, item, CH_ACTION_LOAD, memory_mb);
-        ch_ledger_holding_unref(holding);
+    struct ch_ledger_holding *ledger = find_ledger(keeper, upstream, false);
+    if (ledger != NULL) {
+        ch_ledger_holding_intend(ledger, item, CH_ACTION_LOAD, memory_mb);
+        ch_ledger_holding_unref(ledger);
     }
 }
 
-/* Wants an item out of the upstream's memory; `changed` or `failed` tells. */
+/* Requests that an item be unloaded; the `changed` or `failed` handler reports
+ * the result. */
 void
 ch_ledger_keeper_unload(struct ch_ledger_keeper *keeper, GQuark upstream,
                         GQuark item)
 {
-    struct ch_ledger_holding *holding = find_holding(keeper, upstream, false);
-    if (holding != NULL) {
-        ch_ledger_holding_intend(holding, item, CH_ACTION_UNLOAD, 0);
-        ch_ledger_holding_unref(holding);
+    struct ch_ledger_holding *ledger = find_ledger(keeper, upstream, false);
+    if (ledger != NULL) {
+        ch_ledger_holding_intend(ledger, item, CH_ACTION_UNLOAD, 0);
+        ch_ledger_holding_unref(ledger);
     }
 }
 
-/* Gives an engine's report, of which the caller asks one at a time. */
+/* Applies an engine's report.  The caller requests one report at a time. */
 void
 ch_ledger_keeper_report(struct ch_ledger_keeper *keeper, GQuark upstream,
                         const struct ch_report *report)
 {
-    struct ch_ledger_holding *holding = find_holding(keeper, upstream, false);
-    if (holding != NULL) {
-        ch_ledger_holding_report(holding, report);
-        ch_ledger_holding_unref(holding);
+    struct ch_ledger_holding *ledger = find_ledger(keeper, upstream, false);
+    if (ledger != NULL) {
+        ch_ledger_holding_report(ledger, report);
+        ch_ledger_holding_unref(ledger);
     }
 }
--- a/libchestnuthitch/node/ledger_orders.c
+++ b/libchestnuthitch/node/ledger_orders.c
@@ -1,4 +1,4 @@
-/* The orders that a ledger's writes cover, on their way to the engine. */
+/* Sends the orders that a ledger's writes have recorded to the engine. */
 
 #include "node/ledger_internal.h"
 
@@ -8,105 +8,108 @@
 void
 ledger_outgoing_free(void *data)
 {
-    struct outgoing *out = data;
-    g_free(out->model);
-    g_free(out->adapter);
-    g_free(out->item);
-    g_free(out);
+    struct outgoing *pending = data;
+    g_free(pending->model);
+    g_free(pending->adapter);
+    g_free(pending->item);
+    g_free(pending);
 }
 
-struct sent {
-    struct ch_ledger_holding *holding;
+struct sent_order {
+    struct ch_ledger_holding *ledger;
     char order[40];
     char *item;
     enum ch_action_kind kind;
 };
 
-/* Puts off the next copy of an item's order.  Lock held. */
+/* Schedules the next send of an item's order, with a doubled delay of at least
+ * min_delay.  Lock held. */
 void
-ledger_delay_resend(struct ch_ledger_holding *holding, const char *item,
-                    int64_t first)
+ledger_delay_resend(struct ch_ledger_holding *ledger, const char *item,
+                    int64_t min_delay)
 {
-    struct resend *resend = g_hash_table_lookup(holding->resends, item);
-    if (resend == NULL) {
-        resend = g_new0(struct resend, 1);
-        g_hash_table_insert(holding->resends, g_strdup(item), resend);
+    struct resend *retry = g_hash_table_lookup(ledger->resends, item);
+    if (retry == NULL) {
+        retry = g_new0(struct resend, 1);
+        g_hash_table_insert(ledger->resends, g_strdup(item), retry);
     }
-    resend->delay = CLAMP(resend->delay * 2, first, MOST_RESEND);
-    resend->due = ch_client_now(holding->office->node->client) + resend->delay;
+    retry->delay = CLAMP(retry->delay * 2, min_delay, MOST_RESEND);
+    retry->due = ch_client_now(ledger->office->node->client) + retry->delay;
 }
 
-/* Logs how an order's copy ended, and counts a refusal. */
+/* Logs how a send of an order ended, and counts a refusal for an old fencing
+ * token. */
 static void
-log_order_end(const struct sent *sent, enum ch_code code)
+log_order_end(const struct sent_order *sent_order, enum ch_code code)
 {
-    const struct ch_client *client = sent->holding->office->node->client;
+    const struct ch_client *client = sent_order->ledger->office->node->client;
     if (code == CH_STALE_FENCE && client->metrics != NULL) {
         ch_metrics_count(client->metrics, CH_COUNT_ORDERS_REFUSED, 1);
     }
-    ch_log(client, code == CH_OK ? CH_LOG_INFO : CH_LOG_WARNING, "order-ended",
-           CH_F_STR("upstream", g_quark_to_string(sent->holding->upstream)),
-           CH_F_STR("item", sent->item), CH_F_STR("order", sent->order),
-           CH_F_STR("code", ch_code_name(code)), CH_F_END);
+    ch_log(
+        client, code == CH_OK ? CH_LOG_INFO : CH_LOG_WARNING, "order-ended",
+        CH_F_STR("upstream", g_quark_to_string(sent_order->ledger->upstream)),
+        CH_F_STR("item", sent_order->item),
+        CH_F_STR("order", sent_order->order),
+        CH_F_STR("code", ch_code_name(code)), CH_F_END);
 }
 
-/* On a worker: one copy of an order has ended. */
+/* Runs on a pool worker when a send of an order has ended. */
 static void
-order_ended(struct sent *sent, enum ch_code code)
+handle_order_end(struct sent_order *sent_order, enum ch_code code)
 {
-    struct ch_ledger_holding *holding = sent->holding;
+    struct ch_ledger_holding *ledger = sent_order->ledger;
     bool refused = code != CH_OK && ch_code_outcome(code) == CH_NOT_RUN;
-    struct ending ending = {.refused = refused};
-    g_strlcpy(ending.order, sent->order, sizeof(ending.order));
-    log_order_end(sent, code);
-    pthread_mutex_lock(&holding->lock);
-    g_hash_table_remove(holding->inflight, sent->order);
-    g_array_append_val(holding->endings, ending);
-    ledger_delay_resend(holding, sent->item,
+    struct ending ended = {.refused = refused};
+    g_strlcpy(ended.order, sent_order->order, sizeof(ended.order));
+    log_order_end(sent_order, code);
+    pthread_mutex_lock(&ledger->lock);
+    g_hash_table_remove(ledger->inflight, sent_order->order);
+    g_array_append_val(ledger->endings, ended);
+    ledger_delay_resend(ledger, sent_order->item,
                         code == CH_OK ? RESEND_ACCEPTED : RESEND_LOST);
-    bool open = holding->engine != NULL;
-    pthread_mutex_unlock(&holding->lock);
+    bool open = ledger->engine != NULL;
+    pthread_mutex_unlock(&ledger->lock);
     if (refused && open) {
         GArray *failed = g_array_new(FALSE, TRUE, sizeof(struct intent));
-        struct intent intent = {.item = g_quark_from_string(sent->item),
-                                .kind = sent->kind,
+        struct intent intent = {.item = g_quark_from_string(sent_order->item),
+                                .kind = sent_order->kind,
                                 .code = code};
         g_array_append_val(failed, intent);
-        ledger_tell_failed(holding, failed);
+        ledger_tell_failed(ledger, failed);
     }
-    ledger_submit_step(holding);
-    ch_ledger_holding_unref(holding);
-    g_free(sent->item);
-    g_free(sent);
+    ledger_submit_step(ledger);
+    ch_ledger_holding_unref(ledger);
+    g_free(sent_order->item);
+    g_free(sent_order);
 }
 
-struct order_answer {
-    struct sent *sent;
+struct order_reply {
+    struct sent_order *sent_order;
     enum ch_code code;
 };
 
-/* On a worker. */
 static void
-order_answer_run(void *data)
+run_order_reply(void *data)
 {
-    struct order_answer *answer = data;
-    order_ended(answer->sent, answer->code);
-    g_free(answer);
+    struct order_reply *reply = data;
+    handle_order_end(reply->sent_order, reply->code);
+    g_free(reply);
 }
 
-/* On the HTTP loop: hands an order's answer to a worker. */
+/* Runs on the HTTP loop: hands the reply to a pool worker. */
 static void
-order_answered(void *data, enum ch_code code)
+submit_order_reply(void *data, enum ch_code code)
 {
-    struct sent *sent = data;
-    struct order_answer *answer = g_new(struct order_answer, 1);
-    answer->sent = sent;
-    answer->code = code;
-    ch_pool_submit(sent->holding->office->node->pool, order_answer_run,
-                   answer);
+    struct sent_order *sent_order = data;
+    struct order_reply *reply = g_new(struct order_reply, 1);
+    reply->sent_order = sent_order;
+    reply->code = code;
+    ch_pool_submit(sent_order->ledger->office->node->pool, run_order_reply,
+                   reply);
 }
 
-/* Counts an order by what it does. */
+/* Counts an order by its action. */
 static void
 count_order(const struct ch_node *node, const struct ch_order *order)
 {
@@ -127,57 +130,60 @@
 }
 
 /*
- * Sends the orders that a write has covered.  Without the engine (closed
- * meanwhile) each counts as a copy that has ended: the ledger holds it as on
- * its way, and the next home sends it.
+ * Sends the orders recorded by a successful write.  Without the engine (closed
+ * meanwhile) each counts as a send that has ended: the ledger has the order as
+ * sent, and the next home sends it again.
  */
 void
-ledger_send_orders(struct ch_ledger_holding *holding, GPtrArray *orders)
+ledger_send_orders(struct ch_ledger_holding *ledger, GPtrArray *orders)
 {
-    pthread_mutex_lock(&holding->lock);
-    struct ch_upstream *engine = holding->engine;
-    holding->sending++;
+    pthread_mutex_lock(&ledger->lock);
+    struct ch_upstream *engine = ledger->engine;
+    ledger->sending++;
     for (guint i = 0; i < orders->len; i++) {
-        const struct outgoing *out = g_ptr_array_index(orders, i);
-        g_hash_table_add(holding->inflight, g_strdup(out->order.id));
+        const struct outgoing *pending = g_ptr_array_index(orders, i);
+        g_hash_table_add(ledger->inflight, g_strdup(pending->order.id));
     }
-    pthread_mutex_unlock(&holding->lock);
+    pthread_mutex_unlock(&ledger->lock);
     for (guint i = 0; i < orders->len; i++) {
-        const struct outgoing *out = g_ptr_array_index(orders, i);
-        struct sent *sent = g_new0(struct sent, 1);
-        sent->holding = ch_ledger_holding_ref(holding);
-        sent->item = g_strdup(out->item);
-        sent->kind = out->order.action == CH_ORDER_LOAD ? CH_ACTION_LOAD
-                                                        : CH_ACTION_UNLOAD;
-        g_strlcpy(sent->order, out->order.id, sizeof(sent->order));
+        const struct outgoing *pending = g_ptr_array_index(orders, i);
+        struct sent_order *sent_order = g_new0(struct sent_order, 1);
+        sent_order->ledger = ch_ledger_holding_ref(ledger);
+        sent_order->item = g_strdup(pending->item);
+        sent_order->kind = pending->order.action == CH_ORDER_LOAD
+                               ? CH_ACTION_LOAD
+                               : CH_ACTION_UNLOAD;
+        g_strlcpy(sent_order->order, pending->order.id,
+                  sizeof(sent_order->order));
         if (engine == NULL) {
-            order_answered(sent, CH_UPSTREAM_CONNECT);
+            submit_order_reply(sent_order, CH_UPSTREAM_CONNECT);
             continue;
         }
-        count_order(holding->office->node, &out->order);
-        engine->ops->order(engine, &out->order, order_answered, sent);
+        count_order(ledger->office->node, &pending->order);
+        engine->ops->order(engine, &pending->order, submit_order_reply,
+                           sent_order);
     }
-    pthread_mutex_lock(&holding->lock);
-    holding->sending--;
-    pthread_cond_broadcast(&holding->idle);
-    pthread_mutex_unlock(&holding->lock);
+    pthread_mutex_lock(&ledger->lock);
+    ledger->sending--;
+    pthread_cond_broadcast(&ledger->idle);
+    pthread_mutex_unlock(&ledger->lock);
 }
 
-/* Adds an entry's order to what is sent after the write. */
+/* Adds an entry's order to those sent after the write. */
 void
-ledger_add_outgoing(struct ch_ledger_holding *holding,
+ledger_add_outgoing(struct ch_ledger_holding *ledger,
                     const struct ch_ledger_entry *entry)
 {
-    struct outgoing *out = g_new0(struct outgoing, 1);
+    struct outgoing *pending = g_new0(struct outgoing, 1);
     g_auto(GStrv) parts = g_strsplit(entry->item, "/", 2);
-    out->item = g_strdup(entry->item);
-    out->model = g_strdup(parts[0]);
-    out->adapter = g_strdup(parts[1]);
-    g_strlcpy(out->order.id, entry->order, sizeof(out->order.id));
-    out->order.fence = entry->fence;
-    out->order.action =
+    pending->item = g_strdup(entry->item);
+    pending->model = g_strdup(parts[0]);
+    pending->adapter = g_strdup(parts[1]);
+    g_strlcpy(pending->order.id, entry->order, sizeof(pending->order.id));
+    pending->order.fence = entry->fence;
+    pending->order.action =
         entry->state == CH_LEDGER_UNLOADING ? CH_ORDER_UNLOAD : CH_ORDER_LOAD;
-    out->order.model = out->model;
-    out->order.adapter = out->adapter;
-    g_ptr_array_add(holding->outgoing, out);
+    pending->order.model = pending->model;
+    pending->order.adapter = pending->adapter;
+    g_ptr_array_add(ledger->outgoing, pending);
 }
