--- a/libchestnuthitch/node/homes.c
+++ b/libchestnuthitch/node/homes.c
@@ -1,7 +1,7 @@
 /*
- * The requests of this node's callers on their way to a grant: routed to an
- * upstream, queued at its home here or on another node, routed anew when the
- * home is lost or refuses.
+ * Requests of this node's callers until they are granted: routed to an
+ * upstream, queued at its home on this or another node, and routed again when
+ * the home is lost or refuses.
  */
 
 #include "node/homes_internal.h"
@@ -12,26 +12,28 @@
 
 enum {
     /*
-     * A refusal by a home is tried at this many others: the view by which the
+     * Further homes that are asked after a refusal: the view by which the
      * first was chosen may be half a second old.  More would turn overload
-     * into a storm of Enqueues.
+     * into a storm of Enqueue messages.
      */
-    REFUSALS = 2,
-    /* Homes that may be lost or moved under one request before it is refused:
-     * each costs the silent limit at most. */
-    LOST_HOMES = 6,
-    LOST_RETRY_AFTER = 1000 * 1000,
-    /* Ticks this far apart mean that the process did not run: twenty of them
-     * are missing.  On a starved machine it may be wrong, at the cost of one
-     * more Enqueue. */
-    PAUSE = 1000 * 1000,
-    /* What one request may carry over the link, for the byte budget. */
-    LINK_HEAD_BYTES = 2048,
-    LINK_PROMPT_BYTES = 4,
-    LINK_TOKEN_BYTES = 96,
+    MAX_REFUSALS = 2,
+    /* Homes that may be lost or moved while a request waits, before the
+     * request is refused.  Each delays the request by the peer silence limit
+     * at most. */
+    MAX_LOST_HOMES = 6,
+    LOST_HOME_RETRY_AFTER_US = 1000 * 1000,
+    /* Time without a tick after which the process counts as suspended: twenty
+     * ticks are missing.  On an overloaded machine this may be wrong, which
+     * costs an additional Enqueue. */
+    MIN_PAUSE_US = 1000 * 1000,
+    /* Bytes that one request may send over the link to another region, for the
+     * link budget. */
+    LINK_BYTES_PER_REQUEST = 2048,
+    LINK_BYTES_PER_PROMPT_TOKEN = 4,
+    LINK_BYTES_PER_OUTPUT_TOKEN = 96,
 };
 
-/* Frees a request that was answered. */
+/* Removes a request from the table and frees it. */
 static void
 free_request(struct ch_homes *homes, struct request *request)
 {
@@ -45,7 +47,7 @@
     g_free(request);
 }
 
-/* Its home, here, grants the request. */
+/* Handles a grant by a home on this node. */
 void
 request_granted(struct ch_homes *homes, struct request *request,
                 uint32_t priority, struct effects *effects)
@@ -57,19 +59,19 @@
 static void route_request(struct ch_homes *homes, struct request *request,
                           int64_t now, struct effects *effects);
 
-/* Whether another home may be asked after this refusal. */
+/* Whether the request may be routed to another home after this refusal. */
 static bool
-may_ask_another(struct request *request, enum ch_code code)
+may_try_another_home(struct request *request, enum ch_code code)
 {
     switch (code) {
     case CH_PEER_LOST:
     case CH_PEER_TIMEOUT:
     case CH_NOT_READY:
-        return ++request->bounces <= LOST_HOMES;
+        return ++request->bounces <= MAX_LOST_HOMES;
     case CH_LATE:
     case CH_QUEUE_FULL:
     case CH_NO_UPSTREAM:
-        if (++request->bounces > REFUSALS) {
+        if (++request->bounces > MAX_REFUSALS) {
             return false;
         }
         g_array_append_val(request->excluded, request->upstream->name);
@@ -79,14 +81,14 @@
     }
 }
 
-/* A home refuses the request, or is lost with it: it is routed anew, or its
- * caller gets the answer at once. */
+/* Handles a refusal by the request's home, or the loss of the home: the
+ * request is routed again, or refused to its caller at once. */
 void
 request_refused(struct ch_homes *homes, struct request *request,
                 enum ch_code code, int64_t retry_after, const char *message,
                 int64_t now, struct effects *effects)
 {
-    if (may_ask_another(request, code)) {
+    if (may_try_another_home(request, code)) {
         if (ch_code_outcome(code) == CH_NOT_RUN && code != CH_NOT_READY) {
             request->refusal = code;
             request->refusal_after = retry_after;
@@ -98,26 +100,26 @@
     }
     if (code == CH_PEER_LOST || code == CH_PEER_TIMEOUT) {
         code = CH_NO_UPSTREAM;
-        retry_after = LOST_RETRY_AFTER;
+        retry_after = LOST_HOME_RETRY_AFTER_US;
     }
     effects_refused(effects, request, code, retry_after, message);
     free_request(homes, request);
 }
 
-/* ---- queued at another node ---- */
+/* ---- requests queued at another node ---- */
 
-struct enqueue {
+struct enqueue_call {
     struct ch_homes *homes;
     uint64_t handle;
     char *home;
     GQuark upstream;
 };
 
-/* The home grants: unless the request was withdrawn meanwhile, its caller's
- * side may dispatch. */
+/* Handles a grant by a home on another node.  The grant goes back to the home
+ * if the request has been withdrawn. */
 static void
-take_grant(struct ch_homes *homes, struct request *request,
-           const Chestnuthitch__Wire__Grant *grant, struct effects *effects)
+handle_grant(struct ch_homes *homes, struct request *request,
+             const Chestnuthitch__Wire__Grant *grant, struct effects *effects)
 {
     if (request->withdrawn) {
         struct ch_sample sample = {.code = CH_PEER_LOST};
@@ -131,22 +133,25 @@
     effects_granted(effects, request, homes, grant->priority);
 }
 
-/* The reply to an Enqueue, or its loss.  After a loss the home may hold the
- * request queued or granted all the same: the Withdraw ends that. */
+/* Handles the reply to an Enqueue, or the loss of the home.  After a loss the
+ * home may still hold the request queued or granted; the Withdraw ends
+ * that. */
 static void
-take_reply(struct ch_homes *homes, struct request *request, enum ch_code code,
-           const Chestnuthitch__Wire__Frame *reply, struct effects *effects)
+handle_enqueue_reply(struct ch_homes *homes, struct request *request,
+                     enum ch_code code,
+                     const Chestnuthitch__Wire__Frame *reply,
+                     struct effects *effects)
 {
     int64_t now = ch_client_now(homes->node->client);
     if (reply != NULL && reply->body_case == WIRE(FRAME__BODY_GRANT)) {
         if (reply->grant->state != NULL) {
             site_take_state(homes, reply->grant->state, now);
         }
-        take_grant(homes, request, reply->grant, effects);
+        handle_grant(homes, request, reply->grant, effects);
         return;
     }
     int64_t retry_after = 0;
-    const char *message = "the home was lost";
+    const char *message = "the home node was lost";
     if (reply != NULL && reply->body_case == WIRE(FRAME__BODY_REFUSE)) {
         if (reply->refuse->state != NULL) {
             site_take_state(homes, reply->refuse->state, now);
@@ -167,93 +172,101 @@
     request_refused(homes, request, code, retry_after, message, now, effects);
 }
 
-/* On the pool: the reply to an Enqueue, or its loss. */
+/* Runs on the pool: handles the reply to an Enqueue, or the loss of the
+ * home. */
 static void
-enqueue_done(void *data, enum ch_code code,
-             const Chestnuthitch__Wire__Frame *reply)
+handle_enqueue_done(void *data, enum ch_code code,
+                    const Chestnuthitch__Wire__Frame *reply)
 {
-    struct enqueue *enqueue = data;
-    struct ch_homes *homes = enqueue->homes;
+    struct enqueue_call *enqueue_call = data;
+    struct ch_homes *homes = enqueue_call->homes;
     struct effects effects;
     effects_init(&effects);
     pthread_mutex_lock(&homes->lock);
-    struct request *request = ch_table_get(homes->requests, enqueue->handle);
+    struct request *request =
+        ch_table_get(homes->requests, enqueue_call->handle);
     if (request != NULL) {
-        take_reply(homes, request, code, reply, &effects);
+        handle_enqueue_reply(homes, request, code, reply, &effects);
     }
     pthread_mutex_unlock(&homes->lock);
     effects_run(homes, &effects);
-    g_free(enqueue->home);
-    g_free(enqueue);
+    g_free(enqueue_call->home);
+    g_free(enqueue_call);
 }
 
-/* Sends the Enqueue.  The lock is held, so that the reply can't be taken
- * before the request knows the Enqueue's id. */
+/* Sends the Enqueue.  The lock is held, so that the reply can't be handled
+ * before the request has the ID of its Enqueue. */
 static void
 send_enqueue(struct ch_homes *homes, struct request *request, int64_t now)
 {
-    const struct ch_work *work = &request->work;
+    const struct ch_work *info = &request->work;
     char tenant[32];
     g_snprintf(tenant, sizeof(tenant), "%016" G_GINT64_MODIFIER "x",
-               work->tenant);
+               info->tenant);
     Chestnuthitch__Wire__Enqueue body = WIRE(ENQUEUE__INIT);
     body.upstream = (char *)g_quark_to_string(request->upstream->name);
-    body.model = (char *)g_quark_to_string(work->model);
+    body.model = (char *)g_quark_to_string(info->model);
     body.adapter =
-        work->adapter != 0 ? (char *)g_quark_to_string(work->adapter) : "";
-    body.class_name = (char *)g_quark_to_string(work->class_name);
+        info->adapter != 0 ? (char *)g_quark_to_string(info->adapter) : "";
+    body.class_name = (char *)g_quark_to_string(info->class_name);
     body.tenant = tenant;
-    body.prompt_tokens = work->prompt_tokens;
-    body.output_tokens = work->output_tokens;
-    body.prefix = work->prefix;
-    body.left_us = (uint64_t)MAX(work->first_by - now, 0);
-    body.between_us = (uint64_t)work->between;
+    body.prompt_tokens = info->prompt_tokens;
+    body.output_tokens = info->output_tokens;
+    body.prefix = info->prefix;
+    body.left_us = (uint64_t)MAX(info->first_by - now, 0);
+    body.between_us = (uint64_t)info->between;
     body.whole_us =
-        work->whole_by > 0 ? (uint64_t)MAX(work->whole_by - now, 1) : 0;
-    body.service = work->service;
-    body.attempt = work->attempt;
-    body.idempotent = work->idempotent;
+        info->whole_by > 0 ? (uint64_t)MAX(info->whole_by - now, 1) : 0;
+    body.service = info->service;
+    body.attempt = info->attempt;
+    body.idempotent = info->idempotent;
     Chestnuthitch__Wire__Frame frame = WIRE(FRAME__INIT);
     frame.body_case = WIRE(FRAME__BODY_ENQUEUE);
     frame.enqueue = &body;
-    struct enqueue *enqueue = g_new0(struct enqueue, 1);
-    enqueue->homes = homes;
-    enqueue->handle = request->handle;
-    enqueue->home = g_strdup(request->home);
-    enqueue->upstream = request->upstream->name;
+    struct enqueue_call *enqueue_call = g_new0(struct enqueue_call, 1);
+    enqueue_call->homes = homes;
+    enqueue_call->handle = request->handle;
+    enqueue_call->home = g_strdup(request->home);
+    enqueue_call->upstream = request->upstream->name;
     request->state = REQUEST_QUEUED_THERE;
     ch_metrics_count(homes->node->client->metrics, CH_COUNT_FORWARDED, 1);
-    request->enqueue = ch_peers_request(homes->node->peers, request->home,
-                                        &frame, 0, enqueue_done, enqueue);
+    request->enqueue =
+        ch_peers_request(homes->node->peers, request->home, &frame, 0,
+                         handle_enqueue_done, enqueue_call);
 }
 
 /* ---- routing ---- */
 
-/* Takes what the request may carry over the link out of the byte budget. */
+/* Charges the bytes that the request may send to another region to the link
+ * budget. */
 static void
-take_link(struct ch_homes *homes, const struct request *request, int64_t now)
+charge_link_budget(struct ch_homes *homes, const struct request *request,
+                   int64_t now)
 {
     const struct ch_upstream_view *view = site_view(homes, request->upstream);
     if (view == NULL || view->region == homes->fleet.region) {
         return;
     }
-    double bytes = LINK_HEAD_BYTES +
-                   (double)LINK_PROMPT_BYTES * request->work.prompt_tokens +
-                   (double)LINK_TOKEN_BYTES * request->work.output_tokens;
+    double bytes =
+        LINK_BYTES_PER_REQUEST +
+        (double)LINK_BYTES_PER_PROMPT_TOKEN * request->work.prompt_tokens +
+        (double)LINK_BYTES_PER_OUTPUT_TOKEN * request->work.output_tokens;
     ch_bucket_take(&homes->link, bytes, now);
 }
 
-/* Counts a pause of this process, seen by the ticks or before the next one. */
+/* Records a pause of this process, noticed at a tick or before the next
+ * tick. */
 void
 homes_note_pause(struct ch_homes *homes, int64_t now)
 {
-    if (homes->ticked > 0 && now - homes->ticked > PAUSE) {
+    if (homes->ticked > 0 && now - homes->ticked > MIN_PAUSE_US) {
         homes->pauses++;
         homes->ticked = now;
     }
 }
 
-/* Chooses an upstream and asks its home, or refuses at once. */
+/* Chooses an upstream and queues the request at its home, or refuses the
+ * request at once. */
 static void
 route_request(struct ch_homes *homes, struct request *request, int64_t now,
               struct effects *effects)
@@ -264,8 +277,8 @@
         ch_route_retry(homes->policy, &homes->fleet, &request->work,
                        request->excluded, request->failed, now);
     if (route.code != CH_OK && request->refusal != CH_OK) {
-        /* Every place was asked: the caller learns what the last one said,
-         * and when it may come back, rather than that there is none. */
+        /* Every possible home has refused: the caller gets the last home's
+         * reason and retry time rather than "no upstream". */
         effects_refused(effects, request, request->refusal,
                         request->refusal_after, request->refusal_message);
         free_request(homes, request);
@@ -282,7 +295,7 @@
     }
     request->upstream =
         upstream_ref(g_ptr_array_index(homes->upstreams, route.upstream));
-    take_link(homes, request, now);
+    charge_link_budget(homes, request, now);
     homes_note_pause(homes, now);
     request->pauses = homes->pauses;
     g_free(request->home);
@@ -297,15 +310,15 @@
     send_enqueue(homes, request, now);
 }
 
-/* Asks for leave to dispatch.  One of the handlers runs once, on a pool
- * worker, unless the request is withdrawn first. */
+/* Requests a grant to send a request to an upstream.  One of the handlers runs
+ * once, on a pool worker, unless the request is withdrawn before. */
 uint64_t
-ch_homes_request(struct ch_homes *homes, const struct ch_work *work,
+ch_homes_request(struct ch_homes *homes, const struct ch_work *info,
                  const GArray *excluded,
                  const struct ch_router_handlers *handlers, void *data)
 {
     struct request *request = g_new0(struct request, 1);
-    request->work = *work;
+    request->work = *info;
     request->handlers = handlers;
     request->data = data;
     request->excluded = g_array_new(FALSE, FALSE, sizeof(GQuark));
@@ -325,8 +338,8 @@
     return handle;
 }
 
-/* Ends the wait for a grant.  What follows for other requests runs on the
- * pool, as the caller may hold the lock of its own. */
+/* Cancels the wait for a grant.  Effects on other requests run on the pool, as
+ * the caller may hold a lock of its own. */
 bool
 ch_homes_withdraw(struct ch_homes *homes, uint64_t handle)
 {
@@ -353,7 +366,7 @@
     return withdrawn;
 }
 
-/* Gives a grant back, telling how the dispatch went. */
+/* Releases a grant and reports how the call went. */
 void
 ch_homes_release(struct ch_homes *homes, uint64_t handle,
                  const struct ch_sample *sample)
@@ -377,12 +390,12 @@
 }
 
 /*
- * A process that is stopped between a grant and its use wakes up with leave
- * that is as old as the pause.  The upstream may have left meanwhile and would
- * get new work long after; the home has ended the grant and given the place to
- * another.  So a grant from before a pause is given back and asked for anew.
- * What remains is a pause within the microseconds between this look and the
- * call.
+ * A process that is suspended between receiving a grant and using it resumes
+ * with a grant as old as the pause.  The upstream may have been removed
+ * meanwhile and would get new work long after; the home has ended the grant
+ * and given its slot to another request.  So a grant from before a pause is
+ * released and requested again.  A pause in the microseconds between this
+ * check and the call remains possible.
  */
 bool
 request_is_stale(struct ch_homes *homes, uint64_t handle)
@@ -412,9 +425,9 @@
     return stale;
 }
 
-/* A Grant that nobody waits for: it goes back at once. */
+/* Releases a grant that arrived after the request's end. */
 static void
-handle_late(void *data, const Chestnuthitch__Wire__Frame *frame)
+release_late_grant(void *data, const Chestnuthitch__Wire__Frame *frame)
 {
     struct ch_homes *homes = data;
     if (frame->body_case != WIRE(FRAME__BODY_GRANT) ||
@@ -433,7 +446,7 @@
     effects_run(homes, &effects);
 }
 
-/* ---- as a router ---- */
+/* ---- router interface ---- */
 
 static void
 router_start(struct ch_router *router)
@@ -448,11 +461,11 @@
 }
 
 static uint64_t
-router_request(struct ch_router *router, const struct ch_work *work,
+router_request(struct ch_router *router, const struct ch_work *info,
                const GArray *excluded,
                const struct ch_router_handlers *handlers, void *data)
 {
-    return ch_homes_request((struct ch_homes *)router, work, excluded,
+    return ch_homes_request((struct ch_homes *)router, info, excluded,
                             handlers, data);
 }
 
@@ -512,9 +525,9 @@
     return &homes->router;
 }
 
-/* ---- life ---- */
+/* ---- start and stop ---- */
 
-/* Sets the handlers of frames; nothing runs before ch_homes_start. */
+/* Registers the frame handlers; nothing runs before ch_homes_start. */
 struct ch_homes *
 ch_homes_new(struct ch_node *node)
 {
@@ -537,11 +550,12 @@
                    settings->link_mbit * 1e6 / 4, now);
     home_handlers(homes);
     gossip_handlers(homes);
-    ch_peers_handle_late(node->peers, handle_late, homes);
+    ch_peers_handle_late(node->peers, release_late_grant, homes);
     return homes;
 }
 
-/* Starts what recurs: the list at once, so that the node is soon of use. */
+/* Starts the recurring jobs.  The host list is fetched at once, so that the
+ * node becomes ready soon. */
 void
 ch_homes_start(struct ch_homes *homes)
 {
@@ -552,9 +566,9 @@
     ch_timers_after(homes->node->timers, CH_HOME_TICK, homes_run_tick, homes);
 }
 
-/* Hands the homes over: says that this node stops, then closes each, by which
- * what is queued goes to the homes' successors.  A node that is alone keeps
- * them until its own callers are answered. */
+/* Hands the homes over to other nodes: announces that this node is stopping,
+ * then closes each home, which sends queued requests to the new homes.  A node
+ * that is alone keeps its homes until its own callers have their responses. */
 void
 ch_homes_drain(struct ch_homes *homes)
 {
@@ -572,15 +586,16 @@
     effects_run(homes, &effects);
 }
 
-/* Frees a request or ticket that was still in its table. */
+/* Adds a table's item to an array. */
 static void
-collect(void *item, uint64_t handle, void *data)
+collect_item(void *item, uint64_t handle, void *data)
 {
     (void)handle;
     g_ptr_array_add(data, item);
 }
 
-/* Frees the homes after the last job of the pool. */
+/* Frees the homes after the last pool job has ended, with the requests and
+ * tickets that are left. */
 void
 ch_homes_free(struct ch_homes *homes)
 {
@@ -588,12 +603,12 @@
         return;
     }
     GPtrArray *items = g_ptr_array_new();
-    ch_table_each(homes->requests, collect, items);
+    ch_table_each(homes->requests, collect_item, items);
     for (guint i = 0; i < items->len; i++) {
         free_request(homes, g_ptr_array_index(items, i));
     }
     g_ptr_array_set_size(items, 0);
-    ch_table_each(homes->tickets, collect, items);
+    ch_table_each(homes->tickets, collect_item, items);
     for (guint i = 0; i < items->len; i++) {
         home_free_ticket(g_ptr_array_index(items, i));
     }
--- a/libchestnuthitch/node/homes_internal.h
+++ b/libchestnuthitch/node/homes_internal.h
@@ -2,12 +2,13 @@
 #define CH_NODE_HOMES_INTERNAL_H
 
 /*
- * What homes.c (requests of this node's callers), home_*.c (upstreams that
- * this node is home of), site.c (upstreams as listed and seen) and gossip.c
- * share.  One lock guards all of it: at the sizes of docs/CAPACITY.md a node
- * takes some tens of decisions a second, each of microseconds, so a finer lock
- * would buy nothing.  Effects (frames, callbacks, orders) are gathered under
- * the lock and carried out after it.
+ * State shared by homes.c (requests of this node's callers), home_*.c
+ * (upstreams whose home is on this node), upstream_list.c (the known
+ * upstreams) and gossip.c.  One lock guards all of it: at the sizes of
+ * docs/CAPACITY.md a node takes some tens of decisions a second, each of
+ * microseconds, so a finer lock would gain nothing.  Effects (frames,
+ * callbacks, load and unload orders) are collected under the lock and carried
+ * out after it is released.
  */
 
 #include "node/node.h"
@@ -16,7 +17,7 @@
 
 struct upstream {
     GQuark name;
-    uint64_t key; /* for rendezvous */
+    uint64_t key; /* for rendezvous hashing */
     enum ch_host_kind kind;
     char *address;
     char *region;
@@ -24,35 +25,37 @@
     struct ch_upstream *client;
     int references;
     bool listed;
-    bool leaving;     /* by the list */
+    bool leaving;     /* according to the host list */
     bool ledger_read; /* since this node became home */
     bool reporting;
-    bool news; /* not told in any round yet */
+    bool news; /* changed since it was last sent to other nodes */
     uint32_t capacity_mb;
     uint32_t accelerators;
     uint32_t batch;
     GQuark service;
-    /* Version of what the fleet's view holds. */
+    /* Version of the state in the fleet view. */
     uint64_t incarnation;
     uint64_t sequence;
-    /* The home's part: NULL while another node is home. */
+    /* Fields of the upstream's home; home is NULL while another node is
+       home. */
     struct ch_home *home;
-    uint64_t told_hash; /* of the state that was last told */
+    uint64_t told_hash; /* of the last published state */
     int64_t told_at;
     int64_t report_at;
-    int64_t quick_until; /* reports at every tick until then */
+    int64_t quick_until; /* until then reports are requested at every tick */
     unsigned report_failures;
-    int64_t down_until; /* of a plain service, after refused connections */
-    GArray *items;      /* GQuark: what the ledger held when last seen */
+    int64_t down_until; /* services only, set after a refused connection */
+    GArray *items;      /* GQuark: items in the ledger when last read */
 };
 
-/* A request in a home's queue or granted by it: its work's id is its handle.
- */
+/* A request that waits at a home of this node or was granted by it.  Its
+   handle in ch_homes.tickets is the request ID that the home uses. */
 struct ticket {
     struct upstream *upstream;
-    char *from; /* node; NULL: this one */
+    char *from; /* entry node of the request; NULL: this node */
     uint64_t incarnation;
-    uint64_t enqueue; /* id of the Enqueue, or handle of the local request */
+    /* ID of the Enqueue message, or handle of the local request. */
+    uint64_t enqueue;
     bool granted;
     int64_t since;
 };
@@ -69,21 +72,27 @@
     uint64_t handle;
     enum request_state state;
     struct ch_work work;
-    GArray *excluded; /* of GQuark: refused it, and failed before */
-    guint failed;     /* so many at the front failed before */
+    /* GQuark: upstreams that refused the request or failed with it. */
+    GArray *excluded;
+    /* Number of entries at the start of excluded that failed with the
+       request. */
+    guint failed;
     const struct ch_router_handlers *handlers;
     void *data;
     bool withdrawn;
-    unsigned bounces; /* homes that refused it or were lost */
-    /* What the last home that refused it said; 0: none did. */
+    unsigned bounces; /* homes that refused the request or were lost */
+    /* What the last home to refuse the request replied; CH_OK: none
+       refused. */
     enum ch_code refusal;
     int64_t refusal_after;
     char *refusal_message;
     struct upstream *upstream;
-    char *home;       /* node, when it is queued or granted there */
-    uint64_t enqueue; /* id of the Enqueue */
-    uint64_t ticket;  /* here: its handle; there: the grant */
-    uint64_t pauses;  /* of this process, when it was sent to its home */
+    char *home;       /* name of the node that is the upstream's home */
+    uint64_t enqueue; /* ID of the Enqueue message */
+    /* Ticket handle of a local home, or grant ID of a remote home. */
+    uint64_t ticket;
+    /* Value of ch_homes.pause_count when the request was sent to its home. */
+    uint64_t pauses;
 };
 
 struct ch_homes {
@@ -93,43 +102,48 @@
     pthread_mutex_t lock;
     pthread_cond_t idle;
     unsigned jobs;       /* recurring jobs that are waiting or running */
-    uint64_t list_timer; /* of the next look at the list */
+    uint64_t list_timer; /* of the next fetch of the host list */
     bool stopping;
     bool draining;
-    int64_t listed_at;    /* the platform's list came first; 0: not yet */
-    GPtrArray *upstreams; /* by name, as fleet.upstreams */
+    int64_t listed_at;    /* when the first host list arrived; 0: none yet */
+    GPtrArray *upstreams; /* sorted by name, as fleet.upstreams */
     struct ch_fleet fleet;
-    GPtrArray *regions; /* names; the fleet's indexes are of these */
+    GPtrArray *regions; /* names; the fleet view refers to them by index */
     GPtrArray *data_centres;
     struct ch_table *requests;
     struct ch_table *tickets;
     struct ch_bucket loads;
     struct ch_bucket link;
     uint64_t sequence;
-    int64_t ticked;  /* last tick */
-    uint64_t pauses; /* times that this process did not run for long */
+    int64_t ticked;  /* time of the last tick */
+    uint64_t pauses; /* times that this process was suspended for long */
     int64_t next_rehome;
     int64_t next_gossip;
-    unsigned near_turn; /* whose turn it is to be told, by place in order */
+    /* Position in the list of local peers of the next one to send gossip to;
+       likewise for remote peers. */
+    unsigned near_turn;
     unsigned far_turn;
-    uint64_t homed_version; /* of the membership, when homes were last found */
-    bool rehome;            /* find them again: the list, or a guest home */
-    unsigned live;          /* nodes at the last look */
-    bool news;              /* their number changed: tell every state again */
+    /* Version of the membership for which homes were last assigned. */
+    uint64_t homed_version;
+    /* Assign homes again: the host list changed or a home was opened for
+       another node's request. */
+    bool rehome;
+    unsigned live; /* live nodes when last counted */
+    bool news;     /* live_count changed: publish every state again */
     GRand *random;
 };
 
-/* ---- effects: done after the lock is given back (effects.c) ---- */
+/* ---- effects: carried out after the lock is released (effects.c) ---- */
 
 struct effects {
     GPtrArray *list;
 };
 
 void effects_init(struct effects *effects);
-/* As effects_run, on the pool: for callers whose handlers must not run before
-   they return. */
+/* Like effects_run, but on the pool: for callers whose handlers must not run
+   before they return. */
 void effects_submit(struct ch_homes *homes, struct effects *effects);
-/* Carries out and empties; without the lock. */
+/* Carries out all effects and empties the list.  Called without the lock. */
 void effects_run(struct ch_homes *homes, struct effects *effects);
 void effects_granted(struct effects *effects, const struct request *request,
                      struct ch_homes *homes, uint32_t priority);
@@ -147,18 +161,19 @@
 /* Opens or closes the upstream's ledger. */
 void effects_ledger(struct effects *effects, struct upstream *upstream,
                     bool open);
-/* A Release or Withdraw that must arrive: sent again until acknowledged. */
+/* Sends a Release or Withdraw again until it is acknowledged. */
 void effects_release(struct effects *effects, const char *home,
                      GQuark upstream, uint64_t grant,
                      const struct ch_sample *sample);
 void effects_withdraw(struct effects *effects, const char *home,
                       GQuark upstream, uint64_t enqueue);
 
-/* ---- site.c: upstreams as listed and as seen ---- */
+/* ---- upstream_list.c: upstreams of the host list and their state ---- */
 
 void site_init(struct ch_homes *homes);
 void site_clear(struct ch_homes *homes);
-/* Takes the platform's list; may close homes of what left it. */
+/* Applies a complete host list.  Closes the homes of upstreams that are no
+   longer listed. */
 void site_take_list(struct ch_homes *homes, const struct ch_host_list *list,
                     struct effects *effects);
 struct upstream *site_find(const struct ch_homes *homes, GQuark name);
@@ -168,11 +183,12 @@
                                    const struct upstream *upstream);
 struct upstream *upstream_ref(struct upstream *upstream);
 void upstream_unref(struct upstream *upstream);
-/* Takes a state that came from elsewhere, if it is newer. */
+/* Applies a state received from another node if it is newer. */
 void site_take_state(struct ch_homes *homes,
                      const Chestnuthitch__Wire__UpstreamState *state,
                      int64_t now);
-/* The upstream's state as a message; freed by site_free_state. */
+/* Builds the message that describes the upstream's state, or NULL when it is
+   no longer listed.  Free it with upstream_free_state. */
 Chestnuthitch__Wire__UpstreamState *
 site_make_state(struct ch_homes *homes, const struct upstream *upstream);
 void site_free_state(Chestnuthitch__Wire__UpstreamState *state);
@@ -180,41 +196,42 @@
 /* ---- home_queue.c ---- */
 
 struct ch_actions home_actions_new(void);
-/* Does what a home's decisions ask for, and frees the list. */
+/* Carries out the actions that a home decided on, and frees the list. */
 void home_apply(struct ch_homes *homes, struct upstream *upstream,
                 struct ch_actions *actions, int64_t now,
                 struct effects *effects);
-/* Offers work under a new ticket, whose handle is in *handle before the home
-   answers. */
+/* Queues a request at a home.  The new ticket then belongs to
+   ch_homes.tickets; *handle is set before the home decides. */
 void home_offer(struct ch_homes *homes, struct upstream *upstream,
-                struct ch_work *work, struct ticket *ticket, uint64_t *handle,
+                struct ch_work *info, struct ticket *ticket, uint64_t *handle,
                 int64_t now, struct effects *effects);
 void home_open(struct ch_homes *homes, struct upstream *upstream, int64_t now,
                struct effects *effects);
 void home_close(struct ch_homes *homes, struct upstream *upstream,
                 struct effects *effects);
-/* Puts a request of this node into the queue of a home on this node. */
+/* Queues a request of this node at a home on this node. */
 void home_offer_local(struct ch_homes *homes, struct request *request,
                       int64_t now, struct effects *effects);
-void home_release(struct ch_homes *homes, uint64_t ticket,
+void home_release(struct ch_homes *homes, uint64_t handle,
                   const struct ch_sample *sample, int64_t now,
                   struct effects *effects);
-void home_withdraw(struct ch_homes *homes, uint64_t ticket, int64_t now,
+void home_withdraw(struct ch_homes *homes, uint64_t handle, int64_t now,
                    struct effects *effects);
 void home_free_ticket(struct ticket *ticket);
 void homes_refresh_loads(struct ch_homes *homes, int64_t now);
-/* Refreshes the fleet's view of an upstream whose home is here. */
+/* Updates the fleet view of an upstream whose home is on this node. */
 void home_refresh_view(struct ch_homes *homes, struct upstream *upstream,
                        int64_t now);
 
 /* ---- home_members.c ---- */
 
-/* Opens and closes homes as membership says; ends lost grants. */
+/* Opens and closes homes according to the membership; ends lost grants. */
 void home_rehome(struct ch_homes *homes, int64_t now, struct effects *effects);
 
 /* ---- home_report.c ---- */
 
-/* What each home does every CH_HOME_TICK, reports among it. */
+/* Runs the periodic work of each home, every CH_HOME_TICK_US; requests
+   reports.  Takes the lock itself. */
 void home_tick_all(struct ch_homes *homes, int64_t now,
                    struct effects *effects);
 
@@ -224,7 +241,8 @@
 
 /* ---- home_ledger.c ---- */
 
-/* Takes for resident what was told of the engine, until the ledger is read. */
+/* Both treat the items that were reported for the upstream as resident until
+   the ledger has been read. */
 void home_assume_view(struct ch_homes *homes, struct upstream *upstream,
                       int64_t now, struct effects *effects);
 void home_assume_report(struct upstream *upstream,
@@ -232,9 +250,10 @@
                         struct ch_actions *actions);
 const struct ch_ledger_handlers *home_ledger_handlers(void);
 
-/* ---- homes.c, for the homes here ---- */
+/* ---- homes.c: replies of homes to this node's requests ---- */
 
-/* Answers for a local request; routing it anew when its home went. */
+/* Both handle a home's reply to a local request.  A refused request may be
+   routed again to another home. */
 void request_granted(struct ch_homes *homes, struct request *request,
                      uint32_t priority, struct effects *effects);
 void request_refused(struct ch_homes *homes, struct request *request,
@@ -242,13 +261,14 @@
                      const char *message, int64_t now,
                      struct effects *effects);
 
-/* True when the grant is from before a pause of this process: it was given
-   back, and the request is on its way to a home again. */
+/* True when the process was suspended since the request was sent to its home.
+   The grant is then released and the request routed again. */
 bool request_is_stale(struct ch_homes *homes, uint64_t handle);
-/* Counts a pause of this process when the last tick is long ago; lock held. */
+/* Records a pause of this process when the last tick is long ago.  Lock
+   held. */
 void homes_note_pause(struct ch_homes *homes, int64_t now);
 
-/* ---- homes_recur.c: each has itself run again until the homes stop ---- */
+/* ---- homes_recur.c: each schedules itself again until the homes stop ---- */
 
 void homes_run_tick(void *data);
 void homes_fetch_list(void *data);
@@ -256,9 +276,10 @@
 /* ---- gossip.c ---- */
 
 void gossip_handlers(struct ch_homes *homes);
-/* Sends what there is to tell; without the lock. */
+/* Sends the gossip messages that are due.  Called without the lock. */
 void gossip_round(struct ch_homes *homes, int64_t now);
-/* Tells every live node that this one stops; without the lock. */
+/* Tells every live node that this node is stopping.  Called without the
+   lock. */
 void gossip_stopping(struct ch_homes *homes);
 
 #endif
--- a/libchestnuthitch/node/homes_recur.c
+++ b/libchestnuthitch/node/homes_recur.c
@@ -1,16 +1,18 @@
-/* What recurs at a node: the homes' ticks, gossip and the host list. */
+/* Recurring jobs of a node: ticks of the homes, gossip and fetching the host
+ * list. */
 
 #include "decide/gossip.h"
 #include "node/homes_internal.h"
 
 enum {
     /* How long a new node waits for a state of each upstream. */
-    FIRST_STATES = 2 * 1000 * 1000,
-    /* The list is asked no more than 20 times a second by the whole fleet. */
-    LIST_SHARE_MS = 50,
+    MAX_STATE_WAIT_US = 2 * 1000 * 1000,
+    /* Keeps the whole fleet to at most 20 fetches of the host list a
+     * second. */
+    LIST_MS_PER_NODE = 50,
 };
 
-/* One recurring job less; the stop waits for the last. */
+/* Ends a recurring job; ch_homes_stop waits for the last. */
 static void
 end_job(struct ch_homes *homes)
 {
@@ -21,12 +23,12 @@
 }
 
 /*
- * Whether this node knows enough to route.  A node that has just started and
- * says that it is ready refuses its first callers, as it has no list yet, or
- * has a model loaded anew that another engine holds, as no home has told it
- * yet: seen with the first requests after a start.  So it waits for the list
- * and for one state of each upstream, of the latter not longer than
- * FIRST_STATES: a home that cannot tell must not keep a fleet from starting.
+ * Whether this node knows enough to route.  A node that reported ready right
+ * after its start would refuse its first callers, as it has no host list yet,
+ * or load a model that another engine already holds, as no home has reported
+ * it yet.  So it waits for the host list and for one state of each upstream.
+ * It waits for states no longer than MAX_STATE_WAIT_US: a home that can't
+ * report must not keep a fleet from starting.
  */
 bool
 ch_homes_ready(struct ch_homes *homes)
@@ -37,16 +39,15 @@
     for (guint i = 0; ready && i < homes->upstreams->len; i++) {
         const struct upstream *upstream =
             g_ptr_array_index(homes->upstreams, i);
-        ready =
-            upstream->sequence > 0 || now - homes->listed_at > FIRST_STATES;
+        ready = upstream->sequence > 0 ||
+                now - homes->listed_at > MAX_STATE_WAIT_US;
     }
     pthread_mutex_unlock(&homes->lock);
     return ready;
 }
 
-/* Whether the recurring jobs go on. */
 static bool
-goes_on(struct ch_homes *homes)
+is_running(struct ch_homes *homes)
 {
     pthread_mutex_lock(&homes->lock);
     bool stopping = homes->stopping;
@@ -54,12 +55,13 @@
     return !stopping;
 }
 
-/* Every CH_HOME_TICK: homes, membership's consequences, gossip. */
+/* Runs every CH_HOME_TICK_US: ticks of the homes, changes of membership,
+ * gossip. */
 void
 homes_run_tick(void *data)
 {
     struct ch_homes *homes = data;
-    if (!goes_on(homes)) {
+    if (!is_running(homes)) {
         end_job(homes);
         return;
     }
@@ -86,25 +88,27 @@
     struct ch_host_list *list;
 };
 
-/* Has the list asked for again after its period, which grows with the fleet;
- * at once when the homes stop, so that the last look ends the job. */
+/* Schedules the next fetch of the host list.  The period grows with the fleet.
+ * While the homes stop there is no delay, so that the last fetch ends the
+ * job. */
 static void
-ask_again(struct ch_homes *homes)
+schedule_list_fetch(struct ch_homes *homes)
 {
     pthread_mutex_lock(&homes->lock);
     unsigned period = MAX(homes->node->settings->list_ms,
-                          homes->live * (unsigned)LIST_SHARE_MS);
+                          homes->live * (unsigned)LIST_MS_PER_NODE);
     int64_t delay = homes->stopping ? 0 : (int64_t)period * 1000;
     homes->list_timer =
         ch_timers_after(homes->node->timers, delay, homes_fetch_list, homes);
     pthread_mutex_unlock(&homes->lock);
 }
 
-/* On the pool: takes the list; without one the last stays in force, since an
- * unreachable list says nothing about the hosts.  One that did not change is
- * not taken again: that would find the homes of all upstreams anew. */
+/* Runs on the pool: applies the host list.  When the fetch failed, the
+ * previous list stays in force, since an unreachable list says nothing about
+ * the hosts.  An unchanged list is not applied again: that would assign the
+ * homes of all upstreams anew. */
 static void
-run_list(void *data)
+apply_list(void *data)
 {
     struct list_job *job = data;
     struct ch_homes *homes = job->homes;
@@ -123,35 +127,36 @@
     }
     ch_host_list_free(job->list);
     g_free(job);
-    ask_again(homes);
+    schedule_list_fetch(homes);
 }
 
-/* On the loop's thread: hands the list to the pool. */
+/* Runs on the HTTP loop: hands the list to the pool. */
 static void
-list_done(void *data, enum ch_code code, struct ch_host_list *list)
+handle_list_reply(void *data, enum ch_code code, struct ch_host_list *list)
 {
     struct list_job *job = g_new0(struct list_job, 1);
     job->homes = data;
     job->code = code;
     job->list = list;
-    ch_pool_submit(job->homes->node->pool, run_list, job);
+    ch_pool_submit(job->homes->node->pool, apply_list, job);
 }
 
-/* Asks for the platform's list. */
+/* Fetches the host list; ends the job if the homes stop. */
 void
 homes_fetch_list(void *data)
 {
     struct ch_homes *homes = data;
-    if (!goes_on(homes)) {
+    if (!is_running(homes)) {
         end_job(homes);
         return;
     }
-    homes->node->hosts->ops->fetch(homes->node->hosts, list_done, homes);
+    homes->node->hosts->ops->fetch(homes->node->hosts, handle_list_reply,
+                                   homes);
 }
 
-/* Ends what recurs and waits for it.  A look at the list that is still to come
- * is called off: its period, 16 s in a fleet of 320, would hold up every
- * planned stop. */
+/* Ends the recurring jobs and waits for them.  A scheduled fetch of the host
+ * list is cancelled: its period, 16 s in a fleet of 320 nodes, would delay
+ * every planned stop. */
 void
 ch_homes_stop(struct ch_homes *homes)
 {
--- a/libchestnuthitch/node/homes_status.c
+++ b/libchestnuthitch/node/homes_status.c
@@ -1,8 +1,7 @@
-/* The upstreams in the status that operators see. */
+/* Status of the upstreams, as shown to operators. */
 
 #include "node/homes_internal.h"
 
-/* Adds a member with a string. */
 static void
 add_string(JsonBuilder *builder, const char *name, const char *value)
 {
@@ -10,7 +9,6 @@
     json_builder_add_string_value(builder, value);
 }
 
-/* Adds a member with a number. */
 static void
 add_int(JsonBuilder *builder, const char *name, int64_t value)
 {
@@ -18,7 +16,7 @@
     json_builder_add_int_value(builder, value);
 }
 
-/* Adds an array of the names of items. */
+/* Adds an array of item names. */
 static void
 add_items(JsonBuilder *builder, const char *name, const GArray *items)
 {
@@ -32,7 +30,7 @@
     json_builder_end_array(builder);
 }
 
-/* One upstream for the status. */
+/* Adds one upstream as a JSON object. */
 static void
 add_upstream(struct ch_homes *homes, const struct upstream *upstream,
              JsonBuilder *builder)
@@ -63,7 +61,7 @@
     g_free(home);
 }
 
-/* The upstreams, as an array "upstreams" in an open JSON object. */
+/* Adds the upstreams as an array "upstreams" to an open JSON object. */
 void
 ch_homes_status(struct ch_homes *homes, JsonBuilder *builder)
 {
