--- a/libchestnuthitch/node/home_frames.c
+++ b/libchestnuthitch/node/home_frames.c
@@ -1,4 +1,4 @@
-/* What other nodes ask of the homes on this node. */
+/* Messages from other nodes to the homes on this node. */
 
 #include "node/homes_internal.h"
 
@@ -7,12 +7,12 @@
 #define WIRE(name) CHESTNUTHITCH__WIRE__##name
 
 enum {
-    /* For what never gets as far as a queue: the configuration or the home
-     * will have reached its place by then. */
-    RETRY_AFTER_MS = 1000,
+    /* Retry time when an Enqueue can't be queued: by then this node should
+     * have the configuration, or the entry node should know the right home. */
+    REFUSAL_RETRY_AFTER_MS = 1000,
 };
 
-/* Replies to a frame of which no more than its arrival need be known. */
+/* Replies that a message has arrived. */
 static void
 acknowledge(struct ch_homes *homes, const Chestnuthitch__Wire__Frame *frame)
 {
@@ -23,7 +23,7 @@
     ch_peers_reply(homes->node->peers, frame->from, frame->id, &reply);
 }
 
-/* Refuses an Enqueue that never gets as far as a queue. */
+/* Refuses an Enqueue that can't be queued. */
 static void
 refuse_enqueue(struct ch_homes *homes, const Chestnuthitch__Wire__Frame *frame,
                enum ch_code code, const char *message)
@@ -32,21 +32,21 @@
     Chestnuthitch__Wire__Refuse refuse = WIRE(REFUSE__INIT);
     refuse.code = (uint32_t)code;
     refuse.message = (char *)message;
-    refuse.retry_after_ms = RETRY_AFTER_MS;
+    refuse.retry_after_ms = REFUSAL_RETRY_AFTER_MS;
     reply.body_case = WIRE(FRAME__BODY_REFUSE);
     reply.refuse = &refuse;
     ch_peers_reply(homes->node->peers, frame->from, frame->id, &reply);
 }
 
-/* Makes the work of an Enqueue.  Names are looked up in this node's own
- * configuration: what it does not know is not made into a quark, so that
- * quarks stay as few as the names that operators declared. */
+/* Converts an Enqueue; false when it has names that this node's configuration
+ * lacks.  Such names are not made into quarks, so that there are no more
+ * quarks than names that operators declared. */
 static bool
-make_work(const struct ch_declaration *declaration,
-          const Chestnuthitch__Wire__Enqueue *enqueue, int64_t now,
-          struct ch_work *work)
+parse_enqueue(const struct ch_declaration *declaration,
+              const Chestnuthitch__Wire__Enqueue *enqueue, int64_t now,
+              struct ch_work *info)
 {
-    *work = (struct ch_work){
+    *info = (struct ch_work){
         .service = enqueue->service,
         .tenant = ch_hash_string(enqueue->tenant),
         .prompt_tokens = enqueue->prompt_tokens,
@@ -63,17 +63,17 @@
     if (ch_declaration_class(declaration, enqueue->class_name) < 0) {
         return false;
     }
-    work->class_name = g_quark_from_string(enqueue->class_name);
+    info->class_name = g_quark_from_string(enqueue->class_name);
     if (enqueue->service) {
-        work->model = g_quark_from_string(enqueue->model);
+        info->model = g_quark_from_string(enqueue->model);
         return ch_declaration_service(declaration, enqueue->model) >= 0;
     }
     int model = ch_declaration_model(declaration, enqueue->model);
     if (model < 0) {
         return false;
     }
-    work->model = g_quark_from_string(enqueue->model);
-    work->model_mb = declaration->models[model].memory_mb;
+    info->model = g_quark_from_string(enqueue->model);
+    info->model_mb = declaration->models[model].memory_mb;
     const char *adapter = strchr(enqueue->adapter, '/');
     if (adapter == NULL) {
         return enqueue->adapter[0] == '\0';
@@ -82,17 +82,18 @@
     if (ch_declaration_adapter(declaration, adapter + 1, &index) != model) {
         return false;
     }
-    work->adapter = g_quark_from_string(enqueue->adapter);
-    work->adapter_mb = declaration->models[model].adapter_memory_mb;
+    info->adapter = g_quark_from_string(enqueue->adapter);
+    info->adapter_mb = declaration->models[model].adapter_memory_mb;
     return true;
 }
 
-/* Queues another node's request at the home here.  When this node does not
- * hold itself to be home it serves as one all the same until it learns better:
- * two homes cost some quality and no promise. */
+/* Queues another node's request at the home on this node.  A node that is not
+ * home according to its own membership serves as home until its membership is
+ * updated: two homes for one upstream cost some quality but break no
+ * guarantee. */
 static void
-queue_remote(struct ch_homes *homes, const Chestnuthitch__Wire__Frame *frame,
-             struct ch_work *work)
+enqueue_remote(struct ch_homes *homes, const Chestnuthitch__Wire__Frame *frame,
+               struct ch_work *info)
 {
     int64_t now = ch_client_now(homes->node->client);
     struct effects effects;
@@ -109,39 +110,41 @@
         uint64_t handle = 0;
         homes->rehome |= upstream->home == NULL;
         home_open(homes, upstream, now, &effects);
-        home_offer(homes, upstream, work, ticket, &handle, now, &effects);
+        home_offer(homes, upstream, info, ticket, &handle, now, &effects);
     }
     pthread_mutex_unlock(&homes->lock);
     effects_run(homes, &effects);
     if (upstream == NULL) {
-        refuse_enqueue(homes, frame, CH_PEER_LOST, "not home here");
+        refuse_enqueue(homes, frame, CH_PEER_LOST,
+                       "this node is not the home of the upstream");
     }
 }
 
-/* Handles an Enqueue. */
 static void
 handle_enqueue(void *data, const Chestnuthitch__Wire__Frame *frame)
 {
     struct ch_homes *homes = data;
     struct ch_config *config = ch_config_keeper_current(homes->node->config);
     if (config == NULL) {
-        refuse_enqueue(homes, frame, CH_NOT_READY, "no configuration yet");
+        refuse_enqueue(homes, frame, CH_NOT_READY,
+                       "the home node has no configuration yet");
         return;
     }
-    struct ch_work work;
-    if (make_work(config->declaration, frame->enqueue,
-                  ch_client_now(homes->node->client), &work)) {
-        queue_remote(homes, frame, &work);
+    struct ch_work info;
+    if (parse_enqueue(config->declaration, frame->enqueue,
+                      ch_client_now(homes->node->client), &info)) {
+        enqueue_remote(homes, frame, &info);
     }
     else {
         refuse_enqueue(homes, frame, CH_UNKNOWN_MODEL,
-                       "the home's configuration does not have it yet");
+                       "the model, service or class is not yet in the home "
+                       "node's configuration");
     }
     ch_config_unref(config);
 }
 
-/* Handles a Release: acknowledged also when the grant is not known, since it
- * has then ended before. */
+/* Handles a Release.  An unknown grant is acknowledged too, since it has ended
+ * before. */
 static void
 handle_release(void *data, const Chestnuthitch__Wire__Frame *frame)
 {
@@ -162,45 +165,45 @@
     acknowledge(homes, frame);
 }
 
-struct find_pass {
+struct ticket_search {
     const char *from;
     uint64_t enqueue;
     uint64_t handle;
 };
 
-/* Finds the ticket of a node's Enqueue. */
+/* Finds the ticket of another node's Enqueue. */
 static void
 find_ticket(void *item, uint64_t handle, void *data)
 {
     const struct ticket *ticket = item;
-    struct find_pass *pass = data;
-    if (ticket->from != NULL && ticket->enqueue == pass->enqueue &&
-        strcmp(ticket->from, pass->from) == 0) {
-        pass->handle = handle;
+    struct ticket_search *search = data;
+    if (ticket->from != NULL && ticket->enqueue == search->enqueue &&
+        strcmp(ticket->from, search->from) == 0) {
+        search->handle = handle;
     }
 }
 
-/* Handles a Withdraw.  The Enqueue, if it still waits, gets its reply too: the
- * other end keeps its connection watched for as long as one is owed. */
+/* Handles a Withdraw.  A queued Enqueue gets its reply too: the sender keeps
+ * its connection watched while it waits for a reply. */
 static void
 handle_withdraw(void *data, const Chestnuthitch__Wire__Frame *frame)
 {
     struct ch_homes *homes = data;
-    struct find_pass pass = {
+    struct ticket_search search = {
         .from = frame->from,
         .enqueue = frame->withdraw->enqueue,
     };
     struct effects effects;
     effects_init(&effects);
     pthread_mutex_lock(&homes->lock);
-    ch_table_each(homes->tickets, find_ticket, &pass);
-    const struct ticket *ticket = ch_table_get(homes->tickets, pass.handle);
+    ch_table_each(homes->tickets, find_ticket, &search);
+    const struct ticket *ticket = ch_table_get(homes->tickets, search.handle);
     if (ticket != NULL && !ticket->granted) {
         effects_refuse_frame(&effects, ticket, CH_PEER_LOST, 0, "withdrawn",
                              homes);
     }
     if (ticket != NULL) {
-        home_withdraw(homes, pass.handle, ch_client_now(homes->node->client),
+        home_withdraw(homes, search.handle, ch_client_now(homes->node->client),
                       &effects);
     }
     pthread_mutex_unlock(&homes->lock);
@@ -208,7 +211,7 @@
     acknowledge(homes, frame);
 }
 
-/* Sets the handlers of the frames that homes get. */
+/* Registers the handlers of messages to homes. */
 void
 home_handlers(struct ch_homes *homes)
 {
--- a/libchestnuthitch/node/home_ledger.c
+++ b/libchestnuthitch/node/home_ledger.c
@@ -1,10 +1,9 @@
-/* What the ledgers tell the homes on this node of their engines' memory, and
- * what is taken to be there until a ledger is read. */
+/* Contents of the engines' memory: as recorded in the ledgers, and as reported
+ * until a ledger has been read. */
 
 #include "node/homes_internal.h"
 
-/* Tells a home that an item is in memory, of which the ledger has not told
- * yet. */
+/* Records an item as resident before the ledger confirms it. */
 static void
 assume_resident(struct upstream *upstream, GQuark item, uint32_t memory_mb,
                 int64_t now, struct ch_actions *actions)
@@ -15,12 +14,13 @@
 }
 
 /*
- * A home that has just opened takes what its predecessor told the fleet to be
- * in memory as still there, until the ledger is read.  While the key-value
- * service is away that may be an hour, in which the models are served all the
- * same: to send a request needs no reservation.  An engine that has lost or
- * unloads the model refuses the request before running it, and it is tried
- * elsewhere.  Loads and unloads wait for the ledger as ever.
+ * A home that has just opened treats the items that the previous home
+ * published as still resident until the ledger has been read.  While the
+ * key-value store is unavailable that may take an hour, during which the
+ * models are still served: sending a request needs no reservation.  An engine
+ * that has lost or is unloading the model refuses the request before running
+ * it, and the request is retried elsewhere.  Loads and unloads wait for the
+ * ledger as usual.
  */
 void
 home_assume_view(struct ch_homes *homes, struct upstream *upstream,
@@ -35,7 +35,6 @@
     home_apply(homes, upstream, &actions, now, effects);
 }
 
-/* Whether an item is among items. */
 static bool
 has_item(const GArray *items, GQuark item)
 {
@@ -47,7 +46,9 @@
     return false;
 }
 
-/* As above, from the engine's own report: it overrides what was told. */
+/* Records the items in the engine's own report as resident, in place of those
+ * that the previous home published.  Does nothing once the ledger has been
+ * read. */
 void
 home_assume_report(struct upstream *upstream, const struct ch_report *report,
                    int64_t now, struct ch_actions *actions)
@@ -72,9 +73,9 @@
     g_array_free(before, TRUE);
 }
 
-/* The state of an item as the decisions know it. */
+/* Converts a state of a ledger entry to a state of a home's item. */
 static enum ch_item_state
-item_state(enum ch_ledger_state state)
+convert_state(enum ch_ledger_state state)
 {
     switch (state) {
     case CH_LEDGER_RESERVED:
@@ -87,12 +88,12 @@
     return CH_ITEM_UNLOADING;
 }
 
-/* Tells the home what the ledger holds now; what it no longer holds is
- * absent. */
+/* Updates the home's items to the ledger's entries.  Items that are no longer
+ * in the ledger become absent. */
 static void
-take_ledger(struct ch_homes *homes, struct upstream *upstream,
-            const struct ch_ledger *ledger, int64_t now,
-            struct effects *effects)
+apply_ledger(struct ch_homes *homes, struct upstream *upstream,
+             const struct ch_ledger *ledger, int64_t now,
+             struct effects *effects)
 {
     struct ch_actions actions = home_actions_new();
     upstream->ledger_read = true;
@@ -108,15 +109,15 @@
         const struct ch_ledger_entry *entry = &ledger->entries[i];
         GQuark item = g_quark_from_string(entry->item);
         g_array_append_val(upstream->items, item);
-        ch_home_set_item(upstream->home, item, item_state(entry->state),
+        ch_home_set_item(upstream->home, item, convert_state(entry->state),
                          entry->memory_mb, now, &actions);
     }
     home_apply(homes, upstream, &actions, now, effects);
 }
 
-/* The ledger of an upstream changed. */
+/* Runs on a pool worker after every change of an upstream's ledger. */
 static void
-ledger_changed(void *data, GQuark name, const struct ch_ledger *ledger)
+handle_ledger_changed(void *data, GQuark name, const struct ch_ledger *ledger)
 {
     struct ch_homes *homes = data;
     struct effects effects;
@@ -124,23 +125,23 @@
     pthread_mutex_lock(&homes->lock);
     struct upstream *upstream = site_find(homes, name);
     if (upstream != NULL && upstream->home != NULL) {
-        take_ledger(homes, upstream, ledger,
-                    ch_client_now(homes->node->client), &effects);
+        apply_ledger(homes, upstream, ledger,
+                     ch_client_now(homes->node->client), &effects);
     }
     pthread_mutex_unlock(&homes->lock);
     effects_run(homes, &effects);
 }
 
 /*
- * An order will not be done.  That the ledger holds the item already is no
- * failure: a home that has just opened wants a model before its first read of
- * the ledger, which told it since how the item stands.  Taken for a failure it
- * blocked all loads for a second and refused what waited, at each change of
- * home.
+ * Handles an order that will not be carried out.  That the ledger already
+ * holds the item is no failure: a home that has just opened requests a model
+ * before its first read of the ledger, which has since reported the item's
+ * state.  Treated as a failure, this blocked all loads for a second and
+ * refused the waiting requests at each change of home.
  */
 static void
-ledger_failed(void *data, GQuark name, GQuark item, enum ch_action_kind kind,
-              enum ch_code code)
+handle_order_failed(void *data, GQuark name, GQuark item,
+                    enum ch_action_kind kind, enum ch_code code)
 {
     struct ch_homes *homes = data;
     if (code == CH_DUPLICATE) {
@@ -166,13 +167,13 @@
     effects_run(homes, &effects);
 }
 
-/* The handlers that the ledger keeper is given, with the homes as data. */
+/* Handlers for the ledger keeper, to be called with the homes as data. */
 const struct ch_ledger_handlers *
 home_ledger_handlers(void)
 {
     static const struct ch_ledger_handlers handlers = {
-        .changed = ledger_changed,
-        .failed = ledger_failed,
+        .changed = handle_ledger_changed,
+        .failed = handle_order_failed,
     };
     return &handlers;
 }
--- a/libchestnuthitch/node/home_members.c
+++ b/libchestnuthitch/node/home_members.c
@@ -1,73 +1,74 @@
-/* Which homes are on this node, what each node may use of shared limits, and
- * the grants of nodes that are gone. */
+/* Changes of membership: which homes are on this node, this node's share of
+ * common limits, and the grants of lost nodes. */
 
 #include "node/homes_internal.h"
 
 #include <string.h>
 
 enum {
-    REHOME_PERIOD = 500 * 1000,
+    REHOME_PERIOD_US = 500 * 1000,
     /*
-     * A grant whose node was not heard for this long, and could not be, ends:
-     * its streams ended with the node's process or are cut off from here. Well
-     * past a pause that a node survives, since a grant ended too soon means
-     * one request too many at the upstream until the other ends.
+     * A grant ends when its entry node has been silent for this long: the
+     * node's streams have ended with its process or are cut off from here.
+     * This is well above the pauses that a node survives, since a grant that
+     * ends too early lets one request too many run at the upstream until the
+     * earlier one ends.
      */
-    GRANT_SILENCE = 5 * 1000 * 1000,
+    MAX_GRANT_SILENCE_US = 5 * 1000 * 1000,
 };
 
-struct lost_pass {
+struct lost_search {
     struct ch_homes *homes;
     int64_t now;
     GArray *handles;
 };
 
-/* Gathers the tickets of nodes that are gone: another process has their name,
- * or nothing was heard from them for long. */
+/* Collects the tickets of lost nodes: another process has the node's name, or
+ * the node has been silent for too long. */
 static void
-gather_lost(void *item, uint64_t handle, void *data)
+collect_lost_ticket(void *item, uint64_t handle, void *data)
 {
     const struct ticket *ticket = item;
-    struct lost_pass *pass = data;
+    struct lost_search *search = data;
     if (ticket->from == NULL) {
         return;
     }
     uint64_t incarnation = 0;
-    int64_t heard =
-        ch_peers_heard(pass->homes->node->peers, ticket->from, &incarnation);
+    int64_t last_heard =
+        ch_peers_heard(search->homes->node->peers, ticket->from, &incarnation);
     bool other_process = incarnation != 0 && ticket->incarnation != 0 &&
                          incarnation != ticket->incarnation;
     if (other_process ||
-        pass->now - MAX(heard, ticket->since) > GRANT_SILENCE) {
-        g_array_append_val(pass->handles, handle);
+        search->now - MAX(last_heard, ticket->since) > MAX_GRANT_SILENCE_US) {
+        g_array_append_val(search->handles, handle);
     }
 }
 
-/* Ends the grants of nodes that are gone.  Without this every node that dies
- * would leave its requests counted at the homes, whose batches would fill up
- * with what nobody runs. */
+/* Ends the grants of lost nodes.  Otherwise every node that dies would leave
+ * its requests counted at the homes, whose batches would fill up with requests
+ * that nobody runs. */
 static void
-end_lost(struct ch_homes *homes, int64_t now, struct effects *effects)
+end_lost_grants(struct ch_homes *homes, int64_t now, struct effects *effects)
 {
-    struct lost_pass pass = {
+    struct lost_search search = {
         .homes = homes,
         .now = now,
         .handles = g_array_new(FALSE, FALSE, sizeof(uint64_t)),
     };
-    ch_table_each(homes->tickets, gather_lost, &pass);
-    for (guint i = 0; i < pass.handles->len; i++) {
+    ch_table_each(homes->tickets, collect_lost_ticket, &search);
+    for (guint i = 0; i < search.handles->len; i++) {
         ch_metrics_count(homes->node->client->metrics, CH_COUNT_GRANTS_LOST,
                          1);
-        home_withdraw(homes, g_array_index(pass.handles, uint64_t, i), now,
+        home_withdraw(homes, g_array_index(search.handles, uint64_t, i), now,
                       effects);
     }
-    g_array_free(pass.handles, TRUE);
+    g_array_free(search.handles, TRUE);
 }
 
-/* Sets each node's part of the weight store and of the link: what the region
- * has, divided by the nodes that share it. */
+/* Sets this node's share of the weight store and of the link: the region's
+ * limits divided by the number of live nodes. */
 static void
-share_limits(struct ch_homes *homes)
+update_shared_limits(struct ch_homes *homes)
 {
     const struct ch_settings *settings = homes->node->settings;
     char **live = ch_peers_live(homes->node->peers);
@@ -82,21 +83,21 @@
     homes->live = count;
 }
 
-/* Opens and closes homes as membership says and ends lost grants. */
+/* Opens and closes homes according to the membership and ends lost grants. */
 void
 home_rehome(struct ch_homes *homes, int64_t now, struct effects *effects)
 {
     if (now < homes->next_rehome && !homes->draining) {
         return;
     }
-    homes->next_rehome = now + REHOME_PERIOD;
-    share_limits(homes);
-    end_lost(homes, now, effects);
-    uint64_t version = ch_peers_version(homes->node->peers);
-    if (version == homes->homed_version && !homes->rehome) {
+    homes->next_rehome = now + REHOME_PERIOD_US;
+    update_shared_limits(homes);
+    end_lost_grants(homes, now, effects);
+    uint64_t membership_version = ch_peers_version(homes->node->peers);
+    if (membership_version == homes->homed_version && !homes->rehome) {
         return;
     }
-    homes->homed_version = version;
+    homes->homed_version = membership_version;
     homes->rehome = false;
     for (guint i = 0; i < homes->upstreams->len; i++) {
         struct upstream *upstream = g_ptr_array_index(homes->upstreams, i);
--- a/libchestnuthitch/node/home_queue.c
+++ b/libchestnuthitch/node/home_queue.c
@@ -1,20 +1,21 @@
-/* The homes on this node: for each upstream at home here one queue with exact
- * counts (decide/), and what its decisions lead to. */
+/* The homes on this node: one queue with exact counts for each upstream whose
+ * home is here (see decide/), and the actions that it decides on. */
 
 #include "node/homes_internal.h"
 
 #include <string.h>
 
 enum {
-    /* A plain service that refused a connection is tried again after this: it
-     * sends no reports that would tell. */
-    SERVICE_TRIAL = 1000 * 1000,
-    /* An adapter loads in milliseconds: for so long after its order the engine
-     * is asked for a report at every tick, since a request waits for it. */
-    ADAPTER_WATCH = 300 * 1000,
+    /* Delay before a service that refused a connection is used again: services
+     * send no reports that would show their recovery. */
+    SERVICE_RETRY_DELAY_US = 1000 * 1000,
+    /* Time after an adapter's load order in which the engine is asked for a
+     * report at every tick: an adapter loads in milliseconds and a request
+     * waits for it. */
+    ADAPTER_REPORT_WINDOW_US = 300 * 1000,
 };
 
-/* An empty list of actions. */
+/* A new empty list; home_apply_actions frees it. */
 struct ch_actions
 home_actions_new(void)
 {
@@ -32,9 +33,10 @@
     g_free(ticket);
 }
 
-/* The local request of a ticket, if it still waits for it. */
+/* The local request of a ticket; NULL if the ticket is another node's or the
+ * request has ended. */
 static struct request *
-request_of(const struct ch_homes *homes, const struct ticket *ticket)
+find_local_request(const struct ch_homes *homes, const struct ticket *ticket)
 {
     if (ticket->from != NULL) {
         return NULL;
@@ -42,7 +44,7 @@
     return ch_table_get(homes->requests, ticket->enqueue);
 }
 
-/* Tells who asked that the work may be dispatched. */
+/* Tells the ticket's entry node that the request may be sent. */
 static void
 apply_grant(struct ch_homes *homes, const struct ch_action *action,
             struct effects *effects)
@@ -58,13 +60,13 @@
                             homes);
         return;
     }
-    struct request *request = request_of(homes, ticket);
+    struct request *request = find_local_request(homes, ticket);
     if (request != NULL) {
         request_granted(homes, request, action->priority, effects);
     }
 }
 
-/* Tells who asked that the work is refused. */
+/* Tells the ticket's entry node that the request is refused. */
 static void
 apply_refuse(struct ch_homes *homes, const struct ch_action *action,
              int64_t now, struct effects *effects)
@@ -73,7 +75,7 @@
     if (ticket == NULL) {
         return;
     }
-    struct request *request = request_of(homes, ticket);
+    struct request *request = find_local_request(homes, ticket);
     ch_log(homes->node->client, CH_LOG_DEBUG, "home-refused",
            CH_F_STR("upstream", g_quark_to_string(ticket->upstream->name)),
            CH_F_INT("code", action->code), CH_F_STR("reason", action->message),
@@ -89,8 +91,8 @@
     home_free_ticket(ticket);
 }
 
-/* Whether an item is a model, which comes from the weight store at its full
- * size, and not an adapter. */
+/* Whether an item is a model, which is loaded at its full size from the weight
+ * store, and not an adapter. */
 static bool
 is_model(GQuark item)
 {
@@ -98,12 +100,12 @@
 }
 
 /*
- * Begins a load when the region's share of the weight store has room.  Each
- * node keeps to its part of the store's rate, so that all together stay within
- * it without asking each other; past the rate every load gets slower.
+ * Takes a load from this node's share of the weight store's rate; false when
+ * none is left.  The shares keep all nodes together within the store's rate
+ * without asking each other; above that rate every load gets slower.
  */
 static bool
-may_load(struct ch_homes *homes, GQuark item, int64_t now)
+take_load(struct ch_homes *homes, GQuark item, int64_t now)
 {
     if (!is_model(item)) {
         return true;
@@ -111,10 +113,10 @@
     return ch_bucket_take(&homes->loads, 1.0, now);
 }
 
-/* Models that are being loaded anywhere in this node's region, as far as it
- * knows: all of them share one weight store. */
+/* Counts the models that are being loaded in this node's region, as far as
+ * this node knows: they share one weight store. */
 static unsigned
-loads_under_way(const struct ch_homes *homes)
+count_running_loads(const struct ch_homes *homes)
 {
     unsigned loads = 0;
     for (size_t i = 0; i < homes->fleet.count; i++) {
@@ -130,35 +132,37 @@
     return loads;
 }
 
-/* Puts into the fleet how many loads may begin now: what this node's part of
- * the rate allows, and no more at once than the store serves at full speed. */
+/* Updates the number of loads that may start now: within this node's share of
+ * the rate, and no more in parallel than the store serves at full speed. */
 void
 homes_refresh_loads(struct ch_homes *homes, int64_t now)
 {
     unsigned parallel = homes->node->settings->loads_parallel;
-    unsigned busy = loads_under_way(homes);
-    unsigned level = (unsigned)ch_bucket_level(&homes->loads, now);
-    homes->fleet.loads_left =
-        busy < parallel ? MIN(level, parallel - busy) : 0;
+    unsigned running_loads = count_running_loads(homes);
+    unsigned load_budget = (unsigned)ch_bucket_level(&homes->loads, now);
+    homes->fleet.loads_left = running_loads < parallel
+                                  ? MIN(load_budget, parallel - running_loads)
+                                  : 0;
 }
 
-/* Hands an order to the ledger, or tells the home that it must wait. */
+/* Passes an order to the ledger, or tells the home that the order must
+ * wait. */
 static void
 apply_order(struct ch_homes *homes, struct upstream *upstream,
             const struct ch_action *action, int64_t now,
             struct effects *effects)
 {
     if (action->kind == CH_ACTION_LOAD &&
-        !may_load(homes, action->item, now)) {
-        struct ch_actions more = home_actions_new();
-        /* As if somebody else had been first: tried again a tick later. */
+        !take_load(homes, action->item, now)) {
+        struct ch_actions retry_actions = home_actions_new();
+        /* Handled like a write conflict: the home retries a tick later. */
         ch_home_order_failed(upstream->home, action->item, action->kind,
-                             CH_KV_CONFLICT, now, &more);
-        home_apply(homes, upstream, &more, now, effects);
+                             CH_KV_CONFLICT, now, &retry_actions);
+        home_apply(homes, upstream, &retry_actions, now, effects);
         return;
     }
     if (action->kind == CH_ACTION_LOAD && !is_model(action->item)) {
-        upstream->quick_until = now + ADAPTER_WATCH;
+        upstream->quick_until = now + ADAPTER_REPORT_WINDOW_US;
     }
     effects_order(effects, upstream, action->kind, action->item,
                   action->memory_mb);
@@ -188,7 +192,7 @@
     home_refresh_view(homes, upstream, now);
 }
 
-/* Copies the home's own state into the fleet's view. */
+/* Copies the home's own state into the fleet view. */
 void
 home_refresh_view(struct ch_homes *homes, struct upstream *upstream,
                   int64_t now)
@@ -215,7 +219,7 @@
     if (upstream->home != NULL) {
         return;
     }
-    struct ch_home_facts facts = {
+    struct ch_home_facts config = {
         .name = upstream->name,
         .service = upstream->service,
         .capacity_mb = upstream->capacity_mb,
@@ -224,7 +228,7 @@
         .max_queue = homes->node->settings->max_queue,
         .leaving = upstream->leaving,
     };
-    upstream->home = ch_home_new(homes->policy, &facts, now);
+    upstream->home = ch_home_new(homes->policy, &config, now);
     g_array_set_size(upstream->items, 0);
     upstream->ledger_read = false;
     home_assume_view(homes, upstream, now, effects);
@@ -239,26 +243,27 @@
            CH_F_STR("upstream", g_quark_to_string(upstream->name)), CH_F_END);
 }
 
-struct close_pass {
+struct ticket_search {
     struct ch_homes *homes;
     const struct upstream *upstream;
     GArray *handles;
 };
 
-/* Gathers the tickets of one upstream. */
+/* Collects the tickets of one upstream. */
 static void
-gather_ticket(void *item, uint64_t handle, void *data)
+collect_ticket(void *item, uint64_t handle, void *data)
 {
     const struct ticket *ticket = item;
-    struct close_pass *pass = data;
-    if (ticket->upstream == pass->upstream) {
-        g_array_append_val(pass->handles, handle);
+    struct ticket_search *search = data;
+    if (ticket->upstream == search->upstream) {
+        g_array_append_val(search->handles, handle);
     }
 }
 
-/* Ends this node's being home.  What is queued is sent back with PEER_LOST, by
- * which an entry node routes it anew to the home that there is now; what was
- * granted runs on, and the new home sees it in the engine's report. */
+/* Ends this node's role as home of an upstream.  Queued requests are refused
+ * with CH_PEER_LOST, which makes their entry node route them to the new home.
+ * Granted requests go on, and the new home sees them in the engine's
+ * report. */
 void
 home_close(struct ch_homes *homes, struct upstream *upstream,
            struct effects *effects)
@@ -267,22 +272,22 @@
         return;
     }
     int64_t now = ch_client_now(homes->node->client);
-    struct close_pass pass = {
+    struct ticket_search search = {
         .homes = homes,
         .upstream = upstream,
         .handles = g_array_new(FALSE, FALSE, sizeof(uint64_t)),
     };
-    ch_table_each(homes->tickets, gather_ticket, &pass);
+    ch_table_each(homes->tickets, collect_ticket, &search);
     ch_home_free(upstream->home);
     upstream->home = NULL;
     if (upstream->kind == CH_HOST_ENGINE) {
         effects_ledger(effects, upstream, false);
     }
-    for (guint i = 0; i < pass.handles->len; i++) {
+    for (guint i = 0; i < search.handles->len; i++) {
         struct ch_action action = {
-            .work = g_array_index(pass.handles, uint64_t, i),
+            .work = g_array_index(search.handles, uint64_t, i),
             .code = CH_PEER_LOST,
-            .message = "the home has moved",
+            .message = "the home has moved to another node",
         };
         struct ticket *ticket = ch_table_get(homes->tickets, action.work);
         if (ticket != NULL && !ticket->granted) {
@@ -292,59 +297,59 @@
             home_free_ticket(ch_table_remove(homes->tickets, action.work));
         }
     }
-    g_array_free(pass.handles, TRUE);
+    g_array_free(search.handles, TRUE);
     ch_log(homes->node->client, CH_LOG_INFO, "home-closed",
            CH_F_STR("upstream", g_quark_to_string(upstream->name)), CH_F_END);
 }
 
-/* Offers work to a home under a new ticket, whose handle is in *handle before
- * the home answers. */
+/* Queues a request at a home.  The new ticket then belongs to
+ * ch_homes.tickets; *handle is set before the home decides. */
 void
 home_offer(struct ch_homes *homes, struct upstream *upstream,
-           struct ch_work *work, struct ticket *ticket, uint64_t *handle,
+           struct ch_work *info, struct ticket *ticket, uint64_t *handle,
            int64_t now, struct effects *effects)
 {
     ticket->upstream = upstream_ref(upstream);
     ticket->since = now;
-    work->id = ch_table_add(homes->tickets, ticket);
-    *handle = work->id;
+    info->id = ch_table_add(homes->tickets, ticket);
+    *handle = info->id;
     struct ch_actions actions = home_actions_new();
     homes_refresh_loads(homes, now);
-    ch_home_offer(upstream->home, work, &homes->fleet, now, &actions);
+    ch_home_offer(upstream->home, info, &homes->fleet, now, &actions);
     home_apply(homes, upstream, &actions, now, effects);
 }
 
-/* Puts a request of this node into the queue of a home here.  The request may
- * be answered, and gone, when this returns. */
+/* Queues a request of this node at a home on this node.  The request may have
+ * been refused and freed when this returns. */
 void
 home_offer_local(struct ch_homes *homes, struct request *request, int64_t now,
                  struct effects *effects)
 {
     struct ticket *ticket = g_new0(struct ticket, 1);
     ticket->enqueue = request->handle;
-    struct ch_work work = request->work;
+    struct ch_work info = request->work;
     request->state = REQUEST_QUEUED_HERE;
-    home_offer(homes, request->upstream, &work, ticket, &request->ticket, now,
+    home_offer(homes, request->upstream, &info, ticket, &request->ticket, now,
                effects);
 }
 
-/* What a refused connection tells of a plain service, which sends no reports:
- * it is down until a trial. */
+/* Records a refused connection.  A service, which sends no reports, counts as
+ * down until its retry; an engine is asked for a report at once. */
 static void
-note_failure(struct upstream *upstream, enum ch_code code, int64_t now)
+record_failure(struct upstream *upstream, enum ch_code code, int64_t now)
 {
     if (code != CH_UPSTREAM_CONNECT) {
         return;
     }
     if (upstream->kind == CH_HOST_SERVICE) {
-        upstream->down_until = now + SERVICE_TRIAL;
+        upstream->down_until = now + SERVICE_RETRY_DELAY_US;
     }
     else {
         upstream->report_at = now;
     }
 }
 
-/* A granted request has ended.  An unknown ticket was ended before. */
+/* Ends a granted request.  An unknown ticket has ended before. */
 void
 home_release(struct ch_homes *homes, uint64_t handle,
              const struct ch_sample *sample, int64_t now,
@@ -356,7 +361,7 @@
     }
     struct upstream *upstream = ticket->upstream;
     if (upstream->home != NULL) {
-        note_failure(upstream, sample->code, now);
+        record_failure(upstream, sample->code, now);
         struct ch_actions actions = home_actions_new();
         if (upstream->down_until > now) {
             ch_home_report(upstream->home, 0, 0, upstream->leaving, true, now,
@@ -368,7 +373,7 @@
     home_free_ticket(ticket);
 }
 
-/* A request is no longer wanted, queued or granted. */
+/* Ends a queued or granted request that is no longer wanted. */
 void
 home_withdraw(struct ch_homes *homes, uint64_t handle, int64_t now,
               struct effects *effects)
--- a/libchestnuthitch/node/home_report.c
+++ b/libchestnuthitch/node/home_report.c
@@ -1,11 +1,12 @@
-/* The reports of the engines that are at home here, and the homes' ticks. */
+/* Reports of the engines whose home is on this node, and the ticks of the
+ * homes. */
 
 #include "node/homes_internal.h"
 
 enum {
-    /* Reports missed in a row before an engine counts as down: one may be
-     * lost to a connection that went silent. */
-    REPORTS_MISSED = 2,
+    /* Consecutive failed reports after which an engine counts as down: a
+     * single report may be lost with a connection that went silent. */
+    FAILED_REPORTS_FOR_DOWN = 2,
 };
 
 struct report_job {
@@ -15,9 +16,10 @@
     struct ch_report *report;
 };
 
-/* Takes a report, or notes that none came. */
+/* Applies a report to the home, or records that none came. */
 static void
-take_report(struct report_job *job, int64_t now, struct effects *effects)
+apply_report_result(struct report_job *job, int64_t now,
+                    struct effects *effects)
 {
     struct upstream *upstream = job->upstream;
     upstream->reporting = false;
@@ -32,7 +34,7 @@
             job->report->leaving || upstream->leaving, false, now, &actions);
         home_assume_report(upstream, job->report, now, &actions);
     }
-    else if (++upstream->report_failures >= REPORTS_MISSED ||
+    else if (++upstream->report_failures >= FAILED_REPORTS_FOR_DOWN ||
              job->code == CH_UPSTREAM_CONNECT) {
         ch_home_report(upstream->home, 0, 0, upstream->leaving, true, now,
                        &actions);
@@ -40,9 +42,9 @@
     home_apply(job->homes, upstream, &actions, now, effects);
 }
 
-/* On the pool: a report's result. */
+/* Runs on the pool: handles the result of a report call. */
 static void
-run_report(void *data)
+handle_report_result(void *data)
 {
     struct report_job *job = data;
     struct ch_homes *homes = job->homes;
@@ -53,7 +55,7 @@
                                 job->report);
     }
     pthread_mutex_lock(&homes->lock);
-    take_report(job, ch_client_now(homes->node->client), &effects);
+    apply_report_result(job, ch_client_now(homes->node->client), &effects);
     upstream_unref(job->upstream);
     homes->jobs--;
     pthread_cond_broadcast(&homes->idle);
@@ -63,21 +65,21 @@
     g_free(job);
 }
 
-/* On the loop's thread: hands the result to the pool. */
+/* Runs on the HTTP loop: hands the result to the pool. */
 static void
-report_done(void *data, enum ch_code code, struct ch_report *report)
+submit_report_result(void *data, enum ch_code code, struct ch_report *report)
 {
     struct report_job *job = data;
     job->code = code;
     job->report = report;
-    ch_pool_submit(job->homes->node->pool, run_report, job);
+    ch_pool_submit(job->homes->node->pool, handle_report_result, job);
 }
 
-/* Asks an engine for its report when it is time.  The call itself is made
- * without the lock, as an effect would be. */
+/* Prepares the call for an engine's report if it is due.  The call itself is
+ * made without the lock, like an effect. */
 static void
-gather_report(struct ch_homes *homes, struct upstream *upstream, int64_t now,
-              GPtrArray *jobs)
+prepare_report_call(struct ch_homes *homes, struct upstream *upstream,
+                    int64_t now, GPtrArray *jobs)
 {
     if (upstream->home == NULL || upstream->kind != CH_HOST_ENGINE ||
         upstream->reporting ||
@@ -94,7 +96,7 @@
     g_ptr_array_add(jobs, job);
 }
 
-/* One home's part of a tick. */
+/* Runs one home's part of a tick. */
 static void
 tick_home(struct ch_homes *homes, struct upstream *upstream, int64_t now,
           struct effects *effects)
@@ -109,7 +111,7 @@
     home_apply(homes, upstream, &actions, now, effects);
 }
 
-/* Takes the lock itself; effects are for the caller to run after. */
+/* Takes the lock itself.  The caller runs the effects afterwards. */
 void
 home_tick_all(struct ch_homes *homes, int64_t now, struct effects *effects)
 {
@@ -120,14 +122,14 @@
         struct upstream *upstream = g_ptr_array_index(homes->upstreams, i);
         if (upstream->home != NULL) {
             tick_home(homes, upstream, now, effects);
-            gather_report(homes, upstream, now, jobs);
+            prepare_report_call(homes, upstream, now, jobs);
         }
     }
     pthread_mutex_unlock(&homes->lock);
     for (guint i = 0; i < jobs->len; i++) {
         struct report_job *job = g_ptr_array_index(jobs, i);
         struct ch_upstream *client = job->upstream->client;
-        client->ops->report(client, report_done, job);
+        client->ops->report(client, submit_report_result, job);
     }
     g_ptr_array_free(jobs, TRUE);
 }
