--- a/libchestnuthitch/node/effects.c
+++ b/libchestnuthitch/node/effects.c
@@ -1,6 +1,6 @@
 /*
- * What decisions lead to, carried out after the homes' lock is given back:
- * callbacks of requests, frames to other nodes, orders through the ledger.
+ * Effects of decisions, carried out after the homes' lock is released:
+ * callbacks of requests, messages to other nodes, orders through the ledger.
  */
 
 #include "node/homes_internal.h"
@@ -8,12 +8,12 @@
 #define WIRE(name) CHESTNUTHITCH__WIRE__##name
 
 enum {
-    /* A Release or Withdraw is sent again this soon, and this often: some
-     * seconds, after which the home is gone for good or has dropped the grant
-     * of a node that it can't hear. */
-    RESEND_DELAY = 200 * 1000,
-    RESENDS = 50,
-    RELEASE_LIMIT = 1000 * 1000,
+    /* A Release or Withdraw is sent again after this delay, this many times:
+     * some seconds in all, after which the home is gone or has dropped the
+     * grant of a node that it can't hear. */
+    RELEASE_RETRY_DELAY_US = 200 * 1000,
+    MAX_RELEASE_RETRIES = 50,
+    RELEASE_TIMEOUT_US = 1000 * 1000,
 };
 
 enum effect_kind {
@@ -36,26 +36,25 @@
     enum ch_code code;
     int64_t retry_after;
     char *message;
-    char *to; /* node */
+    char *to; /* node name */
     uint64_t id;
     uint32_t priority;
     GQuark upstream;
     enum ch_action_kind action;
     GQuark item;
     uint32_t memory_mb;
-    struct upstream *held;
+    struct upstream *ledger_upstream;
     struct ch_sample sample;
     Chestnuthitch__Wire__UpstreamState *state;
 };
 
-/* An empty list of effects. */
+/* Starts an empty list, which effects_run or effects_submit frees. */
 void
 effects_init(struct effects *effects)
 {
     effects->list = g_ptr_array_new();
 }
 
-/* One more effect of a kind. */
 static struct effect *
 add_effect(struct effects *effects, enum effect_kind kind)
 {
@@ -65,7 +64,7 @@
     return effect;
 }
 
-/* The request's granted handler is to be called. */
+/* Calls the request's `granted` handler. */
 void
 effects_granted(struct effects *effects, const struct request *request,
                 struct ch_homes *homes, uint32_t priority)
@@ -86,7 +85,7 @@
     };
 }
 
-/* The request's refused handler is to be called. */
+/* Calls the request's `refused` handler. */
 void
 effects_refused(struct effects *effects, const struct request *request,
                 enum ch_code code, int64_t retry_after, const char *message)
@@ -99,7 +98,7 @@
     effect->message = g_strdup(message);
 }
 
-/* Another node's request is to hear that it may be dispatched. */
+/* Tells another node that its request may be sent. */
 void
 effects_grant_frame(struct effects *effects, const struct ticket *ticket,
                     uint64_t handle, uint32_t priority,
@@ -114,7 +113,7 @@
         site_make_state((struct ch_homes *)homes, ticket->upstream);
 }
 
-/* Another node's request is to hear that it is refused. */
+/* Tells another node that its request is refused. */
 void
 effects_refuse_frame(struct effects *effects, const struct ticket *ticket,
                      enum ch_code code, int64_t retry_after,
@@ -130,7 +129,8 @@
         site_make_state((struct ch_homes *)homes, ticket->upstream);
 }
 
-/* The ledger is to reserve and order, or to order an unload. */
+/* Passes a load order, with its reservation, or an unload order to the
+ * ledger. */
 void
 effects_order(struct effects *effects, const struct upstream *upstream,
               enum ch_action_kind kind, GQuark item, uint32_t memory_mb)
@@ -142,8 +142,8 @@
     effect->memory_mb = memory_mb;
 }
 
-/* The upstream's ledger is to be opened or closed.  The upstream is held until
- * that is done: close uses the client that open was given. */
+/* Opens or closes the upstream's ledger.  Holds a reference to the upstream
+ * until then: close uses the client that was passed to open. */
 void
 effects_ledger(struct effects *effects, struct upstream *upstream, bool open)
 {
@@ -151,10 +151,10 @@
         add_effect(effects, open ? EFFECT_LEDGER_OPEN : EFFECT_LEDGER_CLOSE);
     effect->upstream = upstream->name;
     effect->memory_mb = upstream->capacity_mb;
-    effect->held = upstream_ref(upstream);
+    effect->ledger_upstream = upstream_ref(upstream);
 }
 
-/* A grant is to be given back to its home. */
+/* Releases a grant at its home. */
 void
 effects_release(struct effects *effects, const char *home, GQuark upstream,
                 uint64_t grant, const struct ch_sample *sample)
@@ -166,7 +166,7 @@
     effect->sample = *sample;
 }
 
-/* A queued request is no longer wanted. */
+/* Withdraws a queued request from its home. */
 void
 effects_withdraw(struct effects *effects, const char *home, GQuark upstream,
                  uint64_t enqueue)
@@ -177,94 +177,94 @@
     effect->id = enqueue;
 }
 
-/* ---- a Release or Withdraw on its way ---- */
+/* ---- delivery of Release and Withdraw ---- */
 
-struct parcel {
+struct delivery {
     struct ch_homes *homes;
     char *to;
     GQuark upstream;
     bool withdraw;
     uint64_t id;
     struct ch_sample sample;
-    unsigned left;
+    unsigned retries_left;
 };
 
-/* Frees a parcel that arrived or is given up. */
 static void
-free_parcel(struct parcel *parcel)
+free_delivery(struct delivery *delivery)
 {
-    g_free(parcel->to);
-    g_free(parcel);
+    g_free(delivery->to);
+    g_free(delivery);
 }
 
-static void send_parcel(void *data);
+static void send_delivery(void *data);
 
-/* Acknowledged, or to be sent again a little later.  Without this a Release
- * lost with its connection would leave the home counting a request that has
- * long ended: a place in the batch lost for good. */
+/* Frees an acknowledged message, or sends it again after a delay.  Otherwise a
+ * Release lost with its connection would leave the home counting a request
+ * that ended long ago: a batch slot lost for good. */
 static void
-parcel_done(void *data, enum ch_code code,
-            const Chestnuthitch__Wire__Frame *reply)
+handle_delivery_reply(void *data, enum ch_code code,
+                      const Chestnuthitch__Wire__Frame *reply)
 {
     (void)reply;
-    struct parcel *parcel = data;
-    if (code == CH_OK || parcel->left == 0) {
-        free_parcel(parcel);
+    struct delivery *delivery = data;
+    if (code == CH_OK || delivery->retries_left == 0) {
+        free_delivery(delivery);
         return;
     }
-    parcel->left--;
-    ch_timers_after(parcel->homes->node->timers, RESEND_DELAY, send_parcel,
-                    parcel);
+    delivery->retries_left--;
+    ch_timers_after(delivery->homes->node->timers, RELEASE_RETRY_DELAY_US,
+                    send_delivery, delivery);
 }
 
-/* Sends a parcel as a request, so that its arrival is known. */
+/* Sends the message as a request to the peer, which acknowledges it. */
 static void
-send_parcel(void *data)
+send_delivery(void *data)
 {
-    struct parcel *parcel = data;
+    struct delivery *delivery = data;
     Chestnuthitch__Wire__Frame frame = WIRE(FRAME__INIT);
     Chestnuthitch__Wire__Release release = WIRE(RELEASE__INIT);
     Chestnuthitch__Wire__Withdraw withdraw = WIRE(WITHDRAW__INIT);
-    char *upstream = (char *)g_quark_to_string(parcel->upstream);
-    if (parcel->withdraw) {
+    char *upstream = (char *)g_quark_to_string(delivery->upstream);
+    if (delivery->withdraw) {
         withdraw.upstream = upstream;
-        withdraw.enqueue = parcel->id;
+        withdraw.enqueue = delivery->id;
         frame.body_case = WIRE(FRAME__BODY_WITHDRAW);
         frame.withdraw = &withdraw;
     }
     else {
         release.upstream = upstream;
-        release.grant = parcel->id;
-        release.code = (uint32_t)parcel->sample.code;
-        release.first_us = (uint64_t)MAX(parcel->sample.first, 0);
-        release.token_us = (uint64_t)MAX(parcel->sample.token, 0);
-        release.tokens = parcel->sample.tokens;
+        release.grant = delivery->id;
+        release.code = (uint32_t)delivery->sample.code;
+        release.first_us = (uint64_t)MAX(delivery->sample.first, 0);
+        release.token_us = (uint64_t)MAX(delivery->sample.token, 0);
+        release.tokens = delivery->sample.tokens;
         frame.body_case = WIRE(FRAME__BODY_RELEASE);
         frame.release = &release;
     }
-    ch_peers_request(parcel->homes->node->peers, parcel->to, &frame,
-                     RELEASE_LIMIT, parcel_done, parcel);
+    ch_peers_request(delivery->homes->node->peers, delivery->to, &frame,
+                     RELEASE_TIMEOUT_US, handle_delivery_reply, delivery);
 }
 
-/* Begins to send a Release or Withdraw. */
+/* Starts to send a Release or Withdraw. */
 static void
-begin_parcel(struct ch_homes *homes, const struct effect *effect)
+start_delivery(struct ch_homes *homes, const struct effect *effect)
 {
-    struct parcel *parcel = g_new0(struct parcel, 1);
-    parcel->homes = homes;
-    parcel->to = g_strdup(effect->to);
-    parcel->upstream = effect->upstream;
-    parcel->withdraw = effect->kind == EFFECT_WITHDRAW;
-    parcel->id = effect->id;
-    parcel->sample = effect->sample;
-    parcel->left = RESENDS;
-    send_parcel(parcel);
+    struct delivery *delivery = g_new0(struct delivery, 1);
+    delivery->homes = homes;
+    delivery->to = g_strdup(effect->to);
+    delivery->upstream = effect->upstream;
+    delivery->withdraw = effect->kind == EFFECT_WITHDRAW;
+    delivery->id = effect->id;
+    delivery->sample = effect->sample;
+    delivery->retries_left = MAX_RELEASE_RETRIES;
+    send_delivery(delivery);
 }
 
-/* ---- frames ---- */
+/* ---- replies to an Enqueue ---- */
 
-/* Replies to an Enqueue with a Grant.  When the asker's connection is gone it
- * has been told PEER_LOST and withdraws, which ends the grant. */
+/* Replies to an Enqueue with a Grant.  If the connection of the entry node is
+ * gone, that node has been told CH_PEER_LOST and sends a Withdraw, which ends
+ * the grant. */
 static void
 send_grant(const struct ch_homes *homes, struct effect *effect)
 {
@@ -324,7 +324,8 @@
         }
         break;
     case EFFECT_LEDGER_OPEN:
-        ch_ledger_keeper_open(ledger, effect->upstream, effect->held->client,
+        ch_ledger_keeper_open(ledger, effect->upstream,
+                              effect->ledger_upstream->client,
                               effect->memory_mb);
         break;
     case EFFECT_LEDGER_CLOSE:
@@ -332,22 +333,22 @@
         break;
     case EFFECT_RELEASE:
     case EFFECT_WITHDRAW:
-        begin_parcel(homes, effect);
+        start_delivery(homes, effect);
         break;
     }
 }
 
-/* Carries out every effect in order and empties the list.  The homes' lock is
- * free; carrying one out may take it again. */
+/* Carries out all effects in order and empties the list.  Called without the
+ * homes' lock, which an effect may take again. */
 void
 effects_run(struct ch_homes *homes, struct effects *effects)
 {
     for (guint i = 0; i < effects->list->len; i++) {
         struct effect *effect = g_ptr_array_index(effects->list, i);
         run_effect(homes, effect);
-        if (effect->held != NULL) {
+        if (effect->ledger_upstream != NULL) {
             pthread_mutex_lock(&homes->lock);
-            upstream_unref(effect->held);
+            upstream_unref(effect->ledger_upstream);
             pthread_mutex_unlock(&homes->lock);
         }
         site_free_state(effect->state);
@@ -364,7 +365,7 @@
     struct effects effects;
 };
 
-/* On the pool: carries out a batch. */
+/* Runs on the pool: carries out a batch of effects. */
 static void
 run_batch(void *data)
 {
@@ -373,7 +374,7 @@
     g_free(batch);
 }
 
-/* Has the pool carry out the effects, if any; the list is taken over. */
+/* Has the pool carry out the effects, if any.  Takes over the list. */
 void
 effects_submit(struct ch_homes *homes, struct effects *effects)
 {
--- a/libchestnuthitch/node/site.c
+++ b/libchestnuthitch/node/site.c
@@ -1,10 +1,10 @@
-/* Upstreams as the platform lists them and as their homes describe them. */
+/* Upstreams of the host list, with the state that their homes publish. */
 
 #include "node/homes_internal.h"
 
 #include <string.h>
 
-/* An empty fleet. */
+/* Starts with no upstreams. */
 void
 site_init(struct ch_homes *homes)
 {
@@ -13,7 +13,7 @@
     homes->data_centres = g_ptr_array_new_with_free_func(g_free);
 }
 
-/* Frees what a view holds. */
+/* Frees the arrays of a view. */
 static void
 clear_view(struct ch_upstream_view *view)
 {
@@ -25,7 +25,7 @@
     }
 }
 
-/* Frees the fleet; every request and ticket is gone by now. */
+/* Frees all upstreams.  Requests and tickets have been freed before. */
 void
 site_clear(struct ch_homes *homes)
 {
@@ -41,7 +41,7 @@
     g_ptr_array_free(homes->data_centres, TRUE);
 }
 
-/* One more owner.  The count is guarded by the homes' lock. */
+/* Adds a reference; the homes' lock guards the count. */
 struct upstream *
 upstream_ref(struct upstream *upstream)
 {
@@ -49,7 +49,7 @@
     return upstream;
 }
 
-/* One owner less; the last one frees it with its client. */
+/* Drops a reference; the last frees the upstream with its client. */
 void
 upstream_unref(struct upstream *upstream)
 {
@@ -67,9 +67,9 @@
     g_free(upstream);
 }
 
-/* The index of a name in a list of names, added when it is new. */
+/* Index of a name in names, which gets the name if it is new. */
 static uint16_t
-index_of(GPtrArray *names, const char *name)
+find_or_add_name(GPtrArray *names, const char *name)
 {
     for (guint i = 0; i < names->len; i++) {
         if (strcmp(g_ptr_array_index(names, i), name) == 0) {
@@ -87,7 +87,6 @@
     return name == 0 ? NULL : site_find_name(homes, g_quark_to_string(name));
 }
 
-/* Orders upstreams by name. */
 static int
 compare_names(const struct upstream *upstream, const char *name)
 {
@@ -118,14 +117,14 @@
     return NULL;
 }
 
-/* The fleet's view of an upstream; NULL when it is no longer listed. */
+/* The fleet view of an upstream; NULL when it is no longer listed. */
 struct ch_upstream_view *
 site_view(struct ch_homes *homes, const struct upstream *upstream)
 {
     return ch_fleet_find(&homes->fleet, upstream->name);
 }
 
-/* Makes the client that talks to an upstream. */
+/* Creates the client for calls to an upstream. */
 static struct ch_upstream *
 make_client(struct ch_homes *homes, const struct ch_host *host)
 {
@@ -139,7 +138,7 @@
                                   host->address, limit);
 }
 
-/* A newly listed upstream. */
+/* Creates a newly listed upstream. */
 static struct upstream *
 new_upstream(struct ch_homes *homes, const struct ch_host *host)
 {
@@ -156,9 +155,9 @@
     return upstream;
 }
 
-/* What the list says of an upstream that is known already. */
+/* Copies the host list's data of an upstream. */
 static void
-take_facts(struct upstream *upstream, const struct ch_host *host)
+apply_host_data(struct upstream *upstream, const struct ch_host *host)
 {
     upstream->listed = true;
     upstream->leaving = host->leaving;
@@ -169,40 +168,43 @@
         host->service != NULL ? g_quark_from_string(host->service) : 0;
 }
 
-/* Whether the list still means the same upstream: one with another address is
- * another process, and calls to the old one go on with the old client. */
+/* Whether the host list still means the same process.  A host with another
+ * address is another process; calls to the old process go on with the old
+ * client. */
 static bool
-is_same(const struct upstream *upstream, const struct ch_host *host)
+is_same_process(const struct upstream *upstream, const struct ch_host *host)
 {
     return upstream->kind == host->kind &&
            strcmp(upstream->address, host->address) == 0 &&
            strcmp(upstream->data_centre, host->data_centre) == 0;
 }
 
-/* Sorts by name. */
+/* Compares array elements by name, for qsort. */
 static int
-order_upstreams(const void *a, const void *b)
+compare_upstreams(const void *a, const void *b)
 {
     const struct upstream *const *first = a;
     const struct upstream *const *second = b;
     return compare_names(*first, g_quark_to_string((*second)->name));
 }
 
-/* The view of an upstream of which nothing was heard yet. */
+/* Initialises the view of an upstream of which no state was received yet. */
 static void
-begin_view(struct ch_homes *homes, const struct upstream *upstream,
-           struct ch_upstream_view *view)
+init_view(struct ch_homes *homes, const struct upstream *upstream,
+          struct ch_upstream_view *view)
 {
     view->name = upstream->name;
-    view->region = index_of(homes->regions, upstream->region);
-    view->data_centre = index_of(homes->data_centres, upstream->data_centre);
+    view->region = find_or_add_name(homes->regions, upstream->region);
+    view->data_centre =
+        find_or_add_name(homes->data_centres, upstream->data_centre);
     view->capacity_mb = upstream->capacity_mb;
     view->free_mb = upstream->capacity_mb;
     view->resident = g_array_new(FALSE, FALSE, sizeof(struct ch_item));
     view->loading = g_array_new(FALSE, FALSE, sizeof(struct ch_item));
 }
 
-/* Makes the fleet's views anew, keeping what is known of those that stay. */
+/* Rebuilds the fleet view, keeping the known state of upstreams that are still
+ * listed. */
 static void
 rebuild_fleet(struct ch_homes *homes)
 {
@@ -214,14 +216,15 @@
         const struct upstream *upstream =
             g_ptr_array_index(homes->upstreams, i);
         struct ch_upstream_view *view = &homes->fleet.upstreams[i];
-        struct ch_upstream_view *before = ch_fleet_find(&old, upstream->name);
-        if (before != NULL && upstream->sequence > 0) {
-            *view = *before;
-            before->resident = NULL;
-            before->loading = NULL;
+        struct ch_upstream_view *previous =
+            ch_fleet_find(&old, upstream->name);
+        if (previous != NULL && upstream->sequence > 0) {
+            *view = *previous;
+            previous->resident = NULL;
+            previous->loading = NULL;
         }
         else {
-            begin_view(homes, upstream, view);
+            init_view(homes, upstream, view);
         }
         view->service = upstream->service;
         view->accelerators = upstream->accelerators;
@@ -234,19 +237,19 @@
     }
     g_free(old.upstreams);
     homes->fleet.region =
-        index_of(homes->regions, homes->node->settings->region);
-    homes->fleet.data_centre =
-        index_of(homes->data_centres, homes->node->settings->data_centre);
+        find_or_add_name(homes->regions, homes->node->settings->region);
+    homes->fleet.data_centre = find_or_add_name(
+        homes->data_centres, homes->node->settings->data_centre);
 }
 
-/* Tells an open home what the list says of its upstream. */
+/* Passes the host list's data of an upstream to its open home. */
 static void
 update_home(const struct ch_homes *homes, struct upstream *upstream)
 {
     if (upstream->home == NULL) {
         return;
     }
-    struct ch_home_facts facts = {
+    struct ch_home_facts config = {
         .name = upstream->name,
         .service = upstream->service,
         .capacity_mb = upstream->capacity_mb,
@@ -255,16 +258,16 @@
         .max_queue = homes->node->settings->max_queue,
         .leaving = upstream->leaving,
     };
-    ch_home_set_facts(upstream->home, &facts);
+    ch_home_set_facts(upstream->home, &config);
 }
 
-/* Takes one upstream of the list, new or known. */
+/* Applies one upstream of the host list, new or known. */
 static void
-take_host(struct ch_homes *homes, const struct ch_host *host,
-          struct effects *effects)
+apply_host(struct ch_homes *homes, const struct ch_host *host,
+           struct effects *effects)
 {
     struct upstream *upstream = site_find_name(homes, host->name);
-    if (upstream != NULL && !is_same(upstream, host)) {
+    if (upstream != NULL && !is_same_process(upstream, host)) {
         home_close(homes, upstream, effects);
         g_ptr_array_remove(homes->upstreams, upstream);
         upstream_unref(upstream);
@@ -274,14 +277,14 @@
         upstream = new_upstream(homes, host);
         g_ptr_array_add(homes->upstreams, upstream);
         qsort(homes->upstreams->pdata, homes->upstreams->len, sizeof(gpointer),
-              order_upstreams);
+              compare_upstreams);
     }
-    take_facts(upstream, host);
+    apply_host_data(upstream, host);
     update_home(homes, upstream);
 }
 
-/* Takes the platform's list whole.  What is not in it any more gets no new
- * work from now on; what runs there ends by itself. */
+/* Applies a complete host list.  Upstreams that are no longer listed get no
+ * new requests; requests that run there may finish. */
 void
 site_take_list(struct ch_homes *homes, const struct ch_host_list *list,
                struct effects *effects)
@@ -292,7 +295,7 @@
     }
     for (size_t i = 0; i < list->count; i++) {
         if (list->hosts[i].kind != CH_HOST_ENTRY) {
-            take_host(homes, &list->hosts[i], effects);
+            apply_host(homes, &list->hosts[i], effects);
         }
     }
     for (guint i = homes->upstreams->len; i > 0; i--) {
@@ -310,11 +313,11 @@
     }
 }
 
-/* Fills an array of items from names that the configuration knows or knew:
- * names come from other nodes alone, which took them from it. */
+/* Fills an array of items.  The names are safe to make into quarks: they come
+ * from other nodes only, which took them from the configuration. */
 static void
-take_items(GArray *items, size_t count, char **names, size_t rate_count,
-           const uint32_t *rates)
+set_items(GArray *items, size_t count, char **names, size_t rate_count,
+          const uint32_t *rates)
 {
     g_array_set_size(items, 0);
     for (size_t i = 0; i < count; i++) {
@@ -326,10 +329,10 @@
     }
 }
 
-/* Takes the state of an upstream from a message when it is newer than what is
- * known.  The sequence is the later of one more than the last known and the
- * wall clock, so that a home's successor, which has not always heard its last
- * words, overrules it all the same, also when their clocks differ. */
+/* Applies an upstream's state from a message if it is newer than the known
+ * state.  A sequence number is the later of the last known number plus one and
+ * the wall clock.  So a new home, which may have missed the last states of the
+ * previous home, still supersedes them, even when their clocks differ. */
 void
 site_take_state(struct ch_homes *homes,
                 const Chestnuthitch__Wire__UpstreamState *state, int64_t now)
@@ -354,9 +357,9 @@
     view->down = state->down;
     view->seen = now;
     view->sent_since = 0;
-    take_items(view->resident, state->n_resident, state->resident,
-               state->n_resident_rate, state->resident_rate);
-    take_items(view->loading, state->n_loading, state->loading, 0, NULL);
+    set_items(view->resident, state->n_resident, state->resident,
+              state->n_resident_rate, state->resident_rate);
+    set_items(view->loading, state->n_loading, state->loading, 0, NULL);
 }
 
 /* Copies the names of items into a new array of new strings. */
@@ -372,8 +375,9 @@
     return names;
 }
 
-/* The state of an upstream as this node knows it, new.  Whose word it is the
- * frame says; repeated in each state, the name was 6 bytes of 103. */
+/* Builds the message with the state of an upstream as this node knows it.  The
+ * sending node is named once in the frame: repeated in each state, its name
+ * would take 6 of 103 bytes. */
 Chestnuthitch__Wire__UpstreamState *
 site_make_state(struct ch_homes *homes, const struct upstream *upstream)
 {
@@ -406,7 +410,7 @@
     return state;
 }
 
-/* Frees a state made by site_make_state. */
+/* Frees a state made by upstream_make_state. */
 void
 site_free_state(Chestnuthitch__Wire__UpstreamState *state)
 {
