--- a/tests/threaded/test_homes.c
+++ b/tests/threaded/test_homes.c
@@ -1,4 +1,4 @@
-/* A node's requests on their way to a grant, with a clock that the test
+/* Tests how a node's requests are granted, with a clock that the test
  * moves. */
 
 #include "node/node.h"
@@ -8,30 +8,32 @@
 #include <string.h>
 
 struct world {
-    struct ch_hosts hosts; /* first: the vtable's own */
+    /* First member: fetch() casts its pointer to struct world. */
+    struct ch_hosts hosts;
     struct ch_client client;
     struct ch_settings settings;
     struct ch_node node;
-    uint64_t ahead; /* microseconds that the clock was moved */
+    uint64_t clock_offset_us; /* offset of the clock, in microseconds */
     const char *state;
-    sem_t answered;
-    sem_t held; /* the only worker waits here */
-    sem_t holding;
+    sem_t replied;
+    sem_t worker_release; /* lets the blocked worker go on */
+    sem_t worker_blocked;
     unsigned granted;
     unsigned refused;
     enum ch_code code;
     struct ch_grant grant;
 };
 
-/* The clock, moved by `ahead`. */
+/* The clock, moved by clock_offset_us. */
 static int64_t
-moved_now(void *data)
+get_moved_time(void *data)
 {
     struct world *world = data;
-    return g_get_monotonic_time() + (int64_t)ck_pr_load_64(&world->ahead);
+    return g_get_monotonic_time() +
+           (int64_t)ck_pr_load_64(&world->clock_offset_us);
 }
 
-/* Drops log lines: the tests look at outcomes. */
+/* Drops log lines. */
 static void
 no_log(void *data, const char *line, size_t length)
 {
@@ -40,11 +42,12 @@
     (void)length;
 }
 
-/* The host list: one plain service. */
+/* The host list: one service. */
 static void
-fetch(struct ch_hosts *hosts,
-      void (*done)(void *data, enum ch_code code, struct ch_host_list *list),
-      void *data)
+fetch_hosts(struct ch_hosts *hosts,
+            void (*done)(void *data, enum ch_code code,
+                         struct ch_host_list *list),
+            void *data)
 {
     const struct world *world = (const struct world *)hosts;
     char *json = g_strdup_printf(
@@ -59,9 +62,9 @@
     done(data, CH_OK, list);
 }
 
-static const struct ch_hosts_ops hosts_ops = {.fetch = fetch};
+static const struct ch_hosts_ops hosts_ops = {.fetch = fetch_hosts};
 
-/* A node with one worker and no more than a list and homes. */
+/* A node with one worker, a host list and homes only. */
 static struct world *
 world_new(const char *state)
 {
@@ -69,12 +72,12 @@
     struct ch_error error = {0};
     world->hosts.ops = &hosts_ops;
     world->state = state;
-    sem_init(&world->answered, 0, 0);
-    sem_init(&world->held, 0, 0);
-    sem_init(&world->holding, 0, 0);
+    sem_init(&world->replied, 0, 0);
+    sem_init(&world->worker_release, 0, 0);
+    sem_init(&world->worker_blocked, 0, 0);
     ch_client_init(&world->client, "e01");
     world->client.log_write = no_log;
-    world->client.now = moved_now;
+    world->client.now = get_moved_time;
     world->client.now_data = world;
     world->client.metrics = ch_metrics_new();
     world->settings = (struct ch_settings){
@@ -132,7 +135,7 @@
     struct world *world = data;
     world->granted++;
     world->grant = *grant;
-    sem_post(&world->answered);
+    sem_post(&world->replied);
 }
 
 static void
@@ -144,10 +147,10 @@
     (void)message;
     world->refused++;
     world->code = code;
-    sem_post(&world->answered);
+    sem_post(&world->replied);
 }
 
-/* Waits without regard to signals. */
+/* Waits for the semaphore, also when interrupted by signals. */
 static void
 wait_for(sem_t *semaphore)
 {
@@ -155,16 +158,16 @@
     }
 }
 
-/* Asks for leave to send an order. */
+/* Requests a grant to send an order to the service. */
 static uint64_t
-ask(struct world *world)
+request_grant(struct world *world)
 {
     static const struct ch_router_handlers handlers = {
         .granted = on_granted,
         .refused = on_refused,
     };
-    int64_t now = moved_now(world);
-    struct ch_work work = {
+    int64_t now = get_moved_time(world);
+    struct ch_work info = {
         .id = 1,
         .model = g_quark_from_static_string("orders"),
         .service = true,
@@ -172,34 +175,34 @@
         .arrived = now,
         .first_by = now + INT64_C(60000000),
     };
-    return ch_homes_request(world->node.homes, &work, NULL, &handlers, world);
+    return ch_homes_request(world->node.homes, &info, NULL, &handlers, world);
 }
 
-/* Keeps the only worker until it is let go. */
+/* Blocks the only worker until the test releases it. */
 static void
-hold_worker(void *data)
+block_worker(void *data)
 {
     struct world *world = data;
-    sem_post(&world->holding);
-    wait_for(&world->held);
+    sem_post(&world->worker_blocked);
+    wait_for(&world->worker_release);
 }
 
-struct row {
+struct grant_case {
     const char *name;
     const char *state;
-    int64_t pause; /* between the home's grant and its use */
+    int64_t pause_us; /* between the home's grant and its use */
     unsigned granted;
     unsigned refused;
-    uint64_t grants; /* given by the home */
+    uint64_t grants; /* grants given by the home */
 };
 
 /*
- * What the caller sees: its order is sent once, a little later. The node is
- * stopped after the home's grant and before the order goes out, and wakes up
- * with leave that is five seconds old. It must not use it, as the upstream may
- * have left: the grant is given back and asked for anew.
+ * Guards against using an outdated grant: the process is suspended for five
+ * seconds after the home's grant and before the order is sent.  The upstream
+ * may have been removed meanwhile, so the grant must be released and requested
+ * again.  The caller's order is sent once, a little later.
  */
-static const struct row rows[] = {
+static const struct grant_case grant_cases[] = {
     {"at once", "live", 0, 1, 0, 1},
     {"after a short pause", "live", INT64_C(500000), 1, 0, 1},
     {"after a pause", "live", INT64_C(5000000), 1, 0, 2},
@@ -209,18 +212,18 @@
 static void
 test_grant(gconstpointer data)
 {
-    const struct row *row = data;
-    struct world *world = world_new(row->state);
-    ch_pool_submit(world->node.pool, hold_worker, world);
-    wait_for(&world->holding);
-    uint64_t handle = ask(world);
-    ck_pr_store_64(&world->ahead, (uint64_t)row->pause);
-    sem_post(&world->held);
-    wait_for(&world->answered);
-    g_assert_cmpuint(world->granted, ==, row->granted);
-    g_assert_cmpuint(world->refused, ==, row->refused);
+    const struct grant_case *grant_case = data;
+    struct world *world = world_new(grant_case->state);
+    ch_pool_submit(world->node.pool, block_worker, world);
+    wait_for(&world->worker_blocked);
+    uint64_t handle = request_grant(world);
+    ck_pr_store_64(&world->clock_offset_us, (uint64_t)grant_case->pause_us);
+    sem_post(&world->worker_release);
+    wait_for(&world->replied);
+    g_assert_cmpuint(world->granted, ==, grant_case->granted);
+    g_assert_cmpuint(world->refused, ==, grant_case->refused);
     g_assert_cmpuint(ch_metrics_read(world->client.metrics, CH_COUNT_GRANTS),
-                     ==, row->grants);
+                     ==, grant_case->grants);
     if (world->granted > 0) {
         const struct ch_sample sample = {.code = CH_OK, .first = 1000};
         g_assert_cmpuint(world->grant.handle, ==, handle);
@@ -234,9 +237,9 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-        char *path = g_strdup_printf("/homes/grant/%s", rows[i].name);
-        g_test_add_data_func(path, &rows[i], test_grant);
+    for (size_t i = 0; i < G_N_ELEMENTS(grant_cases); i++) {
+        char *path = g_strdup_printf("/homes/grant/%s", grant_cases[i].name);
+        g_test_add_data_func(path, &grant_cases[i], test_grant);
         g_free(path);
     }
     return g_test_run();
