--- a/libchestnuthitch/platform/hosts.c
+++ b/libchestnuthitch/platform/hosts.c
@@ -1,4 +1,4 @@
-/* The host list: its JSON into checked structs. */
+/* Parses and validates the JSON of the host list. */
 
 #include "platform/platform.h"
 #include "base/json.h"
@@ -6,16 +6,16 @@
 #include <string.h>
 
 enum {
-    MOST_HOSTS = 100000,
-    MOST_NAME = 128,
-    MOST_COUNT = 100000000,
+    MAX_HOSTS = 100000,
+    MAX_STRING_BYTES = 128,
+    MAX_COUNT_VALUE = 100000000,
 };
 
 static const char *const kind_names[] = {"entry", "engine", "service", NULL};
 
-/* A string member that must be there and not be empty; NULL with an error. */
+/* A required, non-empty string member; NULL with an error. */
 static const char *
-string_member(JsonObject *object, const char *name, struct ch_error *error)
+require_string(JsonObject *object, const char *name, struct ch_error *error)
 {
     const char *text = ch_json_text(object, name);
     if (text == NULL) {
@@ -23,7 +23,7 @@
                      name);
         return NULL;
     }
-    if (text[0] == '\0' || strlen(text) > MOST_NAME) {
+    if (text[0] == '\0' || strlen(text) > MAX_STRING_BYTES) {
         ch_error_set(error, CH_BAD_FIELD,
                      "host list: '%s' is empty or too long", name);
         return NULL;
@@ -31,10 +31,11 @@
     return text;
 }
 
-/* A count member, 0 when it is left out; false with an error. */
+/* Parses an optional count; *out is left as it was if the member is missing.
+ * Returns false with an error if the member is not a count. */
 static bool
-count_member(JsonObject *object, const char *name, uint32_t *out,
-             struct ch_error *error)
+parse_count(JsonObject *object, const char *name, uint32_t *out,
+            struct ch_error *error)
 {
     JsonNode *node = json_object_get_member(object, name);
     if (node == NULL) {
@@ -45,7 +46,7 @@
         json_node_get_value_type(node) == G_TYPE_INT64) {
         value = json_node_get_int(node);
     }
-    if (value < 0 || value > MOST_COUNT) {
+    if (value < 0 || value > MAX_COUNT_VALUE) {
         ch_error_set(error, CH_BAD_FIELD, "host list: '%s' is out of range",
                      name);
         return false;
@@ -54,15 +55,16 @@
     return true;
 }
 
-/* A name becomes part of keys and log lines: letters, digits, '.', '_' and
- * '-' alone. */
+/* Names become part of keys and log lines, so only letters, digits, '.', '_'
+ * and '-' are allowed. */
 static bool
 check_name(const char *name, struct ch_error *error)
 {
-    for (const char *at = name; *at != '\0'; at++) {
-        if (!g_ascii_isalnum(*at) && strchr("._-", *at) == NULL) {
+    for (const char *character = name; *character != '\0'; character++) {
+        if (!g_ascii_isalnum(*character) &&
+            strchr("._-", *character) == NULL) {
             ch_error_set(error, CH_BAD_FIELD,
-                         "host list: name '%s' has other characters than "
+                         "host list: name '%s' has characters other than "
                          "letters, digits, '.', '_', '-'",
                          name);
             return false;
@@ -71,7 +73,7 @@
     return true;
 }
 
-/* The kind by its name; false with an error. */
+/* Returns false with an error if the kind is unknown. */
 static bool
 parse_kind(const char *text, enum ch_host_kind *kind, struct ch_error *error)
 {
@@ -81,13 +83,13 @@
             return true;
         }
     }
-    ch_error_set(error, CH_BAD_FIELD, "host list: kind '%s' is unknown", text);
+    ch_error_set(error, CH_BAD_FIELD, "host list: unknown kind '%s'", text);
     return false;
 }
 
-/* The texts of a host; false with an error. */
+/* Parses a host's string members; false with an error. */
 static bool
-parse_texts(JsonObject *object, struct ch_host *host, struct ch_error *error)
+parse_strings(JsonObject *object, struct ch_host *host, struct ch_error *error)
 {
     const struct {
         const char *name;
@@ -99,7 +101,7 @@
         {"data_centre", &host->data_centre},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(members); i++) {
-        const char *text = string_member(object, members[i].name, error);
+        const char *text = require_string(object, members[i].name, error);
         if (text == NULL) {
             return false;
         }
@@ -109,54 +111,56 @@
            ch_address_check(host->address, error);
 }
 
-/* The state and the kind of a host; false with an error. */
+/* Parses a host's kind, its state and, for a plain service, the service's
+ * name; false with an error. */
 static bool
-parse_words(JsonObject *object, struct ch_host *host, struct ch_error *error)
+parse_kind_and_state(JsonObject *object, struct ch_host *host,
+                     struct ch_error *error)
 {
-    const char *kind = string_member(object, "kind", error);
-    const char *state = string_member(object, "state", error);
+    const char *kind = require_string(object, "kind", error);
+    const char *state = require_string(object, "state", error);
     if (kind == NULL || state == NULL ||
         !parse_kind(kind, &host->kind, error)) {
         return false;
     }
     host->leaving = strcmp(state, "leaving") == 0;
     if (!host->leaving && strcmp(state, "live") != 0) {
-        ch_error_set(error, CH_BAD_FIELD, "host list: state '%s' is unknown",
+        ch_error_set(error, CH_BAD_FIELD, "host list: unknown state '%s'",
                      state);
         return false;
     }
     if (host->kind != CH_HOST_SERVICE) {
         return true;
     }
-    const char *service = string_member(object, "service", error);
+    const char *service = require_string(object, "service", error);
     host->service = g_strdup(service);
     return service != NULL;
 }
 
-/* Fills in one host; false with an error. */
+/* Parses one host; false with an error. */
 static bool
 parse_host(JsonNode *node, struct ch_host *host, struct ch_error *error)
 {
     if (!JSON_NODE_HOLDS_OBJECT(node)) {
-        ch_error_set(error, CH_BAD_JSON, "host list: a host is no object");
+        ch_error_set(error, CH_BAD_JSON, "host list: a host is not an object");
         return false;
     }
     JsonObject *object = json_node_get_object(node);
-    return parse_texts(object, host, error) &&
-           parse_words(object, host, error) &&
-           count_member(object, "memory_mb", &host->memory_mb, error) &&
-           count_member(object, "accelerators", &host->accelerators, error) &&
-           count_member(object, "batch", &host->batch, error);
+    return parse_strings(object, host, error) &&
+           parse_kind_and_state(object, host, error) &&
+           parse_count(object, "memory_mb", &host->memory_mb, error) &&
+           parse_count(object, "accelerators", &host->accelerators, error) &&
+           parse_count(object, "batch", &host->batch, error);
 }
 
-/* Fills in every host and finds names that stand twice. */
+/* Parses every host and rejects duplicate names; false with an error. */
 static bool
 parse_hosts(JsonArray *array, struct ch_host_list *list,
             struct ch_error *error)
 {
     guint count = json_array_get_length(array);
-    if (count > MOST_HOSTS) {
-        ch_error_set(error, CH_BAD_FIELD, "host list: %u hosts are too many",
+    if (count > MAX_HOSTS) {
+        ch_error_set(error, CH_BAD_FIELD, "host list: too many hosts (%u)",
                      count);
         return false;
     }
@@ -170,16 +174,16 @@
         }
         if (!g_hash_table_add(names, host->name)) {
             ch_error_set(error, CH_DUPLICATE,
-                         "host list: '%s' stands there twice", host->name);
+                         "host list: name '%s' is there twice", host->name);
             return false;
         }
     }
     return true;
 }
 
-/* The list in a GET /v1/hosts answer, to be freed by ch_host_list_free.  A
- * list with one bad host is refused whole (NULL with an error): a host left
- * out would look like one that has gone. */
+/* Parses the response to GET /v1/hosts; free the list with ch_host_list_free.
+ * One invalid host makes the whole list an error (NULL): an omitted host would
+ * look like one that has been removed. */
 struct ch_host_list *
 ch_host_list_parse(const char *json, size_t length, struct ch_error *error)
 {
@@ -213,7 +217,7 @@
     g_strfreev(host->copies);
 }
 
-/* Frees a list with its hosts; NULL is fine. */
+/* Frees a list and its hosts; list may be NULL. */
 void
 ch_host_list_free(struct ch_host_list *list)
 {
--- a/libchestnuthitch/platform/kv_http.c
+++ b/libchestnuthitch/platform/kv_http.c
@@ -1,4 +1,5 @@
-/* The key-value service over HTTP, as docs/INTERFACES.md gives its calls. */
+/* Client of the key-value store over HTTP; docs/INTERFACES.md describes the
+ * calls. */
 
 #include "platform/platform.h"
 #include "base/json.h"
@@ -6,14 +7,15 @@
 #include <string.h>
 
 enum {
-    /* A value of a megabyte at most, and its framing. */
-    MOST_VALUE = 1024 * 1024 + 4096,
+    /* A value has at most 1 MB; the rest allows for its framing. */
+    MAX_VALUE_BYTES = 1024 * 1024 + 4096,
     /*
-     * A list holds every batch of a once slot for as long as keys are kept.
-     * The bound keeps a damaged answer from taking the node's memory.
+     * A list holds every batch of an at-most-once slot for as long as its keys
+     * are retained.  The limit keeps a damaged response from exhausting the
+     * node's memory.
      */
-    MOST_LIST = 64 * 1024 * 1024,
-    ETAG_SIZE = 32,
+    MAX_LIST_BYTES = 64 * 1024 * 1024,
+    ETAG_BUFFER_BYTES = 32,
 };
 
 struct kv_http {
@@ -26,14 +28,14 @@
 
 struct kv_call {
     struct kv_http *owner;
-    bool write;
-    void (*done)(void *data, const struct ch_kv_answer *answer);
-    void (*listed)(void *data, enum ch_code code,
-                   const struct ch_kv_entry *entries, size_t count);
+    bool is_write;
+    void (*done)(void *data, const struct ch_kv_answer *result);
+    void (*list_done)(void *data, enum ch_code code,
+                      const struct ch_kv_entry *entries, size_t count);
     void *data;
 };
 
-/* Counts one call, if the client has counters. */
+/* Counts one call, if the client has metrics. */
 static void
 count_call(const struct kv_http *owner, enum ch_counter counter)
 {
@@ -42,7 +44,7 @@
     }
 }
 
-/* The number in `"N"`; 0 when there is none. */
+/* The revision N in an ETag `"N"`; 0 if there is none. */
 static uint64_t
 parse_etag(const char *etag)
 {
@@ -55,23 +57,23 @@
 }
 
 /*
- * What is certain after a call.  A write that may have left this host and got
- * no plain yes or no is ambiguous: it may have taken effect, now or later.
- * To call that a failure would let a second writer be told yes as well.
+ * The result of a call.  A write that may have left this host without a
+ * definite response is ambiguous: it may have taken effect or may yet.
+ * Reporting it as failed could let a second writer succeed as well.
  */
 static enum ch_code
-code_of(const struct kv_call *call, const struct ch_http_answer *answer)
+result_code(const struct kv_call *call, const struct ch_http_answer *response)
 {
-    const struct ch_http_end *end = &answer->end;
-    bool whole = end->code == CH_OK;
+    const struct ch_http_end *end = &response->end;
+    bool complete = end->code == CH_OK;
     switch (end->status) {
     case 200:
-        if (whole && (!call->write || parse_etag(answer->etag) != 0)) {
+        if (complete && (!call->is_write || parse_etag(response->etag) != 0)) {
             return CH_OK;
         }
         break;
     case 204:
-        return call->write ? CH_OK : CH_KV_MISSING;
+        return call->is_write ? CH_OK : CH_KV_MISSING;
     case 404:
         return CH_KV_MISSING;
     case 412:
@@ -84,40 +86,40 @@
     default:
         break;
     }
-    return call->write && end->sent ? CH_KV_AMBIGUOUS : CH_KV_UNREACHABLE;
+    return call->is_write && end->sent ? CH_KV_AMBIGUOUS : CH_KV_UNREACHABLE;
 }
 
-/* True for the codes by which the service did answer. */
+/* True for the codes that stand for a definite response of the store. */
 static bool
-is_answer(enum ch_code code)
+is_definite_result(enum ch_code code)
 {
     return code == CH_OK || code == CH_KV_MISSING || code == CH_KV_CONFLICT;
 }
 
-/* Gives one value's answer to the caller. */
+/* Handles the response to a call on one key. */
 static void
-value_fetched(void *data, const struct ch_http_answer *answer)
+handle_value(void *data, const struct ch_http_answer *response)
 {
     struct kv_call *call = data;
-    struct ch_kv_answer out = {.code = code_of(call, answer)};
-    if (out.code == CH_OK || out.code == CH_KV_CONFLICT) {
-        out.revision = parse_etag(answer->etag);
+    struct ch_kv_answer result = {.code = result_code(call, response)};
+    if (result.code == CH_OK || result.code == CH_KV_CONFLICT) {
+        result.revision = parse_etag(response->etag);
     }
-    if (out.code == CH_OK && !call->write) {
-        out.value = answer->body;
-        out.length = answer->length;
-        if (out.revision == 0) {
-            out = (struct ch_kv_answer){.code = CH_KV_UNREACHABLE};
+    if (result.code == CH_OK && !call->is_write) {
+        result.value = response->body;
+        result.length = response->length;
+        if (result.revision == 0) {
+            result = (struct ch_kv_answer){.code = CH_KV_UNREACHABLE};
         }
     }
-    if (!is_answer(out.code)) {
+    if (!is_definite_result(result.code)) {
         count_call(call->owner, CH_COUNT_KV_ERRORS);
     }
-    call->done(call->data, &out);
+    call->done(call->data, &result);
     g_free(call);
 }
 
-/* One entry of a list; false when it has another shape. */
+/* Parses one entry of a list; false if it is invalid. */
 static bool
 parse_entry(JsonNode *node, struct ch_kv_entry *entry)
 {
@@ -142,7 +144,7 @@
     return true;
 }
 
-/* Frees what an entry holds, for g_array_set_clear_func. */
+/* Frees an entry's members, for g_array_set_clear_func. */
 static void
 entry_clear(void *data)
 {
@@ -151,8 +153,8 @@
     g_free(entry->value);
 }
 
-/* The entries of a list's body, or NULL when it is not one: a list with an
- * entry left out would look like a shorter log. */
+/* Parses the entries in a list's body.  Returns NULL if any entry is invalid:
+ * a list with an entry omitted would look like a shorter log. */
 static GArray *
 parse_list(const char *body, size_t length)
 {
@@ -177,37 +179,38 @@
     return entries;
 }
 
-/* Gives a list's answer to the caller. */
+/* Handles the response to a list call. */
 static void
-list_fetched(void *data, const struct ch_http_answer *answer)
+handle_list(void *data, const struct ch_http_answer *response)
 {
     struct kv_call *call = data;
     GArray *entries = NULL;
-    if (answer->end.code == CH_OK && answer->end.status == 200) {
-        entries = parse_list(answer->body, answer->length);
+    if (response->end.code == CH_OK && response->end.status == 200) {
+        entries = parse_list(response->body, response->length);
     }
     if (entries == NULL) {
         count_call(call->owner, CH_COUNT_KV_ERRORS);
-        call->listed(call->data, CH_KV_UNREACHABLE, NULL, 0);
+        call->list_done(call->data, CH_KV_UNREACHABLE, NULL, 0);
     }
     else {
-        call->listed(call->data, CH_OK,
-                     (const struct ch_kv_entry *)(void *)entries->data,
-                     entries->len);
+        call->list_done(call->data, CH_OK,
+                        (const struct ch_kv_entry *)(void *)entries->data,
+                        entries->len);
         g_array_free(entries, TRUE);
     }
     g_free(call);
 }
 
-/* base + path + the escaped key; g_free. */
+/* Joins the base URL, the path and the escaped key; g_free. */
 static char *
-url_of(const struct kv_http *owner, const char *path, const char *key)
+build_url(const struct kv_http *owner, const char *path, const char *key)
 {
     g_autofree char *escaped = g_uri_escape_string(key, "/", FALSE);
     return g_strconcat(owner->base, path, escaped, NULL);
 }
 
-/* Sends a read; wait is added to the bounds (a watch answers late). */
+/* Sends a read.  wait, in microseconds, is added to the time limits, since the
+ * response to a watch may take that long. */
 static void
 send_read(struct kv_http *owner, struct kv_call *call, const char *url,
           int64_t wait)
@@ -219,26 +222,27 @@
         .first_byte_limit = wait + owner->call_limit,
         .stall_limit = owner->call_limit,
     };
-    if (call->listed != NULL) {
-        ch_http_fetch(owner->http, &request, MOST_LIST, list_fetched, call);
+    if (call->list_done != NULL) {
+        ch_http_fetch(owner->http, &request, MAX_LIST_BYTES, handle_list,
+                      call);
         return;
     }
     request.total_limit = wait + owner->call_limit;
-    ch_http_fetch(owner->http, &request, MOST_VALUE, value_fetched, call);
+    ch_http_fetch(owner->http, &request, MAX_VALUE_BYTES, handle_value, call);
 }
 
 /*
- * Sends a write.  A kept-alive connection that closes makes libcurl send the
- * body again, so that one write could take effect twice with the first answer
- * unseen; a fresh connection is never sent on twice.
+ * Sends a write.  When a kept-alive connection closes, libcurl sends the body
+ * again, so that one write could take effect twice while the first response
+ * stays unseen.  On a fresh connection libcurl never sends the body again.
  */
 static void
 send_write(struct kv_http *owner, struct kv_call *call, const char *method,
            const char *key, const void *value, size_t length,
            uint64_t revision)
 {
-    g_autofree char *url = url_of(owner, "kv/", key);
-    char etag[ETAG_SIZE];
+    g_autofree char *url = build_url(owner, "kv/", key);
+    char etag[ETAG_BUFFER_BYTES];
     (void)g_snprintf(etag, sizeof(etag), "\"%" G_GUINT64_FORMAT "\"",
                      revision);
     const struct ch_http_header headers[] = {
@@ -260,18 +264,18 @@
         .fresh_connection = true,
     };
     count_call(owner, CH_COUNT_KV_WRITES);
-    ch_http_fetch(owner->http, &request, MOST_VALUE, value_fetched, call);
+    ch_http_fetch(owner->http, &request, MAX_VALUE_BYTES, handle_value, call);
 }
 
-/* A call's state, given to the HTTP loop and freed with its answer. */
+/* Allocates the state of a call; the handler of its response frees it. */
 static struct kv_call *
-call_new(struct kv_http *owner, bool write,
-         void (*done)(void *data, const struct ch_kv_answer *answer),
+call_new(struct kv_http *owner, bool is_write,
+         void (*done)(void *data, const struct ch_kv_answer *result),
          void *data)
 {
     struct kv_call *call = g_new0(struct kv_call, 1);
     call->owner = owner;
-    call->write = write;
+    call->is_write = is_write;
     call->done = done;
     call->data = data;
     return call;
@@ -280,11 +284,11 @@
 /* Reads a value; see struct ch_kv_ops. */
 static void
 kv_http_get(struct ch_kv *kv, const char *key,
-            void (*done)(void *data, const struct ch_kv_answer *answer),
+            void (*done)(void *data, const struct ch_kv_answer *result),
             void *data)
 {
     struct kv_http *owner = (struct kv_http *)kv;
-    g_autofree char *url = url_of(owner, "kv/", key);
+    g_autofree char *url = build_url(owner, "kv/", key);
     count_call(owner, CH_COUNT_KV_READS);
     send_read(owner, call_new(owner, false, done, data), url, 0);
 }
@@ -293,7 +297,7 @@
 static void
 kv_http_put(struct ch_kv *kv, const char *key, const void *value,
             size_t length, uint64_t revision,
-            void (*done)(void *data, const struct ch_kv_answer *answer),
+            void (*done)(void *data, const struct ch_kv_answer *result),
             void *data)
 {
     struct kv_http *owner = (struct kv_http *)kv;
@@ -304,7 +308,7 @@
 /* Removes by compare-and-swap; see struct ch_kv_ops. */
 static void
 kv_http_remove(struct ch_kv *kv, const char *key, uint64_t revision,
-               void (*done)(void *data, const struct ch_kv_answer *answer),
+               void (*done)(void *data, const struct ch_kv_answer *result),
                void *data)
 {
     struct kv_http *owner = (struct kv_http *)kv;
@@ -316,11 +320,11 @@
 static void
 kv_http_watch(struct ch_kv *kv, const char *key, uint64_t revision,
               int64_t wait,
-              void (*done)(void *data, const struct ch_kv_answer *answer),
+              void (*done)(void *data, const struct ch_kv_answer *result),
               void *data)
 {
     struct kv_http *owner = (struct kv_http *)kv;
-    g_autofree char *path = url_of(owner, "watch/", key);
+    g_autofree char *path = build_url(owner, "watch/", key);
     g_autofree char *url = g_strdup_printf("%s?after=%" G_GUINT64_FORMAT
                                            "&wait_ms=%" G_GINT64_FORMAT,
                                            path, revision, wait / 1000);
@@ -338,14 +342,14 @@
     struct kv_http *owner = (struct kv_http *)kv;
     struct kv_call *call = g_new0(struct kv_call, 1);
     call->owner = owner;
-    call->listed = done;
+    call->list_done = done;
     call->data = data;
-    g_autofree char *url = url_of(owner, "list?prefix=", prefix);
+    g_autofree char *url = build_url(owner, "list?prefix=", prefix);
     count_call(owner, CH_COUNT_KV_READS);
     send_read(owner, call, url, 0);
 }
 
-/* Frees the client; the HTTP loop has ended its calls by then. */
+/* Must run only after the HTTP loop has ended the client's calls. */
 static void
 kv_http_free(struct ch_kv *kv)
 {
@@ -354,8 +358,9 @@
     g_free(owner);
 }
 
-/* A client of the service at address ("ip:port"); client and http outlive it.
- * call_limit, in microseconds, bounds each call but for a watch's wait. */
+/* Creates a client of the store at address ("ip:port").  client and http must
+ * outlive it.  call_limit, in microseconds, limits each call; a watch may take
+ * its wait time in addition. */
 struct ch_kv *
 ch_kv_http_new(struct ch_client *client, struct ch_http *http,
                const char *address, int64_t call_limit)
--- a/libchestnuthitch/platform/platform.h
+++ b/libchestnuthitch/platform/platform.h
@@ -2,21 +2,21 @@
 #define CH_PLATFORM_H
 
 /*
- * The platform's key-value service and host list.  Each is behind a vtable, so
- * that a service with another protocol is one new file.
+ * The platform's key-value store and host list.  Each is behind a vtable, so
+ * that supporting another protocol takes one new file.
  */
 
 #include "net/net.h"
 
-/* ---- key-value service (kv.c: the vtable; kv_http.c: over HTTP) ---- */
+/* ---- key-value store (kv.c: the vtable; kv_http.c: over HTTP) ---- */
 
 struct ch_kv_answer {
-    enum ch_code code; /* OK, KV_MISSING, KV_CONFLICT, KV_UNREACHABLE (surely
-                          not written), KV_AMBIGUOUS (a write whose answer was
-                          lost: it may have taken effect) */
-    const void *value; /* valid during the call alone */
+    enum ch_code code; /* OK, KV_MISSING, KV_CONFLICT, KV_UNREACHABLE (a write
+                          certainly had no effect), KV_AMBIGUOUS (the response
+                          to a write was lost: it may have taken effect) */
+    const void *value; /* valid only during the callback */
     size_t length;
-    uint64_t revision; /* of the value; of a conflict, the one in force */
+    uint64_t revision; /* of the value; after a conflict, the current one */
 };
 
 struct ch_kv_entry {
@@ -26,33 +26,35 @@
     uint64_t revision;
 };
 
-/* Entries below a prefix as they were at a revision, or what has changed. */
+/* The entries below a prefix as of one revision, or the changes to them. */
 struct ch_kv_range {
-    enum ch_code code; /* OK, KV_MISSING (a watch: nothing changed within its
-                          wait), KV_HISTORY_GONE, KV_UNREACHABLE */
+    enum ch_code code; /* OK, KV_MISSING (a watch saw no change within its wait
+                          time), KV_HISTORY_GONE, KV_UNREACHABLE */
     const struct ch_kv_entry *entries; /* value NULL: the key was removed */
     size_t count;
-    uint64_t at; /* the service's revision */
+    uint64_t at; /* the store's revision */
 };
 
 struct ch_kv;
 
 struct ch_kv_ops {
     void (*get)(struct ch_kv *kv, const char *key,
-                void (*done)(void *data, const struct ch_kv_answer *answer),
+                void (*done)(void *data, const struct ch_kv_answer *result),
                 void *data);
-    /* revision 0: only if absent; else only if the value is at revision. */
+    /* Writes only if the value is still at revision; 0: only if the key is
+       absent. */
     void (*put)(struct ch_kv *kv, const char *key, const void *value,
                 size_t length, uint64_t revision,
-                void (*done)(void *data, const struct ch_kv_answer *answer),
+                void (*done)(void *data, const struct ch_kv_answer *result),
                 void *data);
     void (*remove)(struct ch_kv *kv, const char *key, uint64_t revision,
-                   void (*done)(void *data, const struct ch_kv_answer *answer),
+                   void (*done)(void *data, const struct ch_kv_answer *result),
                    void *data);
-    /* Answers when the value is above revision, or KV_MISSING after wait. */
+    /* Completes when the value's revision exceeds revision, or with
+       KV_MISSING after wait microseconds. */
     void (*watch)(struct ch_kv *kv, const char *key, uint64_t revision,
                   int64_t wait,
-                  void (*done)(void *data, const struct ch_kv_answer *answer),
+                  void (*done)(void *data, const struct ch_kv_answer *result),
                   void *data);
     /* Every key below prefix in order, with values. */
     void (*list)(struct ch_kv *kv, const char *prefix,
@@ -60,8 +62,9 @@
                               const struct ch_kv_entry *entries, size_t count),
                  void *data);
     /*
-     * The rest is NULL where the service has no such calls.  range: the keys
-     * below a prefix; changes: waits for what changes there after a revision.
+     * The remaining members are NULL where the store lacks such calls.  range
+     * lists the keys below a prefix; watch_changes waits up to wait
+     * microseconds for changes to them after a revision.
      */
     void (*range)(struct ch_kv *kv, const char *prefix,
                   void (*done)(void *data, const struct ch_kv_range *range),
@@ -70,25 +73,25 @@
                     int64_t wait,
                     void (*done)(void *data, const struct ch_kv_range *range),
                     void *data);
-    /* Keys written under a lease go when it ends; ttl in microseconds, from
-       when the service takes the call.  value of the answer is empty, revision
-       the lease's number. */
+    /* Keys written under a lease are removed when the lease ends.  ttl, in
+       microseconds, counts from when the store accepts the call.  The result
+       has no value; its revision is the lease ID. */
     void (*lease)(struct ch_kv *kv, int64_t ttl,
-                  void (*done)(void *data, const struct ch_kv_answer *answer),
+                  void (*done)(void *data, const struct ch_kv_answer *result),
                   void *data);
-    /* KV_MISSING: it has ended. */
-    void (*renew)(struct ch_kv *kv, uint64_t lease,
-                  void (*done)(void *data, const struct ch_kv_answer *answer),
+    /* KV_MISSING: the lease has ended. */
+    void (*renew)(struct ch_kv *kv, uint64_t lease_id,
+                  void (*done)(void *data, const struct ch_kv_answer *result),
                   void *data);
-    void (*end_lease)(struct ch_kv *kv, uint64_t lease,
+    void (*end_lease)(struct ch_kv *kv, uint64_t lease_id,
                       void (*done)(void *data,
-                                   const struct ch_kv_answer *answer),
+                                   const struct ch_kv_answer *result),
                       void *data);
     /* As put, under a lease; KV_MISSING: there is no such lease. */
     void (*put_leased)(struct ch_kv *kv, const char *key, const void *value,
-                       size_t length, uint64_t revision, uint64_t lease,
+                       size_t length, uint64_t revision, uint64_t lease_id,
                        void (*done)(void *data,
-                                    const struct ch_kv_answer *answer),
+                                    const struct ch_kv_answer *result),
                        void *data);
     void (*free)(struct ch_kv *kv);
 };
@@ -97,7 +100,8 @@
     const struct ch_kv_ops *ops;
 };
 
-/* Calls are counted in the client's metrics.  done runs exactly once. */
+/* Calls are counted in the client's metrics.  done runs exactly once per call.
+ * call_limit in microseconds. */
 struct ch_kv *ch_kv_http_new(struct ch_client *client, struct ch_http *http,
                              const char *address, int64_t call_limit);
 
@@ -112,25 +116,28 @@
 struct ch_host {
     char *name;
     enum ch_host_kind kind;
-    char *address; /* upstream: HTTP; entry: its peers listener */
+    char *address; /* upstream: its HTTP address; entry node: the address where
+                      it listens for other nodes */
     char *region;
     char *data_centre;
-    char *service; /* of a plain service: its name; else NULL */
+    char *service; /* a plain service's name; else NULL */
     uint32_t memory_mb;
     uint32_t accelerators;
-    uint32_t batch; /* most requests at once; 0: not stated */
+    uint32_t batch; /* maximum concurrent requests; 0: not stated */
     bool leaving;
-    /* What an engine tells of itself there; empty where the list has none. */
-    uint64_t boot;     /* higher after each start; 0: not told */
-    int64_t leaves_in; /* it is gone after this; 0: not told */
-    int64_t slow_for;  /* it works slowly for so long after its start */
+    /* What an engine reports of itself in the host list; empty where the list
+       has no such data. */
+    uint64_t boot;     /* increases with each restart; 0: unknown */
+    int64_t leaves_in; /* time until the engine stops; 0: unknown */
+    int64_t slow_for;  /* for how much longer it is slow after its start */
     char **resident;   /* "model" and "model/adapter"; NULL: none */
-    char **copies;     /* models of which it keeps a copy near by */
-    uint32_t capacity; /* of an entry host; 0: not told */
-    int64_t read_at; /* when all this came, by the node's clock; 0: not kept */
+    char **copies;     /* models of which the engine has a local copy */
+    uint32_t capacity; /* of an entry host; 0: unknown */
+    int64_t read_at;   /* when this entry arrived, by the node's clock; 0: not
+                          recorded */
 };
 
-/* Frees what a host holds, not the struct. */
+/* Frees the members of a host, not the struct. */
 void ch_host_clear(struct ch_host *host);
 
 struct ch_host_list {
@@ -138,6 +145,7 @@
     size_t count;
 };
 
+/* Parses the JSON of a host list; NULL with an error. */
 struct ch_host_list *ch_host_list_parse(const char *json, size_t length,
                                         struct ch_error *error);
 void ch_host_list_free(struct ch_host_list *list);
@@ -145,8 +153,9 @@
 struct ch_hosts;
 
 struct ch_hosts_ops {
-    /* list is owned by the callee; NULL with a code when there is none, and
-       with OK when it is the one that was given last.  One at a time. */
+    /* done takes ownership of the list.  list is NULL with an error code when
+       the fetch failed, and NULL with OK when the list is unchanged since the
+       last fetch.  Only one fetch may run at a time. */
     void (*fetch)(struct ch_hosts *hosts,
                   void (*done)(void *data, enum ch_code code,
                                struct ch_host_list *list),
@@ -154,10 +163,12 @@
     void (*free)(struct ch_hosts *hosts);
 };
 
+/* A source of host lists. */
 struct ch_hosts {
     const struct ch_hosts_ops *ops;
 };
 
+/* call_limit, in microseconds, limits each fetch. */
 struct ch_hosts *ch_hosts_http_new(struct ch_client *client,
                                    struct ch_http *http, const char *address,
                                    int64_t call_limit);
