--- a/tests/threaded/test_hosts.c
+++ b/tests/threaded/test_hosts.c
@@ -1,4 +1,5 @@
-/* The host list's client against a server that answers as each row says. */
+/* Tests the client of the host list against a server that sends a scripted
+ * response for each fetch. */
 
 #include "platform/platform.h"
 
@@ -10,7 +11,7 @@
 #include <unistd.h>
 
 enum {
-    PATIENCE = 10 * G_USEC_PER_SEC,
+    CALL_LIMIT_US = 10 * G_USEC_PER_SEC,
 };
 
 #define LIST                                                                  \
@@ -19,13 +20,16 @@
     "\"live\"}]}"
 
 /*
- * What the caller sees: nothing; the list is asked for again and again, and
- * comes only when it differs.  The order: a list with an ETag, then answers to
- * If-None-Match.  What could not be read must not be taken as known, or its
- * successor would be kept from the node until the list changed once more.
+ * Successive fetches by one client, which sends the ETag of the last valid
+ * list in If-None-Match and receives a list only when it has changed.  The
+ * client must not store the ETag of an unreadable list.  Otherwise the server
+ * would respond "not modified" to the next fetch, and the node would not get a
+ * valid list until the list changed once more.  Callers notice none of
+ * this.
  */
 static const struct {
-    const char *known; /* If-None-Match that must come; NULL: none */
+    const char *if_none_match; /* If-None-Match that the request must have;
+                                  NULL: none */
     const char *status;
     const char *etag;
     const char *body;
@@ -43,41 +47,43 @@
     {"\"d\"", "304 Not Modified", "\"d\"", "", CH_OK, false},
 };
 
-/* Answers one connection for each row; the mismatches found. */
+/* Accepts one connection per row and sends the row's response.  Returns the
+ * number of requests with the wrong If-None-Match. */
 static void *
-serve(void *data)
+run_server(void *data)
 {
     int listener = GPOINTER_TO_INT(data);
-    uintptr_t wrong = 0;
+    uintptr_t mismatches = 0;
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         char request[4096];
         size_t length = 0;
         int fd = accept(listener, NULL, NULL);
         do {
-            ssize_t got =
+            ssize_t received =
                 recv(fd, request + length, sizeof(request) - 1 - length, 0);
-            length += got > 0 ? (size_t)got : 0;
+            length += received > 0 ? (size_t)received : 0;
             request[length] = '\0';
         } while (strstr(request, "\r\n\r\n") == NULL);
         char expect[64];
         g_snprintf(expect, sizeof(expect), "\r\nIf-None-Match: %s\r\n",
-                   rows[i].known != NULL ? rows[i].known : "");
-        bool found =
-            strstr(request,
-                   rows[i].known != NULL ? expect : "If-None-Match") != NULL;
-        wrong += found != (rows[i].known != NULL);
-        char *answer = g_strdup_printf(
+                   rows[i].if_none_match != NULL ? rows[i].if_none_match : "");
+        bool found = strstr(request, rows[i].if_none_match != NULL
+                                         ? expect
+                                         : "If-None-Match") != NULL;
+        mismatches += found != (rows[i].if_none_match != NULL);
+        char *response = g_strdup_printf(
             "HTTP/1.1 %s\r\nConnection: close\r\n%s%s%sContent-Length: %zu"
             "\r\n\r\n%s",
             rows[i].status, rows[i].etag != NULL ? "ETag: " : "",
             rows[i].etag != NULL ? rows[i].etag : "",
             rows[i].etag != NULL ? "\r\n" : "", strlen(rows[i].body),
             rows[i].body);
-        g_assert_cmpint(send(fd, answer, strlen(answer), MSG_NOSIGNAL), >, 0);
-        g_free(answer);
+        g_assert_cmpint(send(fd, response, strlen(response), MSG_NOSIGNAL), >,
+                        0);
+        g_free(response);
         close(fd);
     }
-    return (void *)wrong;
+    return (void *)mismatches;
 }
 
 struct result {
@@ -88,9 +94,9 @@
     bool list;
 };
 
-/* Notes how a fetch ended. */
+/* Stores the outcome of a fetch and wakes the test. */
 static void
-note(void *data, enum ch_code code, struct ch_host_list *list)
+record_result(void *data, enum ch_code code, struct ch_host_list *list)
 {
     struct result *result = data;
     pthread_mutex_lock(&result->lock);
@@ -103,7 +109,7 @@
 }
 
 static void
-test_unchanged(void)
+test_conditional_fetch(void)
 {
     struct sockaddr_in address = {.sin_family = AF_INET};
     socklen_t size = sizeof(address);
@@ -113,18 +119,19 @@
     g_assert_cmpint(listen(listener, 8), ==, 0);
     getsockname(listener, (struct sockaddr *)&address, &size);
     pthread_t thread;
-    void *wrong = NULL;
-    pthread_create(&thread, NULL, serve, GINT_TO_POINTER(listener));
+    void *mismatches = NULL;
+    pthread_create(&thread, NULL, run_server, GINT_TO_POINTER(listener));
     char text[32];
     g_snprintf(text, sizeof(text), "127.0.0.1:%u", ntohs(address.sin_port));
     struct ch_client client;
     ch_client_init(&client, "test");
     struct ch_http *http = ch_http_new(&client);
-    struct ch_hosts *hosts = ch_hosts_http_new(&client, http, text, PATIENCE);
+    struct ch_hosts *hosts =
+        ch_hosts_http_new(&client, http, text, CALL_LIMIT_US);
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         struct result result = {PTHREAD_MUTEX_INITIALIZER,
                                 PTHREAD_COND_INITIALIZER, false, CH_OK, false};
-        hosts->ops->fetch(hosts, note, &result);
+        hosts->ops->fetch(hosts, record_result, &result);
         pthread_mutex_lock(&result.lock);
         while (!result.done) {
             pthread_cond_wait(&result.changed, &result.lock);
@@ -133,8 +140,8 @@
         g_assert_cmpint(result.code, ==, rows[i].code);
         g_assert_cmpint(result.list, ==, rows[i].list);
     }
-    pthread_join(thread, &wrong);
-    g_assert_cmpuint((uintptr_t)wrong, ==, 0);
+    pthread_join(thread, &mismatches);
+    g_assert_cmpuint((uintptr_t)mismatches, ==, 0);
     ch_http_free(http);
     hosts->ops->free(hosts);
     close(listener);
@@ -144,6 +151,6 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/hosts/unchanged", test_unchanged);
+    g_test_add_func("/hosts/unchanged", test_conditional_fetch);
     return g_test_run();
 }
--- a/tests/threaded/test_store.c
+++ b/tests/threaded/test_store.c
@@ -1,5 +1,5 @@
-/* The clients of the users' store and workers against a server that answers as
- * each row says. */
+/* Tests the clients of the platform's store and workers against a server that
+ * sends scripted responses. */
 
 #include "fleet.h"
 
@@ -11,68 +11,70 @@
 #include <unistd.h>
 
 enum {
-    LIMIT = 400 * 1000,
+    CALL_LIMIT_US = 400 * 1000,
 };
 
-/* Answers connections one after another, the first with the first text; an
- * empty one closes without a byte.  Keeps what was asked. */
+/* Accepts one connection per response, in order, and records the requests.  An
+ * empty response closes the connection without sending a byte. */
 struct server {
     int listener;
     int port;
     pthread_t thread;
-    const char *const *answers;
-    GString *asked;
-    int held; /* a connection that stays open without an answer; 0: none */
+    const char *const *responses;
+    GString *requests;
+    int silent_fd; /* a connection kept open without a response; 0: none */
 };
 
-/* In place of an answer: the connection falls silent. */
-static const char silence[] = "silence";
+/* Marks a connection that stays open without a response. */
+static const char silent_response[] = "silence";
 
-/* An answer that comes in pieces, together longer than the limit of a call. */
-static const char slow_answer[] =
+/* A response sent in pieces, which together take longer than the time limit of
+ * a call. */
+static const char slow_response[] =
     "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
     "{\"key\":\"k\",\"value\":\"YWI=\",\"revision\":4}";
 
 enum {
-    PIECES = 4,
+    PIECE_COUNT = 4,
 };
 
-/* Reads up to the end of a request with its stated body. */
+/* Records one request, with a body of the length in its Content-Length. */
 static void
 read_request(struct server *server, int fd)
 {
     char bytes[4096];
-    size_t begin = server->asked->len;
+    size_t start = server->requests->len;
     for (;;) {
-        const char *text = server->asked->str + begin;
+        const char *text = server->requests->str + start;
         const char *end = strstr(text, "\r\n\r\n");
-        const char *field = strstr(text, "Content-Length: ");
-        size_t body = field == NULL ? 0 : strtoul(field + 16, NULL, 10);
+        const char *length_header = strstr(text, "Content-Length: ");
+        size_t body =
+            length_header == NULL ? 0 : strtoul(length_header + 16, NULL, 10);
         if (end != NULL &&
-            server->asked->len - begin >= (size_t)(end + 4 - text) + body) {
-            g_string_append_c(server->asked, '\n');
+            server->requests->len - start >= (size_t)(end + 4 - text) + body) {
+            g_string_append_c(server->requests, '\n');
             return;
         }
-        ssize_t got = recv(fd, bytes, sizeof(bytes), 0);
-        if (got <= 0) {
+        ssize_t received = recv(fd, bytes, sizeof(bytes), 0);
+        if (received <= 0) {
             return;
         }
-        g_string_append_len(server->asked, bytes, got);
+        g_string_append_len(server->requests, bytes, received);
     }
 }
 
-/* Sends an answer piece by piece, each well within the limit of a call after
- * the one before. */
+/* Sends a response in pieces.  The interval between two pieces is well within
+ * the time limit of a call. */
 static void
-send_slowly(int fd, const char *answer)
+send_slowly(int fd, const char *response)
 {
-    size_t length = strlen(answer);
-    for (size_t i = 0; i < PIECES; i++) {
-        size_t from = length * i / PIECES;
-        size_t to = length * (i + 1) / PIECES;
-        ssize_t sent = send(fd, answer + from, to - from, MSG_NOSIGNAL);
+    size_t length = strlen(response);
+    for (size_t i = 0; i < PIECE_COUNT; i++) {
+        size_t from = length * i / PIECE_COUNT;
+        size_t to = length * (i + 1) / PIECE_COUNT;
+        ssize_t sent = send(fd, response + from, to - from, MSG_NOSIGNAL);
         (void)sent;
-        g_usleep(LIMIT / 2);
+        g_usleep(CALL_LIMIT_US / 2);
     }
 }
 
@@ -80,22 +82,22 @@
 run_server(void *data)
 {
     struct server *server = data;
-    for (size_t i = 0; server->answers[i] != NULL; i++) {
+    for (size_t i = 0; server->responses[i] != NULL; i++) {
         int fd = accept(server->listener, NULL, NULL);
         if (fd < 0) {
             return NULL;
         }
         read_request(server, fd);
-        if (server->answers[i] == silence) {
-            server->held = fd;
+        if (server->responses[i] == silent_response) {
+            server->silent_fd = fd;
             continue;
         }
-        if (server->answers[i] == slow_answer) {
-            send_slowly(fd, slow_answer);
+        if (server->responses[i] == slow_response) {
+            send_slowly(fd, slow_response);
         }
         else {
-            ssize_t sent = send(fd, server->answers[i],
-                                strlen(server->answers[i]), MSG_NOSIGNAL);
+            ssize_t sent = send(fd, server->responses[i],
+                                strlen(server->responses[i]), MSG_NOSIGNAL);
             (void)sent;
         }
         close(fd);
@@ -104,7 +106,7 @@
 }
 
 static void
-server_start(struct server *server, const char *const *answers)
+server_start(struct server *server, const char *const *responses)
 {
     struct sockaddr_in address = {
         .sin_family = AF_INET,
@@ -113,8 +115,8 @@
     socklen_t length = sizeof(address);
     *server = (struct server){
         .listener = socket(AF_INET, SOCK_STREAM, 0),
-        .answers = answers,
-        .asked = g_string_new(NULL),
+        .responses = responses,
+        .requests = g_string_new(NULL),
     };
     g_assert_cmpint(
         bind(server->listener, (struct sockaddr *)&address, length), ==, 0);
@@ -124,15 +126,15 @@
     pthread_create(&server->thread, NULL, run_server, server);
 }
 
-/* Joins the thread: what was asked may be looked at. */
+/* Joins the server's thread; afterwards the test may read the requests. */
 static void
 server_join(struct server *server)
 {
     shutdown(server->listener, SHUT_RDWR);
     pthread_join(server->thread, NULL);
     close(server->listener);
-    if (server->held > 0) {
-        close(server->held);
+    if (server->silent_fd > 0) {
+        close(server->silent_fd);
     }
 }
 
@@ -147,19 +149,19 @@
     char *value;
     size_t count;
     struct ch_call_end end;
-    GString *passed;
+    GString *body;
 };
 
 static void
 result_init(struct result *result)
 {
-    *result = (struct result){.passed = g_string_new(NULL)};
+    *result = (struct result){.body = g_string_new(NULL)};
     pthread_mutex_init(&result->lock, NULL);
     pthread_cond_init(&result->changed, NULL);
 }
 
 static void
-finish(struct result *result)
+signal_done(struct result *result)
 {
     result->done = true;
     pthread_cond_signal(&result->changed);
@@ -167,27 +169,27 @@
 }
 
 static void
-answered(void *data, const struct ch_kv_answer *answer)
+record_kv_result(void *data, const struct ch_kv_answer *kv_result)
 {
     struct result *result = data;
     pthread_mutex_lock(&result->lock);
-    result->code = answer->code;
-    result->revision = answer->revision;
-    result->value = answer->value == NULL
+    result->code = kv_result->code;
+    result->revision = kv_result->revision;
+    result->value = kv_result->value == NULL
                         ? NULL
-                        : g_strndup(answer->value, answer->length);
-    finish(result);
+                        : g_strndup(kv_result->value, kv_result->length);
+    signal_done(result);
 }
 
 static void
-ranged(void *data, const struct ch_kv_range *range)
+record_range(void *data, const struct ch_kv_range *range)
 {
     struct result *result = data;
     pthread_mutex_lock(&result->lock);
     result->code = range->code;
     result->revision = range->at;
     result->count = range->count;
-    finish(result);
+    signal_done(result);
 }
 
 static void
@@ -204,7 +206,7 @@
 result_clear(struct result *result)
 {
     g_free(result->value);
-    g_string_free(result->passed, TRUE);
+    g_string_free(result->body, TRUE);
 }
 
 /* ---- the store ---- */
@@ -226,19 +228,19 @@
 };
 
 /*
- * What the node is told of the store.  A write that got no plain yes or no may
- * have taken effect, and is told as such; a range with a page missing is none,
- * as what is left out would look removed.
+ * The results of store calls.  A write without a definite response is reported
+ * as ambiguous, since it may have taken effect.  A range with a missing page
+ * is an error, since the omitted keys would look removed.
  */
 static const struct {
-    const char *what;
-    const char *answers[3];
+    const char *description;
+    const char *responses[3];
     enum call call;
     enum ch_code code;
     uint64_t revision;
     size_t count;
-    const char *asked;
-} rows[] = {
+    const char *expected_request;
+} store_rows[] = {
     {"a value",
      {OK_JSON("{\"key\":\"k\",\"value\":\"YWI=\",\"revision\":4}")},
      GET,
@@ -246,13 +248,7 @@
      4,
      0,
      "GET /api/kv-key?key=k "},
-    {"a value that comes slowly, but comes",
-     {slow_answer},
-     GET,
-     CH_OK,
-     4,
-     0,
-     NULL},
+    {"a value that arrives slowly", {slow_response}, GET, CH_OK, 4, 0, NULL},
     {"no value",
      {"HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n"},
      GET,
@@ -260,15 +256,21 @@
      0,
      0,
      NULL},
-    {"turned away",
+    {"a rejected read",
      {"HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\n"},
      GET,
      CH_KV_UNREACHABLE,
      0,
      0,
      NULL},
-    {"the answer is lost", {""}, GET, CH_KV_UNREACHABLE, 0, 0, NULL},
-    {"another shape",
+    {"a read whose response is lost",
+     {""},
+     GET,
+     CH_KV_UNREACHABLE,
+     0,
+     0,
+     NULL},
+    {"a read with an invalid response",
      {OK_JSON("{\"key\":7}")},
      GET,
      CH_KV_UNREACHABLE,
@@ -282,7 +284,7 @@
      9,
      0,
      "key=op/config "},
-    {"its history is gone: what is there now is read",
+    {"a watch whose history is gone reads the value that is there now",
      {OK_JSON(CONFIG), "HTTP/1.1 410 Gone\r\nContent-Length: 0\r\n\r\n",
       OK_JSON(CONFIG)},
      WATCH_CONFIG,
@@ -297,7 +299,7 @@
      5,
      0,
      "\"precondition\":[{\"key\":\"k\",\"revision\":3}]"},
-    {"a write that was late",
+    {"a write at an old revision",
      {"HTTP/1.1 412 No\r\nConnection: close\r\n\r\n"
       "{\"items\":[{\"key\":\"k\",\"revision\":8}]}"},
      PUT,
@@ -305,15 +307,15 @@
      8,
      0,
      NULL},
-    {"a write that was turned away",
+    {"a rejected write",
      {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"},
      PUT,
      CH_KV_UNREACHABLE,
      0,
      0,
      NULL},
-    {"a write whose answer is lost", {""}, PUT, CH_KV_AMBIGUOUS, 0, 0, NULL},
-    {"a write with half an answer",
+    {"a write whose response is lost", {""}, PUT, CH_KV_AMBIGUOUS, 0, 0, NULL},
+    {"a write with half a response",
      {OK_JSON("{\"rev")},
      PUT,
      CH_KV_AMBIGUOUS,
@@ -379,40 +381,41 @@
      NULL},
 };
 
-/* Makes a row's call. */
+/* Makes the store call of a row. */
 static void
 make_call(struct ch_kv *kv, enum call call, struct result *result)
 {
     switch (call) {
     case GET:
-        kv->ops->get(kv, "k", answered, result);
+        kv->ops->get(kv, "k", record_kv_result, result);
         return;
     case GET_CONFIG:
-        kv->ops->get(kv, "config/current", answered, result);
+        kv->ops->get(kv, "config/current", record_kv_result, result);
         return;
     case WATCH_CONFIG:
-        kv->ops->watch(kv, "config/current", 9, 100000, answered, result);
+        kv->ops->watch(kv, "config/current", 9, 100000, record_kv_result,
+                       result);
         return;
     case PUT:
-        kv->ops->put(kv, "k", "v", 1, 3, answered, result);
+        kv->ops->put(kv, "k", "v", 1, 3, record_kv_result, result);
         return;
     case LEASE:
-        kv->ops->lease(kv, 3000000, answered, result);
+        kv->ops->lease(kv, 3000000, record_kv_result, result);
         return;
     case RENEW:
-        kv->ops->renew(kv, 77, answered, result);
+        kv->ops->renew(kv, 77, record_kv_result, result);
         return;
     case RANGE:
-        kv->ops->range(kv, "p/", ranged, result);
+        kv->ops->range(kv, "p/", record_range, result);
         return;
     default:
-        kv->ops->changes(kv, "p/", 20, 100000, ranged, result);
+        kv->ops->changes(kv, "p/", 20, 100000, record_range, result);
         return;
     }
 }
 
 static void
-drop_line(void *data, const char *line, size_t length)
+discard_log_line(void *data, const char *line, size_t length)
 {
     (void)data, (void)line, (void)length;
 }
@@ -421,72 +424,77 @@
 client_init(struct ch_client *client)
 {
     ch_client_init(client, "n1");
-    client->log_write = drop_line;
+    client->log_write = discard_log_line;
     client->metrics = ch_metrics_new();
 }
 
 static void
-test_store(void)
+test_store_calls(void)
 {
-    for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-        const char *answers[4] = {rows[i].answers[0], rows[i].answers[1],
-                                  rows[i].answers[2], NULL};
+    for (size_t i = 0; i < G_N_ELEMENTS(store_rows); i++) {
+        const char *responses[4] = {store_rows[i].responses[0],
+                                    store_rows[i].responses[1],
+                                    store_rows[i].responses[2], NULL};
         struct server server;
         struct result result;
         struct ch_client client;
         client_init(&client);
-        server_start(&server, answers);
+        server_start(&server, responses);
         struct ch_http *http = ch_http_new(&client);
         g_autofree char *address =
             g_strdup_printf("127.0.0.1:%d", server.port);
-        struct ch_kv *kv = platform_store_new(&client, http, address, LIMIT);
-        g_test_message("%s", rows[i].what);
-        if (rows[i].call == WATCH_CONFIG) {
-            /* The watch goes on from where the configuration was read. */
+        struct ch_kv *kv =
+            platform_store_new(&client, http, address, CALL_LIMIT_US);
+        g_test_message("%s", store_rows[i].description);
+        if (store_rows[i].call == WATCH_CONFIG) {
+            /* The watch starts at the revision of an earlier read. */
             result_init(&result);
             make_call(kv, GET_CONFIG, &result);
             wait_done(&result);
             result_clear(&result);
         }
         result_init(&result);
-        make_call(kv, rows[i].call, &result);
+        make_call(kv, store_rows[i].call, &result);
         wait_done(&result);
-        g_assert_cmpint(result.code, ==, rows[i].code);
-        g_assert_cmpuint(result.revision, ==, rows[i].revision);
-        g_assert_cmpuint(result.count, ==, rows[i].count);
+        g_assert_cmpint(result.code, ==, store_rows[i].code);
+        g_assert_cmpuint(result.revision, ==, store_rows[i].revision);
+        g_assert_cmpuint(result.count, ==, store_rows[i].count);
         ch_http_free(http);
         server_join(&server);
-        if (rows[i].asked != NULL) {
-            g_assert_nonnull(strstr(server.asked->str, rows[i].asked));
+        if (store_rows[i].expected_request != NULL) {
+            g_assert_nonnull(
+                strstr(server.requests->str, store_rows[i].expected_request));
         }
-        if (rows[i].call == GET_CONFIG) {
+        if (store_rows[i].call == GET_CONFIG) {
             g_assert_cmpstr(result.value, ==,
                             "{\"routes\":[],\"services\":[]}");
         }
         kv->ops->free(kv);
         ch_metrics_free(client.metrics);
-        g_string_free(server.asked, TRUE);
+        g_string_free(server.requests, TRUE);
         result_clear(&result);
     }
 }
 
 /*
- * An accepted configuration is in force nowhere for sixteen seconds: the
- * connections of all nodes that watched the store had fallen silent just
- * before, and each watch was given up only with its long wait and the limit of
- * a call after it.  A watch that is not answered soon after its wait is over
- * has lost its connection.  And the configuration is read before it is watched
- * again: the store may have dropped what a watch from there would bring.
+ * Guards against an accepted configuration that no node applies for sixteen
+ * seconds.  The connections of all nodes that watched the store had stopped
+ * carrying data just before, and each watch timed out only after its long wait
+ * time plus the time limit of a call.  A watch without a response soon after
+ * its wait time has lost its connection.  The configuration is then read
+ * before it is watched again, because the store may have dropped the records
+ * that a watch from the old revision would return.
  */
 static void
 test_silent_watch(void)
 {
-    const char *answers[] = {OK_JSON(CONFIG), silence, OK_JSON(CONFIG), NULL};
+    const char *responses[] = {OK_JSON(CONFIG), silent_response,
+                               OK_JSON(CONFIG), NULL};
     struct server server;
     struct result result;
     struct ch_client client;
     client_init(&client);
-    server_start(&server, answers);
+    server_start(&server, responses);
     struct ch_http *http = ch_http_new(&client);
     g_autofree char *address = g_strdup_printf("127.0.0.1:%d", server.port);
     struct ch_kv *kv = platform_store_new(&client, http, address, 4000000L);
@@ -495,11 +503,11 @@
     wait_done(&result);
     result_clear(&result);
     result_init(&result);
-    int64_t began = g_get_monotonic_time();
+    int64_t started_at = g_get_monotonic_time();
     make_call(kv, WATCH_CONFIG, &result);
     wait_done(&result);
     g_assert_cmpint(result.code, ==, CH_KV_UNREACHABLE);
-    g_assert_cmpint(g_get_monotonic_time() - began, <, 2000000);
+    g_assert_cmpint(g_get_monotonic_time() - started_at, <, 2000000);
     result_clear(&result);
     result_init(&result);
     make_call(kv, WATCH_CONFIG, &result);
@@ -510,58 +518,64 @@
     server_join(&server);
     kv->ops->free(kv);
     ch_metrics_free(client.metrics);
-    g_string_free(server.asked, TRUE);
+    g_string_free(server.requests, TRUE);
     result_clear(&result);
 }
 
 /* ---- a worker ---- */
 
-#define ANSWER(status, id, more, body)                                        \
+#define RESPONSE(status, id, more, body)                                      \
     "HTTP/1.1 " status "\r\nRequest-Id: " id "\r\n" more                      \
     "Content-Length: 2\r\n\r\n" body
-#define PROOF "Server-Signature: s\r\n"
+#define SIGNATURE "Server-Signature: s\r\n"
 
 /*
- * What a caller may be told of a worker's answer.  "Surely not run" is said
- * only where the worker says so, or no byte went out.
+ * The outcomes of calls to a worker.  A request counts as certainly not run
+ * only if the worker says so or no byte of the request was sent.
  */
 static const struct {
-    const char *what;
-    const char *answer;
+    const char *description;
+    const char *response;
     bool may_repeat;
     bool may_have_run;
     enum ch_code code;
-    const char *passed;
+    const char *expected_body;
 } worker_rows[] = {
-    {"a whole answer", ANSWER("200 OK", "r7", PROOF, "ab"), true, true, CH_OK,
-     "ab"},
-    {"without its signature", ANSWER("200 OK", "r7", "", "ab"), true, true,
-     CH_UPSTREAM_ANSWER, ""},
-    {"to another request", ANSWER("200 OK", "r6", PROOF, "ab"), true, true,
+    {"a whole response", RESPONSE("200 OK", "r7", SIGNATURE, "ab"), true, true,
+     CH_OK, "ab"},
+    {"a response without its signature", RESPONSE("200 OK", "r7", "", "ab"),
+     true, true, CH_UPSTREAM_ANSWER, ""},
+    {"a response to another request",
+     RESPONSE("200 OK", "r6", SIGNATURE, "ab"), true, true,
      CH_UPSTREAM_CROSSED, ""},
-    {"to nobody", "HTTP/1.1 200 OK\r\n" PROOF "Content-Length: 2\r\n\r\nab",
-     true, true, CH_UPSTREAM_CROSSED, ""},
-    {"cut short",
-     "HTTP/1.1 200 OK\r\nRequest-Id: r7\r\n" PROOF
+    {"a response without a request ID",
+     "HTTP/1.1 200 OK\r\n" SIGNATURE "Content-Length: 2\r\n\r\nab", true, true,
+     CH_UPSTREAM_CROSSED, ""},
+    {"a truncated response",
+     "HTTP/1.1 200 OK\r\nRequest-Id: r7\r\n" SIGNATURE
      "Content-Length: 9\r\n\r\nab",
      true, true, CH_UPSTREAM_CUT, "ab"},
-    {"without a length, ended by its connection",
-     "HTTP/1.1 200 OK\r\nRequest-Id: r7\r\n" PROOF "\r\nab", true, true, CH_OK,
-     "ab"},
-    {"it is full", ANSWER("503 Full", "r7", "Not-Executed: 1\r\n", "no"), true,
-     false, CH_UPSTREAM_REFUSED, ""},
-    {"another worker has the address", ANSWER("421 No", "r7", "", "no"), true,
-     false, CH_UPSTREAM_REFUSED, ""},
-    {"503 without a word on what ran", ANSWER("503 No", "r7", PROOF, "no"),
-     true, true, CH_UPSTREAM_ANSWER, ""},
-    {"429 without a word, of what may not be repeated",
-     ANSWER("429 No", "r7", PROOF, "no"), false, true, CH_UPSTREAM_ANSWER, ""},
-    {"it failed what may be repeated: its word is passed on",
-     ANSWER("500 No", "r7", PROOF, "no"), true, true, CH_OK, "no"},
-    {"it failed what may not: its word is passed on",
-     ANSWER("500 No", "r7", PROOF, "no"), false, true, CH_OK, "no"},
-    {"no answer", "", true, true, CH_UPSTREAM_CUT, ""},
-    {"no HTTP", "hello\r\n\r\n", true, true, CH_UPSTREAM_ANSWER, ""},
+    {"a response without a length, ended by its connection",
+     "HTTP/1.1 200 OK\r\nRequest-Id: r7\r\n" SIGNATURE "\r\nab", true, true,
+     CH_OK, "ab"},
+    {"the worker is full",
+     RESPONSE("503 Full", "r7", "Not-Executed: 1\r\n", "no"), true, false,
+     CH_UPSTREAM_REFUSED, ""},
+    {"another worker has the address", RESPONSE("421 No", "r7", "", "no"),
+     true, false, CH_UPSTREAM_REFUSED, ""},
+    {"503 with no word on whether the request ran",
+     RESPONSE("503 No", "r7", SIGNATURE, "no"), true, true, CH_UPSTREAM_ANSWER,
+     ""},
+    {"429 with no such word, for a request that must not be repeated",
+     RESPONSE("429 No", "r7", SIGNATURE, "no"), false, true,
+     CH_UPSTREAM_ANSWER, ""},
+    {"a repeatable request failed: its error is passed on",
+     RESPONSE("500 No", "r7", SIGNATURE, "no"), true, true, CH_OK, "no"},
+    {"a request that must not be repeated failed: its error is passed on",
+     RESPONSE("500 No", "r7", SIGNATURE, "no"), false, true, CH_OK, "no"},
+    {"no response", "", true, true, CH_UPSTREAM_CUT, ""},
+    {"a response that is not HTTP", "hello\r\n\r\n", true, true,
+     CH_UPSTREAM_ANSWER, ""},
 };
 
 static void
@@ -585,7 +599,7 @@
 {
     struct result *result = data;
     pthread_mutex_lock(&result->lock);
-    g_string_append_len(result->passed, bytes, (gssize)length);
+    g_string_append_len(result->body, bytes, (gssize)length);
     pthread_mutex_unlock(&result->lock);
 }
 
@@ -595,7 +609,7 @@
     struct result *result = data;
     pthread_mutex_lock(&result->lock);
     result->end = *end;
-    finish(result);
+    signal_done(result);
 }
 
 static const struct ch_call_handlers handlers = {
@@ -606,20 +620,20 @@
 };
 
 static void
-test_worker(void)
+test_worker_calls(void)
 {
-    static const struct ch_http_header passed[] = {
+    static const struct ch_http_header forwarded[] = {
         {"Host", "a.example"},
         {"Request-Id", "r7"},
         {"X-Mine", "1"},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(worker_rows); i++) {
-        const char *answers[2] = {worker_rows[i].answer, NULL};
+        const char *responses[2] = {worker_rows[i].response, NULL};
         struct server server;
         struct result result;
         struct ch_client client;
         client_init(&client);
-        server_start(&server, answers);
+        server_start(&server, responses);
         struct ch_http *http = ch_http_new(&client);
         const struct ch_host host = {
             .name = "i-1",
@@ -627,7 +641,7 @@
             .address = g_strdup_printf("127.0.0.1:%d", server.port),
         };
         struct ch_upstream *worker =
-            platform_worker_new(&client, http, &host, LIMIT);
+            platform_worker_new(&client, http, &host, CALL_LIMIT_US);
         const struct ch_call call = {
             .request_id = "r7",
             .method = "POST",
@@ -635,16 +649,16 @@
             .body = "hello",
             .body_length = 5,
             .may_repeat = worker_rows[i].may_repeat,
-            .headers = passed,
-            .header_count = G_N_ELEMENTS(passed),
+            .headers = forwarded,
+            .header_count = G_N_ELEMENTS(forwarded),
             .priority = 12,
             .time_left = 500000,
             .resume_id = "4",
-            .connect_limit = LIMIT,
-            .first_byte_limit = LIMIT,
-            .stall_limit = LIMIT,
+            .connect_limit = CALL_LIMIT_US,
+            .first_byte_limit = CALL_LIMIT_US,
+            .stall_limit = CALL_LIMIT_US,
         };
-        g_test_message("%s", worker_rows[i].what);
+        g_test_message("%s", worker_rows[i].description);
         result_init(&result);
         worker->ops->call(worker, &call, &handlers, &result);
         wait_done(&result);
@@ -653,7 +667,7 @@
         g_assert_cmpint(result.end.code, ==, worker_rows[i].code);
         g_assert_cmpint(result.end.may_have_run, ==,
                         worker_rows[i].may_have_run);
-        g_assert_cmpstr(result.passed->str, ==, worker_rows[i].passed);
+        g_assert_cmpstr(result.body->str, ==, worker_rows[i].expected_body);
         static const char *const lines[] = {"POST /x/1?a=b HTTP/1.1\r\n",
                                             "\r\nHost: a.example\r\n",
                                             "\r\nExpect-Instance: i-1\r\n",
@@ -663,12 +677,12 @@
                                             "\r\nX-Mine: 1\r\n",
                                             "\r\n\r\nhello"};
         for (size_t j = 0; j < G_N_ELEMENTS(lines); j++) {
-            g_assert_nonnull(strstr(server.asked->str, lines[j]));
+            g_assert_nonnull(strstr(server.requests->str, lines[j]));
         }
         worker->ops->free(worker);
         ch_metrics_free(client.metrics);
         g_free(host.address);
-        g_string_free(server.asked, TRUE);
+        g_string_free(server.requests, TRUE);
         result_clear(&result);
     }
 }
@@ -676,21 +690,21 @@
 /* ---- orders ---- */
 
 static void
-order_done(void *data, enum ch_code code)
+record_order_result(void *data, enum ch_code code)
 {
     struct result *result = data;
     pthread_mutex_lock(&result->lock);
     result->code = code;
-    finish(result);
+    signal_done(result);
 }
 
-/* What a worker's answer to an order means: whether it was taken, done, kept
- * out by another, or may act yet. */
+/* The result code for each response to an order: accepted, already done,
+ * refused, stale fencing token, wrong worker, or outcome unknown. */
 static void
-test_orders(void)
+test_order_responses(void)
 {
     static const struct {
-        const char *answer;
+        const char *response;
         enum ch_code code;
     } orders[] = {
         {"HTTP/1.1 202 Yes\r\nContent-Length: 0\r\n\r\n", CH_OK},
@@ -702,12 +716,12 @@
         {"", CH_UPSTREAM_CUT},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(orders); i++) {
-        const char *answers[2] = {orders[i].answer, NULL};
+        const char *responses[2] = {orders[i].response, NULL};
         struct server server;
         struct result result;
         struct ch_client client;
         client_init(&client);
-        server_start(&server, answers);
+        server_start(&server, responses);
         struct ch_http *http = ch_http_new(&client);
         const struct ch_host host = {
             .name = "i-1",
@@ -715,7 +729,7 @@
             .address = g_strdup_printf("127.0.0.1:%d", server.port),
         };
         struct ch_upstream *worker =
-            platform_worker_new(&client, http, &host, LIMIT);
+            platform_worker_new(&client, http, &host, CALL_LIMIT_US);
         const struct ch_order order = {
             .fence = 41,
             .action = CH_ORDER_LOAD,
@@ -724,19 +738,19 @@
             .expected = 2,
         };
         result_init(&result);
-        worker->ops->order(worker, &order, order_done, &result);
+        worker->ops->order(worker, &order, record_order_result, &result);
         wait_done(&result);
         ch_http_free(http);
         server_join(&server);
         g_assert_cmpint(result.code, ==, orders[i].code);
         g_assert_nonnull(strstr(
-            server.asked->str,
+            server.requests->str,
             "{\"operation\":\"load\",\"model\":\"m1\",\"adapter\":\"a3\","
             "\"precondition\":2,\"holder\":\"n1\",\"fencing_token\":41}"));
         worker->ops->free(worker);
         ch_metrics_free(client.metrics);
         g_free(host.address);
-        g_string_free(server.asked, TRUE);
+        g_string_free(server.requests, TRUE);
         result_clear(&result);
     }
 }
@@ -746,8 +760,8 @@
 {
     g_test_init(&argc, &argv, NULL);
     g_test_add_func("/store/silent-watch", test_silent_watch);
-    g_test_add_func("/store/calls", test_store);
-    g_test_add_func("/store/worker", test_worker);
-    g_test_add_func("/store/orders", test_orders);
+    g_test_add_func("/store/calls", test_store_calls);
+    g_test_add_func("/store/worker", test_worker_calls);
+    g_test_add_func("/store/orders", test_order_responses);
     return g_test_run();
 }
--- a/tests/unit/test_hosts.c
+++ b/tests/unit/test_hosts.c
@@ -1,4 +1,4 @@
-/* The host list: good ones, and every way to be damaged. */
+/* Tests the parser of the host list with valid and invalid lists. */
 
 #include "platform/platform.h"
 
@@ -13,7 +13,7 @@
 
 static const struct {
     const char *json;
-    enum ch_code code; /* OK: it parses */
+    enum ch_code code; /* OK: the list is valid */
     size_t count;
 } cases[] = {
     {LIST(""), CH_OK, 0},
@@ -40,7 +40,7 @@
 };
 
 static void
-test_cases(void)
+test_parse_results(void)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         struct ch_error error = {0};
@@ -57,7 +57,7 @@
 }
 
 static void
-test_fields(void)
+test_parsed_fields(void)
 {
     const char *json =
         LIST(HOST(",\"kind\":\"service\",\"service\":\"orders\",\"state\":"
@@ -80,7 +80,7 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/hosts/cases", test_cases);
-    g_test_add_func("/hosts/fields", test_fields);
+    g_test_add_func("/hosts/cases", test_parse_results);
+    g_test_add_func("/hosts/fields", test_parsed_fields);
     return g_test_run();
 }
--- a/tests/unit/test_platform.c
+++ b/tests/unit/test_platform.c
@@ -1,4 +1,5 @@
-/* What the users' platform says, in our own terms. */
+/* Tests the conversion of the platform's configuration, host entries and
+ * request headers. */
 
 #include "fleet.h"
 
@@ -22,9 +23,9 @@
     "\"adapter_mb\":12.0}]}},{\"name\":\"app\"}],"                            \
     "\"limits\":{\"max_header_bytes\":16384,\"idle_timeout_ms\":15000}}"
 
-/* A configuration reads as a declaration of ours. */
+/* The converted configuration parses as a declaration with the same values. */
 static void
-test_config(void)
+test_config_conversion(void)
 {
     struct ch_error error = {0};
     g_autofree char *text =
@@ -51,18 +52,19 @@
 }
 
 /*
- * A configuration that the store accepted is in force nowhere: its value was
- * within the store's megabyte, but our text of it is longer than its JSON, as
- * it says for each route what the JSON leaves out, and was refused.
+ * Guards against a configuration that the store accepts but no node applies.
+ * Its JSON is within the store's limit of 1 MB, but the converted text is
+ * longer, because it states for each route what the JSON leaves out, and was
+ * rejected as too long.
  */
 static void
-test_largest_config(void)
+test_largest_config_round_trip(void)
 {
     enum {
-        STORE_MOST = 1024 * 1024
+        STORE_MAX_VALUE_BYTES = 1024 * 1024
     };
     GString *json = g_string_new("{\"routes\":[");
-    for (unsigned i = 0; json->len < STORE_MOST - 256; i++) {
+    for (unsigned i = 0; json->len < STORE_MAX_VALUE_BYTES - 256; i++) {
         g_string_append_printf(
             json,
             "%s{\"name\":\"r%u\",\"host\":\"a.example\","
@@ -72,14 +74,14 @@
             i == 0 ? "" : ",", i, i);
     }
     g_string_append(json, "],\"services\":[{\"name\":\"app\"}]}");
-    g_assert_cmpuint(json->len, <=, STORE_MOST);
+    g_assert_cmpuint(json->len, <=, STORE_MAX_VALUE_BYTES);
     struct ch_error error = {0};
     g_autofree char *text = platform_config_text(json->str, json->len, &error);
     g_assert_cmpstr(error.message, ==, "");
     struct ch_declaration *first =
         ch_declaration_parse(text, "config", &error);
     g_assert_cmpstr(error.message, ==, "");
-    /* As another node gets it. */
+    /* Other nodes receive the canonical text. */
     struct ch_declaration *second =
         ch_declaration_parse(first->text, "config", &error);
     g_assert_cmpstr(error.message, ==, "");
@@ -91,9 +93,10 @@
     g_string_free(json, TRUE);
 }
 
-/* What can't be read is an error, so that the one in force stays. */
+/* An invalid configuration is an error, so that the active one stays in
+ * force. */
 static void
-test_bad_config(void)
+test_invalid_configs(void)
 {
     static const char *const texts[] = {
         "",
@@ -122,10 +125,11 @@
     ",\"born\":5,\"sequence\":9,\"models\":[{\"name\":\"m1\",\"adapters\":"   \
     "[\"a1\"]},7,{\"name\":3}],\"available\":{\"on_disk\":[\"m2\",7]}}"
 
-/* Entries by strange writers name no upstream. */
+/* Host entries, among them invalid ones that another system might write; only
+ * valid entries name an upstream. */
 static const struct {
     const char *text;
-    bool good;
+    bool valid;
 } entries[] = {
     {ENTRY("\"s\"", "\"10.0.0.1:80\"", "\"ready\"", "64"), true},
     {ENTRY("\"s\"", "\"10.0.0.1:80\"", "\"draining\"", "64"), true},
@@ -141,17 +145,17 @@
 };
 
 static void
-test_entries(void)
+test_host_entries(void)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(entries); i++) {
         struct ch_host host = {0};
         struct ch_error error = {0};
-        bool good =
+        bool valid =
             platform_host_parse("servers/i-1", entries[i].text,
                                 strlen(entries[i].text), &host, &error);
-        g_assert_cmpint(good, ==, entries[i].good);
-        g_assert_cmpint(error.code == CH_OK, ==, entries[i].good);
-        if (good) {
+        g_assert_cmpint(valid, ==, entries[i].valid);
+        g_assert_cmpint(error.code == CH_OK, ==, entries[i].valid);
+        if (valid) {
             g_assert_cmpstr(host.name, ==, "i-1");
             g_assert_cmpint(host.leaving, ==, i == 1);
             g_assert_cmpuint(host.boot, ==, 5);
@@ -164,9 +168,9 @@
     }
 }
 
-/* A client's headers: what they say, and which of them go on. */
+/* The values read from a caller's headers, and which headers are forwarded. */
 static void
-test_headers(void)
+test_request_headers(void)
 {
     static const struct ch_http_header headers[] = {
         {"Host", "a.example"},
@@ -184,9 +188,9 @@
         {"X-Mine", "1"},
         {"X-Other", "2"},
     };
-    static const char *const passed[] = {"Host",          "request-id",
-                                         "Model",         "Token-Usage",
-                                         "Prompt-Prefix", "X-Other"};
+    static const char *const forwarded[] = {"Host",          "request-id",
+                                            "Model",         "Token-Usage",
+                                            "Prompt-Prefix", "X-Other"};
     struct ch_request_input *input = g_new0(struct ch_request_input, 1);
     struct ch_fault fault = {.error.code = CH_OK};
     input->passed = g_array_new(FALSE, FALSE, sizeof(struct ch_http_header));
@@ -197,32 +201,33 @@
     g_assert_cmpuint(input->output_tokens, ==, 80);
     g_assert_cmpuint(input->part_count, ==, 2);
     g_assert_cmpuint(input->parts[1].tokens, ==, 410);
-    g_assert_cmpuint(input->passed->len, ==, G_N_ELEMENTS(passed));
+    g_assert_cmpuint(input->passed->len, ==, G_N_ELEMENTS(forwarded));
     for (guint i = 0; i < input->passed->len; i++) {
         g_assert_cmpstr(
             g_array_index(input->passed, struct ch_http_header, i).name, ==,
-            passed[i]);
+            forwarded[i]);
     }
     g_array_free(input->passed, TRUE);
     g_free(input);
 }
 
-/* Headers that do not say what they should. */
+/* Malformed values are rejected with CH_BAD_FIELD. */
 static void
-test_bad_headers(void)
+test_invalid_request_headers(void)
 {
-    static const struct ch_http_header bad[] = {
+    static const struct ch_http_header invalid_headers[] = {
         {"Token-Usage", "1460"},     {"Token-Usage", "a,b"},
         {"Token-Usage", "-1,2"},     {"Prompt-Prefix", "5c"},
         {"Prompt-Prefix", ":800"},   {"Prompt-Prefix", "5c:x"},
         {"Prompt-Prefix", "5c:1,,"},
     };
-    for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
+    for (size_t i = 0; i < G_N_ELEMENTS(invalid_headers); i++) {
         struct ch_request_input *input = g_new0(struct ch_request_input, 1);
         struct ch_fault fault = {.error.code = CH_OK};
         input->passed =
             g_array_new(FALSE, FALSE, sizeof(struct ch_http_header));
-        g_assert_false(platform_front_read(&bad[i], 1, input, &fault));
+        g_assert_false(
+            platform_front_read(&invalid_headers[i], 1, input, &fault));
         g_assert_cmpint(fault.error.code, ==, CH_BAD_FIELD);
         g_array_free(input->passed, TRUE);
         g_free(input);
@@ -233,11 +238,12 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/platform/config", test_config);
-    g_test_add_func("/platform/largest-config", test_largest_config);
-    g_test_add_func("/platform/bad-config", test_bad_config);
-    g_test_add_func("/platform/entries", test_entries);
-    g_test_add_func("/platform/headers", test_headers);
-    g_test_add_func("/platform/bad-headers", test_bad_headers);
+    g_test_add_func("/platform/config", test_config_conversion);
+    g_test_add_func("/platform/largest-config",
+                    test_largest_config_round_trip);
+    g_test_add_func("/platform/bad-config", test_invalid_configs);
+    g_test_add_func("/platform/entries", test_host_entries);
+    g_test_add_func("/platform/headers", test_request_headers);
+    g_test_add_func("/platform/bad-headers", test_invalid_request_headers);
     return g_test_run();
 }
