--- a/libchestnuthitch/platform/platform.h
+++ b/libchestnuthitch/platform/platform.h
@@ -8,7 +8,7 @@
 
 #include "net/net.h"
 
-/* ---- key-value store (kv.c: the vtable; kv_http.c: over HTTP) ---- */
+/* ---- key-value store (kv_http.c: over HTTP) ---- */
 
 struct ch_kv_answer {
     enum ch_code code; /* OK, KV_MISSING, KV_CONFLICT, KV_UNREACHABLE (a write
