--- a/libchestnuthitch/net/http.c
+++ b/libchestnuthitch/net/http.c
@@ -1,13 +1,12 @@
 /*
- * The loop of HTTP calls out: one thread around a libcurl multi handle.
- *
- * libcurl is kept from sending anything by itself that was not asked for: no
- * redirects, no proxy, no authentication, no "Expect: 100-continue" (a 417
- * answer to it makes libcurl send again), HTTP/1.1 alone (a refused HTTP/2
- * stream is sent again), and a fresh connection for what may not be repeated
- * (a request on a kept-alive connection that is closed before any answer byte
- * is sent again).  The last is guarded twice: start_of_request() refuses the
- * second sending, whatever the reason that libcurl has for it.
+ * HTTP client: one thread around a libcurl multi handle. libcurl is configured
+ * not to send anything that was not asked for: no redirects, no proxy, no
+ * authentication, no "Expect: 100-continue" (a 417 response makes libcurl send
+ * again), HTTP/1.1 only (a refused HTTP/2 stream is sent again), and a new
+ * connection for requests that must not be repeated (a request on a kept-alive
+ * connection that is closed before any byte of the response is sent again).
+ * For the last there is a second safeguard: handle_request_start() refuses to
+ * send a request a second time, whatever libcurl's reason.
  */
 
 #include "net/net.h"
@@ -19,12 +18,16 @@
 #include <strings.h>
 
 enum {
-    /* Bytes of libcurl's receive buffer of one transfer: tokens are small, and
-     * a thousand open streams share this machine's memory. */
-    RECEIVE_BUFFER = 8 * 1024,
-    /* Idle connections kept in all: two to each of some hundred upstreams. */
-    IDLE_CONNECTIONS = 256,
-    POLL_MOST_MS = 60 * 1000,
+    /*
+     * libcurl's receive buffer per transfer. Small, since tokens are small and
+     * a thousand open streams share the memory of this machine.
+     */
+    RECEIVE_BUFFER_BYTES = 8 * 1024,
+    /*
+     * Idle connections kept in total: two to each of some hundred upstreams.
+     */
+    MAX_IDLE_CONNECTIONS = 256,
+    MAX_POLL_MS = 60 * 1000,
 };
 
 enum phase {
@@ -44,24 +47,24 @@
     char *body;
     size_t body_length;
     struct curl_slist *headers;
-    int64_t connect_limit;
-    int64_t first_byte_limit;
-    int64_t stall_limit;
-    int64_t total_until; /* 0: none */
-    int64_t until;       /* of the phase */
-    int64_t heard;       /* a byte last came, or the request was sent */
+    int64_t connect_timeout;
+    int64_t first_byte_timeout;
+    int64_t stall_timeout;
+    int64_t total_deadline;   /* 0: none */
+    int64_t phase_deadline;   /* end of the current phase */
+    int64_t last_received_at; /* last byte, or the request was sent */
     enum phase phase;
-    CURL *easy; /* NULL until the loop began it */
-    bool fresh;
-    bool sent_once;
+    CURL *easy; /* NULL until the loop starts the transfer */
+    bool fresh_connection;
+    bool no_resend;
     bool connect_only;
-    bool sent;       /* the request was begun on some connection */
-    bool reused;     /* on a connection that had served before */
-    bool doomed;     /* cancelled by a handler: its connection must not stay */
-    bool refused;    /* nobody takes connections there */
-    bool head_whole; /* the blank line after the final head came */
-    int status;      /* of the final head; 0: none yet */
-    char problem[CURL_ERROR_SIZE];
+    bool sent;      /* sending was started on some connection */
+    bool reused;    /* on a connection used by an earlier request */
+    bool cancelled; /* cancelled by a handler: the connection must be closed */
+    bool connection_refused; /* nothing accepts connections at the address */
+    bool headers_done;       /* the final headers are complete */
+    int status;              /* final status; 0: none yet */
+    char error_text[CURL_ERROR_SIZE];
 };
 
 struct ch_http {
@@ -70,23 +73,26 @@
     pthread_t thread;
     pthread_mutex_t lock;
     struct ch_table *transfers; /* guarded by lock */
-    GQueue *begun;              /* of transfers to begin; guarded by lock */
-    GArray *cancelled;          /* of handles; guarded by lock */
-    int64_t idle_limit;         /* guarded by lock */
+    GQueue *submitted;          /* transfers to start; guarded by lock */
+    GArray *cancelled_handles;  /* handles to cancel; guarded by lock */
+    int64_t idle_timeout;       /* guarded by lock */
     bool stopping;              /* guarded by lock */
-    /* The loop's own. */
-    GHashTable *running;   /* transfer to itself */
-    GHashTable *suspected; /* origin to struct suspicion */
-    int64_t check_at;      /* no time limit ends before this */
-    int64_t heard;         /* when a byte last came on any connection */
+    /* Used only by the loop's thread. */
+    GHashTable *running;         /* set of started transfers */
+    GHashTable *suspect_origins; /* origin to struct origin_suspicion */
+    int64_t next_check_at;       /* no timeout ends before this time */
+    int64_t last_received_at;    /* last byte on any connection */
 };
 
-/* When a reused connection of an origin last fell silent. */
-struct suspicion {
-    int64_t until;
+/*
+ * An origin whose reused connection stopped responding; its kept-alive
+ * connections are not used until ends_at.
+ */
+struct origin_suspicion {
+    int64_t ends_at;
 };
 
-/* Frees a transfer that is in no table or queue any more. */
+/* Frees a transfer that has been removed from every table and queue. */
 static void
 transfer_free(struct transfer *transfer)
 {
@@ -101,20 +107,28 @@
     g_free(transfer);
 }
 
-/* Sets the end of the transfer's present phase; a limit of 0 is none. */
+/*
+ * Sets the deadline of the transfer's current phase; a timeout of 0 means
+ * none.
+ */
 static void
-set_until(struct transfer *transfer, int64_t limit)
+set_phase_timeout(struct transfer *transfer, int64_t timeout)
 {
-    int64_t until =
-        limit > 0 ? ch_client_now(transfer->http->client) + limit : INT64_MAX;
-    if (transfer->total_until != 0) {
-        until = MIN(until, transfer->total_until);
+    int64_t deadline = timeout > 0
+                           ? ch_client_now(transfer->http->client) + timeout
+                           : INT64_MAX;
+    if (transfer->total_deadline != 0) {
+        deadline = MIN(deadline, transfer->total_deadline);
     }
-    transfer->until = until;
-    transfer->http->check_at = MIN(transfer->http->check_at, until);
+    transfer->phase_deadline = deadline;
+    transfer->http->next_check_at =
+        MIN(transfer->http->next_check_at, deadline);
 }
 
-/* Ends a transfer: takes it out of everything, then tells its owner. */
+/*
+ * Removes a transfer from all tables, reports its result to the owner and
+ * frees it.
+ */
 static void
 transfer_end(struct transfer *transfer, enum ch_code code, const char *message)
 {
@@ -130,7 +144,7 @@
         .code = code,
         .status = transfer->status,
         .sent = transfer->sent,
-        .refused = transfer->refused,
+        .refused = transfer->connection_refused,
     };
     (void)snprintf(end.message, sizeof(end.message), "%s", message);
     if (transfer->handlers.on_end != NULL) {
@@ -140,22 +154,23 @@
 }
 
 /*
- * libcurl calls this when it has a connection and is about to write the
- * request, each time that it does so: from here on bytes may have gone out.
- * A second call means that libcurl is about to send the request again by
- * itself; the caller of a request that may not be repeated would be told of
- * one run when there were two, so that is refused here.
+ * Called by libcurl each time it has a connection and is about to write the
+ * request; from here on bytes may have been sent. A second call means that
+ * libcurl is about to send the request again on its own. The caller of a
+ * request that must not be repeated would then be told of one run when there
+ * were two, so the second sending is refused.
  */
 static int
-start_of_request(void *data, char *remote, char *local, int remote_port,
-                 int local_port)
+handle_request_start(void *data, char *remote, char *local, int remote_port,
+                     int local_port)
 {
     (void)remote;
     (void)local;
     (void)remote_port;
     (void)local_port;
     struct transfer *transfer = data;
-    if (transfer->sent && (transfer->fresh || transfer->sent_once)) {
+    if (transfer->sent &&
+        (transfer->fresh_connection || transfer->no_resend)) {
         return CURL_PREREQFUNC_ABORT;
     }
     long connects = 0;
@@ -163,24 +178,24 @@
     transfer->reused = connects == 0;
     transfer->sent = true;
     transfer->phase = PHASE_FIRST_BYTE;
-    transfer->heard = ch_client_now(transfer->http->client);
-    set_until(transfer, transfer->first_byte_limit);
+    transfer->last_received_at = ch_client_now(transfer->http->client);
+    set_phase_timeout(transfer, transfer->first_byte_timeout);
     return CURL_PREREQFUNC_OK;
 }
 
-/* Some byte of the answer came: the bound between bytes begins anew. */
+/* Restarts the timeout between received bytes. */
 static void
-note_byte(struct transfer *transfer)
+record_received(struct transfer *transfer)
 {
     transfer->phase = PHASE_BODY;
-    transfer->heard = ch_client_now(transfer->http->client);
-    transfer->http->heard = transfer->heard;
-    set_until(transfer, transfer->stall_limit);
+    transfer->last_received_at = ch_client_now(transfer->http->client);
+    transfer->http->last_received_at = transfer->last_received_at;
+    set_phase_timeout(transfer, transfer->stall_timeout);
 }
 
-/* Takes a status line.  Interim (1xx) heads are skipped. */
+/* Parses a status line. Interim (1xx) responses are skipped. */
 static void
-take_status_line(struct transfer *transfer, const char *line, size_t length)
+parse_status_line(struct transfer *transfer, const char *line, size_t length)
 {
     const char *space = memchr(line, ' ', length);
     int status = 0;
@@ -193,9 +208,9 @@
     }
 }
 
-/* Splits a header line and hands it on. */
+/* Splits a header line and passes it to the owner. */
 static void
-take_header_line(struct transfer *transfer, const char *line, size_t length)
+parse_header_line(struct transfer *transfer, const char *line, size_t length)
 {
     const char *colon = memchr(line, ':', length);
     if (colon == NULL || transfer->handlers.on_header == NULL) {
@@ -208,45 +223,45 @@
     g_free(value);
 }
 
-/* libcurl gives one line of the answer's head, or of a trailer. */
+/* Called by libcurl for each line of the response's headers or trailers. */
 static size_t
-header_came(char *line, size_t size, size_t count, void *data)
+handle_header_line(char *line, size_t size, size_t count, void *data)
 {
     struct transfer *transfer = data;
     size_t length = size * count;
-    note_byte(transfer);
-    if (transfer->head_whole) {
+    record_received(transfer);
+    if (transfer->headers_done) {
         return length;
     }
     if (transfer->status == 0 && length > 5 &&
         strncasecmp(line, "HTTP/", 5) == 0) {
-        take_status_line(transfer, line, length);
+        parse_status_line(transfer, line, length);
         return length;
     }
     if (transfer->status == 0) {
         return length;
     }
     if (line[0] == '\r' || line[0] == '\n') {
-        transfer->head_whole = true;
+        transfer->headers_done = true;
         return length;
     }
-    take_header_line(transfer, line, length);
-    return transfer->doomed ? 0 : length;
+    parse_header_line(transfer, line, length);
+    return transfer->cancelled ? 0 : length;
 }
 
-/* libcurl gives bytes of the answer's body. */
+/* Called by libcurl for bytes of the response's body. */
 static size_t
-data_came(char *bytes, size_t size, size_t count, void *data)
+handle_body_data(char *bytes, size_t size, size_t count, void *data)
 {
     struct transfer *transfer = data;
-    note_byte(transfer);
+    record_received(transfer);
     if (transfer->handlers.on_data != NULL) {
         transfer->handlers.on_data(transfer->data, bytes, size * count);
     }
-    return transfer->doomed ? 0 : size * count;
+    return transfer->cancelled ? 0 : size * count;
 }
 
-/* Sets what is the same for every transfer; see the top of this file. */
+/* Sets the options common to all transfers; see the top of this file. */
 static void
 set_common_options(CURL *easy, struct transfer *transfer)
 {
@@ -260,19 +275,18 @@
     curl_easy_setopt(easy, CURLOPT_DISALLOW_USERNAME_IN_URL, 1L);
     curl_easy_setopt(easy, CURLOPT_PATH_AS_IS, 1L);
     curl_easy_setopt(easy, CURLOPT_TCP_NODELAY, 1L);
-    curl_easy_setopt(easy, CURLOPT_BUFFERSIZE, (long)RECEIVE_BUFFER);
+    curl_easy_setopt(easy, CURLOPT_BUFFERSIZE, (long)RECEIVE_BUFFER_BYTES);
     curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS, (long)INT32_MAX);
-    curl_easy_setopt(easy, CURLOPT_ERRORBUFFER, transfer->problem);
+    curl_easy_setopt(easy, CURLOPT_ERRORBUFFER, transfer->error_text);
     curl_easy_setopt(easy, CURLOPT_PRIVATE, transfer);
-    curl_easy_setopt(easy, CURLOPT_PREREQFUNCTION, start_of_request);
+    curl_easy_setopt(easy, CURLOPT_PREREQFUNCTION, handle_request_start);
     curl_easy_setopt(easy, CURLOPT_PREREQDATA, transfer);
-    curl_easy_setopt(easy, CURLOPT_HEADERFUNCTION, header_came);
+    curl_easy_setopt(easy, CURLOPT_HEADERFUNCTION, handle_header_line);
     curl_easy_setopt(easy, CURLOPT_HEADERDATA, transfer);
-    curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, data_came);
+    curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, handle_body_data);
     curl_easy_setopt(easy, CURLOPT_WRITEDATA, transfer);
 }
 
-/* Sets method, URL, headers and body. */
 static void
 set_request_options(CURL *easy, struct transfer *transfer)
 {
@@ -299,62 +313,65 @@
 }
 
 /*
- * True while kept-alive connections to this origin are not trusted.  When
- * something between the two ends forgets connections, it forgets many at
- * once; without this each call after the first would find another dead one
- * and wait for its whole bound.
+ * Whether kept-alive connections to this origin are not to be reused. When a
+ * middlebox drops connections, it drops many at once: without this, each call
+ * after the first would pick another dead connection and wait for its full
+ * timeout.
  */
 static bool
-is_suspected(struct ch_http *http, const char *origin)
+is_suspect_origin(struct ch_http *http, const char *origin)
 {
-    const struct suspicion *found =
-        g_hash_table_lookup(http->suspected, origin);
+    const struct origin_suspicion *found =
+        g_hash_table_lookup(http->suspect_origins, origin);
     if (found == NULL) {
         return false;
     }
-    if (ch_client_now(http->client) < found->until) {
+    if (ch_client_now(http->client) < found->ends_at) {
         return true;
     }
-    g_hash_table_remove(http->suspected, origin);
+    g_hash_table_remove(http->suspect_origins, origin);
     return false;
 }
 
 /*
- * Sets whether connections are reused and for how long they may idle.
- * libcurl counts whole seconds and reuses up to the end of the second that is
- * set, so one less is set.
+ * Sets whether connections are reused and how long they may idle. libcurl
+ * counts whole seconds and reuses a connection until the end of the second
+ * that is set, so one second less is set.
  */
 static void
 set_connection_options(CURL *easy, struct transfer *transfer)
 {
     struct ch_http *http = transfer->http;
     pthread_mutex_lock(&http->lock);
-    int64_t limit = http->idle_limit;
+    int64_t timeout = http->idle_timeout;
     pthread_mutex_unlock(&http->lock);
-    long seconds = (long)(limit / G_USEC_PER_SEC);
+    long seconds = (long)(timeout / G_USEC_PER_SEC);
     curl_easy_setopt(easy, CURLOPT_MAXAGE_CONN, MAX(seconds - 1, 0));
-    if (transfer->fresh || is_suspected(http, transfer->origin)) {
+    if (transfer->fresh_connection ||
+        is_suspect_origin(http, transfer->origin)) {
         curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, 1L);
     }
-    if (transfer->fresh || seconds == 0) {
+    if (transfer->fresh_connection || seconds == 0) {
         curl_easy_setopt(easy, CURLOPT_FORBID_REUSE, 1L);
     }
 }
 
-/* Gives a transfer to libcurl, unless its time was over before the loop had a
- * turn for it: its owner counts on no more being sent. */
+/*
+ * Starts a transfer in libcurl, unless its deadline passed before the loop
+ * reached it: the owner relies on nothing being sent after the deadline.
+ */
 static void
-transfer_begin(struct transfer *transfer)
+transfer_start(struct transfer *transfer)
 {
     struct ch_http *http = transfer->http;
-    if (transfer->total_until != 0 &&
-        ch_client_now(http->client) >= transfer->total_until) {
-        transfer_end(transfer, CH_UPSTREAM_CONNECT, "not begun in time");
+    if (transfer->total_deadline != 0 &&
+        ch_client_now(http->client) >= transfer->total_deadline) {
+        transfer_end(transfer, CH_UPSTREAM_CONNECT, "not started in time");
         return;
     }
     CURL *easy = curl_easy_init();
     if (easy == NULL) {
-        transfer_end(transfer, CH_SYSTEM, "no memory for a transfer");
+        transfer_end(transfer, CH_SYSTEM, "out of memory for a transfer");
         return;
     }
     transfer->easy = easy;
@@ -362,17 +379,18 @@
     set_common_options(easy, transfer);
     set_request_options(easy, transfer);
     set_connection_options(easy, transfer);
-    set_until(transfer, transfer->connect_limit);
+    set_phase_timeout(transfer, transfer->connect_timeout);
     if (curl_multi_add_handle(http->multi, easy) != CURLM_OK) {
-        transfer_end(transfer, CH_SYSTEM, "libcurl took no more transfers");
+        transfer_end(transfer, CH_SYSTEM,
+                     "libcurl did not accept more transfers");
     }
 }
 
-/* The code for a result of libcurl. */
+/* Converts a result of libcurl to a code. */
 static enum ch_code
-code_of_result(const struct transfer *transfer, CURLcode result)
+convert_result(const struct transfer *transfer, CURLcode result)
 {
-    if (transfer->doomed) {
+    if (transfer->cancelled) {
         return CH_CANCELLED;
     }
     if (result == CURLE_OK) {
@@ -394,9 +412,9 @@
     }
 }
 
-/* Ends the transfers that libcurl is done with. */
+/* Ends the transfers that libcurl has completed. */
 static void
-take_results(struct ch_http *http)
+handle_results(struct ch_http *http)
 {
     int left = 0;
     CURLMsg *message = NULL;
@@ -407,47 +425,53 @@
         struct transfer *transfer = NULL;
         CURLcode result = message->data.result;
         curl_easy_getinfo(message->easy_handle, CURLINFO_PRIVATE, &transfer);
-        const char *text = transfer->problem[0] != '\0'
-                               ? transfer->problem
+        const char *text = transfer->error_text[0] != '\0'
+                               ? transfer->error_text
                                : curl_easy_strerror(result);
-        transfer->refused = !transfer->sent && result == CURLE_COULDNT_CONNECT;
-        transfer_end(transfer, code_of_result(transfer, result),
+        transfer->connection_refused =
+            !transfer->sent && result == CURLE_COULDNT_CONNECT;
+        transfer_end(transfer, convert_result(transfer, result),
                      result == CURLE_OK ? "" : text);
     }
 }
 
-/* Notes that a reused connection fell silent; see is_suspected(). */
+/*
+ * Records that a reused connection stopped responding; see
+ * is_suspect_origin().
+ */
 static void
-suspect_origin(struct ch_http *http, const struct transfer *transfer)
+mark_origin_suspect(struct ch_http *http, const struct transfer *transfer)
 {
-    struct suspicion *found = g_new(struct suspicion, 1);
+    struct origin_suspicion *found = g_new(struct origin_suspicion, 1);
     pthread_mutex_lock(&http->lock);
-    found->until = ch_client_now(http->client) + http->idle_limit;
+    found->ends_at = ch_client_now(http->client) + http->idle_timeout;
     pthread_mutex_unlock(&http->lock);
-    g_hash_table_replace(http->suspected, g_strdup(transfer->origin), found);
+    g_hash_table_replace(http->suspect_origins, g_strdup(transfer->origin),
+                         found);
 }
 
 /*
- * Whether this node may be what stands still: since the later half of a call's
- * silence nobody was heard, and an answer that had begun elsewhere, and may
- * not be silent for long either, has stopped as well.  Connections that
- * something on the way forgets while they idle are no reason for that.  Half,
- * as calls are last heard at different moments before a standstill.
+ * Whether this node itself may have stalled, rather than the connection. True
+ * if nothing was received on any connection in the later half of the call's
+ * silence, and a response that had begun from another origin, and is also
+ * under a stall timeout, has stopped too. Connections dropped by a middlebox
+ * while idle do not cause that. Only the later half counts, since calls last
+ * receive data at different moments before a stall.
  */
 static bool
-stands_still(struct ch_http *http, const struct transfer *transfer,
-             int64_t now)
+may_be_own_stall(struct ch_http *http, const struct transfer *transfer,
+                 int64_t now)
 {
-    int64_t since = now - (now - transfer->heard) / 2;
+    int64_t since = now - (now - transfer->last_received_at) / 2;
     GHashTableIter iter;
     void *key = NULL;
-    if (http->heard > since) {
+    if (http->last_received_at > since) {
         return false;
     }
     g_hash_table_iter_init(&iter, http->running);
     while (g_hash_table_iter_next(&iter, &key, NULL)) {
         const struct transfer *other = key;
-        if (other->phase == PHASE_BODY && other->stall_limit > 0 &&
+        if (other->phase == PHASE_BODY && other->stall_timeout > 0 &&
             strcmp(other->origin, transfer->origin) != 0) {
             return true;
         }
@@ -456,69 +480,73 @@
 }
 
 /*
- * Notes the origins of reused connections that fell silent; see
- * is_suspected().  A standstill of this node would have all its calls go out
- * on new connections for as long as those may idle, when it has least to spare
- * for them.
+ * Marks the origins of reused connections that stopped responding; see
+ * is_suspect_origin(). Skipped when this node itself may have stalled: all its
+ * calls would then open new connections for as long as connections may idle,
+ * just when the node can least afford it.
  */
 static void
-learn_from(struct ch_http *http, const GPtrArray *overdue, int64_t now)
+mark_suspect_origins(struct ch_http *http, const GPtrArray *timed_out,
+                     int64_t now)
 {
-    for (guint i = 0; i < overdue->len; i++) {
-        const struct transfer *transfer = g_ptr_array_index(overdue, i);
+    for (guint i = 0; i < timed_out->len; i++) {
+        const struct transfer *transfer = g_ptr_array_index(timed_out, i);
         if (transfer->sent && transfer->reused &&
-            !stands_still(http, transfer, now)) {
-            suspect_origin(http, transfer);
+            !may_be_own_stall(http, transfer, now)) {
+            mark_origin_suspect(http, transfer);
         }
     }
 }
 
-/* Ends a transfer whose phase has taken too long. */
+/* Ends a transfer whose current phase timed out. */
 static void
-end_overdue(struct transfer *transfer)
+end_timed_out(struct transfer *transfer)
 {
     static const char *const texts[] = {
         [PHASE_CONNECT] = "not connected in time",
-        [PHASE_FIRST_BYTE] = "no answer in time",
-        [PHASE_BODY] = "silent in the middle of the answer",
+        [PHASE_FIRST_BYTE] = "no response in time",
+        [PHASE_BODY] = "silent in the middle of the response",
     };
     transfer_end(transfer,
                  transfer->sent ? CH_UPSTREAM_STALLED : CH_UPSTREAM_CONNECT,
                  texts[transfer->phase]);
 }
 
-/* The limit of the transfer's phase after it was connected. */
+/* The timeout of the transfer's current phase after it was connected. */
 static int64_t
-silence_limit(const struct transfer *transfer)
+get_silence_timeout(const struct transfer *transfer)
 {
-    return transfer->phase == PHASE_FIRST_BYTE ? transfer->first_byte_limit
-                                               : transfer->stall_limit;
+    return transfer->phase == PHASE_FIRST_BYTE ? transfer->first_byte_timeout
+                                               : transfer->stall_timeout;
 }
 
-/* Whether the owner of a transfer that is overdue waits on for it; it is asked
- * again after the same time, since what it waits for may be had by then. */
+/*
+ * Asks the owner of a timed-out transfer whether to keep waiting. The owner is
+ * asked again after the same timeout, since what it waits for may be available
+ * by then.
+ */
 static bool
-waits_on(struct transfer *transfer, int64_t now)
+owner_keeps_waiting(struct transfer *transfer, int64_t now)
 {
-    bool total_over =
-        transfer->total_until != 0 && transfer->total_until <= now;
-    if (total_over || transfer->phase == PHASE_CONNECT ||
+    bool total_passed =
+        transfer->total_deadline != 0 && transfer->total_deadline <= now;
+    if (total_passed || transfer->phase == PHASE_CONNECT ||
         transfer->handlers.on_silent == NULL ||
         !transfer->handlers.on_silent(transfer->data)) {
         return false;
     }
-    set_until(transfer, silence_limit(transfer));
+    set_phase_timeout(transfer, get_silence_timeout(transfer));
     return true;
 }
 
 /*
- * Says how many calls were overdue at once, and whether this node heard anyone
- * else meanwhile: upstreams that are silent, a link that is full and a thread
- * that has no turn look alike to each single call.
+ * Logs how many calls timed out at once and when this node last received
+ * anything: silent upstreams, a congested link and a thread that got no CPU
+ * time look alike from a single call.
  */
 static void
-log_overdue(const struct ch_http *http, unsigned ended, unsigned waited_for,
-            int64_t late, int64_t now)
+log_timeouts(const struct ch_http *http, unsigned ended, unsigned waited_for,
+             int64_t late, int64_t now)
 {
     if (ended + waited_for == 0) {
         return;
@@ -527,77 +555,82 @@
            CH_F_INT("waited_for", waited_for),
            CH_F_INT("open", g_hash_table_size(http->running)),
            CH_F_INT("late_us", late),
-           CH_F_INT("heard_us",
-                    http->heard == 0 ? -1 : MAX(now - http->heard, 0)),
+           CH_F_INT("heard_us", http->last_received_at == 0
+                                    ? -1
+                                    : MAX(now - http->last_received_at, 0)),
            CH_F_END);
 }
 
 /*
- * Ends every transfer whose time was over when the connections were last read,
- * and finds when to look again.  Reading and its handlers may take long on a
- * busy host: bytes that came meanwhile are read in the next turn.
+ * Ends every transfer whose deadline had passed when the connections were last
+ * read, and computes the next time to check. Reading and the handlers may take
+ * long on a busy host; bytes that arrive meanwhile are read in the next
+ * iteration, so they must not count as missing.
  */
 static void
-end_all_overdue(struct ch_http *http, int64_t now)
+end_all_timed_out(struct ch_http *http, int64_t now)
 {
-    if (now < http->check_at) {
+    if (now < http->next_check_at) {
         return;
     }
-    GPtrArray *overdue = g_ptr_array_new();
+    GPtrArray *timed_out = g_ptr_array_new();
     GHashTableIter iter;
     void *key = NULL;
     unsigned waited_for = 0;
     int64_t late = 0;
-    http->check_at = INT64_MAX;
+    http->next_check_at = INT64_MAX;
     g_hash_table_iter_init(&iter, http->running);
     while (g_hash_table_iter_next(&iter, &key, NULL)) {
         struct transfer *transfer = key;
-        bool is_overdue = transfer->until <= now;
-        late = MAX(late, now - transfer->until);
-        if (is_overdue && !waits_on(transfer, now)) {
-            g_ptr_array_add(overdue, transfer);
+        bool is_timed_out = transfer->phase_deadline <= now;
+        late = MAX(late, now - transfer->phase_deadline);
+        if (is_timed_out && !owner_keeps_waiting(transfer, now)) {
+            g_ptr_array_add(timed_out, transfer);
             continue;
         }
-        waited_for += is_overdue;
-        http->check_at = MIN(http->check_at, transfer->until);
+        waited_for += is_timed_out;
+        http->next_check_at =
+            MIN(http->next_check_at, transfer->phase_deadline);
     }
-    log_overdue(http, overdue->len, waited_for, late, now);
-    learn_from(http, overdue, now);
-    for (guint i = 0; i < overdue->len; i++) {
-        end_overdue(g_ptr_array_index(overdue, i));
+    log_timeouts(http, timed_out->len, waited_for, late, now);
+    mark_suspect_origins(http, timed_out, now);
+    for (guint i = 0; i < timed_out->len; i++) {
+        end_timed_out(g_ptr_array_index(timed_out, i));
     }
-    g_ptr_array_free(overdue, TRUE);
+    g_ptr_array_free(timed_out, TRUE);
 }
 
-/* Begins what was submitted since the last time. */
+/* Starts the transfers submitted since the last call. */
 static void
-begin_submitted(struct ch_http *http)
+start_submitted(struct ch_http *http)
 {
     pthread_mutex_lock(&http->lock);
-    GQueue *begun = http->begun;
-    http->begun = g_queue_new();
+    GQueue *submitted = http->submitted;
+    http->submitted = g_queue_new();
     pthread_mutex_unlock(&http->lock);
     struct transfer *transfer = NULL;
-    while ((transfer = g_queue_pop_head(begun)) != NULL) {
-        transfer_begin(transfer);
+    while ((transfer = g_queue_pop_head(submitted)) != NULL) {
+        transfer_start(transfer);
     }
-    g_queue_free(begun);
+    g_queue_free(submitted);
 }
 
-/* Ends what was cancelled since the last time; a call that is over is not in
- * the table any more and is left alone. */
+/*
+ * Ends the transfers cancelled since the last call. A call that has already
+ * ended is no longer in the table and is ignored.
+ */
 static void
 end_cancelled(struct ch_http *http)
 {
     pthread_mutex_lock(&http->lock);
-    GArray *handles = http->cancelled;
-    http->cancelled = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+    GArray *handles = http->cancelled_handles;
+    http->cancelled_handles = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     pthread_mutex_unlock(&http->lock);
     for (guint i = 0; i < handles->len; i++) {
         pthread_mutex_lock(&http->lock);
         struct transfer *transfer =
             ch_table_get(http->transfers, g_array_index(handles, uint64_t, i));
-        g_queue_remove(http->begun, transfer);
+        g_queue_remove(http->submitted, transfer);
         pthread_mutex_unlock(&http->lock);
         if (transfer != NULL) {
             transfer_end(transfer, CH_CANCELLED, "cancelled");
@@ -606,30 +639,31 @@
     g_array_free(handles, TRUE);
 }
 
-/* Milliseconds until the loop has to look at its time limits. */
+/* Milliseconds until the next timeout has to be checked. */
 static int
-poll_ms(const struct ch_http *http)
+get_poll_timeout_ms(const struct ch_http *http)
 {
-    if (http->check_at == INT64_MAX) {
-        return POLL_MOST_MS;
+    if (http->next_check_at == INT64_MAX) {
+        return MAX_POLL_MS;
     }
-    int64_t left = http->check_at - ch_client_now(http->client);
-    return (int)CLAMP((left + 999) / 1000, 0, POLL_MOST_MS);
+    int64_t left = http->next_check_at - ch_client_now(http->client);
+    return (int)CLAMP((left + 999) / 1000, 0, MAX_POLL_MS);
 }
 
-/* Cancels everything that is still open, for the end of the loop. */
+/* Cancels all open transfers when the loop stops. */
 static void
 cancel_all(struct ch_http *http)
 {
-    begin_submitted(http);
+    start_submitted(http);
     GList *open = g_hash_table_get_keys(http->running);
     for (GList *at = open; at != NULL; at = at->next) {
-        transfer_end(at->data, CH_CANCELLED, "the loop ends");
+        transfer_end(at->data, CH_CANCELLED,
+                     "the HTTP client is shutting down");
     }
     g_list_free(open);
 }
 
-/* True once ch_http_free() was called. */
+/* Whether ch_http_free() was called. */
 static bool
 is_stopping(struct ch_http *http)
 {
@@ -639,62 +673,61 @@
     return stopping;
 }
 
-/* The loop's thread. */
 static void *
 run_loop(void *data)
 {
     struct ch_http *http = data;
     while (!is_stopping(http)) {
         int running = 0;
-        begin_submitted(http);
+        start_submitted(http);
         end_cancelled(http);
         int64_t now = ch_client_now(http->client);
         curl_multi_perform(http->multi, &running);
-        take_results(http);
-        end_all_overdue(http, now);
-        curl_multi_poll(http->multi, NULL, 0, poll_ms(http), NULL);
+        handle_results(http);
+        end_all_timed_out(http, now);
+        curl_multi_poll(http->multi, NULL, 0, get_poll_timeout_ms(http), NULL);
     }
     cancel_all(http);
     return NULL;
 }
 
-/* libcurl's own set-up, once in a process. */
+/* Initialises libcurl, once per process. */
 static void *
-set_up_libcurl(void *unused)
+init_libcurl(void *unused)
 {
     curl_global_init(CURL_GLOBAL_DEFAULT);
     return unused;
 }
 
-/* Starts the loop's thread.  client must outlive the loop. */
+/* Starts the loop's thread. client must outlive the HTTP client. */
 struct ch_http *
 ch_http_new(struct ch_client *client)
 {
     static GOnce once = G_ONCE_INIT;
-    g_once(&once, set_up_libcurl, NULL);
+    g_once(&once, init_libcurl, NULL);
     struct ch_http *http = g_new0(struct ch_http, 1);
     http->client = client;
     http->multi = curl_multi_init();
     curl_multi_setopt(http->multi, CURLMOPT_MAXCONNECTS,
-                      (long)IDLE_CONNECTIONS);
+                      (long)MAX_IDLE_CONNECTIONS);
     curl_multi_setopt(http->multi, CURLMOPT_PIPELINING,
                       (long)CURLPIPE_NOTHING);
     http->transfers = ch_table_new();
-    http->begun = g_queue_new();
-    http->cancelled = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+    http->submitted = g_queue_new();
+    http->cancelled_handles = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     http->running = g_hash_table_new(NULL, NULL);
-    http->suspected =
+    http->suspect_origins =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    http->idle_limit = (int64_t)30 * G_USEC_PER_SEC;
-    http->check_at = INT64_MAX;
+    http->idle_timeout = (int64_t)30 * G_USEC_PER_SEC;
+    http->next_check_at = INT64_MAX;
     pthread_mutex_init(&http->lock, NULL);
     if (pthread_create(&http->thread, NULL, run_loop, http) != 0) {
-        g_error("no thread for HTTP calls out");
+        g_error("cannot create the HTTP client thread");
     }
     return http;
 }
 
-/* Ends the loop: what is open gets its on_end with CANCELLED. */
+/* Stops the loop; open calls get on_end with CANCELLED. */
 void
 ch_http_free(struct ch_http *http)
 {
@@ -708,16 +741,18 @@
     pthread_join(http->thread, NULL);
     curl_multi_cleanup(http->multi);
     g_hash_table_destroy(http->running);
-    g_hash_table_destroy(http->suspected);
+    g_hash_table_destroy(http->suspect_origins);
     ch_table_free(http->transfers);
-    g_queue_free(http->begun);
-    g_array_free(http->cancelled, TRUE);
+    g_queue_free(http->submitted);
+    g_array_free(http->cancelled_handles, TRUE);
     pthread_mutex_destroy(&http->lock);
     g_free(http);
 }
 
-/* Adds a header line unless it would break the head: a line break in a value
- * would let it add headers or a second request. */
+/*
+ * Adds a header line. Names and values with a line break are dropped: they
+ * could inject headers or a second request.
+ */
 static void
 add_header(struct transfer *transfer, const char *name, const char *value)
 {
@@ -730,27 +765,30 @@
     g_free(line);
 }
 
-/* Copies the headers, and keeps libcurl from adding two of its own: a content
- * type that nobody stated, and "Expect" (see the top of this file). */
+/*
+ * Copies the headers, and stops libcurl from adding two of its own: a default
+ * content type, and "Expect" (see the top of this file).
+ */
 static void
 copy_headers(struct transfer *transfer, const struct ch_http_request *request)
 {
-    bool typed = false;
+    bool has_content_type = false;
     for (size_t i = 0; i < request->header_count; i++) {
         const struct ch_http_header *header = &request->headers[i];
         add_header(transfer, header->name, header->value);
-        typed = typed || strcasecmp(header->name, "Content-Type") == 0;
+        has_content_type =
+            has_content_type || strcasecmp(header->name, "Content-Type") == 0;
     }
-    if (!typed) {
+    if (!has_content_type) {
         transfer->headers =
             curl_slist_append(transfer->headers, "Content-Type:");
     }
     transfer->headers = curl_slist_append(transfer->headers, "Expect:");
 }
 
-/* "http://ip:port" of a URL; a new string. */
+/* The "http://ip:port" of a URL; a new string. */
 static char *
-origin_of(const char *url)
+copy_origin(const char *url)
 {
     const char *host = strstr(url, "://");
     const char *slash = strchr(host == NULL ? url : host + 3, '/');
@@ -758,7 +796,7 @@
                          : g_strndup(url, (size_t)(slash - url));
 }
 
-/* A transfer with a copy of all that the request states. */
+/* Creates a transfer with a copy of the request. */
 static struct transfer *
 transfer_new(struct ch_http *http, const struct ch_http_request *request,
              const struct ch_http_handlers *handlers, void *data)
@@ -768,7 +806,7 @@
     transfer->handlers = *handlers;
     transfer->data = data;
     transfer->url = g_strdup(request->url);
-    transfer->origin = origin_of(request->url);
+    transfer->origin = copy_origin(request->url);
     transfer->method = g_strdup(request->method);
     transfer->body = g_malloc(request->body_length + 1);
     if (request->body_length > 0) {
@@ -776,23 +814,26 @@
     }
     transfer->body[request->body_length] = '\0';
     transfer->body_length = request->body_length;
-    transfer->connect_limit = request->connect_limit;
-    transfer->first_byte_limit = request->first_byte_limit;
-    transfer->stall_limit = request->stall_limit;
-    transfer->fresh = request->fresh_connection || request->connect_only;
+    transfer->connect_timeout = request->connect_limit;
+    transfer->first_byte_timeout = request->first_byte_limit;
+    transfer->stall_timeout = request->stall_limit;
+    transfer->fresh_connection =
+        request->fresh_connection || request->connect_only;
     transfer->connect_only = request->connect_only;
-    transfer->sent_once = request->sent_once;
-    transfer->until = INT64_MAX;
+    transfer->no_resend = request->sent_once;
+    transfer->phase_deadline = INT64_MAX;
     if (request->total_limit > 0) {
-        transfer->total_until =
+        transfer->total_deadline =
             ch_client_now(http->client) + request->total_limit;
     }
     copy_headers(transfer, request);
     return transfer;
 }
 
-/* Hands a request to the loop, from any thread; returns at once.  Not to be
- * called after ch_http_free() has begun. */
+/*
+ * Queues a request for the loop, from any thread; does not block. Must not be
+ * called after ch_http_free() has begun.
+ */
 uint64_t
 ch_http_submit(struct ch_http *http, const struct ch_http_request *request,
                const struct ch_http_handlers *handlers, void *data)
@@ -801,39 +842,42 @@
     pthread_mutex_lock(&http->lock);
     uint64_t handle = ch_table_add(http->transfers, transfer);
     transfer->handle = handle;
-    g_queue_push_tail(http->begun, transfer);
+    g_queue_push_tail(http->submitted, transfer);
     pthread_mutex_unlock(&http->lock);
     curl_multi_wakeup(http->multi);
     return handle;
 }
 
 /*
- * Has the loop end a call with CANCELLED, unless it is over.  The connection
- * is closed, which tells the other end.  Any thread, also a handler: then the
- * rest of the answer is not even read.  If it were, an answer that had come
- * whole would end well before the loop took the cancel, and its connection
- * would serve the next call, with whatever it still holds: after one answer
- * that came twice, every later call on it got the one before its own.
+ * Ends a call with CANCELLED unless it has ended already, and closes its
+ * connection, which notifies the other end. Callable from any thread, also
+ * from a handler: the rest of the response is then not read at all. Otherwise
+ * a response that had fully arrived would end before the loop handled the
+ * cancel, and its connection would be reused with any unread bytes still on
+ * it: after one duplicated response, every later call on that connection would
+ * get the response to the call before it.
  */
 void
 ch_http_cancel(struct ch_http *http, uint64_t handle)
 {
     pthread_mutex_lock(&http->lock);
-    g_array_append_val(http->cancelled, handle);
+    g_array_append_val(http->cancelled_handles, handle);
     struct transfer *transfer = ch_table_get(http->transfers, handle);
     pthread_mutex_unlock(&http->lock);
     if (transfer != NULL && pthread_equal(pthread_self(), http->thread)) {
-        transfer->doomed = true;
+        transfer->cancelled = true;
     }
     curl_multi_wakeup(http->multi);
 }
 
-/* For calls begun from now on; counted in whole seconds, rounded down.  Under
- * a second: connections are not reused. */
+/*
+ * Applies to calls started from now on. Counted in whole seconds, rounded
+ * down; under one second, connections are not reused.
+ */
 void
-ch_http_idle_limit(struct ch_http *http, int64_t limit)
+ch_http_idle_limit(struct ch_http *http, int64_t timeout)
 {
     pthread_mutex_lock(&http->lock);
-    http->idle_limit = limit;
+    http->idle_timeout = timeout;
     pthread_mutex_unlock(&http->lock);
 }
--- a/libchestnuthitch/net/http_fetch.c
+++ b/libchestnuthitch/net/http_fetch.c
@@ -1,4 +1,4 @@
-/* Whole answers gathered in memory, for calls to the platform. */
+/* Collects complete responses in memory, for calls to the platform. */
 
 #include "net/net.h"
 
@@ -8,13 +8,13 @@
 struct fetch {
     GString *body;
     char *etag;
-    size_t most_bytes;
+    size_t max_bytes;
     bool too_large;
     void (*done)(void *data, const struct ch_http_answer *answer);
     void *data;
 };
 
-/* Keeps the one header that callers of a fetch look at. */
+/* Stores the ETag, the only header that users of a fetch need. */
 static void
 fetch_header(void *data, const char *name, const char *value)
 {
@@ -25,46 +25,47 @@
     }
 }
 
-/* Gathers bytes up to the bound.  What is over it is dropped: the answer then
- * ends as malformed, and never as a whole one. */
+/*
+ * Collects the body up to the limit. Bytes over it are dropped, and the
+ * response ends as malformed, never as complete.
+ */
 static void
 fetch_data(void *data, const char *bytes, size_t length)
 {
     struct fetch *fetch = data;
-    if (fetch->too_large || length > fetch->most_bytes - fetch->body->len) {
+    if (fetch->too_large || length > fetch->max_bytes - fetch->body->len) {
         fetch->too_large = true;
         return;
     }
     g_string_append_len(fetch->body, bytes, (gssize)length);
 }
 
-/* Tells the answer and frees the fetch. */
+/* Reports the response and frees the fetch. */
 static void
-fetch_end(void *data, const struct ch_http_end *end)
+fetch_end(void *data, const struct ch_http_end *result)
 {
     struct fetch *fetch = data;
-    struct ch_http_answer answer = {
-        .end = *end,
+    struct ch_http_answer response = {
+        .end = *result,
         .body = fetch->body->str,
         .length = fetch->body->len,
         .etag = fetch->etag,
     };
-    if (fetch->too_large && end->code == CH_OK) {
-        answer.end.code = CH_UPSTREAM_ANSWER;
-        (void)snprintf(answer.end.message, sizeof(answer.end.message),
-                       "the answer is over %zu bytes", fetch->most_bytes);
+    if (fetch->too_large && result->code == CH_OK) {
+        response.end.code = CH_UPSTREAM_ANSWER;
+        (void)snprintf(response.end.message, sizeof(response.end.message),
+                       "the response is over %zu bytes", fetch->max_bytes);
     }
-    fetch->done(fetch->data, &answer);
+    fetch->done(fetch->data, &response);
     g_string_free(fetch->body, TRUE);
     g_free(fetch->etag);
     g_free(fetch);
 }
 
-/* As ch_http_submit(), with the answer of most_bytes at most in one piece. */
 uint64_t
 ch_http_fetch(struct ch_http *http, const struct ch_http_request *request,
-              size_t most_bytes,
-              void (*done)(void *data, const struct ch_http_answer *answer),
+              size_t max_bytes,
+              void (*done)(void *data, const struct ch_http_answer *response),
               void *data)
 {
     static const struct ch_http_handlers handlers = {
@@ -74,7 +75,7 @@
     };
     struct fetch *fetch = g_new0(struct fetch, 1);
     fetch->body = g_string_new(NULL);
-    fetch->most_bytes = most_bytes;
+    fetch->max_bytes = max_bytes;
     fetch->done = done;
     fetch->data = data;
     return ch_http_submit(http, request, &handlers, fetch);
