--- a/libchestnuthitch/upstream/ask.c
+++ b/libchestnuthitch/upstream/ask.c
@@ -1,79 +1,79 @@
-/* Orders to upstreams and their reports: who is told of the answer, and what
- * of it. */
+/* Sends orders to upstreams and fetches their reports, over HTTP. */
 
 #include "upstream/ask.h"
 
 enum {
-    /* Of a report: some hundred residents and orders of a hundred bytes. */
-    MOST_REPORT = 1024 * 1024,
-    MOST_ORDER_ANSWER = 64 * 1024,
+    /* A report has some hundred items and orders of a hundred bytes each. */
+    MAX_REPORT_BYTES = 1024 * 1024,
+    MAX_ORDER_RESPONSE_BYTES = 64 * 1024,
 };
 
-/* An order under way: who is to be told. */
-struct order_wait {
+/* An order whose response is awaited. */
+struct order_context {
     enum ch_code (*code_of)(int status);
     void (*done)(void *data, enum ch_code code);
     void *data;
 };
 
-/* The answer to an order, or what kept it from coming.  A lost answer says
- * nothing of whether the order was taken; one that was not sent surely was
- * not. */
+/*
+ * Handles the response to an order, or its failure. After a lost response it
+ * is unknown whether the order was taken; an order that was not sent was
+ * certainly not taken.
+ */
 static void
-order_answered(void *data, const struct ch_http_answer *answer)
+handle_order_response(void *data, const struct ch_http_answer *response)
 {
-    struct order_wait *wait = data;
-    enum ch_code code = answer->end.code;
+    struct order_context *context = data;
+    enum ch_code code = response->end.code;
     if (code == CH_OK) {
-        code = wait->code_of(answer->end.status);
+        code = context->code_of(response->end.status);
     }
-    else if (!answer->end.sent) {
+    else if (!response->end.sent) {
         code = CH_UPSTREAM_CONNECT;
     }
-    wait->done(wait->data, code);
-    g_free(wait);
+    context->done(context->data, code);
+    g_free(context);
 }
 
-/* See ask.h. */
 void
 ch_ask_order(struct ch_http *http, const struct ch_http_request *request,
              enum ch_code (*code_of)(int status),
              void (*done)(void *data, enum ch_code code), void *data)
 {
-    struct order_wait *wait = g_new0(struct order_wait, 1);
-    wait->code_of = code_of;
-    wait->done = done;
-    wait->data = data;
-    ch_http_fetch(http, request, MOST_ORDER_ANSWER, order_answered, wait);
+    struct order_context *context = g_new0(struct order_context, 1);
+    context->code_of = code_of;
+    context->done = done;
+    context->data = data;
+    ch_http_fetch(http, request, MAX_ORDER_RESPONSE_BYTES,
+                  handle_order_response, context);
 }
 
-/* A report under way: who is to be told. */
-struct report_wait {
+/* A report whose response is awaited. */
+struct report_context {
     struct ch_report *(*read)(const char *text, size_t length,
                               struct ch_error *error);
     void (*done)(void *data, enum ch_code code, struct ch_report *report);
     void *data;
 };
 
-/* The answer to a report's call, or what kept it from coming. */
+/* Handles the response with a report, or its failure. */
 static void
-report_answered(void *data, const struct ch_http_answer *answer)
+handle_report_response(void *data, const struct ch_http_answer *response)
 {
-    struct report_wait *wait = data;
-    struct ch_error error = {.code = answer->end.code};
+    struct report_context *context = data;
+    struct ch_error error = {.code = response->end.code};
     struct ch_report *report = NULL;
-    if (error.code == CH_OK && answer->end.status != 200) {
+    if (error.code == CH_OK && response->end.status != 200) {
         ch_error_set(&error, CH_UPSTREAM_ANSWER, "report: status %d",
-                     answer->end.status);
+                     response->end.status);
     }
     if (error.code == CH_OK) {
-        report = wait->read(answer->body, answer->length, &error);
+        report = context->read(response->body, response->length, &error);
     }
-    wait->done(wait->data, error.code, report);
-    g_free(wait);
+    context->done(context->data, error.code, report);
+    g_free(context);
 }
 
-/* See ask.h. */
 void
 ch_ask_report(struct ch_http *http, const struct ch_http_request *request,
               struct ch_report *(*read)(const char *text, size_t length,
@@ -82,9 +82,10 @@
                            struct ch_report *report),
               void *data)
 {
-    struct report_wait *wait = g_new0(struct report_wait, 1);
-    wait->read = read;
-    wait->done = done;
-    wait->data = data;
-    ch_http_fetch(http, request, MOST_REPORT, report_answered, wait);
+    struct report_context *context = g_new0(struct report_context, 1);
+    context->read = read;
+    context->done = done;
+    context->data = data;
+    ch_http_fetch(http, request, MAX_REPORT_BYTES, handle_report_response,
+                  context);
 }
--- a/libchestnuthitch/upstream/call.c
+++ b/libchestnuthitch/upstream/call.c
@@ -1,7 +1,7 @@
 /*
- * One request to an upstream.  Nothing of an answer is passed on before it is
- * known to be for this request, and it is called whole only with the
- * upstream's own end mark.
+ * One request to an upstream. Nothing of a response is forwarded before it is
+ * known to belong to this request, and the response counts as complete only
+ * with the upstream's own end marker.
  */
 
 #include "upstream/call.h"
@@ -13,7 +13,7 @@
 #include <string.h>
 #include <strings.h>
 
-struct course {
+struct call_exchange {
     int references;
     struct ch_client *client;
     struct ch_http *http;
@@ -23,30 +23,30 @@
     void *data;
     char *request_id;
     char *event_id;
-    bool stream_asked;
-    bool head_request;
-    /* Of the answer's head. */
+    bool stream_expected;
+    bool is_head_request;
+    /* From the response's status line and headers. */
     int status;
     bool id_matches;
     bool id_missing;
     bool not_run;
-    bool framed; /* Content-Length or chunks: its end can be told */
-    bool proven; /* the proof came, where one is asked for */
+    bool is_framed;     /* Content-Length or chunks: its end can be detected */
+    bool has_signature; /* the signature header was received */
     char *content_type;
-    GArray *headers; /* struct ch_http_header, to be passed on */
-    /* Of its course. */
-    bool judged; /* the head was looked at, by judge_head() */
+    GArray *headers; /* struct ch_http_header, to be forwarded */
+    /* Progress of the response. */
+    bool headers_checked; /* check_headers() has run */
     bool is_stream;
-    bool done; /* [DONE] came */
-    uint32_t events;
+    bool done_received; /* [DONE] was received */
+    uint32_t event_count;
     struct ch_sse sse;
-    /* Set with the first cause; nothing is passed on after it. */
+    /* The first cause of failure; nothing is forwarded after it is set. */
     enum ch_code failure;
     char message[160];
-    bool told; /* on_end was called */
+    bool end_reported; /* on_end was called */
 };
 
-/* Frees the strings of a header that is to be passed on. */
+/* Frees the strings of a header to be forwarded. */
 static void
 clear_header(void *data)
 {
@@ -55,108 +55,119 @@
     g_free((char *)header->value);
 }
 
-/* Gives one reference back; the last one frees the course. */
+/* Releases a reference; the last one frees the exchange. */
 static void
-course_unref(struct course *course)
+call_exchange_unref(struct call_exchange *exchange)
 {
-    if (!g_atomic_int_dec_and_test(&course->references)) {
+    if (!g_atomic_int_dec_and_test(&exchange->references)) {
         return;
     }
-    g_array_free(course->headers, TRUE);
-    ch_sse_clear(&course->sse);
-    g_free(course->request_id);
-    g_free(course->event_id);
-    g_free(course->content_type);
-    g_free(course);
+    g_array_free(exchange->headers, TRUE);
+    ch_sse_clear(&exchange->sse);
+    g_free(exchange->request_id);
+    g_free(exchange->event_id);
+    g_free(exchange->content_type);
+    g_free(exchange);
 }
 
-/* Notes the first cause of failure. */
+/* Records a failure; only the first one is kept. */
 static void
-fail(struct course *course, enum ch_code code, const char *message)
+fail(struct call_exchange *exchange, enum ch_code code, const char *message)
 {
-    if (course->failure == CH_OK) {
-        course->failure = code;
-        (void)snprintf(course->message, sizeof(course->message), "%s",
+    if (exchange->failure == CH_OK) {
+        exchange->failure = code;
+        (void)snprintf(exchange->message, sizeof(exchange->message), "%s",
                        message);
     }
 }
 
-/* Notes an answer that bears another request's id.  Its bytes may be of
- * another caller's answer, so none is passed on. */
+/*
+ * Records a response with another request's id. Its bytes may belong to
+ * another caller's response, so none is forwarded.
+ */
 static void
-fail_crossed(struct course *course, const char *message)
+fail_mismatch(struct call_exchange *exchange, const char *message)
 {
-    fail(course, CH_UPSTREAM_CROSSED, message);
-    ch_metrics_count(course->client->metrics, CH_COUNT_CROSSED_ANSWERS, 1);
+    fail(exchange, CH_UPSTREAM_CROSSED, message);
+    ch_metrics_count(exchange->client->metrics, CH_COUNT_CROSSED_ANSWERS, 1);
 }
 
-/* The status line came; until its header does, the id is missing. */
+/*
+ * Handles the status line. The id counts as missing until its header arrives.
+ */
 static void
-head_came(void *data, int status)
+handle_status(void *data, int status)
 {
-    struct course *course = data;
-    course->status = status;
-    course->id_missing = true;
+    struct call_exchange *exchange = data;
+    exchange->status = status;
+    exchange->id_missing = true;
 }
 
-/* True for an answer that says by itself that the request was not run. */
+/* Whether the response itself says that the request was not run. */
 static bool
-is_refusal(const struct course *course)
+is_refusal(const struct call_exchange *exchange)
 {
-    if (course->rules.passes_headers) {
-        return course->status == 421 ||
-               (course->not_run && course->status >= 400);
+    if (exchange->rules.passes_headers) {
+        return exchange->status == 421 ||
+               (exchange->not_run && exchange->status >= 400);
     }
-    return course->not_run && (course->status == 429 || course->status == 503);
+    return exchange->not_run &&
+           (exchange->status == 429 || exchange->status == 503);
 }
 
-/* Whether a refusal bears no id, from upstreams that send such: it says that
- * nothing was run, and whose it is makes no difference to a request that is
- * alone on its connection. */
+/*
+ * Whether a refusal has no id, for upstreams that send such. It says that
+ * nothing was run, and no id is needed, since the request is the only one on
+ * its connection.
+ */
 static bool
-is_bare_refusal(const struct course *course)
+is_refusal_without_id(const struct call_exchange *exchange)
 {
-    return course->id_missing && course->rules.passes_headers;
+    return exchange->id_missing && exchange->rules.passes_headers;
 }
 
-/* Whether callers take a status as a promise that nothing was run: it is not
- * passed on from an upstream that does not promise it. */
+/*
+ * Whether callers take this status as a promise that nothing was run. Such a
+ * status is not forwarded from an upstream that does not promise it.
+ */
 static bool
-says_not_run(int status)
+status_implies_not_run(int status)
 {
     return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
-/* Notes why the answer can't be passed on, if it can't. */
+/* Records why the response cannot be forwarded, if it cannot. */
 static void
-find_fault_of_head(struct course *course)
+check_response_headers(struct call_exchange *exchange)
 {
-    if (is_refusal(course) &&
-        (course->id_matches || is_bare_refusal(course))) {
-        fail(course, CH_UPSTREAM_REFUSED, "the upstream refused the request");
+    if (is_refusal(exchange) &&
+        (exchange->id_matches || is_refusal_without_id(exchange))) {
+        fail(exchange, CH_UPSTREAM_REFUSED,
+             "the upstream refused the request");
     }
-    else if (!course->id_matches) {
-        fail_crossed(course, course->id_missing
-                                 ? "the answer bears no request id"
-                                 : "the answer bears another request's id");
+    else if (!exchange->id_matches) {
+        fail_mismatch(exchange, exchange->id_missing
+                                    ? "the response has no request id"
+                                    : "the response has another request's id");
     }
-    else if (course->status >= 500 && course->rules.server_errors_fail) {
+    else if (exchange->status >= 500 && exchange->rules.server_errors_fail) {
         char text[64];
-        (void)snprintf(text, sizeof(text), "the upstream answered %d",
-                       course->status);
-        fail(course, CH_UPSTREAM_ANSWER, text);
-    }
-    else if (course->rules.passes_headers && says_not_run(course->status)) {
-        fail(course, CH_UPSTREAM_ANSWER,
+        (void)snprintf(text, sizeof(text),
+                       "the upstream responded with status %d",
+                       exchange->status);
+        fail(exchange, CH_UPSTREAM_ANSWER, text);
+    }
+    else if (exchange->rules.passes_headers &&
+             status_implies_not_run(exchange->status)) {
+        fail(exchange, CH_UPSTREAM_ANSWER,
              "the upstream does not say whether it ran the request");
     }
-    else if (course->rules.proof_header != NULL && !course->proven &&
-             course->status < 300) {
-        fail(course, CH_UPSTREAM_ANSWER, "the answer bears no signature");
+    else if (exchange->rules.proof_header != NULL &&
+             !exchange->has_signature && exchange->status < 300) {
+        fail(exchange, CH_UPSTREAM_ANSWER, "the response has no signature");
     }
 }
 
-/* See upstream.h. */
 bool
 ch_call_is_stream(bool asked, int status, const char *content_type)
 {
@@ -165,99 +176,110 @@
            g_ascii_strncasecmp(content_type, type, sizeof(type) - 1) == 0;
 }
 
-/* Looks at the whole head, once; passes it on when the answer is ours. */
+/*
+ * Checks the complete status line and headers, once; forwards them if the
+ * response belongs to this request.
+ */
 static void
-judge_head(struct course *course)
+check_headers(struct call_exchange *exchange)
 {
-    if (course->judged) {
+    if (exchange->headers_checked) {
         return;
     }
-    course->judged = true;
-    find_fault_of_head(course);
-    if (course->failure != CH_OK) {
+    exchange->headers_checked = true;
+    check_response_headers(exchange);
+    if (exchange->failure != CH_OK) {
         return;
     }
-    course->is_stream = ch_call_is_stream(course->stream_asked, course->status,
-                                          course->content_type);
-    if (course->handlers.on_headers != NULL && course->rules.passes_headers) {
-        course->handlers.on_headers(
-            course->data,
-            (const struct ch_http_header *)(void *)course->headers->data,
-            course->headers->len);
-    }
-    course->handlers.on_head(course->data, course->status,
-                             course->content_type);
+    exchange->is_stream = ch_call_is_stream(
+        exchange->stream_expected, exchange->status, exchange->content_type);
+    if (exchange->handlers.on_headers != NULL &&
+        exchange->rules.passes_headers) {
+        exchange->handlers.on_headers(
+            exchange->data,
+            (const struct ch_http_header *)(void *)exchange->headers->data,
+            exchange->headers->len);
+    }
+    exchange->handlers.on_head(exchange->data, exchange->status,
+                               exchange->content_type);
 }
 
-/* Takes one event of a stream. */
+/* Handles one event of a stream. */
 static void
-event_came(void *data, const char *text, size_t length)
+handle_event(void *data, const char *text, size_t length)
 {
-    struct course *course = data;
-    if (course->done || course->failure != CH_OK) {
+    struct call_exchange *exchange = data;
+    if (exchange->done_received || exchange->failure != CH_OK) {
         return;
     }
-    if (!course->rules.ends_by_framing && ch_sse_is_done(text, length)) {
-        course->done = true;
+    if (!exchange->rules.ends_by_framing && ch_sse_is_done(text, length)) {
+        exchange->done_received = true;
         return;
     }
-    if (course->rules.events_have_ids &&
-        !ch_sse_has_id(text, length, course->event_id)) {
-        fail_crossed(course, "an event bears another request's id");
+    if (exchange->rules.events_have_ids &&
+        !ch_sse_has_id(text, length, exchange->event_id)) {
+        fail_mismatch(exchange, "an event has another request's id");
         return;
     }
-    course->events++;
-    course->handlers.on_data(course->data, text, length);
+    exchange->event_count++;
+    exchange->handlers.on_data(exchange->data, text, length);
 }
 
-/* Fills in whether the request may have run.  It surely has not when no byte
- * of it went out, or when the upstream itself says so in an answer that is
- * surely to this request. */
+/*
+ * Whether the request may have run. It certainly has not if no byte of it was
+ * sent, or if the upstream says so in a response that certainly belongs to
+ * this request.
+ */
 static bool
-may_have_run(const struct course *course, const struct ch_http_end *end)
+may_have_run(const struct call_exchange *exchange,
+             const struct ch_http_end *end)
 {
     if (!end->sent) {
         return false;
     }
-    return !(course->failure == CH_UPSTREAM_REFUSED &&
-             (course->id_matches || course->rules.passes_headers));
+    return !(exchange->failure == CH_UPSTREAM_REFUSED &&
+             (exchange->id_matches || exchange->rules.passes_headers));
 }
 
-/* Tells the owner how the call ended, once. */
+/* Reports the result of the call to its owner, once. */
 static void
-tell_end(struct course *course, const struct ch_http_end *end)
+report_end(struct call_exchange *exchange, const struct ch_http_end *end)
 {
-    struct ch_call_end told = {
-        .code = course->failure,
-        .status = course->status,
-        .may_have_run = may_have_run(course, end),
+    struct ch_call_end result = {
+        .code = exchange->failure,
+        .status = exchange->status,
+        .may_have_run = may_have_run(exchange, end),
         .refused = end->refused,
-        .events = course->events,
+        .events = exchange->event_count,
     };
-    memcpy(told.message, course->message, sizeof(told.message));
-    course->told = true;
-    if (told.code == CH_UPSTREAM_STALLED) {
-        ch_metrics_count(course->client->metrics, CH_COUNT_STALLS, 1);
+    memcpy(result.message, exchange->message, sizeof(result.message));
+    exchange->end_reported = true;
+    if (result.code == CH_UPSTREAM_STALLED) {
+        ch_metrics_count(exchange->client->metrics, CH_COUNT_STALLS, 1);
     }
-    course->handlers.on_end(course->data, &told);
+    exchange->handlers.on_end(exchange->data, &result);
 }
 
-/* Ends the call at once for its owner, for an answer of which the rest is of
- * no use, and closes the connection; but a refusal is short, and its
- * connection is good for the next call.  What still comes is dropped. */
+/*
+ * Ends the call at once for its owner, since the rest of the response is of no
+ * use, and closes the connection. A refusal is short, so its connection is
+ * kept for the next call. Bytes that still arrive are dropped.
+ */
 static void
-give_up(struct course *course)
+abandon_response(struct call_exchange *exchange)
 {
     const struct ch_http_end end = {.code = CH_OK, .sent = true};
-    tell_end(course, &end);
-    uint64_t handle = ck_pr_load_64(&course->handle);
-    if (handle != 0 && course->failure != CH_UPSTREAM_REFUSED) {
-        ch_http_cancel(course->http, handle);
+    report_end(exchange, &end);
+    uint64_t handle = ck_pr_load_64(&exchange->handle);
+    if (handle != 0 && exchange->failure != CH_UPSTREAM_REFUSED) {
+        ch_http_cancel(exchange->http, handle);
     }
 }
 
-/* Whether a header concerns one connection alone (RFC 9110, 7.6.1), or says
- * how the body is framed, which the listener says anew. */
+/*
+ * Whether a header applies to one connection only (RFC 9110, 7.6.1), or
+ * describes the framing of the body, which the listener generates anew.
+ */
 static bool
 is_hop_header(const char *name)
 {
@@ -280,153 +302,161 @@
     return false;
 }
 
-/* Keeps a header that goes on to the caller. */
+/* Stores a header to be forwarded to the caller. */
 static void
-keep_header(struct course *course, const char *name, const char *value)
+store_header(struct call_exchange *exchange, const char *name,
+             const char *value)
 {
-    if (!course->rules.passes_headers || is_hop_header(name)) {
+    if (!exchange->rules.passes_headers || is_hop_header(name)) {
         return;
     }
     const struct ch_http_header header = {g_strdup(name), g_strdup(value)};
-    g_array_append_val(course->headers, header);
+    g_array_append_val(exchange->headers, header);
 }
 
-/* Notes the headers that matter here.  An answer to another request is given
- * up at once, so that its connection serves no further call. */
+/*
+ * Handles a response header. A response to another request is abandoned at
+ * once, so that its connection is not reused.
+ */
 static void
-header_came(void *data, const char *name, const char *value)
+handle_header(void *data, const char *name, const char *value)
 {
-    struct course *course = data;
-    keep_header(course, name, value);
-    if (strcasecmp(name, course->rules.id_header) == 0) {
-        course->id_missing = false;
-        course->id_matches = strcmp(value, course->request_id) == 0;
-        if (!course->id_matches && !course->judged) {
-            judge_head(course);
-            give_up(course);
+    struct call_exchange *exchange = data;
+    store_header(exchange, name, value);
+    if (strcasecmp(name, exchange->rules.id_header) == 0) {
+        exchange->id_missing = false;
+        exchange->id_matches = strcmp(value, exchange->request_id) == 0;
+        if (!exchange->id_matches && !exchange->headers_checked) {
+            check_headers(exchange);
+            abandon_response(exchange);
         }
     }
-    else if (course->rules.proof_header != NULL &&
-             strcasecmp(name, course->rules.proof_header) == 0) {
-        course->proven = true;
+    else if (exchange->rules.proof_header != NULL &&
+             strcasecmp(name, exchange->rules.proof_header) == 0) {
+        exchange->has_signature = true;
     }
-    else if (strcasecmp(name, course->rules.not_run_header) == 0) {
-        course->not_run = strcmp(value, "1") == 0;
+    else if (strcasecmp(name, exchange->rules.not_run_header) == 0) {
+        exchange->not_run = strcmp(value, "1") == 0;
     }
     else if (strcasecmp(name, "Content-Type") == 0) {
-        g_free(course->content_type);
-        course->content_type = g_strdup(value);
+        g_free(exchange->content_type);
+        exchange->content_type = g_strdup(value);
     }
     else if (strcasecmp(name, "Content-Length") == 0) {
-        course->framed = true;
+        exchange->is_framed = true;
     }
     else if (strcasecmp(name, "Transfer-Encoding") == 0) {
-        course->framed = strcasecmp(value, "chunked") == 0;
+        exchange->is_framed = strcasecmp(value, "chunked") == 0;
     }
 }
 
-/* Takes bytes of the body.  The end mark ends a stream at once: an upstream
- * that then leaves the connection open must not keep the caller waiting. */
+/*
+ * Handles bytes of the body. The end marker ends a stream at once: an upstream
+ * that then leaves the connection open must not keep the caller waiting.
+ */
 static void
-body_came(void *data, const char *bytes, size_t length)
+handle_body(void *data, const char *bytes, size_t length)
 {
-    struct course *course = data;
-    if (course->told) {
+    struct call_exchange *exchange = data;
+    if (exchange->end_reported) {
         return;
     }
-    judge_head(course);
-    if (course->failure != CH_OK) {
-        give_up(course);
+    check_headers(exchange);
+    if (exchange->failure != CH_OK) {
+        abandon_response(exchange);
         return;
     }
-    if (!course->is_stream) {
-        course->handlers.on_data(course->data, bytes, length);
+    if (!exchange->is_stream) {
+        exchange->handlers.on_data(exchange->data, bytes, length);
         return;
     }
-    if (!ch_sse_feed(&course->sse, bytes, length, event_came, course)) {
-        fail(course, CH_UPSTREAM_ANSWER, "an event is over the limit");
+    if (!ch_sse_feed(&exchange->sse, bytes, length, handle_event, exchange)) {
+        fail(exchange, CH_UPSTREAM_ANSWER, "an event is over the limit");
     }
-    if (course->failure != CH_OK) {
-        give_up(course);
+    if (exchange->failure != CH_OK) {
+        abandon_response(exchange);
     }
-    else if (course->done) {
-        const struct ch_http_end whole = {.code = CH_OK, .sent = true};
-        tell_end(course, &whole);
+    else if (exchange->done_received) {
+        const struct ch_http_end complete = {.code = CH_OK, .sent = true};
+        report_end(exchange, &complete);
     }
 }
 
-/* Notes what keeps an answer that ended by its framing from being whole. */
+/* Records why a response that ended by its framing is incomplete, if it is. */
 static void
-find_fault_of_end(struct course *course)
+check_response_end(struct call_exchange *exchange)
 {
-    bool bodiless =
-        course->head_request || course->status == 204 || course->status == 304;
-    if (course->is_stream && course->rules.ends_by_framing) {
-        if (ch_sse_is_partial(&course->sse)) {
-            fail(course, CH_UPSTREAM_CUT, "the stream ended within an event");
+    bool has_no_body = exchange->is_head_request || exchange->status == 204 ||
+                       exchange->status == 304;
+    if (exchange->is_stream && exchange->rules.ends_by_framing) {
+        if (ch_sse_is_partial(&exchange->sse)) {
+            fail(exchange, CH_UPSTREAM_CUT,
+                 "the stream ended within an event");
         }
-        else if (!course->framed && !course->rules.may_be_unframed) {
-            fail(course, CH_UPSTREAM_CUT, "the stream's end can't be told");
+        else if (!exchange->is_framed && !exchange->rules.may_be_unframed) {
+            fail(exchange, CH_UPSTREAM_CUT,
+                 "the end of the stream cannot be detected");
         }
     }
-    else if (course->is_stream && !course->done) {
-        fail(course, CH_UPSTREAM_CUT, "the stream ended without [DONE]");
+    else if (exchange->is_stream && !exchange->done_received) {
+        fail(exchange, CH_UPSTREAM_CUT, "the stream ended without [DONE]");
     }
-    else if (!course->is_stream && !course->framed && !bodiless &&
-             !course->rules.may_be_unframed) {
-        fail(course, CH_UPSTREAM_CUT,
-             "the answer has neither Content-Length nor chunks");
+    else if (!exchange->is_stream && !exchange->is_framed && !has_no_body &&
+             !exchange->rules.may_be_unframed) {
+        fail(exchange, CH_UPSTREAM_CUT,
+             "the response has neither Content-Length nor chunks");
     }
 }
 
-/* The call is over. */
+/* Handles the end of the HTTP call. */
 static void
-end_came(void *data, const struct ch_http_end *end)
+handle_end(void *data, const struct ch_http_end *end)
 {
-    struct course *course = data;
-    if (!course->told) {
+    struct call_exchange *exchange = data;
+    if (!exchange->end_reported) {
         if (end->code == CH_OK) {
-            judge_head(course);
-            find_fault_of_end(course);
+            check_headers(exchange);
+            check_response_end(exchange);
         }
         else {
-            fail(course, end->code, end->message);
+            fail(exchange, end->code, end->message);
         }
-        tell_end(course, end);
+        report_end(exchange, end);
     }
-    course_unref(course);
+    call_exchange_unref(exchange);
 }
 
-/* The course of a call, not yet begun. */
-static struct course *
-course_new(struct ch_client *client, struct ch_http *http,
-           const struct ch_call_rules *rules, const struct ch_call *call)
+/* Creates the exchange of a call, not yet started. */
+static struct call_exchange *
+call_exchange_new(struct ch_client *client, struct ch_http *http,
+                  const struct ch_call_rules *rules,
+                  const struct ch_call *call)
 {
-    struct course *course = g_new0(struct course, 1);
-    course->client = client;
-    course->http = http;
-    course->rules = *rules;
-    course->request_id = g_strdup(call->request_id);
-    course->event_id = g_strconcat("cmpl-", call->request_id, NULL);
-    course->stream_asked = call->stream;
-    course->head_request = strcmp(call->method, "HEAD") == 0;
-    course->failure = CH_OK;
-    course->headers = g_array_new(FALSE, FALSE, sizeof(struct ch_http_header));
-    g_array_set_clear_func(course->headers, clear_header);
-    ch_sse_init(&course->sse);
-    return course;
+    struct call_exchange *exchange = g_new0(struct call_exchange, 1);
+    exchange->client = client;
+    exchange->http = http;
+    exchange->rules = *rules;
+    exchange->request_id = g_strdup(call->request_id);
+    exchange->event_id = g_strconcat("cmpl-", call->request_id, NULL);
+    exchange->stream_expected = call->stream;
+    exchange->is_head_request = strcmp(call->method, "HEAD") == 0;
+    exchange->failure = CH_OK;
+    exchange->headers =
+        g_array_new(FALSE, FALSE, sizeof(struct ch_http_header));
+    g_array_set_clear_func(exchange->headers, clear_header);
+    ch_sse_init(&exchange->sse);
+    return exchange;
 }
 
-/* Nothing came for as long as a limit says. */
+/* Asks the owner whether to keep waiting after a timeout without data. */
 static bool
-silence_came(void *data)
+handle_stall(void *data)
 {
-    struct course *course = data;
-    return !course->told && course->handlers.on_silent != NULL &&
-           course->handlers.on_silent(course->data);
+    struct call_exchange *exchange = data;
+    return !exchange->end_reported && exchange->handlers.on_silent != NULL &&
+           exchange->handlers.on_silent(exchange->data);
 }
 
-/* Begins a call; the handle is for ch_http_cancel(). */
 uint64_t
 ch_call_start_with(struct ch_client *client, struct ch_http *http,
                    const char *address, const struct ch_call_rules *rules,
@@ -435,15 +465,16 @@
                    const struct ch_call_handlers *handlers, void *data)
 {
     static const struct ch_http_handlers http_handlers = {
-        .on_head = head_came,
-        .on_header = header_came,
-        .on_data = body_came,
-        .on_silent = silence_came,
-        .on_end = end_came,
+        .on_head = handle_status,
+        .on_header = handle_header,
+        .on_data = handle_body,
+        .on_silent = handle_stall,
+        .on_end = handle_end,
     };
-    struct course *course = course_new(client, http, rules, call);
-    course->handlers = *handlers;
-    course->data = data;
+    struct call_exchange *exchange =
+        call_exchange_new(client, http, rules, call);
+    exchange->handlers = *handlers;
+    exchange->data = data;
     char *url = g_strdup_printf("http://%s%s", address, call->path);
     struct ch_http_request request = {
         .method = call->method,
@@ -457,20 +488,22 @@
         .stall_limit = call->stall_limit,
         .total_limit = call->total_limit,
         .fresh_connection = !call->may_repeat || call->fresh,
-        /* Else a call that ran, was cut and is sent again by libcurl would
-         * bear the outcome of the second sending alone: an engine that starts
-         * anew refuses that one, and the caller would be told not-run. */
+        /*
+         * Otherwise a call that ran, was interrupted and was sent again by
+         * libcurl would report the outcome of the second sending only: a
+         * restarted engine refuses that one, and the caller would be told
+         * not-run.
+         */
         .sent_once = true,
     };
-    course->references = 2; /* the loop's, until end_came(), and this one */
-    uint64_t handle = ch_http_submit(http, &request, &http_handlers, course);
-    ck_pr_store_64(&course->handle, handle);
-    course_unref(course);
+    exchange->references = 2; /* the HTTP loop's and this function's */
+    uint64_t handle = ch_http_submit(http, &request, &http_handlers, exchange);
+    ck_pr_store_64(&exchange->handle, handle);
+    call_exchange_unref(exchange);
     g_free(url);
     return handle;
 }
 
-/* The same, to an upstream of our own interface. */
 uint64_t
 ch_call_start(struct ch_client *client, struct ch_http *http,
               const char *address, const struct ch_call_rules *rules,
--- a/libchestnuthitch/upstream/call.h
+++ b/libchestnuthitch/upstream/call.h
@@ -1,42 +1,58 @@
 #ifndef CH_UPSTREAM_CALL_H
 #define CH_UPSTREAM_CALL_H
 
-/* A caller's request on its way to an upstream, over HTTP: what the clients
- * of engines and of plain services have in common. */
+/*
+ * Forwards a caller's request to an upstream over HTTP; shared by the clients
+ * of engines and of plain services.
+ */
 
 #include "upstream/upstream.h"
 
-/* Of a kind of upstream. */
+/* How a kind of upstream uses HTTP. */
 struct ch_call_rules {
     const char *id_header;      /* the request's id, in both directions */
-    const char *not_run_header; /* "1" in an answer: it was not run */
-    /* What every answer that was run bears; NULL: nothing.  A success without
-     * it is not the upstream's. */
+    const char *not_run_header; /* "1" in a response: it was not run */
+    /*
+     * Header of every response to a request that was run; NULL: none. A
+     * success without this header does not come from the upstream.
+     */
     const char *proof_header;
-    /* A stream ends as its framing says, and has no [DONE]. */
+    /* A stream ends with its HTTP framing and has no [DONE] event. */
     bool ends_by_framing;
-    /* A plain answer may have no length and end with its connection. */
+    /*
+     * A plain response may have no length and end when its connection closes.
+     */
     bool may_be_unframed;
-    /* The answer's headers go on to the caller, and the request's to the
-     * upstream, in place of those that are made here. */
+    /*
+     * The response's headers are forwarded to the caller, and the request's to
+     * the upstream, instead of the headers that are generated here.
+     */
     bool passes_headers;
-    /* The answers of 500 and above are a failure of the upstream, to be tried
-     * elsewhere, and not an answer to the caller. */
+    /*
+     * A status of 500 and above is a failure of the upstream, to be retried
+     * elsewhere, and not a response for the caller.
+     */
     bool server_errors_fail;
-    /* Events bear "id": "cmpl-" and the request's id. */
+    /* Events carry "id": "cmpl-" and the request's id; it is checked. */
     bool events_have_ids;
 };
 
-/* The rules that the engines and services of our own interface share. */
+/*
+ * Rules common to the engines and services that use this project's own
+ * interface.
+ */
 #define CH_CALL_OWN_RULES                                                     \
     .id_header = "X-Request-Id", .not_run_header = "X-Not-Run"
 
-/* Copies what it needs; neither rules' upstream nor call has to live on. */
+/*
+ * Copies the rules and the call; neither they nor the upstream need to outlive
+ * this function. Returns a handle for ch_http_cancel().
+ */
 uint64_t ch_call_start(struct ch_client *client, struct ch_http *http,
                        const char *address, const struct ch_call_rules *rules,
                        const struct ch_call *call,
                        const struct ch_call_handlers *handlers, void *data);
-/* The same with the headers that the upstream is to get. */
+/* As ch_call_start(), with these headers instead of the generated ones. */
 uint64_t ch_call_start_with(struct ch_client *client, struct ch_http *http,
                             const char *address,
                             const struct ch_call_rules *rules,
--- a/libchestnuthitch/upstream/engine.c
+++ b/libchestnuthitch/upstream/engine.c
@@ -1,4 +1,4 @@
-/* The client of a model engine: calls, orders and reports over HTTP. */
+/* Client of a model engine: calls, orders and reports over HTTP. */
 
 #include "upstream/ask.h"
 #include "base/json.h"
@@ -12,10 +12,10 @@
     struct ch_client *client;
     struct ch_http *http;
     char *address;
-    int64_t call_limit;
+    int64_t control_timeout;
 };
 
-/* Passes a caller's request on to the engine. */
+/* Forwards a caller's request to the engine. */
 static uint64_t
 engine_call(struct ch_upstream *upstream, const struct ch_call *call,
             const struct ch_call_handlers *handlers, void *data)
@@ -30,7 +30,7 @@
                          call, handlers, data);
 }
 
-/* Ends a call; the closed connection tells the engine. */
+/* Ends a call; the closed connection notifies the engine. */
 static void
 engine_cancel(struct ch_upstream *upstream, uint64_t handle)
 {
@@ -38,9 +38,9 @@
     ch_http_cancel(engine->http, handle);
 }
 
-/* The code for an order's answer, by its status. */
+/* Maps the status of the response to an order to a code. */
 static enum ch_code
-code_of_order(int status)
+map_order_status(int status)
 {
     switch (status) {
     case 200:
@@ -57,7 +57,7 @@
 
 /* The JSON of an order; a new string. */
 static char *
-print_order(const struct ch_order *order)
+order_to_json(const struct ch_order *order)
 {
     JsonBuilder *builder = json_builder_new_immutable();
     json_builder_begin_object(builder);
@@ -78,17 +78,17 @@
     return ch_json_print(builder);
 }
 
-/* Sends an order on a fresh connection: libcurl must not repeat it. */
+/* Sends an order on a new connection, so that libcurl cannot repeat it. */
 static void
-engine_order(struct ch_upstream *upstream, const struct ch_order *order,
-             void (*done)(void *data, enum ch_code code), void *data)
+engine_send_order(struct ch_upstream *upstream, const struct ch_order *order,
+                  void (*done)(void *data, enum ch_code code), void *data)
 {
     struct engine *engine = (struct engine *)upstream;
     static const struct ch_http_header headers[] = {
         {"Content-Type", "application/json"},
     };
     char *url = g_strdup_printf("http://%s/v1/orders", engine->address);
-    char *body = print_order(order);
+    char *body = order_to_json(order);
     struct ch_http_request request = {
         .method = "POST",
         .url = url,
@@ -96,39 +96,38 @@
         .header_count = G_N_ELEMENTS(headers),
         .body = body,
         .body_length = strlen(body),
-        .connect_limit = engine->call_limit,
-        .first_byte_limit = engine->call_limit,
-        .stall_limit = engine->call_limit,
-        .total_limit = engine->call_limit,
+        .connect_limit = engine->control_timeout,
+        .first_byte_limit = engine->control_timeout,
+        .stall_limit = engine->control_timeout,
+        .total_limit = engine->control_timeout,
         .fresh_connection = true,
     };
-    ch_ask_order(engine->http, &request, code_of_order, done, data);
+    ch_ask_order(engine->http, &request, map_order_status, done, data);
     g_free(url);
     g_free(body);
 }
 
-/* Asks the engine for its report. */
 static void
-engine_report(struct ch_upstream *upstream,
-              void (*done)(void *data, enum ch_code code,
-                           struct ch_report *report),
-              void *data)
+engine_fetch_report(struct ch_upstream *upstream,
+                    void (*done)(void *data, enum ch_code code,
+                                 struct ch_report *report),
+                    void *data)
 {
     struct engine *engine = (struct engine *)upstream;
     char *url = g_strdup_printf("http://%s/v1/load", engine->address);
     struct ch_http_request request = {
         .method = "GET",
         .url = url,
-        .connect_limit = engine->call_limit,
-        .first_byte_limit = engine->call_limit,
-        .stall_limit = engine->call_limit,
-        .total_limit = engine->call_limit,
+        .connect_limit = engine->control_timeout,
+        .first_byte_limit = engine->control_timeout,
+        .stall_limit = engine->control_timeout,
+        .total_limit = engine->control_timeout,
     };
     ch_ask_report(engine->http, &request, ch_report_parse, done, data);
     g_free(url);
 }
 
-/* Frees the client; calls under way go on without it. */
+/* Frees the client; calls in flight continue without it. */
 static void
 engine_free(struct ch_upstream *upstream)
 {
@@ -137,17 +136,19 @@
     g_free(engine);
 }
 
-/* A client of the engine at "ip:port".  call_limit bounds orders and reports.
- * Calls under way outlive it. */
+/*
+ * Creates a client of the engine at "ip:port". control_timeout applies to
+ * orders and reports. Calls in flight may outlive the client.
+ */
 struct ch_upstream *
 ch_upstream_engine_new(struct ch_client *client, struct ch_http *http,
-                       const char *address, int64_t call_limit)
+                       const char *address, int64_t control_timeout)
 {
     static const struct ch_upstream_ops ops = {
         .call = engine_call,
         .cancel = engine_cancel,
-        .order = engine_order,
-        .report = engine_report,
+        .order = engine_send_order,
+        .report = engine_fetch_report,
         .free = engine_free,
     };
     struct engine *engine = g_new0(struct engine, 1);
@@ -155,6 +156,6 @@
     engine->client = client;
     engine->http = http;
     engine->address = g_strdup(address);
-    engine->call_limit = call_limit;
+    engine->control_timeout = control_timeout;
     return &engine->base;
 }
--- a/libchestnuthitch/upstream/report.c
+++ b/libchestnuthitch/upstream/report.c
@@ -1,14 +1,16 @@
-/* An engine's own report, from the JSON of GET /v1/load. */
+/* Parses an engine's report, the JSON of GET /v1/load. */
 
 #include "upstream/report.h"
 #include "base/json.h"
 
 enum {
-    /* Over any real engine's memory or count; under what overflows sums. */
-    MOST_NUMBER = 1000 * 1000 * 1000,
+    /*
+     * Larger than any real engine's memory or count, and small enough that
+     * sums do not overflow.
+     */
+    MAX_NUMBER = 1000 * 1000 * 1000,
 };
 
-/* Frees a report and all that it holds. */
 void
 ch_report_free(struct ch_report *report)
 {
@@ -24,9 +26,9 @@
     g_free(report);
 }
 
-/* A member that must be a string; "" with *error when it is not. */
+/* Returns a string member; "" with *error if it is not a string. */
 static const char *
-text_member(JsonObject *object, const char *name, struct ch_error *error)
+get_string_member(JsonObject *object, const char *name, struct ch_error *error)
 {
     const char *text = ch_json_text(object, name);
     if (text == NULL) {
@@ -37,16 +39,19 @@
     return text;
 }
 
-/* A member that must be a whole number from 0; 0 with *error when not. */
+/*
+ * Returns a non-negative integer member; 0 with *error if it is not one, or
+ * out of range.
+ */
 static uint32_t
-number_member(JsonObject *object, const char *name, struct ch_error *error)
+get_uint_member(JsonObject *object, const char *name, struct ch_error *error)
 {
     JsonNode *node = json_object_get_member(object, name);
     int64_t value = -1;
     if (node != NULL && json_node_get_value_type(node) == G_TYPE_INT64) {
         value = json_node_get_int(node);
     }
-    if (value < 0 || value > MOST_NUMBER) {
+    if (value < 0 || value > MAX_NUMBER) {
         ch_error_set(error, CH_UPSTREAM_ANSWER,
                      "report: %s is not a number in range", name);
         return 0;
@@ -54,9 +59,9 @@
     return (uint32_t)value;
 }
 
-/* A member that must be an array; NULL with *error when it is not. */
+/* Returns an array member; NULL with *error if it is not an array. */
 static JsonArray *
-array_member(JsonObject *object, const char *name, struct ch_error *error)
+get_array_member(JsonObject *object, const char *name, struct ch_error *error)
 {
     JsonNode *node = json_object_get_member(object, name);
     if (node == NULL || !JSON_NODE_HOLDS_ARRAY(node)) {
@@ -67,7 +72,7 @@
     return json_node_get_array(node);
 }
 
-/* Reads "resident": what is in memory, and how much of it. */
+/* Reads "resident": the items in memory and how much memory each takes. */
 static void
 read_resident(JsonArray *array, struct ch_report *report,
               struct ch_error *error)
@@ -83,8 +88,8 @@
         }
         JsonObject *object = json_node_get_object(node);
         struct ch_resident *resident = &report->resident[i];
-        resident->name = g_strdup(text_member(object, "name", error));
-        resident->memory_mb = number_member(object, "memory_mb", error);
+        resident->name = g_strdup(get_string_member(object, "name", error));
+        resident->memory_mb = get_uint_member(object, "memory_mb", error);
         report->resident_count = i + 1;
     }
 }
@@ -107,19 +112,19 @@
     }
 }
 
-/* Reads every member of the report's object. */
+/* Reads all members of the report. */
 static void
 read_report(JsonObject *object, struct ch_report *report,
             struct ch_error *error)
 {
-    report->boot = g_strdup(text_member(object, "boot", error));
-    report->memory_mb = number_member(object, "memory_mb", error);
-    report->running = number_member(object, "running", error);
-    report->waiting = number_member(object, "waiting", error);
+    report->boot = g_strdup(get_string_member(object, "boot", error));
+    report->memory_mb = get_uint_member(object, "memory_mb", error);
+    report->running = get_uint_member(object, "running", error);
+    report->waiting = get_uint_member(object, "waiting", error);
     report->leaving =
         json_object_get_boolean_member_with_default(object, "leaving", FALSE);
-    JsonArray *resident = array_member(object, "resident", error);
-    JsonArray *orders = array_member(object, "orders_done", error);
+    JsonArray *resident = get_array_member(object, "resident", error);
+    JsonArray *orders = get_array_member(object, "orders_done", error);
     if (resident != NULL) {
         read_resident(resident, report, error);
     }
@@ -128,24 +133,28 @@
     }
 }
 
-/* Reads a report; NULL with *error when any part of it is missing or out of
- * range: memory is given out by it, so a half-understood one is no report. */
+/*
+ * Returns NULL with *error if any part of the report is missing or out of
+ * range: memory is assigned based on the report, so a partly understood one is
+ * rejected.
+ */
 struct ch_report *
 ch_report_parse(const char *json, size_t length, struct ch_error *error)
 {
-    struct ch_error own = {.code = CH_OK};
+    struct ch_error parse_error = {.code = CH_OK};
     struct ch_report *report = g_new0(struct ch_report, 1);
     JsonParser *parser = NULL;
     JsonObject *object = ch_json_object(json, length, &parser);
     if (object == NULL) {
-        ch_error_set(&own, CH_UPSTREAM_ANSWER, "report: not one JSON object");
+        ch_error_set(&parse_error, CH_UPSTREAM_ANSWER,
+                     "report: not one JSON object");
     }
     else {
-        read_report(object, report, &own);
+        read_report(object, report, &parse_error);
     }
     g_object_unref(parser);
-    if (own.code != CH_OK) {
-        ch_error_set(error, own.code, "%s", own.message);
+    if (parse_error.code != CH_OK) {
+        ch_error_set(error, parse_error.code, "%s", parse_error.message);
         ch_report_free(report);
         return NULL;
     }
--- a/libchestnuthitch/upstream/report.h
+++ b/libchestnuthitch/upstream/report.h
@@ -3,7 +3,10 @@
 
 #include "upstream/upstream.h"
 
-/* From the JSON of GET /v1/load; freed by ch_report_free(). */
+/*
+ * Parses the JSON of GET /v1/load; the result is freed with
+ * ch_engine_report_free(). NULL with *error on failure.
+ */
 struct ch_report *ch_report_parse(const char *json, size_t length,
                                   struct ch_error *error);
 
--- a/libchestnuthitch/upstream/service.c
+++ b/libchestnuthitch/upstream/service.c
@@ -1,4 +1,4 @@
-/* The client of a plain service: the caller's call, passed on as it came. */
+/* Client of a plain service: forwards the caller's request unchanged. */
 
 #include "upstream/call.h"
 
@@ -9,7 +9,7 @@
     char *address;
 };
 
-/* Passes a caller's request on to the service. */
+/* Forwards a caller's request to the service. */
 static uint64_t
 service_call(struct ch_upstream *upstream, const struct ch_call *call,
              const struct ch_call_handlers *handlers, void *data)
@@ -32,7 +32,7 @@
     ch_http_cancel(service->http, handle);
 }
 
-/* Frees the client; calls under way go on without it. */
+/* Frees the client; calls in flight continue without it. */
 static void
 service_free(struct ch_upstream *upstream)
 {
@@ -41,13 +41,15 @@
     g_free(service);
 }
 
-/* A client of the plain service at "ip:port".  It takes no orders and gives no
- * reports, so call_limit bounds nothing here. */
+/*
+ * Creates a client of the plain service at "ip:port". It takes no orders and
+ * gives no reports, so control_timeout is unused.
+ */
 struct ch_upstream *
 ch_upstream_service_new(struct ch_client *client, struct ch_http *http,
-                        const char *address, int64_t call_limit)
+                        const char *address, int64_t control_timeout)
 {
-    (void)call_limit;
+    (void)control_timeout;
     static const struct ch_upstream_ops ops = {
         .call = service_call,
         .cancel = service_cancel,
--- a/libchestnuthitch/upstream/sse.c
+++ b/libchestnuthitch/upstream/sse.c
@@ -1,10 +1,9 @@
-/* Splits a stream of server-sent events into whole events. */
+/* Splits a stream of server-sent events into complete events. */
 
 #include "upstream/sse.h"
 
 #include <string.h>
 
-/* Empty, ready for the first byte. */
 void
 ch_sse_init(struct ch_sse *sse)
 {
@@ -14,7 +13,7 @@
     };
 }
 
-/* Frees what the splitter holds, not the struct. */
+/* Frees the parser's buffers, not the struct. */
 void
 ch_sse_clear(struct ch_sse *sse)
 {
@@ -22,8 +21,10 @@
     g_string_free(sse->line, TRUE);
 }
 
-/* True when some line of the event is a "data" line.  Comments, which keep a
- * connection alive, have none and are not events. */
+/*
+ * Whether some line of the event is a "data" line. Comments, which keep a
+ * connection alive, have none and are not events.
+ */
 static bool
 has_data(const GString *event)
 {
@@ -31,11 +32,11 @@
            strstr(event->str, "\ndata:") != NULL;
 }
 
-/* Takes the line that is now whole; an empty one ends the event. */
+/* Handles a complete line; an empty line ends the event. */
 static void
-end_line(struct ch_sse *sse,
-         void (*event)(void *data, const char *text, size_t length),
-         void *data)
+handle_line(struct ch_sse *sse,
+            void (*event)(void *data, const char *text, size_t length),
+            void *data)
 {
     if (sse->line->len > 0) {
         g_string_append_len(sse->event, sse->line->str,
@@ -51,7 +52,7 @@
     g_string_truncate(sse->event, 0);
 }
 
-/* Takes bytes; lines may end in LF, CR LF or CR, and may be cut anywhere. */
+/* Lines may end in LF, CR LF or CR, and the input may be split anywhere. */
 bool
 ch_sse_feed(struct ch_sse *sse, const char *bytes, size_t length,
             void (*event)(void *data, const char *text, size_t length),
@@ -59,9 +60,9 @@
 {
     for (size_t i = 0; i < length && !sse->failed; i++) {
         char byte = bytes[i];
-        bool ends = byte == '\r' || (byte == '\n' && !sse->after_cr);
-        if (ends) {
-            end_line(sse, event, data);
+        bool ends_line = byte == '\r' || (byte == '\n' && !sse->after_cr);
+        if (ends_line) {
+            handle_line(sse, event, data);
         }
         else if (byte != '\n') {
             g_string_append_c(sse->line, byte);
@@ -74,18 +75,17 @@
     return !sse->failed;
 }
 
-/* See sse.h. */
 bool
 ch_sse_is_partial(const struct ch_sse *sse)
 {
     return sse->event->len > 0 || sse->line->len > 0;
 }
 
-/* Looks at the first line alone: the end mark is an event of one line. */
+/* Looks at the first line only: the end marker is an event of one line. */
 bool
 ch_sse_is_done(const char *text, size_t length)
 {
-    static const char mark[] = "[DONE]";
+    static const char marker[] = "[DONE]";
     const char *end = memchr(text, '\n', length);
     if (end == NULL || strncmp(text, "data:", 5) != 0) {
         return false;
@@ -94,11 +94,11 @@
     while (value < end && *value == ' ') {
         value++;
     }
-    return (size_t)(end - value) == sizeof(mark) - 1 &&
-           memcmp(value, mark, sizeof(mark) - 1) == 0;
+    return (size_t)(end - value) == sizeof(marker) - 1 &&
+           memcmp(value, marker, sizeof(marker) - 1) == 0;
 }
 
-/* The first byte that is not JSON's white space. */
+/* Returns the first byte that is not JSON white space. */
 static const char *
 skip_space(const char *at, const char *end)
 {
@@ -108,9 +108,12 @@
     return at;
 }
 
-/* True when `at`, just after a "id", goes on with a colon and this string. */
+/*
+ * Whether the text at `at`, just after an "id", continues with a colon and
+ * this string.
+ */
 static bool
-value_is(const char *at, const char *end, const char *id)
+is_id_value(const char *at, const char *end, const char *id)
 {
     size_t length = strlen(id);
     at = skip_space(at, end);
@@ -123,9 +126,9 @@
 }
 
 /*
- * A search in place of a parse, since this runs for each token.  Inside a JSON
- * string a quote is escaped, so that "id" in quotes is always a whole string;
- * and a caller's text can't contain this request's own id as a member.
+ * Searches instead of parsing, since this runs for each token. Inside a JSON
+ * string a quote is escaped, so "id" in quotes is always a whole string; and a
+ * caller's text cannot contain this request's own id as a member.
  */
 bool
 ch_sse_has_id(const char *text, size_t length, const char *id)
@@ -136,7 +139,7 @@
     while ((at = memmem(at, (size_t)(end - at), member, sizeof(member) - 1)) !=
            NULL) {
         at += sizeof(member) - 1;
-        if (value_is(at, end, id)) {
+        if (is_id_value(at, end, id)) {
             return true;
         }
     }
--- a/libchestnuthitch/upstream/upstream.h
+++ b/libchestnuthitch/upstream/upstream.h
@@ -2,8 +2,8 @@
 #define CH_UPSTREAM_H
 
 /*
- * Clients of model engines and plain services.  One vtable each, so that an
- * upstream with another protocol is one new file.
+ * Clients of model engines and plain services. Each implements one vtable, so
+ * that an upstream with another protocol needs only one new file.
  */
 
 #include "net/net.h"
@@ -11,23 +11,23 @@
 /* ---- a request to an upstream ---- */
 
 struct ch_call {
-    const char *request_id; /* sent as X-Request-Id, checked in the answer */
+    const char *request_id; /* sent as X-Request-Id, checked in the response */
     const char *method;
     const char *path; /* with its query string */
     const char *content_type;
-    const char *idempotency_key; /* passed on to a plain service; or NULL */
+    const char *idempotency_key; /* forwarded to a plain service; or NULL */
     const void *body;
     size_t body_length;
     bool stream;           /* server-sent events are expected */
-    bool may_repeat;       /* false: fresh connection, never sent twice */
+    bool may_repeat;       /* false: new connection, never sent twice */
     uint32_t resume_from;  /* token events that the caller already has */
-    const char *resume_id; /* id of the last event that it has; or NULL */
+    const char *resume_id; /* last event that the caller has; or NULL */
     uint32_t priority;
-    /* What came with the request and goes on with it; NULL: nothing. */
+    /* The caller's headers, to be forwarded; NULL: none. */
     const struct ch_http_header *headers;
     size_t header_count;
-    int64_t time_left; /* until the caller gives up; 0: not stated */
-    bool fresh;        /* on a new connection, though it may be repeated */
+    int64_t time_left; /* until the caller stops waiting; 0: not stated */
+    bool fresh;        /* on a new connection, even if repeatable */
     int64_t connect_limit;
     int64_t first_byte_limit;
     int64_t stall_limit;
@@ -35,37 +35,41 @@
 };
 
 struct ch_call_end {
-    enum ch_code code; /* OK: whole, with the upstream's own end mark */
+    enum ch_code code; /* OK: complete, with the upstream's own end marker */
     int status;
-    bool may_have_run; /* false: certainly not run, safe to try elsewhere */
-    bool refused;      /* nobody takes connections at the upstream */
-    uint32_t events;   /* token events passed on */
+    bool may_have_run; /* false: certainly not run, safe to retry elsewhere */
+    bool refused;      /* nothing accepts connections at the upstream */
+    uint32_t events;   /* token events forwarded */
     char message[160];
 };
 
 /*
- * On the HTTP loop's thread.  on_head comes once, before any data, and only
- * after the answer's request id was found to be ours.  Of a stream, on_data
- * gets one whole event at a time ("data: ...\n\n"), the end mark not among
- * them; of a plain answer, bytes as they come.
+ * Handlers run on the HTTP loop's thread. on_response runs once, before any
+ * data, and only after the response's request id was found to match. For a
+ * stream, on_data gets one complete event at a time ("data: ...\n\n") without
+ * the end marker; for a plain response, bytes as they arrive.
  */
 struct ch_call_handlers {
-    /* Before on_head, of upstreams whose headers go on to the caller; may be
-       NULL. */
+    /*
+     * Runs before on_response, for upstreams whose headers are forwarded to
+     * the caller; may be NULL.
+     */
     void (*on_headers)(void *data, const struct ch_http_header *headers,
                        size_t count);
     void (*on_head)(void *data, int status, const char *content_type);
     void (*on_data)(void *data, const char *bytes, size_t length);
-    /* As ch_http_handlers' on_silent; may be NULL. */
+    /* As on_stall of struct ch_http_handlers; may be NULL. */
     bool (*on_silent)(void *data);
-    void (*on_end)(void *data, const struct ch_call_end *end);
+    void (*on_end)(void *data, const struct ch_call_end *result);
 };
 
-/* True for the head of a stream that was asked for; any other answer to such a
-   call is a plain one (call.c). */
+/*
+ * Whether a response is a stream that was asked for. Any other response to
+ * such a call is handled as a plain one (see call.c).
+ */
 bool ch_call_is_stream(bool asked, int status, const char *content_type);
 
-/* ---- orders and reports of an engine ---- */
+/* ---- orders to an engine and its reports ---- */
 
 enum ch_order_action {
     CH_ORDER_LOAD,
@@ -78,8 +82,10 @@
     enum ch_order_action action;
     const char *model;
     const char *adapter; /* NULL: the model itself */
-    /* Orders that the engine has taken before this one; it refuses the order
-       when there were others.  ANY: not checked. */
+    /*
+     * How many orders the engine must have taken before this one; it refuses
+     * the order if the count differs. CH_ORDER_EXPECT_ANY: not checked.
+     */
     int64_t expected;
 };
 
@@ -93,7 +99,7 @@
 };
 
 struct ch_report {
-    char *boot; /* changes when the engine starts anew with empty memory */
+    char *boot; /* changes when the engine restarts with empty memory */
     uint32_t memory_mb;
     struct ch_resident *resident;
     size_t resident_count;
@@ -103,11 +109,12 @@
     uint32_t waiting;
     bool leaving;
     bool busy;             /* an order is being carried out */
-    uint64_t orders_taken; /* since its start; 0 where it is not told */
-    uint32_t context_used; /* tokens that can't give way */
-    char **coming;         /* adapters on their way; NULL where not told */
+    uint64_t orders_taken; /* since its start; 0 if not reported */
+    uint32_t context_used; /* context tokens that cannot be evicted */
+    char **coming;         /* adapters being loaded; NULL if not reported */
 };
 
+/* Accepts NULL. */
 void ch_report_free(struct ch_report *report);
 
 /* ---- the vtable ---- */
@@ -118,13 +125,15 @@
     uint64_t (*call)(struct ch_upstream *upstream, const struct ch_call *call,
                      const struct ch_call_handlers *handlers, void *data);
     void (*cancel)(struct ch_upstream *upstream, uint64_t handle);
-    /* OK: accepted, it is being carried out; ORDER_HOLDS: it was done at once,
-       or was so already; STALE_FENCE: refused; UPSTREAM_REFUSED: another one
-       is under way, or has come before; UNKNOWN outcomes: may arrive yet.
-       NULL for a plain service. */
+    /*
+     * Calls done with OK: accepted, being carried out; ORDER_HOLDS: done at
+     * once, or done already; STALE_FENCE: refused; UPSTREAM_REFUSED: another
+     * order is being carried out, or came first; codes with an unknown
+     * outcome: the order may still arrive. NULL for a plain service.
+     */
     void (*order)(struct ch_upstream *upstream, const struct ch_order *order,
                   void (*done)(void *data, enum ch_code code), void *data);
-    /* report is owned by the callee; NULL with a code on failure. */
+    /* The callee of done owns the report; NULL with a code on failure. */
     void (*report)(struct ch_upstream *upstream,
                    void (*done)(void *data, enum ch_code code,
                                 struct ch_report *report),
@@ -136,14 +145,14 @@
     const struct ch_upstream_ops *ops;
 };
 
-/* call_limit bounds orders and reports. */
+/* control_timeout applies to orders and reports. */
 struct ch_upstream *ch_upstream_engine_new(struct ch_client *client,
                                            struct ch_http *http,
                                            const char *address,
-                                           int64_t call_limit);
+                                           int64_t control_timeout);
 struct ch_upstream *ch_upstream_service_new(struct ch_client *client,
                                             struct ch_http *http,
                                             const char *address,
-                                            int64_t call_limit);
+                                            int64_t control_timeout);
 
 #endif
--- a/libchestnuthitch/wire/frame.c
+++ b/libchestnuthitch/wire/frame.c
@@ -6,13 +6,16 @@
 
 struct ch_wire_decoder {
     GByteArray *bytes;
-    size_t taken; /* of bytes, by frames already given out */
-    size_t last;  /* bytes of the last of them */
+    size_t consumed;         /* bytes of frames already returned */
+    size_t last_frame_bytes; /* size in bytes of the frame returned last */
     bool failed;
 };
 
-/* Appends frame with its length to out.  False with FRAME_TOO_LARGE when it
- * would be refused at the other end; out is as before then. */
+/*
+ * Appends the frame with its length prefix to out. Returns false with
+ * FRAME_TOO_LARGE if the receiver would reject the frame; out is then
+ * unchanged.
+ */
 bool
 ch_wire_encode(const Chestnuthitch__Wire__Frame *frame, GByteArray *out,
                struct ch_error *error)
@@ -31,7 +34,7 @@
     return true;
 }
 
-/* A decoder for one connection. */
+/* Creates a decoder for one connection. */
 struct ch_wire_decoder *
 ch_wire_decoder_new(void)
 {
@@ -40,7 +43,7 @@
     return decoder;
 }
 
-/* Frees the decoder with what was not yet a whole frame. */
+/* Frees the decoder and any incomplete frame. */
 void
 ch_wire_decoder_free(struct ch_wire_decoder *decoder)
 {
@@ -51,21 +54,25 @@
     g_free(decoder);
 }
 
-/* Takes bytes as they came off the connection.  The caller asks for frames
- * after each feed, so that no more than one frame and one read are held. */
+/*
+ * Adds bytes read from the connection. The caller takes all frames after each
+ * feed, so that at most one frame and one read are buffered.
+ */
 void
 ch_wire_decoder_feed(struct ch_wire_decoder *decoder, const void *bytes,
                      size_t length)
 {
-    if (decoder->taken > 0) {
-        g_byte_array_remove_range(decoder->bytes, 0, (guint)decoder->taken);
-        decoder->taken = 0;
+    if (decoder->consumed > 0) {
+        g_byte_array_remove_range(decoder->bytes, 0, (guint)decoder->consumed);
+        decoder->consumed = 0;
     }
     g_byte_array_append(decoder->bytes, bytes, (guint)length);
 }
 
-/* Sets the error and leaves the decoder in it for good: after one bad frame
- * the place where the next begins is not known. */
+/*
+ * Sets the error and leaves the decoder in the error state for good: after a
+ * bad frame, the start of the next one is unknown.
+ */
 static Chestnuthitch__Wire__Frame *
 fail(struct ch_wire_decoder *decoder, struct ch_error *error,
      enum ch_code code, const char *message)
@@ -75,36 +82,41 @@
     return NULL;
 }
 
-/* The next whole frame, freed with ch_wire_frame_free; NULL when more bytes
- * are needed, or with *error set when the connection is to be closed.  The
- * length is checked before anything is allocated for it. */
+/*
+ * Returns the next complete frame, to be freed with ch_wire_frame_free(); NULL
+ * if more bytes are needed, or with *error set if the connection must be
+ * closed. The length is checked before anything is allocated for it.
+ */
 Chestnuthitch__Wire__Frame *
 ch_wire_decoder_next(struct ch_wire_decoder *decoder, struct ch_error *error)
 {
     if (decoder->failed) {
-        return fail(decoder, error, CH_FRAME_DAMAGED, "after a bad frame");
+        return fail(decoder, error, CH_FRAME_DAMAGED,
+                    "connection already had a bad frame");
     }
-    size_t held = decoder->bytes->len - decoder->taken;
-    if (held < CH_WIRE_PREFIX) {
+    size_t available = decoder->bytes->len - decoder->consumed;
+    if (available < CH_WIRE_PREFIX) {
         return NULL;
     }
-    const uint8_t *at = decoder->bytes->data + decoder->taken;
+    const uint8_t *at = decoder->bytes->data + decoder->consumed;
     uint32_t prefix = 0;
     memcpy(&prefix, at, sizeof(prefix));
     size_t length = GUINT32_FROM_BE(prefix);
     if (length > CH_WIRE_MOST_BYTES) {
-        return fail(decoder, error, CH_FRAME_TOO_LARGE, "frame over limit");
+        return fail(decoder, error, CH_FRAME_TOO_LARGE,
+                    "frame is over the size limit");
     }
-    if (held - CH_WIRE_PREFIX < length) {
+    if (available - CH_WIRE_PREFIX < length) {
         return NULL;
     }
     Chestnuthitch__Wire__Frame *frame =
         chestnuthitch__wire__frame__unpack(NULL, length, at + CH_WIRE_PREFIX);
     if (frame == NULL) {
-        return fail(decoder, error, CH_FRAME_DAMAGED, "frame does not decode");
+        return fail(decoder, error, CH_FRAME_DAMAGED,
+                    "frame cannot be decoded");
     }
-    decoder->last = CH_WIRE_PREFIX + length;
-    decoder->taken += decoder->last;
+    decoder->last_frame_bytes = CH_WIRE_PREFIX + length;
+    decoder->consumed += decoder->last_frame_bytes;
     if (frame->version != CH_WIRE_VERSION) {
         ch_wire_frame_free(frame);
         return fail(decoder, error, CH_FRAME_VERSION,
@@ -120,14 +132,12 @@
     return frame;
 }
 
-/* See wire.h. */
 size_t
 ch_wire_decoder_length(const struct ch_wire_decoder *decoder)
 {
-    return decoder->last;
+    return decoder->last_frame_bytes;
 }
 
-/* Frees a frame that the decoder gave. */
 void
 ch_wire_frame_free(Chestnuthitch__Wire__Frame *frame)
 {
