--- a/tests/threaded/test_http.c
+++ b/tests/threaded/test_http.c
@@ -1,4 +1,4 @@
-/* HTTP calls out against a small server that misbehaves as it is told. */
+/* Tests the HTTP client against a small server with a configurable fault. */
 
 #include "net/net.h"
 
@@ -10,42 +10,46 @@
 #include <unistd.h>
 
 enum {
-    PATIENCE_S = 20, /* a test that waits longer than this has failed */
-    SHORT = 80 * 1000,
-    LONG = PATIENCE_S * G_USEC_PER_SEC,
-    MOST_CONNECTIONS = 16,
-    LARGE = 1100 * 1000,
+    MAX_WAIT_S = 20, /* a test that waits longer than this has failed */
+    SHORT_TIMEOUT_US = 80 * 1000,
+    LONG_TIMEOUT_US = MAX_WAIT_S * G_USEC_PER_SEC,
+    MAX_CONNECTIONS = 16,
+    LARGE_BODY_BYTES = 1100 * 1000,
 };
 
-/* What the server does with a request that is no GET; GETs are answered. */
-enum manner {
-    ANSWERS,
-    CLOSES_FIRST,   /* reads it and closes; answers any after the first */
-    NEVER_ANSWERS,  /* reads it and stays silent */
-    STOPS_MIDWAY,   /* sends a part of the body and stays silent */
-    GOES_ON,        /* sends a part of the body, the rest when it is told */
-    CUTS_MIDWAY,    /* sends a part of the body and closes */
-    CUTS_CHUNKS,    /* the same, with chunks */
-    ASKS_AGAIN,     /* 417, which is a reason for libcurl to send again */
-    SENDS_NONSENSE, /* no HTTP at all */
-    REDIRECTS,      /* 307 to itself */
-    NEVER_ACCEPTS,  /* a full backlog: no connection comes about */
-    REFUSES,        /* nobody listens */
+/*
+ * What the server does with a request that is not a GET; a GET always gets a
+ * normal response.
+ */
+enum behaviour {
+    RESPONDS,
+    CLOSES_ON_FIRST,  /* reads the first request and closes; responds to later
+                         ones */
+    NEVER_RESPONDS,   /* reads the request and stays silent */
+    STALLS_MIDWAY,    /* sends part of the body and stays silent */
+    PAUSES_MIDWAY,    /* sends part of the body, the rest when told to */
+    CLOSES_MIDWAY,    /* sends part of the body and closes */
+    CLOSES_IN_CHUNKS, /* the same, with chunks */
+    RESPONDS_417,     /* 417, on which libcurl may send again */
+    SENDS_INVALID_HTTP,  /* not HTTP */
+    REDIRECTS,           /* 307 to itself */
+    NEVER_ACCEPTS,       /* full backlog: connections are never established */
+    REFUSES_CONNECTIONS, /* nothing listens on the port */
 };
 
 struct server {
-    enum manner manner;
+    enum behaviour behaviour;
     int listener;
     int port;
     pthread_t thread;
-    pthread_t connections[MOST_CONNECTIONS];
-    int fds[MOST_CONNECTIONS];
+    pthread_t connections[MAX_CONNECTIONS];
+    int fds[MAX_CONNECTIONS];
     unsigned connection_count;
     pthread_mutex_t lock;
     pthread_cond_t changed;
-    unsigned posts; /* whole requests read that were no GET */
-    bool goes_on;   /* the rest of a body may be sent */
-    bool gone_on;   /* it was */
+    unsigned posts;    /* complete requests read, except GETs */
+    bool may_continue; /* the rest of a body may be sent */
+    bool continued;    /* the rest of a body was sent */
     bool stopping;
 };
 
@@ -61,7 +65,7 @@
     (void)sent;
 }
 
-/* Reads one whole request; false when the other end closed before that. */
+/* Reads one complete request; false if the other end closed first. */
 static bool
 read_request(int fd, GString *buffer, bool *is_get)
 {
@@ -72,7 +76,10 @@
         if (end != NULL) {
             const char *field = strstr(buffer->str, "Content-Length: ");
             size_t body = field == NULL ? 0 : strtoul(field + 16, NULL, 10);
-            /* One that asks first is answered before it sends its body. */
+            /*
+             * A request with "Expect" gets its response before the body is
+             * sent.
+             */
             if (strstr(buffer->str, "Expect: 100-continue") != NULL) {
                 body = 0;
             }
@@ -89,9 +96,9 @@
     }
 }
 
-/* Notes a request that is no GET; returns which it is, from 1. */
+/* Counts a request that is not a GET; returns its number, from 1. */
 static unsigned
-note_post(struct server *server)
+record_post(struct server *server)
 {
     pthread_mutex_lock(&server->lock);
     unsigned number = ++server->posts;
@@ -100,9 +107,9 @@
     return number;
 }
 
-/* How many such requests came so far. */
+/* Number of requests so far that are not GETs. */
 static unsigned
-posts_of(struct server *server)
+get_post_count(struct server *server)
 {
     pthread_mutex_lock(&server->lock);
     unsigned posts = server->posts;
@@ -110,64 +117,65 @@
     return posts;
 }
 
-static const char good[] = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+static const char good_response[] =
+    "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
 /* Waits until the rest of a body may be sent. */
 static void
-wait_to_go_on(struct server *server)
+wait_until_may_continue(struct server *server)
 {
     pthread_mutex_lock(&server->lock);
-    while (!server->goes_on) {
+    while (!server->may_continue) {
         pthread_cond_wait(&server->changed, &server->lock);
     }
     pthread_mutex_unlock(&server->lock);
 }
 
-/* The rest of a body was sent. */
+/* Records that the rest of a body was sent. */
 static void
-note_gone_on(struct server *server)
+record_continued(struct server *server)
 {
     pthread_mutex_lock(&server->lock);
-    server->gone_on = true;
+    server->continued = true;
     pthread_cond_broadcast(&server->changed);
     pthread_mutex_unlock(&server->lock);
 }
 
-/* Answers by the server's manner; false: close. */
+/* Responds according to the server's behaviour; false: close. */
 static bool
-misbehave(struct server *server, int fd, unsigned number)
+respond(struct server *server, int fd, unsigned number)
 {
-    switch (server->manner) {
-    case CLOSES_FIRST:
+    switch (server->behaviour) {
+    case CLOSES_ON_FIRST:
         if (number == 1) {
             return false;
         }
         break;
-    case NEVER_ANSWERS:
+    case NEVER_RESPONDS:
         return true;
-    case STOPS_MIDWAY:
+    case STALLS_MIDWAY:
         send_text(fd, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok");
         return true;
-    case GOES_ON:
+    case PAUSES_MIDWAY:
         send_text(fd, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nok");
-        wait_to_go_on(server);
+        wait_until_may_continue(server);
         send_text(fd, "ok");
-        note_gone_on(server);
+        record_continued(server);
         return true;
-    case CUTS_MIDWAY:
+    case CLOSES_MIDWAY:
         send_text(fd, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok");
         return false;
-    case CUTS_CHUNKS:
+    case CLOSES_IN_CHUNKS:
         send_text(fd, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                       "2\r\nok\r\n");
         return false;
-    case ASKS_AGAIN:
+    case RESPONDS_417:
         if (number == 1) {
             send_text(fd, "HTTP/1.1 417 No\r\nContent-Length: 0\r\n\r\n");
             return true;
         }
         break;
-    case SENDS_NONSENSE:
+    case SENDS_INVALID_HTTP:
         send_text(fd, "good day to you\r\n\r\n");
         return false;
     case REDIRECTS:
@@ -177,7 +185,7 @@
     default:
         break;
     }
-    send_text(fd, good);
+    send_text(fd, good_response);
     return true;
 }
 
@@ -189,10 +197,10 @@
     bool is_get = false;
     while (read_request(connection->fd, buffer, &is_get)) {
         if (is_get) {
-            send_text(connection->fd, good);
+            send_text(connection->fd, good_response);
         }
-        else if (!misbehave(connection->server, connection->fd,
-                            note_post(connection->server))) {
+        else if (!respond(connection->server, connection->fd,
+                          record_post(connection->server))) {
             break;
         }
     }
@@ -214,7 +222,7 @@
         struct connection *connection = g_new(struct connection, 1);
         *connection = (struct connection){server, fd};
         pthread_mutex_lock(&server->lock);
-        g_assert_cmpuint(server->connection_count, <, MOST_CONNECTIONS);
+        g_assert_cmpuint(server->connection_count, <, MAX_CONNECTIONS);
         unsigned index = server->connection_count++;
         server->fds[index] = fd;
         pthread_create(&server->connections[index], NULL, run_connection,
@@ -223,7 +231,7 @@
     }
 }
 
-/* Fills the backlog, so that the next connection waits for good. */
+/* Fills the backlog, so that the next connection is never established. */
 static void
 fill_backlog(struct server *server, const struct sockaddr_in *address)
 {
@@ -237,7 +245,7 @@
 }
 
 static struct server *
-server_new(enum manner manner)
+server_new(enum behaviour behaviour)
 {
     struct server *server = g_new0(struct server, 1);
     struct sockaddr_in address = {
@@ -245,7 +253,7 @@
         .sin_addr.s_addr = htonl(INADDR_LOOPBACK),
     };
     socklen_t length = sizeof(address);
-    server->manner = manner;
+    server->behaviour = behaviour;
     pthread_mutex_init(&server->lock, NULL);
     pthread_cond_init(&server->changed, NULL);
     server->listener = socket(AF_INET, SOCK_STREAM, 0);
@@ -254,12 +262,12 @@
         ==, 0);
     getsockname(server->listener, (struct sockaddr *)&address, &length);
     server->port = ntohs(address.sin_port);
-    if (manner == REFUSES) {
+    if (behaviour == REFUSES_CONNECTIONS) {
         return server;
     }
-    g_assert_cmpint(listen(server->listener, manner == NEVER_ACCEPTS ? 0 : 16),
-                    ==, 0);
-    if (manner == NEVER_ACCEPTS) {
+    g_assert_cmpint(
+        listen(server->listener, behaviour == NEVER_ACCEPTS ? 0 : 16), ==, 0);
+    if (behaviour == NEVER_ACCEPTS) {
         fill_backlog(server, &address);
         return server;
     }
@@ -270,8 +278,8 @@
 static void
 server_free(struct server *server)
 {
-    bool accepts =
-        server->manner != REFUSES && server->manner != NEVER_ACCEPTS;
+    bool accepts = server->behaviour != REFUSES_CONNECTIONS &&
+                   server->behaviour != NEVER_ACCEPTS;
     shutdown(server->listener, SHUT_RDWR);
     if (accepts) {
         pthread_join(server->thread, NULL);
@@ -295,9 +303,9 @@
     pthread_mutex_t lock;
     pthread_cond_t changed;
     unsigned ends;
-    unsigned after_end; /* handlers that ran after on_end: must stay 0 */
-    unsigned silences;  /* how often the owner was asked to wait on */
-    int heads;
+    unsigned after_end;   /* handlers that ran after on_end: must stay 0 */
+    unsigned stall_count; /* how often the owner was asked to keep waiting */
+    int status_count;
     struct ch_http_end end;
     GString *body;
 };
@@ -308,7 +316,7 @@
     struct call *call = data;
     pthread_mutex_lock(&call->lock);
     call->after_end += call->ends;
-    call->heads++;
+    call->status_count++;
     g_assert_cmpint(status, >=, 200);
     pthread_mutex_unlock(&call->lock);
 }
@@ -360,13 +368,13 @@
     g_free(call);
 }
 
-/* Waits for a change with a bound, so that a fault ends the test. */
+/* Waits for a change for a limited time, so that a fault ends the test. */
 static void
-wait_once(pthread_cond_t *changed, pthread_mutex_t *lock)
+wait_for_change(pthread_cond_t *changed, pthread_mutex_t *lock)
 {
     struct timespec until;
     clock_gettime(CLOCK_REALTIME, &until);
-    until.tv_sec += PATIENCE_S;
+    until.tv_sec += MAX_WAIT_S;
     g_assert_cmpint(pthread_cond_timedwait(changed, lock, &until), ==, 0);
 }
 
@@ -375,19 +383,21 @@
 {
     pthread_mutex_lock(&call->lock);
     while (call->ends == 0) {
-        wait_once(&call->changed, &call->lock);
+        wait_for_change(&call->changed, &call->lock);
     }
     pthread_mutex_unlock(&call->lock);
 }
 
 static const char small_body[] = "order";
 
-/* Submits a request; a GET has no body.  once: libcurl must not send it
- * again. */
+/*
+ * Submits a request; a GET has no body. no_resend: libcurl must not send the
+ * request again.
+ */
 static uint64_t
-submit_once(struct ch_http *http, struct server *server, const char *method,
-            const char *body, bool fresh, bool once, int64_t limit,
-            struct call *call)
+submit_request(struct ch_http *http, struct server *server, const char *method,
+               const char *body, bool fresh, bool no_resend, int64_t timeout,
+               struct call *call)
 {
     char url[64];
     (void)snprintf(url, sizeof(url), "http://127.0.0.1:%d/x", server->port);
@@ -396,29 +406,30 @@
         .url = url,
         .body = body,
         .body_length = strcmp(method, "GET") == 0 ? 0 : strlen(body),
-        .connect_limit = limit,
-        .first_byte_limit = limit,
-        .stall_limit = limit,
+        .connect_limit = timeout,
+        .first_byte_limit = timeout,
+        .stall_limit = timeout,
         .fresh_connection = fresh,
-        .sent_once = once,
+        .sent_once = no_resend,
     };
     return ch_http_submit(http, &request, &handlers, call);
 }
 
-/* As submit_once, where libcurl may send again. */
+/* As submit_request(), but libcurl may send the request again. */
 static uint64_t
 submit(struct ch_http *http, struct server *server, const char *method,
-       const char *body, bool fresh, int64_t limit, struct call *call)
+       const char *body, bool fresh, int64_t timeout, struct call *call)
 {
-    return submit_once(http, server, method, body, fresh, false, limit, call);
+    return submit_request(http, server, method, body, fresh, false, timeout,
+                          call);
 }
 
-/* A GET that leaves a kept-alive connection behind. */
+/* Sends a GET, which leaves a kept-alive connection behind. */
 static void
 warm_up(struct ch_http *http, struct server *server)
 {
     struct call *call = call_new();
-    submit(http, server, "GET", small_body, false, LONG, call);
+    submit(http, server, "GET", small_body, false, LONG_TIMEOUT_US, call);
     wait_for_end(call);
     g_assert_cmpint(call->end.code, ==, CH_OK);
     call_free(call);
@@ -428,63 +439,66 @@
 
 struct end_case {
     const char *name;
-    enum manner manner;
+    enum behaviour behaviour;
     bool warm;
     bool fresh;
-    bool sent;  /* as the call's end says */
-    bool large; /* over the size from which libcurl asks before it sends */
-    int64_t limit;
+    bool sent;  /* as the call's result says */
+    bool large; /* over the size from which libcurl sends "Expect" first */
+    int64_t timeout;
     enum ch_code code;
-    unsigned posts; /* how often the server got the request */
+    unsigned posts; /* how often the server received the request */
     const char *body;
-    bool once; /* libcurl must not send it again */
+    bool no_resend; /* libcurl must not send the request again */
 };
 
 static const struct end_case end_cases[] = {
-    {"answered", ANSWERS, false, false, true, false, LONG, CH_OK, 1, "ok",
-     false},
-    {"answered, fresh", ANSWERS, true, true, true, false, LONG, CH_OK, 1, "ok",
-     false},
-    /* The hazard itself: with a kept-alive connection libcurl sends again by
-     * itself and reports success. */
-    {"closed, reused", CLOSES_FIRST, true, false, true, false, LONG, CH_OK, 2,
-     "ok", false},
-    /* The safeguards. */
-    {"closed, reused, once", CLOSES_FIRST, true, false, true, false, LONG,
-     CH_UPSTREAM_CUT, 1, "", true},
-    {"closed, fresh", CLOSES_FIRST, true, true, true, false, LONG,
-     CH_UPSTREAM_CUT, 1, "", false},
-    {"417, fresh", ASKS_AGAIN, true, true, true, false, LONG, CH_OK, 1, "",
-     false},
-    {"417, reused", ASKS_AGAIN, true, false, true, false, LONG, CH_OK, 1, "",
-     false},
-    {"417, large", ASKS_AGAIN, false, true, true, true, LONG, CH_OK, 1, "",
-     false},
-    {"redirect", REDIRECTS, false, false, true, false, LONG, CH_OK, 1, "",
-     false},
-    {"refused", REFUSES, false, true, false, false, LONG, CH_UPSTREAM_CONNECT,
-     0, "", false},
-    {"no connection", NEVER_ACCEPTS, false, true, false, false, SHORT,
-     CH_UPSTREAM_CONNECT, 0, "", false},
-    {"silent", NEVER_ANSWERS, false, true, true, false, SHORT,
+    {"answered", RESPONDS, false, false, true, false, LONG_TIMEOUT_US, CH_OK,
+     1, "ok", false},
+    {"answered, fresh", RESPONDS, true, true, true, false, LONG_TIMEOUT_US,
+     CH_OK, 1, "ok", false},
+    /*
+     * The fault itself: on a kept-alive connection libcurl sends the request
+     * again on its own and reports success.
+     */
+    {"closed, reused", CLOSES_ON_FIRST, true, false, true, false,
+     LONG_TIMEOUT_US, CH_OK, 2, "ok", false},
+    /* The safeguards against it. */
+    {"closed, reused, once", CLOSES_ON_FIRST, true, false, true, false,
+     LONG_TIMEOUT_US, CH_UPSTREAM_CUT, 1, "", true},
+    {"closed, fresh", CLOSES_ON_FIRST, true, true, true, false,
+     LONG_TIMEOUT_US, CH_UPSTREAM_CUT, 1, "", false},
+    {"417, fresh", RESPONDS_417, true, true, true, false, LONG_TIMEOUT_US,
+     CH_OK, 1, "", false},
+    {"417, reused", RESPONDS_417, true, false, true, false, LONG_TIMEOUT_US,
+     CH_OK, 1, "", false},
+    {"417, large", RESPONDS_417, false, true, true, true, LONG_TIMEOUT_US,
+     CH_OK, 1, "", false},
+    {"redirect", REDIRECTS, false, false, true, false, LONG_TIMEOUT_US, CH_OK,
+     1, "", false},
+    {"refused", REFUSES_CONNECTIONS, false, true, false, false,
+     LONG_TIMEOUT_US, CH_UPSTREAM_CONNECT, 0, "", false},
+    {"no connection", NEVER_ACCEPTS, false, true, false, false,
+     SHORT_TIMEOUT_US, CH_UPSTREAM_CONNECT, 0, "", false},
+    {"silent", NEVER_RESPONDS, false, true, true, false, SHORT_TIMEOUT_US,
      CH_UPSTREAM_STALLED, 1, "", false},
-    {"silent, reused", NEVER_ANSWERS, true, false, true, false, SHORT,
-     CH_UPSTREAM_STALLED, 1, "", false},
-    {"silent midway", STOPS_MIDWAY, false, true, true, false, SHORT,
-     CH_UPSTREAM_STALLED, 1, "ok", false},
-    {"cut midway", CUTS_MIDWAY, false, true, true, false, LONG,
+    {"silent, reused", NEVER_RESPONDS, true, false, true, false,
+     SHORT_TIMEOUT_US, CH_UPSTREAM_STALLED, 1, "", false},
+    {"silent midway", STALLS_MIDWAY, false, true, true, false,
+     SHORT_TIMEOUT_US, CH_UPSTREAM_STALLED, 1, "ok", false},
+    {"cut midway", CLOSES_MIDWAY, false, true, true, false, LONG_TIMEOUT_US,
      CH_UPSTREAM_CUT, 1, "ok", false},
-    {"chunks cut", CUTS_CHUNKS, false, true, true, false, LONG,
+    {"chunks cut", CLOSES_IN_CHUNKS, false, true, true, false, LONG_TIMEOUT_US,
      CH_UPSTREAM_CUT, 1, "ok", false},
-    {"nonsense", SENDS_NONSENSE, false, true, true, false, LONG,
+    {"nonsense", SENDS_INVALID_HTTP, false, true, true, false, LONG_TIMEOUT_US,
      CH_UPSTREAM_ANSWER, 1, "", false},
 };
 
 /*
- * A caller orders once and the order is cut twice: the engine or service read
- * the POST and went away before its answer, libcurl sent it again on a new
- * connection, and the caller was told of one success.  Each row is one way in
- * which a call ends; the server counts how often it got the request.
+ * Guards against a request that runs twice: the upstream read the POST and
+ * closed the connection before responding, libcurl sent the POST again on a
+ * new connection, and the caller, whose one order was carried out twice, was
+ * told of one success. Each row is one way in which a call ends; the server
+ * counts how often it received the request.
  */
 static void
 test_ends(gconstpointer data)
@@ -492,15 +506,16 @@
     const struct end_case *row = data;
     struct ch_client client;
     ch_client_init(&client, "test");
-    struct server *server = server_new(row->manner);
+    struct server *server = server_new(row->behaviour);
     struct ch_http *http = ch_http_new(&client);
     struct call *call = call_new();
     if (row->warm) {
         warm_up(http, server);
     }
-    char *body = row->large ? g_strnfill(LARGE, 'x') : g_strdup(small_body);
-    submit_once(http, server, "POST", body, row->fresh, row->once, row->limit,
-                call);
+    char *body =
+        row->large ? g_strnfill(LARGE_BODY_BYTES, 'x') : g_strdup(small_body);
+    submit_request(http, server, "POST", body, row->fresh, row->no_resend,
+                   row->timeout, call);
     g_free(body);
     wait_for_end(call);
     ch_http_free(http);
@@ -508,7 +523,7 @@
     g_assert_cmpuint(call->after_end, ==, 0);
     g_assert_cmpint(call->end.code, ==, row->code);
     g_assert_cmpint(call->end.sent, ==, row->sent);
-    g_assert_cmpuint(posts_of(server), ==, row->posts);
+    g_assert_cmpuint(get_post_count(server), ==, row->posts);
     g_assert_cmpstr(call->body->str, ==, row->body);
     server_free(server);
     call_free(call);
@@ -516,20 +531,23 @@
 
 static const struct {
     const char *name;
-    enum manner manner;
-    int64_t limit;
+    enum behaviour behaviour;
+    int64_t timeout;
     enum ch_code code;
     bool refused;
 } connect_cases[] = {
-    {"somebody listens", NEVER_ANSWERS, LONG, CH_OK, false},
-    {"nobody listens", REFUSES, LONG, CH_UPSTREAM_CONNECT, true},
-    {"no connection comes about", NEVER_ACCEPTS, SHORT, CH_UPSTREAM_CONNECT,
-     false},
+    {"somebody listens", NEVER_RESPONDS, LONG_TIMEOUT_US, CH_OK, false},
+    {"nobody listens", REFUSES_CONNECTIONS, LONG_TIMEOUT_US,
+     CH_UPSTREAM_CONNECT, true},
+    {"no connection comes about", NEVER_ACCEPTS, SHORT_TIMEOUT_US,
+     CH_UPSTREAM_CONNECT, false},
 };
 
-/* Guards against a request that reaches an upstream which was only to be asked
- * for a connection, and against one that does not answer being taken for one
- * that ended. */
+/*
+ * Guards against sending a request to an upstream that was only to be tested
+ * for a connection, and against taking an upstream that does not respond for
+ * one that crashed.
+ */
 static void
 test_connect_only(void)
 {
@@ -537,15 +555,15 @@
         struct ch_client client;
         char url[64];
         ch_client_init(&client, "test");
-        struct server *server = server_new(connect_cases[i].manner);
+        struct server *server = server_new(connect_cases[i].behaviour);
         struct ch_http *http = ch_http_new(&client);
         struct call *call = call_new();
         (void)snprintf(url, sizeof(url), "http://127.0.0.1:%d/", server->port);
         const struct ch_http_request request = {
             .method = "POST",
             .url = url,
-            .connect_limit = connect_cases[i].limit,
-            .total_limit = LONG,
+            .connect_limit = connect_cases[i].timeout,
+            .total_limit = LONG_TIMEOUT_US,
             .connect_only = true,
         };
         g_test_message("%s", connect_cases[i].name);
@@ -554,101 +572,102 @@
         ch_http_free(http);
         g_assert_cmpint(call->end.code, ==, connect_cases[i].code);
         g_assert_cmpint(call->end.refused, ==, connect_cases[i].refused);
-        g_assert_cmpuint(posts_of(server), ==, 0);
+        g_assert_cmpuint(get_post_count(server), ==, 0);
         server_free(server);
         call_free(call);
     }
 }
 
-/* ---- silence that the owner bears ---- */
+/* ---- timeouts after which the owner keeps waiting ---- */
 
 static bool
-wait_on(void *data)
+keep_waiting(void *data)
 {
     struct call *call = data;
     pthread_mutex_lock(&call->lock);
     call->after_end += call->ends;
-    call->silences++;
+    call->stall_count++;
     pthread_mutex_unlock(&call->lock);
     return true;
 }
 
-static const struct end_case borne_cases[] = {
-    {"silent", NEVER_ANSWERS, false, true, true, false, SHORT,
+static const struct end_case stall_cases[] = {
+    {"silent", NEVER_RESPONDS, false, true, true, false, SHORT_TIMEOUT_US,
      CH_UPSTREAM_STALLED, 1, "", false},
-    {"silent midway", STOPS_MIDWAY, false, true, true, false, SHORT,
-     CH_UPSTREAM_STALLED, 1, "ok", false},
+    {"silent midway", STALLS_MIDWAY, false, true, true, false,
+     SHORT_TIMEOUT_US, CH_UPSTREAM_STALLED, 1, "ok", false},
 };
 
 /*
- * A caller's stream stops because its worker is cut off for two seconds; no
- * try is left for another worker.  The stream was given up at the first limit
- * between bytes, though its rest would have come.  Where the owner waits on,
- * the call ends at its total limit, four times the one between bytes.
+ * Guards against giving up a stream at the first stall timeout although its
+ * rest would still have come: a caller's stream stopped because its worker was
+ * cut off for two seconds, and no retry on another worker was left. When the
+ * owner keeps waiting, the call ends at its total timeout, four times the
+ * stall timeout.
  */
 static void
-test_borne(gconstpointer data)
+test_owner_keeps_waiting(gconstpointer data)
 {
     const struct end_case *row = data;
-    struct ch_http_handlers patient = handlers;
-    patient.on_silent = wait_on;
+    struct ch_http_handlers waiting_handlers = handlers;
+    waiting_handlers.on_silent = keep_waiting;
     struct ch_client client;
     ch_client_init(&client, "test");
-    struct server *server = server_new(row->manner);
+    struct server *server = server_new(row->behaviour);
     struct ch_http *http = ch_http_new(&client);
     struct call *call = call_new();
     char *url = g_strdup_printf("http://127.0.0.1:%d/x", server->port);
-    int64_t total = (int64_t)4 * row->limit;
+    int64_t total = (int64_t)4 * row->timeout;
     const struct ch_http_request request = {
         .method = "POST",
         .url = url,
         .body = small_body,
         .body_length = strlen(small_body),
-        .connect_limit = row->limit,
-        .first_byte_limit = row->limit,
-        .stall_limit = row->limit,
+        .connect_limit = row->timeout,
+        .first_byte_limit = row->timeout,
+        .stall_limit = row->timeout,
         .total_limit = total,
     };
-    int64_t began = ch_client_now(&client);
-    ch_http_submit(http, &request, &patient, call);
+    int64_t started_at = ch_client_now(&client);
+    ch_http_submit(http, &request, &waiting_handlers, call);
     wait_for_end(call);
-    g_assert_cmpint(ch_client_now(&client) - began, >=, total);
+    g_assert_cmpint(ch_client_now(&client) - started_at, >=, total);
     ch_http_free(http);
-    g_assert_cmpuint(call->silences, >=, 1);
-    g_assert_cmpuint(call->silences, <=, 3);
+    g_assert_cmpuint(call->stall_count, >=, 1);
+    g_assert_cmpuint(call->stall_count, <=, 3);
     g_assert_cmpuint(call->after_end, ==, 0);
     g_assert_cmpint(call->end.code, ==, row->code);
-    g_assert_cmpuint(posts_of(server), ==, row->posts);
+    g_assert_cmpuint(get_post_count(server), ==, row->posts);
     g_assert_cmpstr(call->body->str, ==, row->body);
     server_free(server);
     call_free(call);
     g_free(url);
 }
 
-/* Waits on the first time that it is asked. */
+/* Keeps waiting the first time it is called only. */
 static bool
-wait_on_once(void *data)
+keep_waiting_once(void *data)
 {
     struct call *call = data;
-    return wait_on(data) && call->silences == 1;
+    return keep_waiting(data) && call->stall_count == 1;
 }
 
 /*
- * Guards against streams that wait for an upstream that is dead until their
- * callers give up: no try was left when it fell silent, and nobody asked again
- * when there was one.  Where the owner does not wait on a second time the call
- * ends then, and not at its total limit.
+ * Guards against streams that wait for a dead upstream until their callers
+ * give up: no retry was left when the upstream fell silent, and the owner was
+ * not asked again once there was one. When the owner stops waiting the second
+ * time, the call ends then, and not at its total timeout.
  */
 static void
-test_asked_again(void)
+test_owner_stops_waiting(void)
 {
-    for (size_t i = 0; i < G_N_ELEMENTS(borne_cases); i++) {
-        const struct end_case *row = &borne_cases[i];
-        struct ch_http_handlers patient = handlers;
-        patient.on_silent = wait_on_once;
+    for (size_t i = 0; i < G_N_ELEMENTS(stall_cases); i++) {
+        const struct end_case *row = &stall_cases[i];
+        struct ch_http_handlers waiting_handlers = handlers;
+        waiting_handlers.on_silent = keep_waiting_once;
         struct ch_client client;
         ch_client_init(&client, "test");
-        struct server *server = server_new(row->manner);
+        struct server *server = server_new(row->behaviour);
         struct ch_http *http = ch_http_new(&client);
         struct call *call = call_new();
         char *url = g_strdup_printf("http://127.0.0.1:%d/x", server->port);
@@ -657,21 +676,22 @@
             .url = url,
             .body = small_body,
             .body_length = strlen(small_body),
-            .connect_limit = LONG,
-            .first_byte_limit =
-                row->manner == STOPS_MIDWAY ? LONG : row->limit,
-            .stall_limit = row->limit,
-            .total_limit = LONG,
+            .connect_limit = LONG_TIMEOUT_US,
+            .first_byte_limit = row->behaviour == STALLS_MIDWAY
+                                    ? LONG_TIMEOUT_US
+                                    : row->timeout,
+            .stall_limit = row->timeout,
+            .total_limit = LONG_TIMEOUT_US,
         };
         g_test_message("%s", row->name);
-        int64_t began = ch_client_now(&client);
-        ch_http_submit(http, &request, &patient, call);
+        int64_t started_at = ch_client_now(&client);
+        ch_http_submit(http, &request, &waiting_handlers, call);
         wait_for_end(call);
-        int64_t took = ch_client_now(&client) - began;
+        int64_t elapsed = ch_client_now(&client) - started_at;
         ch_http_free(http);
-        g_assert_cmpint(took, >=, 2 * (int64_t)row->limit);
-        g_assert_cmpint(took, <, LONG);
-        g_assert_cmpuint(call->silences, ==, 2);
+        g_assert_cmpint(elapsed, >=, 2 * (int64_t)row->timeout);
+        g_assert_cmpint(elapsed, <, LONG_TIMEOUT_US);
+        g_assert_cmpuint(call->stall_count, ==, 2);
         g_assert_cmpint(call->end.code, ==, CH_UPSTREAM_STALLED);
         g_assert_cmpstr(call->body->str, ==, row->body);
         server_free(server);
@@ -682,63 +702,65 @@
 
 /* ---- cancelling ---- */
 
-enum moment {
-    AT_ONCE,
+enum call_phase {
+    IMMEDIATELY,
     WHILE_CONNECTING,
     BEFORE_FIRST_BYTE,
-    IN_THE_BODY,
-    BY_END_OF_LOOP,
+    IN_BODY,
+    BY_SHUTDOWN,
 };
 
 struct cancel_case {
     const char *name;
-    enum moment moment;
-    enum manner manner;
+    enum call_phase phase;
+    enum behaviour behaviour;
 };
 
 static const struct cancel_case cancel_cases[] = {
-    {"at once", AT_ONCE, NEVER_ANSWERS},
+    {"at once", IMMEDIATELY, NEVER_RESPONDS},
     {"while connecting", WHILE_CONNECTING, NEVER_ACCEPTS},
-    {"before the first byte", BEFORE_FIRST_BYTE, NEVER_ANSWERS},
-    {"in the body", IN_THE_BODY, STOPS_MIDWAY},
-    {"by the end of the loop", BY_END_OF_LOOP, NEVER_ANSWERS},
+    {"before the first byte", BEFORE_FIRST_BYTE, NEVER_RESPONDS},
+    {"in the body", IN_BODY, STALLS_MIDWAY},
+    {"by the end of the loop", BY_SHUTDOWN, NEVER_RESPONDS},
 };
 
-/* Waits until the call is in the phase that the row is about. */
+/* Waits until the call is in the given phase. */
 static void
-wait_for_moment(enum moment moment, struct server *server, struct call *call)
+wait_for_phase(enum call_phase phase, struct server *server, struct call *call)
 {
-    if (moment == BEFORE_FIRST_BYTE || moment == BY_END_OF_LOOP) {
+    if (phase == BEFORE_FIRST_BYTE || phase == BY_SHUTDOWN) {
         pthread_mutex_lock(&server->lock);
         while (server->posts == 0) {
-            wait_once(&server->changed, &server->lock);
+            wait_for_change(&server->changed, &server->lock);
         }
         pthread_mutex_unlock(&server->lock);
     }
-    if (moment == IN_THE_BODY) {
+    if (phase == IN_BODY) {
         pthread_mutex_lock(&call->lock);
         while (call->body->len == 0) {
-            wait_once(&call->changed, &call->lock);
+            wait_for_change(&call->changed, &call->lock);
         }
         pthread_mutex_unlock(&call->lock);
     }
 }
 
-/* A call that is cancelled ends once, with CANCELLED, whatever it was doing;
- * a second cancel, or one after the end, does nothing. */
+/*
+ * A cancelled call ends once, with CANCELLED, whatever its phase; a second
+ * cancel, or a cancel after the end, has no effect.
+ */
 static void
 test_cancel(gconstpointer data)
 {
     const struct cancel_case *row = data;
     struct ch_client client;
     ch_client_init(&client, "test");
-    struct server *server = server_new(row->manner);
+    struct server *server = server_new(row->behaviour);
     struct ch_http *http = ch_http_new(&client);
     struct call *call = call_new();
     uint64_t handle =
-        submit(http, server, "POST", small_body, true, LONG, call);
-    wait_for_moment(row->moment, server, call);
-    if (row->moment != BY_END_OF_LOOP) {
+        submit(http, server, "POST", small_body, true, LONG_TIMEOUT_US, call);
+    wait_for_phase(row->phase, server, call);
+    if (row->phase != BY_SHUTDOWN) {
         ch_http_cancel(http, handle);
         ch_http_cancel(http, handle);
         wait_for_end(call);
@@ -748,190 +770,197 @@
     g_assert_cmpuint(call->ends, ==, 1);
     g_assert_cmpuint(call->after_end, ==, 0);
     g_assert_cmpint(call->end.code, ==, CH_CANCELLED);
-    if (row->moment == WHILE_CONNECTING) {
+    if (row->phase == WHILE_CONNECTING) {
         g_assert_false(call->end.sent);
     }
     server_free(server);
     call_free(call);
 }
 
-/* ---- a loop that stands still ---- */
+/* ---- a stalled loop ---- */
 
 enum {
-    STILL_LIMIT = 1500 * 1000, /* of silence, microseconds */
+    STALL_TIMEOUT_US = 1500 * 1000, /* timeout without data, microseconds */
 };
 
-/* A call whose handler keeps the loop from its work. */
-struct holder {
+/* A call whose handler blocks the loop's thread. */
+struct loop_blocker {
     struct call *call;
     pthread_mutex_t lock;
     pthread_cond_t changed;
     bool released;
-    gulong rest; /* the loop is kept for so long after the release */
+    gulong extra_us; /* how much longer the loop stays blocked after the
+                    release, in microseconds */
 };
 
 static void
-hold_loop(void *data, const char *bytes, size_t length)
+block_loop(void *data, const char *bytes, size_t length)
 {
-    struct holder *holder = data;
-    call_data(holder->call, bytes, length);
-    pthread_mutex_lock(&holder->lock);
-    while (!holder->released) {
-        wait_once(&holder->changed, &holder->lock);
+    struct loop_blocker *blocker = data;
+    call_data(blocker->call, bytes, length);
+    pthread_mutex_lock(&blocker->lock);
+    while (!blocker->released) {
+        wait_for_change(&blocker->changed, &blocker->lock);
     }
-    pthread_mutex_unlock(&holder->lock);
-    g_usleep(holder->rest);
+    pthread_mutex_unlock(&blocker->lock);
+    g_usleep(blocker->extra_us);
 }
 
 static void
-end_holder(void *data, const struct ch_http_end *end)
+end_blocker(void *data, const struct ch_http_end *end)
 {
-    call_end(((const struct holder *)data)->call, end);
+    call_end(((const struct loop_blocker *)data)->call, end);
 }
 
 static void
-release_loop(struct holder *holder)
+unblock_loop(struct loop_blocker *blocker)
 {
-    pthread_mutex_lock(&holder->lock);
-    holder->released = true;
-    pthread_cond_broadcast(&holder->changed);
-    pthread_mutex_unlock(&holder->lock);
+    pthread_mutex_lock(&blocker->lock);
+    blocker->released = true;
+    pthread_cond_broadcast(&blocker->changed);
+    pthread_mutex_unlock(&blocker->lock);
 }
 
-/* Begins a GET that holds the loop; returns once it does. */
+/* Starts a GET that blocks the loop; returns once the loop is blocked. */
 static void
-holder_begin(struct holder *holder, struct ch_http *http,
-             struct server *server, int64_t rest)
+blocker_start(struct loop_blocker *blocker, struct ch_http *http,
+              struct server *server, int64_t extra_us)
 {
-    static const struct ch_http_handlers holding = {
-        .on_data = hold_loop,
-        .on_end = end_holder,
+    static const struct ch_http_handlers blocking_handlers = {
+        .on_data = block_loop,
+        .on_end = end_blocker,
     };
     char *url = g_strdup_printf("http://127.0.0.1:%d/x", server->port);
     const struct ch_http_request get = {.method = "GET", .url = url};
-    *holder = (struct holder){.call = call_new(), .rest = (gulong)rest};
-    pthread_mutex_init(&holder->lock, NULL);
-    pthread_cond_init(&holder->changed, NULL);
-    ch_http_submit(http, &get, &holding, holder);
-    wait_for_moment(IN_THE_BODY, server, holder->call);
+    *blocker = (struct loop_blocker){.call = call_new(),
+                                     .extra_us = (gulong)extra_us};
+    pthread_mutex_init(&blocker->lock, NULL);
+    pthread_cond_init(&blocker->changed, NULL);
+    ch_http_submit(http, &get, &blocking_handlers, blocker);
+    wait_for_phase(IN_BODY, server, blocker->call);
     g_free(url);
 }
 
 static void
-holder_clear(struct holder *holder)
+blocker_clear(struct loop_blocker *blocker)
 {
-    call_free(holder->call);
-    pthread_mutex_destroy(&holder->lock);
-    pthread_cond_destroy(&holder->changed);
+    call_free(blocker->call);
+    pthread_mutex_destroy(&blocker->lock);
+    pthread_cond_destroy(&blocker->changed);
 }
 
-/* Has the server send the rest of a body. */
+/* Makes the server send the rest of a body. */
 static void
 send_rest(struct server *server)
 {
     pthread_mutex_lock(&server->lock);
-    server->goes_on = true;
+    server->may_continue = true;
     pthread_cond_broadcast(&server->changed);
-    while (!server->gone_on) {
-        wait_once(&server->changed, &server->lock);
+    while (!server->continued) {
+        wait_for_change(&server->changed, &server->lock);
     }
     pthread_mutex_unlock(&server->lock);
 }
 
 /*
- * Guards against streams that are given up as silent while their bytes wait to
- * be read: the loop's thread had no turn for longer than the limit after it
- * had read, and judged by the time that it was then.
+ * Guards against giving up streams as silent while their bytes wait to be
+ * read: the loop's thread got no CPU time for longer than the timeout after it
+ * had read, and then compared deadlines with the current time instead of the
+ * time of the last read.
  */
 static void
-test_stands_still(void)
+test_loop_stall(void)
 {
     struct ch_client client;
     ch_client_init(&client, "test");
-    struct server *server = server_new(GOES_ON);
+    struct server *server = server_new(PAUSES_MIDWAY);
     struct ch_http *http = ch_http_new(&client);
     struct call *stream = call_new();
-    struct holder holder;
-    submit(http, server, "POST", small_body, true, STILL_LIMIT, stream);
-    wait_for_moment(IN_THE_BODY, server, stream);
-    /* libcurl reads calls in the order in which they were begun, so that the
-     * stream is not read after the holder. */
-    holder_begin(&holder, http, server, STILL_LIMIT + STILL_LIMIT / 2);
+    struct loop_blocker blocker;
+    submit(http, server, "POST", small_body, true, STALL_TIMEOUT_US, stream);
+    wait_for_phase(IN_BODY, server, stream);
+    /*
+     * libcurl reads calls in the order in which they were started, so the
+     * stream is not read after the blocking call.
+     */
+    blocker_start(&blocker, http, server,
+                  STALL_TIMEOUT_US + STALL_TIMEOUT_US / 2);
     send_rest(server);
-    release_loop(&holder);
-    wait_for_end(holder.call);
+    unblock_loop(&blocker);
+    wait_for_end(blocker.call);
     wait_for_end(stream);
     ch_http_free(http);
     g_assert_cmpint(stream->end.code, ==, CH_OK);
     g_assert_cmpstr(stream->body->str, ==, "okok");
     server_free(server);
     call_free(stream);
-    holder_clear(&holder);
+    blocker_clear(&blocker);
 }
 
 /*
- * Guards against requests that go out when their time is over: the loop's
- * thread had no turn since a call was handed to it, and the upstream began
- * with work, or an order, that its owner had to count as given up.
+ * Guards against sending requests after their deadline: the loop's thread got
+ * no CPU time after a call was submitted, and the upstream started work, or an
+ * order, that its owner had to count as given up.
  */
 static void
-test_overdue_before_sent(void)
+test_deadline_before_sent(void)
 {
     struct ch_client client;
     ch_client_init(&client, "test");
-    struct server *server = server_new(ANSWERS);
+    struct server *server = server_new(RESPONDS);
     struct ch_http *http = ch_http_new(&client);
-    struct holder holder;
+    struct loop_blocker blocker;
     struct call *late = call_new();
     char *url = g_strdup_printf("http://127.0.0.1:%d/x", server->port);
     const struct ch_http_request post = {
         .method = "POST",
         .url = url,
-        .connect_limit = LONG,
-        .total_limit = SHORT,
+        .connect_limit = LONG_TIMEOUT_US,
+        .total_limit = SHORT_TIMEOUT_US,
     };
     warm_up(http, server);
-    holder_begin(&holder, http, server, (int64_t)2 * SHORT);
+    blocker_start(&blocker, http, server, (int64_t)2 * SHORT_TIMEOUT_US);
     ch_http_submit(http, &post, &handlers, late);
-    release_loop(&holder);
+    unblock_loop(&blocker);
     wait_for_end(late);
-    wait_for_end(holder.call);
+    wait_for_end(blocker.call);
     ch_http_free(http);
     g_assert_cmpint(late->end.code, ==, CH_UPSTREAM_CONNECT);
     g_assert_false(late->end.sent);
-    g_assert_cmpuint(posts_of(server), ==, 0);
+    g_assert_cmpuint(get_post_count(server), ==, 0);
     server_free(server);
     call_free(late);
-    holder_clear(&holder);
+    blocker_clear(&blocker);
     g_free(url);
 }
 
-/* ---- connections that went silent ---- */
+/* ---- kept-alive connections that stop responding ---- */
 
 /*
- * Something between the two ends forgets its connections: the kept-alive one
- * is silent for good while new ones work.  The caller of the first call waits
- * for its bound; those after it must not, so they go out on new connections.
+ * A middlebox between the two ends forgets its connections: the kept-alive
+ * connection is silent for good while new ones work. The caller of the first
+ * call waits for its timeout; later callers must not, so their calls use new
+ * connections.
  */
 static void
-test_suspected(void)
+test_suspect_origin(void)
 {
     struct ch_client client;
     ch_client_init(&client, "test");
-    struct server *server = server_new(NEVER_ANSWERS);
+    struct server *server = server_new(NEVER_RESPONDS);
     struct ch_http *http = ch_http_new(&client);
     struct call *second = call_new();
     warm_up(http, server);
     struct call *first = call_new();
-    /* Another idle connection, which would be silent as well. */
-    submit(http, server, "POST", small_body, false, SHORT, first);
+    /* A second idle connection, which would be silent as well. */
+    submit(http, server, "POST", small_body, false, SHORT_TIMEOUT_US, first);
     warm_up(http, server);
     wait_for_end(first);
     g_assert_cmpint(first->end.code, ==, CH_UPSTREAM_STALLED);
     pthread_mutex_lock(&server->lock);
     unsigned before = server->connection_count;
     pthread_mutex_unlock(&server->lock);
-    submit(http, server, "GET", small_body, false, LONG, second);
+    submit(http, server, "GET", small_body, false, LONG_TIMEOUT_US, second);
     wait_for_end(second);
     g_assert_cmpint(second->end.code, ==, CH_OK);
     pthread_mutex_lock(&server->lock);
@@ -943,7 +972,7 @@
     call_free(second);
 }
 
-/* ---- whole answers ---- */
+/* ---- complete responses ---- */
 
 struct fetched {
     struct call *call;
@@ -952,44 +981,44 @@
 };
 
 static void
-fetch_done(void *data, const struct ch_http_answer *answer)
+fetch_done(void *data, const struct ch_http_answer *response)
 {
     struct fetched *fetched = data;
-    fetched->code = answer->end.code;
-    fetched->length = answer->length;
-    call_end(fetched->call, &answer->end);
+    fetched->code = response->end.code;
+    fetched->length = response->length;
+    call_end(fetched->call, &response->end);
 }
 
-/* An answer over its bound is no answer. */
+/* A response over its size limit is an error. */
 static void
 test_fetch(void)
 {
     static const struct {
-        size_t most;
+        size_t max_bytes;
         enum ch_code code;
     } rows[] = {{2, CH_OK}, {1, CH_UPSTREAM_ANSWER}, {0, CH_UPSTREAM_ANSWER}};
     struct ch_client client;
     ch_client_init(&client, "test");
-    struct server *server = server_new(ANSWERS);
+    struct server *server = server_new(RESPONDS);
     struct ch_http *http = ch_http_new(&client);
     char url[64];
     (void)snprintf(url, sizeof(url), "http://127.0.0.1:%d/x", server->port);
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         struct fetched fetched = {.call = call_new()};
         struct ch_http_request request = {.method = "GET", .url = url};
-        ch_http_fetch(http, &request, rows[i].most, fetch_done, &fetched);
+        ch_http_fetch(http, &request, rows[i].max_bytes, fetch_done, &fetched);
         wait_for_end(fetched.call);
         g_assert_cmpint(fetched.code, ==, rows[i].code);
-        g_assert_cmpuint(fetched.length, <=, rows[i].most);
+        g_assert_cmpuint(fetched.length, <=, rows[i].max_bytes);
         call_free(fetched.call);
     }
     ch_http_free(http);
     server_free(server);
 }
 
-/* Connections that the server has had. */
+/* Number of connections that the server has accepted. */
 static unsigned
-connections_of(struct server *server)
+get_connection_count(struct server *server)
 {
     pthread_mutex_lock(&server->lock);
     unsigned count = server->connection_count;
@@ -998,64 +1027,69 @@
 }
 
 static bool
-is_over(struct call *call)
+has_ended(struct call *call)
 {
     pthread_mutex_lock(&call->lock);
-    bool over = call->ends > 0;
+    bool ended = call->ends > 0;
     pthread_mutex_unlock(&call->lock);
-    return over;
+    return ended;
 }
 
-static const struct learning {
+static const struct suspect_case {
     const char *name;
-    enum manner manner;       /* of the server of the other call */
-    bool same;                /* it is the silent call's own */
-    bool heard;               /* further calls to it are answered meanwhile */
-    bool may_be_silent;       /* the other call has no limit */
-    int64_t limit;            /* of the silent call */
-    unsigned new_connections; /* for the call after it */
-} learnings[] = {
-    {"another-answer-stopped", STOPS_MIDWAY, false, false, false, SHORT, 0},
-    {"others-are-heard", STOPS_MIDWAY, false, true, false, STILL_LIMIT, 1},
-    {"same-origin", STOPS_MIDWAY, true, false, false, SHORT, 1},
-    {"another-may-be-silent", STOPS_MIDWAY, false, false, true, SHORT, 1},
-    {"another-did-not-begin", NEVER_ANSWERS, false, false, false, SHORT, 1},
+    enum behaviour behaviour; /* of the server of the other call */
+    bool same_origin;         /* that server also gets the silent call */
+    bool others_respond;      /* further calls to that server get responses
+                                 meanwhile */
+    bool no_timeout;          /* the other call has no timeout */
+    int64_t timeout;          /* timeout of the silent call */
+    unsigned new_connections; /* opened by the call after the silent one */
+} suspect_cases[] = {
+    {"another-answer-stopped", STALLS_MIDWAY, false, false, false,
+     SHORT_TIMEOUT_US, 0},
+    {"others-are-heard", STALLS_MIDWAY, false, true, false, STALL_TIMEOUT_US,
+     1},
+    {"same-origin", STALLS_MIDWAY, true, false, false, SHORT_TIMEOUT_US, 1},
+    {"another-may-be-silent", STALLS_MIDWAY, false, false, true,
+     SHORT_TIMEOUT_US, 1},
+    {"another-did-not-begin", NEVER_RESPONDS, false, false, false,
+     SHORT_TIMEOUT_US, 1},
 };
 
 /*
- * Guards against calls that all go out on new connections because this node
- * stood still: it heard nobody, and took that for connections that something
- * on the way had forgotten.
+ * Guards against opening a new connection for every call because this node
+ * itself stalled: it received nothing from any upstream, and concluded that a
+ * middlebox had forgotten the connections.
  */
 static void
-test_learning(gconstpointer data)
+test_mark_suspect(gconstpointer data)
 {
-    const struct learning *row = data;
+    const struct suspect_case *row = data;
     struct ch_client client;
     ch_client_init(&client, "test");
     struct server *server =
-        server_new(row->same ? row->manner : NEVER_ANSWERS);
-    struct server *elsewhere = server_new(row->manner);
-    struct server *others = row->same ? server : elsewhere;
+        server_new(row->same_origin ? row->behaviour : NEVER_RESPONDS);
+    struct server *elsewhere = server_new(row->behaviour);
+    struct server *others = row->same_origin ? server : elsewhere;
     struct ch_http *http = ch_http_new(&client);
     struct call *other = call_new();
     struct call *silent = call_new();
     submit(http, others, "POST", small_body, false,
-           row->may_be_silent ? 0 : LONG, other);
-    wait_for_moment(row->manner == STOPS_MIDWAY ? IN_THE_BODY
-                                                : BEFORE_FIRST_BYTE,
-                    others, other);
+           row->no_timeout ? 0 : LONG_TIMEOUT_US, other);
+    wait_for_phase(row->behaviour == STALLS_MIDWAY ? IN_BODY
+                                                   : BEFORE_FIRST_BYTE,
+                   others, other);
     warm_up(http, server);
-    submit(http, server, "POST", small_body, false, row->limit, silent);
-    while (row->heard && !is_over(silent)) {
+    submit(http, server, "POST", small_body, false, row->timeout, silent);
+    while (row->others_respond && !has_ended(silent)) {
         warm_up(http, others);
     }
     wait_for_end(silent);
     g_assert_cmpint(silent->end.code, ==, CH_UPSTREAM_STALLED);
     warm_up(http, server);
-    unsigned before = connections_of(server);
+    unsigned before = get_connection_count(server);
     warm_up(http, server);
-    g_assert_cmpuint(connections_of(server), ==,
+    g_assert_cmpuint(get_connection_count(server), ==,
                      before + row->new_connections);
     ch_http_free(http);
     server_free(server);
@@ -1073,9 +1107,9 @@
         g_test_add_data_func(path, &end_cases[i], test_ends);
         g_free(path);
     }
-    for (size_t i = 0; i < G_N_ELEMENTS(borne_cases); i++) {
-        char *path = g_strdup_printf("/http/borne/%s", borne_cases[i].name);
-        g_test_add_data_func(path, &borne_cases[i], test_borne);
+    for (size_t i = 0; i < G_N_ELEMENTS(stall_cases); i++) {
+        char *path = g_strdup_printf("/http/borne/%s", stall_cases[i].name);
+        g_test_add_data_func(path, &stall_cases[i], test_owner_keeps_waiting);
         g_free(path);
     }
     for (size_t i = 0; i < G_N_ELEMENTS(cancel_cases); i++) {
@@ -1084,13 +1118,14 @@
         g_free(path);
     }
     g_test_add_func("/http/connect-only", test_connect_only);
-    g_test_add_func("/http/asked-again", test_asked_again);
-    g_test_add_func("/http/stands-still", test_stands_still);
-    g_test_add_func("/http/overdue-before-sent", test_overdue_before_sent);
-    g_test_add_func("/http/suspected", test_suspected);
-    for (size_t i = 0; i < G_N_ELEMENTS(learnings); i++) {
-        char *path = g_strdup_printf("/http/learning/%s", learnings[i].name);
-        g_test_add_data_func(path, &learnings[i], test_learning);
+    g_test_add_func("/http/asked-again", test_owner_stops_waiting);
+    g_test_add_func("/http/stands-still", test_loop_stall);
+    g_test_add_func("/http/overdue-before-sent", test_deadline_before_sent);
+    g_test_add_func("/http/suspected", test_suspect_origin);
+    for (size_t i = 0; i < G_N_ELEMENTS(suspect_cases); i++) {
+        char *path =
+            g_strdup_printf("/http/learning/%s", suspect_cases[i].name);
+        g_test_add_data_func(path, &suspect_cases[i], test_mark_suspect);
         g_free(path);
     }
     g_test_add_func("/http/fetch", test_fetch);
--- a/tests/threaded/test_upstream.c
+++ b/tests/threaded/test_upstream.c
@@ -1,5 +1,4 @@
-/* The clients of engines and services against answers that are not what they
- * should be. */
+/* Tests the clients of engines and services against faulty responses. */
 
 #include "upstream/upstream.h"
 
@@ -11,23 +10,25 @@
 #include <unistd.h>
 
 enum {
-    PATIENCE_S = 20,
-    LIMIT = 300 * 1000,
+    MAX_WAIT_S = 20,
+    TIMEOUT_US = 300 * 1000,
 };
 
-/* Answers one connection after another with the same bytes, and closes; or
- * leaves the last one open. */
+/*
+ * Sends the same bytes on one connection after another and closes each, or
+ * leaves the last one open.
+ */
 struct server {
     int listener;
     int port;
     pthread_t thread;
-    const char *answer;
-    bool stays_open;
-    GString *request; /* the last one */
-    int open;
+    const char *response;
+    bool leaves_open;
+    GString *request; /* the last one received */
+    int open_fd;
 };
 
-/* Reads up to the end of the head and of a stated body. */
+/* Reads up to the end of the headers and of a body with a stated length. */
 static void
 read_request(struct server *server, int fd)
 {
@@ -61,10 +62,10 @@
         }
         read_request(server, fd);
         ssize_t sent =
-            send(fd, server->answer, strlen(server->answer), MSG_NOSIGNAL);
+            send(fd, server->response, strlen(server->response), MSG_NOSIGNAL);
         (void)sent;
-        if (server->stays_open) {
-            server->open = fd;
+        if (server->leaves_open) {
+            server->open_fd = fd;
         }
         else {
             close(fd);
@@ -73,7 +74,7 @@
 }
 
 static void
-server_start(struct server *server, const char *answer, bool stays_open)
+server_start(struct server *server, const char *response, bool leaves_open)
 {
     struct sockaddr_in address = {
         .sin_family = AF_INET,
@@ -82,10 +83,10 @@
     socklen_t length = sizeof(address);
     *server = (struct server){
         .listener = socket(AF_INET, SOCK_STREAM, 0),
-        .answer = answer,
-        .stays_open = stays_open,
+        .response = response,
+        .leaves_open = leaves_open,
         .request = g_string_new(NULL),
-        .open = -1,
+        .open_fd = -1,
     };
     g_assert_cmpint(
         bind(server->listener, (struct sockaddr *)&address, sizeof(address)),
@@ -96,27 +97,27 @@
     pthread_create(&server->thread, NULL, run_server, server);
 }
 
-/* Joins the server's thread: what it read may be looked at. */
+/* Joins the server's thread, so that what it received can be checked. */
 static void
 server_join(struct server *server)
 {
     shutdown(server->listener, SHUT_RDWR);
     pthread_join(server->thread, NULL);
     close(server->listener);
-    if (server->open >= 0) {
-        close(server->open);
+    if (server->open_fd >= 0) {
+        close(server->open_fd);
     }
 }
 
-/* ---- what came of a call ---- */
+/* ---- the result of a call ---- */
 
 struct result {
     pthread_mutex_t lock;
     pthread_cond_t changed;
-    unsigned heads;
-    unsigned pieces;
-    unsigned ends;
-    GString *passed;
+    unsigned response_count;
+    unsigned data_count;
+    unsigned end_count;
+    GString *forwarded;
     struct ch_call_end end;
     enum ch_code code; /* of an order or a report */
     uint32_t memory_mb;
@@ -125,7 +126,7 @@
 static void
 result_init(struct result *result)
 {
-    *result = (struct result){.passed = g_string_new(NULL)};
+    *result = (struct result){.forwarded = g_string_new(NULL)};
     pthread_mutex_init(&result->lock, NULL);
     pthread_cond_init(&result->changed, NULL);
 }
@@ -133,7 +134,7 @@
 static void
 result_clear(struct result *result)
 {
-    g_string_free(result->passed, TRUE);
+    g_string_free(result->forwarded, TRUE);
     pthread_mutex_destroy(&result->lock);
     pthread_cond_destroy(&result->changed);
 }
@@ -142,7 +143,7 @@
 result_end(struct result *result)
 {
     pthread_mutex_lock(&result->lock);
-    result->ends++;
+    result->end_count++;
     pthread_cond_broadcast(&result->changed);
     pthread_mutex_unlock(&result->lock);
 }
@@ -152,9 +153,9 @@
 {
     struct timespec until;
     clock_gettime(CLOCK_REALTIME, &until);
-    until.tv_sec += PATIENCE_S;
+    until.tv_sec += MAX_WAIT_S;
     pthread_mutex_lock(&result->lock);
-    while (result->ends == 0) {
+    while (result->end_count == 0) {
         g_assert_cmpint(
             pthread_cond_timedwait(&result->changed, &result->lock, &until),
             ==, 0);
@@ -168,18 +169,18 @@
     struct result *result = data;
     (void)content_type;
     g_assert_cmpint(status, >, 0);
-    g_assert_cmpuint(result->ends, ==, 0);
-    result->heads++;
+    g_assert_cmpuint(result->end_count, ==, 0);
+    result->response_count++;
 }
 
 static void
 on_data(void *data, const char *bytes, size_t length)
 {
     struct result *result = data;
-    g_assert_cmpuint(result->heads, ==, 1);
-    g_assert_cmpuint(result->ends, ==, 0);
-    result->pieces++;
-    g_string_append_len(result->passed, bytes, (gssize)length);
+    g_assert_cmpuint(result->response_count, ==, 1);
+    g_assert_cmpuint(result->end_count, ==, 0);
+    result->data_count++;
+    g_string_append_len(result->forwarded, bytes, (gssize)length);
 }
 
 static void
@@ -194,17 +195,17 @@
 
 struct call_case {
     const char *name;
-    const char *answer;
+    const char *response;
     bool service;
     bool stream;
-    bool stays_open;
+    bool leaves_open;
     bool may_have_run;
     enum ch_code code;
-    const char *passed;
+    const char *forwarded;
 };
 
 #define HEAD_OF(status, id) "HTTP/1.1 " status " X\r\nX-Request-Id: " id "\r\n"
-#define OURS HEAD_OF("200", "r7")
+#define OWN_HEAD HEAD_OF("200", "r7")
 #define STREAM_OF(id)                                                         \
     HEAD_OF("200", id)                                                        \
     "Content-Type: text/event-stream\r\nConnection: close\r\n\r\n"
@@ -212,27 +213,27 @@
 #define DONE "data: [DONE]\n\n"
 
 static const struct call_case call_cases[] = {
-    {"plain, whole", OURS "Content-Length: 2\r\n\r\nok", false, false, false,
-     true, CH_OK, "ok"},
+    {"plain, whole", OWN_HEAD "Content-Length: 2\r\n\r\nok", false, false,
+     false, true, CH_OK, "ok"},
     {"plain, chunks",
-     OURS "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", false,
+     OWN_HEAD "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", false,
      false, false, true, CH_OK, "ok"},
     {"interim head first",
-     "HTTP/1.1 103 Hints\r\nX-Request-Id: r8\r\n\r\n" OURS
+     "HTTP/1.1 103 Hints\r\nX-Request-Id: r8\r\n\r\n" OWN_HEAD
      "Content-Length: 2\r\n\r\nok",
      false, false, false, true, CH_OK, "ok"},
     {"no content", HEAD_OF("204", "r7") "\r\n", true, false, false, true,
      CH_OK, ""},
-    {"plain, cut", OURS "Content-Length: 9\r\n\r\nok", false, false, false,
+    {"plain, cut", OWN_HEAD "Content-Length: 9\r\n\r\nok", false, false, false,
      true, CH_UPSTREAM_CUT, "ok"},
-    {"plain, no end to be told", OURS "Connection: close\r\n\r\nok", false,
+    {"plain, no end to be told", OWN_HEAD "Connection: close\r\n\r\nok", false,
      false, false, true, CH_UPSTREAM_CUT, "ok"},
     {"plain, of another", HEAD_OF("200", "r8") "Content-Length: 2\r\n\r\nok",
      false, false, false, true, CH_UPSTREAM_CROSSED, ""},
     {"plain, without an id", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
      false, false, false, true, CH_UPSTREAM_CROSSED, ""},
-    {"plain, silent midway", OURS "Content-Length: 9\r\n\r\nok", false, false,
-     true, true, CH_UPSTREAM_STALLED, "ok"},
+    {"plain, silent midway", OWN_HEAD "Content-Length: 9\r\n\r\nok", false,
+     false, true, true, CH_UPSTREAM_STALLED, "ok"},
     {"error of the caller's",
      HEAD_OF("400", "r7") "Content-Length: 2\r\n\r\nno", false, false, false,
      true, CH_OK, "no"},
@@ -255,8 +256,8 @@
      HEAD_OF("503", "r7") "Content-Length: 2\r\n\r\nno", false, false, false,
      true, CH_UPSTREAM_ANSWER, ""},
     {"200 that says it did not run",
-     OURS "X-Not-Run: 1\r\nContent-Length: 2\r\n\r\nok", false, false, false,
-     true, CH_OK, "ok"},
+     OWN_HEAD "X-Not-Run: 1\r\nContent-Length: 2\r\n\r\nok", false, false,
+     false, true, CH_OK, "ok"},
     {"nothing at all", "", false, false, false, true, CH_UPSTREAM_CUT, ""},
     {"stream, whole", STREAM_OF("r7") EVENT("r7", "a") EVENT("r7", "b") DONE,
      false, true, false, true, CH_OK, EVENT("r7", "a") EVENT("r7", "b")},
@@ -285,9 +286,10 @@
 };
 
 /*
- * An upstream's answer is cut, crossed with another's, or ends without its
- * mark.  What is passed on is never more than what is surely this request's,
- * and it is called whole only with the upstream's own end mark.
+ * An upstream's response is interrupted, mixed up with another's, or ends
+ * without its end marker. Only data that certainly belongs to this request is
+ * forwarded, and the response counts as complete only with the upstream's own
+ * end marker.
  */
 static void
 test_call(gconstpointer data)
@@ -299,13 +301,14 @@
     char address[32];
     ch_client_init(&client, "test");
     client.metrics = ch_metrics_new();
-    server_start(&server, row->answer, row->stays_open);
+    server_start(&server, row->response, row->leaves_open);
     result_init(&result);
     (void)snprintf(address, sizeof(address), "127.0.0.1:%d", server.port);
     struct ch_http *http = ch_http_new(&client);
     struct ch_upstream *upstream =
-        row->service ? ch_upstream_service_new(&client, http, address, LIMIT)
-                     : ch_upstream_engine_new(&client, http, address, LIMIT);
+        row->service
+            ? ch_upstream_service_new(&client, http, address, TIMEOUT_US)
+            : ch_upstream_engine_new(&client, http, address, TIMEOUT_US);
     static const struct ch_call_handlers handlers = {
         .on_head = on_head,
         .on_data = on_data,
@@ -322,9 +325,9 @@
         .stream = row->stream,
         .resume_from = 3,
         .priority = 2,
-        .connect_limit = LIMIT,
-        .first_byte_limit = LIMIT,
-        .stall_limit = LIMIT,
+        .connect_limit = TIMEOUT_US,
+        .first_byte_limit = TIMEOUT_US,
+        .stall_limit = TIMEOUT_US,
     };
     upstream->ops->call(upstream, &call, &handlers, &result);
     upstream->ops->free(upstream); /* a call outlives its client */
@@ -334,8 +337,8 @@
     g_assert_cmpstr(ch_code_name(result.end.code), ==,
                     ch_code_name(row->code));
     g_assert_cmpint(result.end.may_have_run, ==, row->may_have_run);
-    g_assert_cmpstr(result.passed->str, ==, row->passed);
-    g_assert_cmpuint(result.ends, ==, 1);
+    g_assert_cmpstr(result.forwarded->str, ==, row->forwarded);
+    g_assert_cmpuint(result.end_count, ==, 1);
     g_assert_true(g_str_has_prefix(server.request->str,
                                    "POST /v1/completions?a=b HTTP/1.1\r\n"));
     static const char *const lines[] = {
@@ -357,9 +360,9 @@
 struct control_case {
     const char *name;
     const char *status;
-    const char *body; /* NULL: no answer at all */
+    const char *body; /* NULL: no response at all */
     bool order;
-    bool cut;
+    bool truncated;
     enum ch_code code;
     uint32_t memory_mb;
 };
@@ -384,15 +387,15 @@
      0},
 };
 
-/* The answer of a row; a new string. */
+/* The response of a row; a new string. */
 static char *
-print_answer(const struct control_case *row)
+print_response(const struct control_case *row)
 {
     if (row->body == NULL) {
         return g_strdup("");
     }
     return g_strdup_printf("HTTP/1.1 %s X\r\nContent-Length: %zu\r\n\r\n%s",
-                           row->status, strlen(row->body) + row->cut,
+                           row->status, strlen(row->body) + row->truncated,
                            row->body);
 }
 
@@ -421,8 +424,10 @@
     result_end(result);
 }
 
-/* What an engine answers to an order or to the question for its report, and
- * the code that its home gets. */
+/*
+ * Checks which code the home node gets for each response of an engine to an
+ * order or a report request.
+ */
 static void
 test_control(gconstpointer data)
 {
@@ -432,13 +437,13 @@
     struct result result;
     char address[32];
     ch_client_init(&client, "test");
-    char *answer = print_answer(row);
-    server_start(&server, answer, false);
+    char *response = print_response(row);
+    server_start(&server, response, false);
     result_init(&result);
     (void)snprintf(address, sizeof(address), "127.0.0.1:%d", server.port);
     struct ch_http *http = ch_http_new(&client);
     struct ch_upstream *engine =
-        ch_upstream_engine_new(&client, http, address, LIMIT);
+        ch_upstream_engine_new(&client, http, address, TIMEOUT_US);
     const struct ch_order order = {
         .id = "o1",
         .fence = 12,
@@ -456,7 +461,7 @@
     ch_http_free(http);
     engine->ops->free(engine);
     server_join(&server);
-    g_free(answer);
+    g_free(response);
     g_assert_cmpstr(ch_code_name(result.code), ==, ch_code_name(row->code));
     g_assert_cmpuint(result.memory_mb, ==, row->memory_mb);
     g_assert_nonnull(
--- a/tests/unit/test_sse.c
+++ b/tests/unit/test_sse.c
@@ -1,4 +1,6 @@
-/* Server-sent events: whatever way the bytes are cut, the events are whole. */
+/*
+ * Tests that server-sent events come out complete however the input is split.
+ */
 
 #include "upstream/sse.h"
 
@@ -24,7 +26,7 @@
     {"nothing", "", ""},
 };
 
-/* Joins events by '|'. */
+/* Joins events with '|'. */
 static void
 join(void *data, const char *text, size_t length)
 {
@@ -35,20 +37,21 @@
     g_string_append_len(joined, text, (gssize)length);
 }
 
-/* Each row is fed whole, and cut at every place, and byte by byte. */
+/* Each row is fed whole, split at every position, and byte by byte. */
 static void
 test_split(gconstpointer data)
 {
     const struct split_case *row = data;
     size_t length = strlen(row->bytes);
-    for (size_t cut = 0; cut <= length + 1; cut++) {
+    for (size_t split_at = 0; split_at <= length + 1; split_at++) {
         struct ch_sse sse;
         GString *joined = g_string_new(NULL);
         ch_sse_init(&sse);
-        if (cut <= length) {
-            g_assert_true(ch_sse_feed(&sse, row->bytes, cut, join, joined));
-            g_assert_true(ch_sse_feed(&sse, row->bytes + cut, length - cut,
-                                      join, joined));
+        if (split_at <= length) {
+            g_assert_true(
+                ch_sse_feed(&sse, row->bytes, split_at, join, joined));
+            g_assert_true(ch_sse_feed(&sse, row->bytes + split_at,
+                                      length - split_at, join, joined));
         }
         else {
             for (size_t i = 0; i < length; i++) {
@@ -62,21 +65,21 @@
     }
 }
 
-/* An upstream that never ends an event does not fill the node's memory. */
+/* An upstream that never ends an event must not fill the node's memory. */
 static void
-test_bound(void)
+test_size_limit(void)
 {
     static const char *const lines[] = {"data: xxxxxxxxxxxxxx", "data: x\n"};
     for (size_t i = 0; i < G_N_ELEMENTS(lines); i++) {
         struct ch_sse sse;
         GString *joined = g_string_new(NULL);
-        bool good = true;
+        bool ok = true;
         ch_sse_init(&sse);
-        for (size_t fed = 0; fed <= CH_SSE_MOST_BYTES + 32;
-             fed += strlen(lines[i])) {
-            good = ch_sse_feed(&sse, lines[i], strlen(lines[i]), join, joined);
+        for (size_t fed_bytes = 0; fed_bytes <= CH_SSE_MOST_BYTES + 32;
+             fed_bytes += strlen(lines[i])) {
+            ok = ch_sse_feed(&sse, lines[i], strlen(lines[i]), join, joined);
         }
-        g_assert_false(good);
+        g_assert_false(ok);
         g_assert_false(ch_sse_feed(&sse, "\n\n", 2, join, joined));
         g_assert_cmpuint(joined->len, ==, 0);
         g_assert_cmpuint(sse.event->len + sse.line->len, <=,
@@ -86,13 +89,13 @@
     }
 }
 
-struct mark_case {
+struct marker_case {
     const char *event;
     bool done;
-    bool ours; /* has the id "cmpl-7" */
+    bool has_id; /* has the id "cmpl-7" */
 };
 
-static const struct mark_case mark_cases[] = {
+static const struct marker_case marker_cases[] = {
     {"data: [DONE]\n\n", true, false},
     {"data:[DONE]\n\n", true, false},
     {"data: [DONE] \n\n", false, false},
@@ -111,15 +114,19 @@
 };
 
 static void
-test_marks(void)
+test_markers(void)
 {
-    for (size_t i = 0; i < G_N_ELEMENTS(mark_cases); i++) {
-        const struct mark_case *row = &mark_cases[i];
+    for (size_t i = 0; i < G_N_ELEMENTS(marker_cases); i++) {
+        const struct marker_case *row = &marker_cases[i];
         size_t length = strlen(row->event);
-        /* A copy without room after it, for the sanitizer to watch. */
+        /*
+         * A copy of the exact size, so that the sanitizer detects reads past
+         * its end.
+         */
         char *event = g_memdup2(row->event, length);
         g_assert_cmpint(ch_sse_is_done(event, length), ==, row->done);
-        g_assert_cmpint(ch_sse_has_id(event, length, "cmpl-7"), ==, row->ours);
+        g_assert_cmpint(ch_sse_has_id(event, length, "cmpl-7"), ==,
+                        row->has_id);
         g_free(event);
     }
 }
@@ -133,7 +140,7 @@
         g_test_add_data_func(path, &split_cases[i], test_split);
         g_free(path);
     }
-    g_test_add_func("/sse/bound", test_bound);
-    g_test_add_func("/sse/marks", test_marks);
+    g_test_add_func("/sse/bound", test_size_limit);
+    g_test_add_func("/sse/marks", test_markers);
     return g_test_run();
 }
--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -1,4 +1,7 @@
-/* Frames between nodes: what is taken whole, what closes the connection. */
+/*
+ * Tests frames between nodes: which are accepted, and which close the
+ * connection.
+ */
 
 #include "wire/wire.h"
 
@@ -25,22 +28,22 @@
     return out;
 }
 
-/* However the bytes are cut, the same frames come out. */
+/* However the input is split, the same frames come out. */
 static void
-test_cuts(void)
+test_split_input(void)
 {
     GByteArray *one = make_frame(CH_WIRE_VERSION, "e01", true);
     GByteArray *bytes = g_byte_array_new();
     for (int i = 0; i < 3; i++) {
         g_byte_array_append(bytes, one->data, one->len);
     }
-    for (guint step = 1; step <= bytes->len; step++) {
+    for (guint chunk_size = 1; chunk_size <= bytes->len; chunk_size++) {
         struct ch_wire_decoder *decoder = ch_wire_decoder_new();
         struct ch_error error = {0};
         int frames = 0;
-        for (guint at = 0; at < bytes->len; at += step) {
+        for (guint at = 0; at < bytes->len; at += chunk_size) {
             ch_wire_decoder_feed(decoder, bytes->data + at,
-                                 MIN(step, bytes->len - at));
+                                 MIN(chunk_size, bytes->len - at));
             Chestnuthitch__Wire__Frame *frame = NULL;
             while ((frame = ch_wire_decoder_next(decoder, &error)) != NULL) {
                 g_assert_cmpuint(frame->id, ==, 7);
@@ -57,13 +60,13 @@
     g_byte_array_free(bytes, TRUE);
 }
 
-/* A bad frame gives its code, and nothing is taken after it. */
+/* A bad frame gives its error code, and nothing is decoded after it. */
 static void
-test_bad(void)
+test_bad_frames(void)
 {
     GByteArray *version = make_frame(CH_WIRE_VERSION + 1, "e01", true);
-    GByteArray *bodiless = make_frame(CH_WIRE_VERSION, "e01", false);
-    GByteArray *nameless = make_frame(CH_WIRE_VERSION, "", true);
+    GByteArray *without_body = make_frame(CH_WIRE_VERSION, "e01", false);
+    GByteArray *without_sender = make_frame(CH_WIRE_VERSION, "", true);
     GByteArray *good = make_frame(CH_WIRE_VERSION, "e01", true);
     const struct {
         const char *bytes;
@@ -74,8 +77,10 @@
         {"\x00\x20\x00\x01", 4, CH_FRAME_TOO_LARGE},
         {"\x00\x00\x00\x02\xff\xff", 6, CH_FRAME_DAMAGED},
         {(const char *)version->data, version->len, CH_FRAME_VERSION},
-        {(const char *)bodiless->data, bodiless->len, CH_FRAME_DAMAGED},
-        {(const char *)nameless->data, nameless->len, CH_FRAME_DAMAGED},
+        {(const char *)without_body->data, without_body->len,
+         CH_FRAME_DAMAGED},
+        {(const char *)without_sender->data, without_sender->len,
+         CH_FRAME_DAMAGED},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         struct ch_wire_decoder *decoder = ch_wire_decoder_new();
@@ -90,12 +95,14 @@
         ch_wire_decoder_free(decoder);
     }
     g_byte_array_free(version, TRUE);
-    g_byte_array_free(bodiless, TRUE);
-    g_byte_array_free(nameless, TRUE);
+    g_byte_array_free(without_body, TRUE);
+    g_byte_array_free(without_sender, TRUE);
     g_byte_array_free(good, TRUE);
 }
 
-/* What the other end would refuse is not sent: out stays as it was. */
+/*
+ * A frame that the receiver would reject is not encoded: out stays unchanged.
+ */
 static void
 test_too_large(void)
 {
@@ -119,8 +126,8 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/wire/cuts", test_cuts);
-    g_test_add_func("/wire/bad", test_bad);
+    g_test_add_func("/wire/cuts", test_split_input);
+    g_test_add_func("/wire/bad", test_bad_frames);
     g_test_add_func("/wire/too-large", test_too_large);
     return g_test_run();
 }
