--- a/libchestnuthitch/base/address.c
+++ b/libchestnuthitch/base/address.c
@@ -1,13 +1,13 @@
-/* Addresses of the form "192.0.2.1:80". */
+/* Addresses such as "192.0.2.1:80". */
 
 #include "base/base.h"
 
 #include <arpa/inet.h>
 #include <string.h>
 
-/* Takes an IPv4 number and a port from 0 to 65535 (0: the kernel chooses).
- * Names are refused: nodes talk by IP numbers, so that no resolver can stall
- * or mislead them. */
+/* Parses an IPv4 number and a port from 0 to 65535 (0: the kernel chooses).
+ * Host names are refused: nodes use IP numbers, so that no resolver can delay
+ * or misdirect them. */
 bool
 ch_address_parse(const char *text, struct sockaddr_in *address,
                  struct ch_error *error)
@@ -34,7 +34,7 @@
     return true;
 }
 
-/* Whether ch_address_parse() would take it. */
+/* Whether ch_address_parse() accepts the text. */
 bool
 ch_address_check(const char *text, struct ch_error *error)
 {
--- a/libchestnuthitch/base/annotate.h
+++ b/libchestnuthitch/base/annotate.h
@@ -2,9 +2,10 @@
 #define CH_BASE_ANNOTATE_H
 
 /*
- * ThreadSanitizer does not see the inline assembly of Concurrency Kit.  Where
- * an atomic there hands memory from one thread to another, the code says so
- * with these; in any other build they are nothing.
+ * ThreadSanitizer doesn't see the inline assembly of Concurrency Kit.  Where
+ * an atomic operation of Concurrency Kit passes memory from one thread to
+ * another, these macros tell ThreadSanitizer so; in other builds they do
+ * nothing.
  */
 
 #if defined(__has_feature)
--- a/libchestnuthitch/base/base.h
+++ b/libchestnuthitch/base/base.h
@@ -2,9 +2,9 @@
 #define CH_BASE_H
 
 /*
- * What every other package stands on: result codes, errors, the client struct,
- * logs, counters, handle tables, the worker pool, settings and declarations.
- * Times are microseconds unless a name says otherwise.
+ * Facilities that every other package uses: result codes, errors, the client
+ * struct, logs, metrics, handle tables, the worker pool, timers, settings and
+ * declarations.  Times are microseconds unless a name says otherwise.
  */
 
 #include <glib.h>
@@ -31,8 +31,8 @@
     char message[512];
 };
 
-void ch_error_set(struct ch_error *error, enum ch_code code, const char *form,
-                  ...) G_GNUC_PRINTF(3, 4);
+void ch_error_set(struct ch_error *error, enum ch_code code,
+                  const char *format, ...) G_GNUC_PRINTF(3, 4);
 void ch_error_clear(struct ch_error *error);
 const char *ch_code_name(enum ch_code code);
 const char *ch_code_meaning(enum ch_code code);
@@ -40,7 +40,7 @@
 enum ch_outcome ch_code_outcome(enum ch_code code);
 const char *ch_outcome_name(enum ch_outcome outcome);
 
-/* ---- the client struct: handlers in place of globals (client.c) ---- */
+/* ---- client struct, in place of globals (client.c) ---- */
 
 struct ch_metrics;
 
@@ -59,15 +59,16 @@
     int64_t (*now)(void *data); /* monotonic, microseconds */
     void *now_data;
     struct ch_metrics *metrics;
-    const char *name; /* put into each log line as "node" */
+    const char *name; /* the "node" field of each log line */
 };
 
 void ch_client_init(struct ch_client *client, const char *name);
 int64_t ch_client_now(const struct ch_client *client);
 
-/* ---- logs: one JSON object a line (log.c) ---- */
+/* ---- logs: one JSON object per line (log.c) ---- */
 
-/* A list of fields ended by CH_F_END: CH_F_STR("class", name), ... */
+/* ch_log() takes a list of fields that ends with CH_F_END:
+   CH_F_STR("class", name), ..., CH_F_END. */
 enum ch_field_kind {
     CH_FIELD_END,
     CH_FIELD_STRING,
@@ -84,8 +85,7 @@
 void ch_log(const struct ch_client *client, enum ch_level level,
             const char *event, ...);
 
-/* ---- counters and histograms (metrics.c); lock-free by Concurrency Kit ---
- */
+/* ---- counters and histograms, updated without locks (metrics.c) ---- */
 
 enum ch_counter {
 #define CH_COUNTER(name, text) CH_COUNT_##name,
@@ -111,23 +111,25 @@
 void ch_metrics_observe(struct ch_metrics *metrics, enum ch_histogram which,
                         const char *class_name, const char *tenant,
                         int64_t microseconds);
-/* Also counts requests by class and outcome. */
+/* Counts a request that ended, by class, tenant, outcome and whether its
+   target was met, and by class and result code. */
 void ch_metrics_outcome(struct ch_metrics *metrics, const char *class_name,
                         const char *tenant, enum ch_code code, bool met);
 void ch_metrics_render(const struct ch_metrics *metrics, GString *out);
 
-/* Requests of one class that ended, by outcome and by target met. */
+/* Requests of one class that ended, by outcome and by target: [0] missed,
+   [1] met. */
 struct ch_class_outcomes {
     uint64_t counts[CH_UNKNOWN + 1][2];
 };
 
-/* Calls each(data, class name, outcomes) for every class seen so far. */
+/* Calls each(data, class name, outcomes) for every class that has a count. */
 void ch_metrics_each_class(const struct ch_metrics *metrics,
                            void (*each)(void *data, const char *class_name,
                                         const struct ch_class_outcomes *all),
                            void *data);
 
-/* ---- handle tables (table.c): slot and generation in 64 bits ---- */
+/* ---- handle tables: a handle is a slot and its generation (table.c) ---- */
 
 struct ch_table;
 
@@ -137,146 +139,153 @@
 void *ch_table_get(const struct ch_table *table, uint64_t handle);
 void *ch_table_remove(struct ch_table *table, uint64_t handle);
 size_t ch_table_count(const struct ch_table *table);
-/* Calls each(item, handle, data) for every item; the table must not change. */
+/* Calls each(item, handle, data) for every item; the table must not change
+   during the calls. */
 void ch_table_each(const struct ch_table *table,
                    void (*each)(void *item, uint64_t handle, void *data),
                    void *data);
 
-/* ---- worker pool (pool.c): POSIX threads, a Concurrency Kit ring ---- */
+/* ---- worker pool (pool.c) ---- */
 
 struct ch_pool;
 
 struct ch_pool *ch_pool_new(unsigned workers);
+/* Yields the processor after every 32 steps of long work; step: the number of
+   the present step. */
 void ch_pool_give_way(size_t step);
 void ch_pool_submit(struct ch_pool *pool, void (*run)(void *data), void *data);
-/* Runs what is queued, then joins the workers. */
+/* Runs the queued jobs, joins the workers and frees the pool. */
 void ch_pool_free(struct ch_pool *pool);
 
-/* ---- timers (timer.c): one thread, jobs go to the pool ---- */
+/* ---- timers: one thread, callbacks run on the pool (timer.c) ---- */
 
 struct ch_timers;
 
 struct ch_timers *ch_timers_new(struct ch_pool *pool);
-/* Ends the thread; from then on nothing that is asked for runs. */
+/* Ends the thread; timers that are pending or added later never run. */
 void ch_timers_stop(struct ch_timers *timers);
 void ch_timers_free(struct ch_timers *timers);
-/* run(data) once after delay; the handle never comes again. */
+/* Calls run(data) once after delay; no handle is used twice. */
 uint64_t ch_timers_after(struct ch_timers *timers, int64_t delay,
                          void (*run)(void *data), void *data);
-/* True if it was stopped before it ran: then run is never called. */
+/* True if the timer was pending: its callback is never called. */
 bool ch_timers_cancel(struct ch_timers *timers, uint64_t handle);
 
-/* ---- hashing (hash.c) ---- */
+/* ---- hashing (hash.c, compare.c) ---- */
 
 uint64_t ch_hash(const void *bytes, size_t length);
-/* Orders int64_t from small to large, for g_array_sort(). */
+/* Compares int64_t in ascending order, for g_array_sort(). */
 gint ch_compare_int64(gconstpointer a, gconstpointer b);
 
 uint64_t ch_hash_string(const char *text);
 uint64_t ch_hash_pair(uint64_t a, uint64_t b);
-/* The index with the highest weight for key among names; -1 when none. */
+/* The index of the name with the highest weight for key; -1 without names. */
 int ch_rendezvous(uint64_t key, const char *const *names, size_t count);
 
-/* ---- addresses ---- */
+/* ---- addresses (address.c) ---- */
 
-/* "192.0.2.1:80": IP numbers only.  Returns false with BAD_VALUE. */
+/* Checks an address such as "192.0.2.1:80": IPv4 numbers only, no host names.
+   Returns false with BAD_VALUE. */
 bool ch_address_check(const char *text, struct ch_error *error);
 struct sockaddr_in;
-/* The same as a socket address; *address is set on true alone. */
+/* Parses such an address; sets *address only when it returns true. */
 bool ch_address_parse(const char *text, struct sockaddr_in *address,
                       struct ch_error *error);
 
 /* ---- node settings (settings.c) ---- */
 
-/* Whose interfaces are spoken to callers, upstreams and the platform. */
+/* Whose interfaces the node uses towards callers, upstreams and the platform:
+   the project's own, or those of the users' deployment. */
 enum ch_platform_kind {
     CH_PLATFORM_OWN,
     CH_PLATFORM_USERS,
 };
 
 /*
- * Mechanisms of decision that are switched off, for experiments; all zero:
- * none is.  Each is a key of [policy] with the same name.
+ * Features of placement and balancing that are disabled, for experiments: true
+ * disables the feature.  Each has a key in [policy].
  */
 struct ch_without {
-    bool whole_fleet;     /* engines for a model are looked for everywhere */
-    bool several_victims; /* several models go for one */
-    bool move_apart;      /* last replicas that fill an engine move apart */
-    bool near_copies;     /* copies go first, and into free room */
-    bool pledges;         /* room is kept for the model it was made for */
-    bool adapters_ahead;  /* adapters that stand nowhere take free places */
-    bool wait_for_model;  /* requests wait longer for a model that is coming */
-    bool refuse_late;     /* what would begin too late is not sent */
-    bool pace_prompts;    /* prompts are kept apart on an engine */
-    bool learnt_speeds;   /* what a request takes is measured */
+    bool whole_fleet;     /* search the whole fleet for an engine */
+    bool several_victims; /* evict several models to load one */
+    bool move_apart;      /* spread last replicas that fill an engine */
+    bool near_copies;     /* load local copies first, into free memory */
+    bool pledges;         /* reserve freed memory for its model */
+    bool adapters_ahead;  /* load adapters that no engine holds into
+                             free adapter slots */
+    bool wait_for_model;  /* let requests wait longer for a pending load */
+    bool refuse_late;     /* refuse requests that would start too late */
+    bool pace_prompts;    /* space the prompts sent to an engine */
+    bool learnt_speeds;   /* measure service times of requests */
 };
 
 struct ch_settings {
-    char *name;                 /* [node] name */
-    char *region;               /* [node] region */
-    char *data_centre;          /* [node] data-centre */
-    char *data_centres;         /* [node] data-centres = NAME:REGION, ... */
-    unsigned workers;           /* [node] workers */
-    int log_level;              /* [node] log-level: err..debug */
-    char *callers;              /* [listen] callers = ip:port */
-    char *admin;                /* [listen] admin */
-    char *peers;                /* [listen] peers */
-    char *ready_path;           /* [listen] ready-path, beside /readyz */
-    int platform;               /* [platform] kind, enum ch_platform_kind */
-    char *kv;                   /* [platform] kv = ip:port */
-    char *hosts;                /* [platform] hosts = ip:port */
-    bool fencing;               /* [upstreams] fencing = refuse | ignore */
-    unsigned report_ms;         /* [upstreams] report-ms */
-    unsigned list_ms;           /* [platform] list-ms */
-    unsigned kv_timeout_ms;     /* [platform] kv-timeout-ms */
-    unsigned once_slots;        /* [once] slots */
-    unsigned once_gather_ms;    /* [once] gather-ms */
-    unsigned once_keep_s;       /* [once] keep-s */
-    size_t max_body;            /* [limits] body-bytes */
-    size_t max_headers;         /* [limits] header-bytes */
-    unsigned max_queue;         /* [limits] queue, for each upstream */
-    unsigned max_connections;   /* [limits] connections */
-    double cores;               /* [node] cores, of the host, for this node */
-    double host_mbit;           /* [node] link-mbit */
-    double retry_share;         /* [limits] retry-share */
-    double retry_slack;         /* [limits] retry-slack, of the whole fleet */
-    unsigned crashes;           /* [limits] crashes, of upstreams */
-    unsigned crash_requests;    /* [limits] crash-requests */
-    unsigned crash_keep_s;      /* [limits] crash-keep-s */
-    unsigned lease_ms;          /* [upstreams] lease-ms, of a right to order */
-    double load_window_s;       /* [weight-store] window-s */
-    double load_overshoot;      /* [weight-store] overshoot */
-    double loads_per_s;         /* [weight-store] loads-per-s */
-    unsigned loads_parallel;    /* [weight-store] parallel */
-    unsigned adapters_parallel; /* [weight-store] adapters-parallel */
-    double link_mbit;           /* [link] mbit-per-s */
-    unsigned connect_ms;        /* [timeouts] connect-ms */
-    unsigned first_byte_ms;     /* [timeouts] first-byte-ms */
-    unsigned stall_ms;          /* [timeouts] stall-ms, between tokens */
-    unsigned peer_silent_ms;    /* [timeouts] peer-silent-ms */
+    char *name;               /* [node] name */
+    char *region;             /* [node] region */
+    char *data_centre;        /* [node] data-centre */
+    char *data_centres;       /* [node] data-centres = NAME:REGION, ... */
+    unsigned workers;         /* [node] workers */
+    int log_level;            /* [node] log-level: err..debug */
+    char *callers;            /* [listen] callers = ip:port */
+    char *admin;              /* [listen] admin */
+    char *peers;              /* [listen] peers */
+    char *ready_path;         /* [listen] ready-path, in addition to /readyz */
+    int platform;             /* [platform] kind, enum ch_platform_kind */
+    char *kv;                 /* [platform] kv = ip:port */
+    char *hosts;              /* [platform] hosts = ip:port */
+    bool fencing;             /* [upstreams] fencing = refuse | ignore */
+    unsigned report_ms;       /* [upstreams] report-ms */
+    unsigned list_ms;         /* [platform] list-ms */
+    unsigned kv_timeout_ms;   /* [platform] kv-timeout-ms */
+    unsigned once_slots;      /* [once] slots */
+    unsigned once_gather_ms;  /* [once] gather-ms */
+    unsigned once_keep_s;     /* [once] keep-s */
+    size_t max_body;          /* [limits] body-bytes */
+    size_t max_headers;       /* [limits] header-bytes */
+    unsigned max_queue;       /* [limits] queue, per upstream */
+    unsigned max_connections; /* [limits] connections */
+    double cores;       /* [node] cores of the host that this node may use */
+    double host_mbit;   /* [node] link-mbit */
+    double retry_share; /* [limits] retry-share */
+    double retry_slack; /* [limits] retry-slack, for the whole fleet */
+    unsigned crashes;   /* [limits] crashes of upstreams */
+    unsigned crash_requests; /* [limits] crash-requests */
+    unsigned crash_keep_s;   /* [limits] crash-keep-s */
+    unsigned lease_ms;       /* [upstreams] lease-ms: lease to order engines */
+    double load_window_s;    /* [weight-store] window-s */
+    double load_overshoot;   /* [weight-store] overshoot */
+    double loads_per_s;      /* [weight-store] loads-per-s */
+    unsigned loads_parallel; /* [weight-store] parallel */
+    unsigned adapters_parallel;  /* [weight-store] adapters-parallel */
+    double link_mbit;            /* [link] mbit-per-s */
+    unsigned connect_ms;         /* [timeouts] connect-ms */
+    unsigned first_byte_ms;      /* [timeouts] first-byte-ms */
+    unsigned stall_ms;           /* [timeouts] stall-ms, between tokens */
+    unsigned peer_silent_ms;     /* [timeouts] peer-silent-ms */
     unsigned idle_connection_ms; /* [timeouts] idle-connection-ms */
-    unsigned drain_ms;           /* [timeouts] drain-ms, listener stays open */
-    unsigned grace_ms;           /* [timeouts] grace-ms, of a stop; 0: none */
-    struct ch_without without;   /* [policy] */
+    unsigned drain_ms;           /* [timeouts] drain-ms: listener stays open */
+    unsigned grace_ms;         /* [timeouts] grace-ms of a shutdown; 0: none */
+    struct ch_without without; /* [policy] */
 };
 
 struct ch_settings *ch_settings_load(const char *path, struct ch_error *error);
 struct ch_settings *ch_settings_parse(const char *text, const char *path,
                                       struct ch_error *error);
-/* The region of a data centre, by [node] data-centres; a new string, the data
-   centre's own name when it stands in none. */
+/* The region of a data centre by [node] data-centres, or the data centre's own
+   name if it isn't listed there; a new string. */
 char *ch_settings_region(const struct ch_settings *settings,
                          const char *data_centre);
-/* What this host can do for others, by its processor and its link. */
+/* The capacity that this host offers to the other nodes, from its cores and
+   its link. */
 uint32_t ch_settings_capacity(const struct ch_settings *settings);
 void ch_settings_free(struct ch_settings *settings);
-/* Each key of [policy], and whether it is on. */
+/* Calls each(data, key, on) for every key of [policy]. */
 void ch_settings_each_policy(const struct ch_settings *settings,
                              void (*each)(void *data, const char *key,
                                           bool on),
                              void *data);
 
-/* ---- the operators' declaration (declaration.c) ---- */
+/* ---- operators' declaration (declaration.c) ---- */
 
 struct ch_class {
     char *name;
@@ -287,20 +296,22 @@
     bool every_model; /* models = * */
     uint8_t *models;  /* by model index: 1 when the class may use it */
     uint8_t *services;
-    /* Of a class that is chosen by host and path; host is NULL in others. */
+    /* For a class that is selected by host and path; in others host is NULL.
+     */
     char *host;
-    char *path;         /* prefix, begins and ends with a slash */
-    int64_t gap;        /* target: longest pause between events; 0: none */
-    int64_t time_limit; /* longest that a caller is kept waiting; 0: none */
+    char *path;         /* prefix that begins and ends with a slash */
+    int64_t gap;        /* target: max pause between events; 0: none */
+    int64_t time_limit; /* max time that a caller waits; 0: none */
     bool stream;
-    bool resumable;    /* a stream may go on elsewhere from its last event */
-    unsigned priority; /* 0 goes first */
-    unsigned tries;    /* most upstreams that one request may be sent to */
-    struct ch_share *shares; /* of the services */
+    bool resumable;          /* a stream may resume after its last event on
+                                another upstream */
+    unsigned priority;       /* 0 is the highest */
+    unsigned tries;          /* max upstreams that one request is sent to */
+    struct ch_share *shares; /* by service */
     size_t share_count;
 };
 
-/* A service's part of a class's requests. */
+/* A service's share of a class's requests. */
 struct ch_share {
     int service; /* index */
     unsigned weight;
@@ -313,22 +324,25 @@
     char **adapters;
     size_t adapter_count;
     unsigned numbered_adapters; /* named MODEL/a1, MODEL/a2, ... */
-    int64_t load;               /* from the weight store; 0: not stated */
-    uint8_t *services;          /* by index: 1 when its engines may hold it */
+    int64_t load;               /* time to load from the weight store; 0: not
+                                   stated */
+    uint8_t *services; /* by service index: 1 when its engines may hold
+                          the model */
 };
 
 struct ch_service {
     char *name;
-    /* Of its upstreams, each; 0: not stated. */
-    unsigned connections; /* most, from all nodes together */
-    unsigned batch;       /* requests at once */
+    /* For each of its upstreams; 0: not stated. */
+    unsigned connections; /* max from all nodes together */
+    unsigned batch;       /* max concurrent requests */
     unsigned memory_mb;   /* for weights and adapters; 0: a plain service */
     unsigned context_tokens;
     unsigned adapter_places;
-    double loads_per_s; /* from the weight store, over all upstreams */
+    double loads_per_s; /* from the weight store, all upstreams together */
 };
 
-/* What a caller may send, and how slowly; 0: the node's settings hold. */
+/* Limits on the size and duration of a caller's request; 0: the limit of the
+   node's settings applies. */
 struct ch_caller_limits {
     size_t header_bytes;
     size_t body_bytes;
@@ -338,17 +352,17 @@
 
 struct ch_caller {
     char *name;
-    size_t class_index; /* the class when the request names none */
+    size_t class_index; /* used when the request names no class */
 };
 
-/* Where an adapter of some name is found. */
+/* An adapter's name and where it is declared. */
 struct ch_adapter {
-    const char *name; /* the model's own string */
+    const char *name; /* owned by the model */
     int model;
-    int index; /* among the model's adapters */
+    int index; /* in the model's adapters */
 };
 
-/* Classes, models, services and callers each stand in order of name. */
+/* Classes, models, services and callers are each sorted by name. */
 struct ch_declaration {
     struct ch_class *classes;
     size_t class_count;
@@ -358,22 +372,22 @@
     size_t service_count;
     struct ch_caller *callers;
     size_t caller_count;
-    char *text; /* canonical INI: the same declaration gives the same bytes */
-    struct ch_adapter *adapters; /* of all models, in order of name */
+    char *text; /* canonical INI: equal declarations give equal bytes */
+    struct ch_adapter *adapters; /* of all models, sorted by name */
     size_t adapter_count;
     struct ch_caller_limits limits;
 };
 
 /*
  * Groups: [class X] first-token-ms, between-tokens-ms, answer-ms, models,
- * services, idempotent, callers, and for one that is chosen by host and path
- * host, path, shares, stream, resumable, priority, tries, gap-ms,
+ * services, idempotent, callers, and for a class that is selected by host and
+ * path: host, path, shares, stream, resumable, priority, tries, gap-ms,
  * time-limit-ms; [model X] memory-mb, adapters, adapter-memory-mb, services,
  * numbered-adapters, load-ms; [service X] connections, batch, memory-mb,
- * context-tokens, adapter-places, loads-per-s; [limits] of callers.  Site
- * groups (declared by the platform, read by replay alone: region, data-centre,
- * upstream, entry, weight-store, link, engine) may stand in the same file and
- * are left out of the text.
+ * context-tokens, adapter-places, loads-per-s; [limits] of callers.  The same
+ * file may hold site groups, which the platform declares and only replay reads
+ * (region, data-centre, upstream, entry, weight-store, link, engine); they are
+ * left out of the canonical text.
  */
 struct ch_declaration *ch_declaration_parse(const char *text, const char *path,
                                             struct ch_error *error);
@@ -386,31 +400,34 @@
                          const char *name);
 int ch_declaration_service(const struct ch_declaration *declaration,
                            const char *name);
-/* An adapter's model and index; -1 when there is none of that name. */
+/* Returns the index of the adapter's model and sets *adapter to its index in
+   the model; -1 when no adapter has that name. */
 int ch_declaration_adapter(const struct ch_declaration *declaration,
                            const char *name, int *adapter);
 int ch_declaration_caller_class(const struct ch_declaration *declaration,
                                 const char *caller);
-/* The class of the host whose path prefix is the longest that the path begins
-   with; -1 when there is none.  path: without its query, not terminated. */
+/* The class of the host with the longest path prefix that matches path; -1
+   when none matches.  path: without its query, not NUL-terminated. */
 int ch_declaration_route(const struct ch_declaration *declaration,
                          const char *host, const char *path, size_t length);
-/* Whether the model has an adapter of that number, as in MODEL/a3. */
+/* Whether name is one of the model's numbered adapters, such as MODEL/a3. */
 bool ch_declaration_numbered(const struct ch_model *model, const char *name);
-/* Line diff of two canonical texts, "-old" and "+new" lines under groups. */
+/* Line diff of two canonical texts: "-old" and "+new" lines below the names of
+   their groups; a new string. */
 char *ch_declaration_diff(const char *from, const char *to);
 
-/* ---- a configuration in force: a declaration with its revision ---- */
+/* ---- configuration: a declaration with its revision (config.c) ---- */
 
 struct ch_config {
-    int references; /* through ch_config_ref and ch_config_unref alone */
+    int references; /* changed only by ch_config_ref, ch_config_unref */
     uint64_t revision;
-    char *token; /* the writer's own mark: resolves a lost answer */
+    char *token; /* write ID: shows a writer whose reply was lost whether its
+                    write took effect */
     char *author;
     struct ch_declaration *declaration;
 };
 
-struct ch_config *ch_config_new(uint64_t revision, const char *token,
+struct ch_config *ch_config_new(uint64_t revision, const char *write_id,
                                 const char *author,
                                 struct ch_declaration *declaration);
 struct ch_config *ch_config_ref(struct ch_config *config);
--- a/libchestnuthitch/base/client.c
+++ b/libchestnuthitch/base/client.c
@@ -1,4 +1,4 @@
-/* The client struct: log, clock and counters, handed down to every package. */
+/* The client struct: log, clock and metrics, passed to every package. */
 
 #include "base/base.h"
 
@@ -6,8 +6,8 @@
 #include <unistd.h>
 
 /* Writes a line to standard output in one call, so that lines of several
- * threads do not mix.  A log that can't be written is dropped: the service
- * goes on. */
+ * threads don't mix.  If the write fails, the line is dropped: a failing log
+ * must not stop the service. */
 static void
 write_stdout(void *data, const char *line, size_t length)
 {
@@ -16,7 +16,6 @@
     (void)written;
 }
 
-/* The monotonic clock in microseconds. */
 static int64_t
 monotonic_now(void *data)
 {
@@ -26,8 +25,8 @@
     return (int64_t)now.tv_sec * G_USEC_PER_SEC + now.tv_nsec / 1000;
 }
 
-/* Sets the usual handlers: standard output, the monotonic clock, no counters.
- * name must outlive the client. */
+/* Sets the default handlers: log to standard output, monotonic clock, no
+ * metrics.  The name isn't copied and must outlive the client. */
 void
 ch_client_init(struct ch_client *client, const char *name)
 {
@@ -39,7 +38,7 @@
     };
 }
 
-/* Microseconds on the client's clock; differences alone have a meaning. */
+/* Microseconds on the client's clock; only differences are meaningful. */
 int64_t
 ch_client_now(const struct ch_client *client)
 {
--- a/libchestnuthitch/base/compare.c
+++ b/libchestnuthitch/base/compare.c
@@ -1,8 +1,7 @@
-/* Orders of plain values. */
+/* Comparison functions for sorting. */
 
 #include "base/base.h"
 
-/* See base.h. */
 gint
 ch_compare_int64(gconstpointer a, gconstpointer b)
 {
--- a/libchestnuthitch/base/config.c
+++ b/libchestnuthitch/base/config.c
@@ -1,27 +1,26 @@
-/* A configuration in force: a declaration with its revision, shared by count.
- */
+/* A configuration: a declaration with its revision, reference counted. */
 
 #include "base/base.h"
 #include "base/annotate.h"
 
 #include <ck_pr.h>
 
-/* A configuration with one reference, which is the caller's.  Takes over the
- * declaration and copies the texts. */
+/* Returns a configuration with one reference.  Takes ownership of the
+ * declaration and copies the strings. */
 struct ch_config *
-ch_config_new(uint64_t revision, const char *token, const char *author,
+ch_config_new(uint64_t revision, const char *write_id, const char *author,
               struct ch_declaration *declaration)
 {
     struct ch_config *config = g_new0(struct ch_config, 1);
     config->references = 1;
     config->revision = revision;
-    config->token = g_strdup(token);
+    config->token = g_strdup(write_id);
     config->author = g_strdup(author);
     config->declaration = declaration;
     return config;
 }
 
-/* One more reference, from any thread that holds one. */
+/* Adds a reference.  Any thread that holds a reference may call this. */
 struct ch_config *
 ch_config_ref(struct ch_config *config)
 {
@@ -29,8 +28,8 @@
     return config;
 }
 
-/* Gives a reference back; the last one frees the configuration.  NULL is
- * nothing. */
+/* Drops a reference; dropping the last one frees the configuration.  NULL is
+ * allowed. */
 void
 ch_config_unref(struct ch_config *config)
 {
--- a/libchestnuthitch/base/error.c
+++ b/libchestnuthitch/base/error.c
@@ -1,4 +1,4 @@
-/* Result codes and the error struct that is passed down. */
+/* Result codes and the error struct that functions fill in. */
 
 #include "base/base.h"
 
@@ -20,8 +20,8 @@
 #undef CH_CODE
 };
 
-/* The table's row of a code; that of SYSTEM for a number not in the table,
- * as a node of a later version may send one. */
+/* The table's row for a code.  For a number that isn't in the table, which a
+ * node of a later version may send, the row of SYSTEM. */
 static const struct code_row *
 code_row(enum ch_code code)
 {
@@ -37,22 +37,23 @@
     return fallback;
 }
 
-/* Sets *error, unless error is NULL or holds an error already: the first
- * cause is the one worth telling. */
+/* Sets *error, unless error is NULL or holds an error already: the first error
+ * is kept, since it is the cause.  A long message is truncated. */
 void
-ch_error_set(struct ch_error *error, enum ch_code code, const char *form, ...)
+ch_error_set(struct ch_error *error, enum ch_code code, const char *format,
+             ...)
 {
     if (error == NULL || error->code != CH_OK) {
         return;
     }
     va_list arguments;
-    va_start(arguments, form);
+    va_start(arguments, format);
     error->code = code;
-    (void)vsnprintf(error->message, sizeof(error->message), form, arguments);
+    (void)vsnprintf(error->message, sizeof(error->message), format, arguments);
     va_end(arguments);
 }
 
-/* Empties an error, so that it can be passed down again. */
+/* Resets an error, so that it can be passed to another function. */
 void
 ch_error_clear(struct ch_error *error)
 {
@@ -60,14 +61,14 @@
     error->message[0] = '\0';
 }
 
-/* The code's name without its prefix, as in docs/RESULT-CODES.md. */
+/* The code's name without CH_, as in docs/RESULT-CODES.md. */
 const char *
 ch_code_name(enum ch_code code)
 {
     return code_row(code)->name;
 }
 
-/* One clause in English for operators and callers. */
+/* A short description in English for operators and callers. */
 const char *
 ch_code_meaning(enum ch_code code)
 {
@@ -81,15 +82,16 @@
     return code_row(code)->http;
 }
 
-/* What is certain about the request when it ends with this code.  A request
- * whose dispatch tells more (no byte went out) may say NOT_RUN instead. */
+/* Whether a request that ends with this code was run, as far as the code alone
+ * tells.  If it is known that no byte of the request was sent, NOT_RUN may be
+ * reported instead. */
 enum ch_outcome
 ch_code_outcome(enum ch_code code)
 {
     return code_row(code)->outcome;
 }
 
-/* The word in the Chestnuthitch-Outcome header. */
+/* The outcome's value in the Chestnuthitch-Outcome header. */
 const char *
 ch_outcome_name(enum ch_outcome outcome)
 {
--- a/libchestnuthitch/base/hash.c
+++ b/libchestnuthitch/base/hash.c
@@ -1,11 +1,11 @@
-/* Hashing that is the same on every node and in every run. */
+/* Hash functions with the same results on every node and in every run. */
 
 #include "base/base.h"
 
 #include <string.h>
 
-/* Spreads every input bit over the word (the finisher of SplitMix64,
- * Steele, Lea and Flood, OOPSLA 2014). */
+/* Mixes every input bit into all bits of the result (the finalizer of
+ * SplitMix64; Steele, Lea and Flood, OOPSLA 2014). */
 static uint64_t
 mix(uint64_t word)
 {
@@ -17,28 +17,28 @@
     return word;
 }
 
-/* A 64-bit hash of bytes: FNV-1a with a finisher.  Not against an adversary
- * who looks for collisions: where a collision would break a promise, the
- * bytes themselves are compared too. */
+/* A 64-bit hash of bytes: FNV-1a with a finalizer.  An adversary can construct
+ * collisions; code for which a collision would break a guarantee compares the
+ * bytes as well. */
 uint64_t
 ch_hash(const void *bytes, size_t length)
 {
-    const unsigned char *at = bytes;
+    const unsigned char *input = bytes;
     uint64_t word = UINT64_C(0xcbf29ce484222325);
     for (size_t i = 0; i < length; i++) {
-        word = (word ^ at[i]) * UINT64_C(0x100000001b3);
+        word = (word ^ input[i]) * UINT64_C(0x100000001b3);
     }
     return mix(word);
 }
 
-/* ch_hash of a string without its end. */
+/* The hash of a string without its terminating NUL. */
 uint64_t
 ch_hash_string(const char *text)
 {
     return ch_hash(text, strlen(text));
 }
 
-/* A hash of two words in order. */
+/* A hash of two words; their order matters. */
 uint64_t
 ch_hash_pair(uint64_t a, uint64_t b)
 {
@@ -46,8 +46,8 @@
 }
 
 /* Rendezvous hashing (Thaler and Ravishankar, 1998): the index of the name
- * with the highest weight for key.  A name that comes or goes moves only the
- * keys that it wins or held; -1 when there are no names. */
+ * with the highest weight for key, -1 when there are no names.  When a name is
+ * added or removed, only the keys that it gains or loses move. */
 int
 ch_rendezvous(uint64_t key, const char *const *names, size_t count)
 {
--- a/libchestnuthitch/base/json.c
+++ b/libchestnuthitch/base/json.c
@@ -1,12 +1,15 @@
 /*
- * A look at a JSON text before it is parsed.
+ * Checks the structure of a JSON text before it is parsed.
  *
- * The parser descends one stack frame for each level, so that a body of
- * brackets alone would end the process; it also takes comments, several texts
- * after one another (the last one counts), and the same member twice (the
- * last one counts).  An engine that takes the first would then serve a model
- * that was never checked.  So such bodies are refused here.  Of several texts
- * the parser (json-glib 1.6.6) also never frees any but the last.
+ * The parser of json-glib uses a stack frame for each level of nesting, so a
+ * body that consists of brackets would overflow the stack and end the process.
+ * The parser also accepts comments, several texts in sequence and duplicate
+ * members, and uses the last text or member.  An engine that uses the first
+ * would then serve a model that was never checked.  Of several texts, the
+ * parser (json-glib 1.6.6) also frees only the last.  So bodies that are
+ * nested too deep, contain comments or consist of several texts are refused
+ * here.  The number of members is returned, so that a caller of
+ * ch_json_check_shape() can detect duplicates.
  */
 
 #include "base/json.h"
@@ -14,9 +17,9 @@
 #include <string.h>
 
 enum {
-    /* As for callers' bodies; what nodes, upstreams and the platform write is
-     * four deep. */
-    MOST_DEPTH = 64,
+    /* The same limit as for callers' bodies; texts of nodes, upstreams and the
+     * platform are nested four levels deep. */
+    MAX_DEPTH = 64,
 };
 
 struct shape {
@@ -24,13 +27,13 @@
     unsigned max_depth;
     bool in_string;
     bool escaped;
-    bool ended; /* the outermost object was closed */
+    bool ended; /* the outermost object is closed */
     size_t members;
 };
 
-/* One byte inside a string; false for a raw control character. */
+/* Handles a byte inside a string; false for an unescaped control character. */
 static bool
-string_byte(struct shape *shape, char byte)
+check_string_byte(struct shape *shape, char byte)
 {
     if (shape->escaped) {
         shape->escaped = false;
@@ -44,10 +47,11 @@
     return (unsigned char)byte >= ' ';
 }
 
-/* Bytes that neither end a string nor are escaped or control characters: most
- * of what comes, and all of a value in base64. */
+/* The number of leading bytes that are no quote, backslash or control
+ * character.  These are most bytes of a text and all of a base64 value, so
+ * that they are skipped at once. */
 static size_t
-plain_length(const char *text, size_t length)
+count_plain_bytes(const char *text, size_t length)
 {
     size_t i = 0;
     while (i < length && text[i] != '"' && text[i] != '\\' &&
@@ -57,9 +61,10 @@
     return i;
 }
 
-/* An opening or closing bracket. */
+/* Handles an opening or closing bracket; false if it is misplaced or
+ * nested too deep. */
 static bool
-bracket(struct shape *shape, char byte)
+check_bracket(struct shape *shape, char byte)
 {
     if (byte == '{' || byte == '[') {
         if (shape->depth == 0 && byte == '[') {
@@ -76,9 +81,9 @@
     return true;
 }
 
-/* One byte outside a string. */
+/* Handles a byte outside a string; false if it is not allowed there. */
 static bool
-plain_byte(struct shape *shape, char byte)
+check_plain_byte(struct shape *shape, char byte)
 {
     if (byte == ' ' || byte == '\t' || byte == '\r' || byte == '\n') {
         return true;
@@ -87,7 +92,7 @@
         return false;
     }
     if (strchr("{}[]", byte) != NULL) {
-        return bracket(shape, byte);
+        return check_bracket(shape, byte);
     }
     if (shape->depth == 0) {
         return false;
@@ -102,7 +107,6 @@
     return strchr(":,+-.eE0123456789truefalsn", byte) != NULL;
 }
 
-/* See json.h. */
 bool
 ch_json_shape(const char *text, size_t length, unsigned max_depth,
               size_t *members)
@@ -110,14 +114,14 @@
     struct shape shape = {.max_depth = max_depth};
     for (size_t i = 0; i < length; i++) {
         if (shape.in_string && !shape.escaped) {
-            i += plain_length(&text[i], length - i);
+            i += count_plain_bytes(&text[i], length - i);
             if (i == length) {
                 break;
             }
         }
-        bool good = shape.in_string ? string_byte(&shape, text[i])
-                                    : plain_byte(&shape, text[i]);
-        if (!good) {
+        bool valid = shape.in_string ? check_string_byte(&shape, text[i])
+                                     : check_plain_byte(&shape, text[i]);
+        if (!valid) {
             return false;
         }
     }
@@ -125,13 +129,12 @@
     return shape.ended;
 }
 
-/* See json.h. */
 JsonObject *
 ch_json_object(const char *text, size_t length, JsonParser **parser)
 {
     size_t members = 0;
     *parser = json_parser_new();
-    if (!ch_json_shape(text, length, MOST_DEPTH, &members) ||
+    if (!ch_json_shape(text, length, MAX_DEPTH, &members) ||
         !json_parser_load_from_data(*parser, text, (gssize)length, NULL)) {
         return NULL;
     }
@@ -141,7 +144,6 @@
                : NULL;
 }
 
-/* See json.h. */
 const char *
 ch_json_text(JsonObject *object, const char *name)
 {
@@ -152,7 +154,6 @@
                : NULL;
 }
 
-/* See json.h. */
 int64_t
 ch_json_integer(JsonObject *object, const char *name, int64_t fallback)
 {
@@ -163,7 +164,6 @@
                : fallback;
 }
 
-/* See json.h. */
 char *
 ch_json_print(JsonBuilder *builder)
 {
--- a/libchestnuthitch/base/json.h
+++ b/libchestnuthitch/base/json.h
@@ -1,31 +1,34 @@
 #ifndef CH_JSON_H
 #define CH_JSON_H
 
-/* Strict JSON: texts that others wrote. */
+/* Strict parsing of JSON from untrusted sources, and helpers for json-glib. */
 
 #include <json-glib/json-glib.h>
 #include <stdbool.h>
 #include <stddef.h>
 
 /*
- * True for one JSON object that is nested max_depth deep at most; members is
- * how many the object itself has.  Finds no more than the shape.
+ * True if text looks like a single JSON object that is nested at most
+ * max_depth levels deep; sets *members to the number of its own members.
+ * Checks only the structure: the parser may still refuse the text.
  */
 bool ch_json_shape(const char *text, size_t length, unsigned max_depth,
                    size_t *members);
 
-/* The object of a text that is one JSON object, or NULL.  *parser is always
-   set, owns the object, and is to be unreferenced. */
+/* Parses a text that is a single JSON object; NULL if it is anything else.
+ *parser is always set and owns the object; unreference it after use. */
 JsonObject *ch_json_object(const char *text, size_t length,
                            JsonParser **parser);
 
-/* A member that is a string, as long as the object; NULL: it is none. */
+/* A string member, valid as long as the object; NULL if the member is missing
+   or not a string. */
 const char *ch_json_text(JsonObject *object, const char *name);
 
-/* What a builder holds, as a new string; the builder is given up. */
-/* An integer member; the fallback when there is none. */
+/* An integer member; the fallback if it is missing or not an integer. */
 int64_t ch_json_integer(JsonObject *object, const char *name,
                         int64_t fallback);
+
+/* The builder's JSON as a new string; takes over the builder's reference. */
 char *ch_json_print(JsonBuilder *builder);
 
 #endif
--- a/libchestnuthitch/base/log.c
+++ b/libchestnuthitch/base/log.c
@@ -1,4 +1,4 @@
-/* Logs: one JSON object a line, with syslog's severities. */
+/* Logs: one JSON object per line, with the severities of syslog. */
 
 #include "base/base.h"
 
@@ -10,15 +10,16 @@
 #include <time.h>
 
 enum {
-    /* A field that came from outside cannot fill the log with one line. */
-    MOST_STRING_BYTES = 4096,
+    /* Longer strings are truncated, so that a value from outside can't fill
+     * the log with a single line. */
+    MAX_STRING_BYTES = 4096,
 };
 
 static const char *const level_names[] = {
     "emerg", "alert", "crit", "err", "warning", "notice", "info", "debug",
 };
 
-/* Appends one character as JSON has it inside a string. */
+/* Appends one character, escaped for a JSON string. */
 static void
 append_character(GString *line, gunichar character)
 {
@@ -45,8 +46,9 @@
     g_string_append_unichar(line, character);
 }
 
-/* Appends a JSON string.  Bytes that are not UTF-8 become U+FFFD, so that no
- * caller's header can make a line that a reader of the log rejects. */
+/* Appends a JSON string, or null for NULL.  Bytes that are not valid UTF-8
+ * become U+FFFD; otherwise a caller's header could produce a line that log
+ * readers reject. */
 static void
 append_string(GString *line, const char *text)
 {
@@ -55,10 +57,11 @@
         return;
     }
     char *valid =
-        g_utf8_make_valid(text, (gssize)strnlen(text, MOST_STRING_BYTES));
+        g_utf8_make_valid(text, (gssize)strnlen(text, MAX_STRING_BYTES));
     g_string_append_c(line, '"');
-    for (const char *at = valid; *at != '\0'; at = g_utf8_next_char(at)) {
-        append_character(line, g_utf8_get_char(at));
+    for (const char *next = valid; *next != '\0';
+         next = g_utf8_next_char(next)) {
+        append_character(line, g_utf8_get_char(next));
     }
     g_string_append_c(line, '"');
     g_free(valid);
@@ -73,7 +76,7 @@
     g_string_append_c(line, ':');
 }
 
-/* Appends a number; JSON has none that is not finite. */
+/* Appends a number; null for infinity and NaN, which JSON can't express. */
 static void
 append_double(GString *line, double value)
 {
@@ -85,7 +88,7 @@
     g_string_append(line, g_ascii_dtostr(text, sizeof(text), value));
 }
 
-/* Appends the time of day: UTC by RFC 3339 with milliseconds. */
+/* Appends the current time as RFC 3339 in UTC with milliseconds. */
 static void
 append_time(GString *line)
 {
@@ -126,8 +129,8 @@
     }
 }
 
-/* Writes one line: time, severity, node, event, then the fields given, which
- * end with CH_F_END.  What is above the client's level is left out. */
+/* Writes a line: time, severity, node, event, then the given fields, which end
+ * with CH_F_END.  Lines above the client's log level are not written. */
 void
 ch_log(const struct ch_client *client, enum ch_level level, const char *event,
        ...)
--- a/libchestnuthitch/base/pool.c
+++ b/libchestnuthitch/base/pool.c
@@ -1,4 +1,5 @@
-/* The worker pool: jobs go through a Concurrency Kit ring to POSIX threads. */
+/* The worker pool: a Concurrency Kit ring of jobs and POSIX threads that run
+ * them. */
 
 #include "base/base.h"
 #include "base/annotate.h"
@@ -15,21 +16,23 @@
 
 enum {
     /*
-     * Room for every open request of a node to have a job waiting at once
-     * (connections are bounded well below this).  A submitter that finds the
-     * ring full yields until there is room: jobs are never dropped.
+     * Enough for every open request of a node to have a job queued at the same
+     * time (the limit on connections is well below this).  If the ring is
+     * full, the submitting thread yields until there is space: jobs are never
+     * dropped.
      */
     RING_SIZE = 1 << 15,
 };
 
 /*
- * The ring has one producer and one consumer at a time: the two locks see to
- * it.  Its form for many of each reads a slot that another thread may be
- * writing and drops what it read when its compare-and-swap fails, which
- * ThreadSanitizer cannot tell from a fault: every check of a node's threads
- * would stop there.  The locks cost a microsecond or two for each job, and a
- * node has some thousands a second.  A post follows each put under the same
- * lock, so that after the nth wait n jobs were put.
+ * Two locks ensure that the ring has one producer and one consumer at a time.
+ * The ring's variant for several producers and consumers reads a slot that
+ * another thread may be writing, and discards the value if its
+ * compare-and-swap fails.  ThreadSanitizer reports this as a data race, which
+ * would stop every test of a node's threads.  The locks take one or two
+ * microseconds per job, and a node runs some thousands of jobs per second.
+ * Each job is put and the semaphore posted under the same lock, so that after
+ * the nth wait at least n jobs have been put.
  */
 struct ch_pool {
     pthread_mutex_t put_lock;
@@ -41,9 +44,9 @@
     unsigned count;
 };
 
-/* The next job, or NULL when the ring is empty. */
+/* Takes the next job; NULL if the ring is empty. */
 static struct job *
-take(struct ch_pool *pool)
+take_job(struct ch_pool *pool)
 {
     struct job *job = NULL;
     pthread_mutex_lock(&pool->take_lock);
@@ -53,9 +56,9 @@
     return job;
 }
 
-/* Puts a job in; false when the ring is full. */
+/* Puts a job into the ring; false if it is full. */
 static bool
-put(struct ch_pool *pool, struct job *job)
+put_job(struct ch_pool *pool, struct job *job)
 {
     pthread_mutex_lock(&pool->put_lock);
     CH_ACQUIRE(&pool->ring);
@@ -67,15 +70,15 @@
     return fits;
 }
 
-/* Takes jobs until it meets the one with no function, which ends it. */
+/* A worker's thread: runs jobs until it takes a job without a function. */
 static void *
-work(void *data)
+run_worker(void *data)
 {
     struct ch_pool *pool = data;
     for (;;) {
         while (sem_wait(&pool->jobs) != 0) {
         }
-        struct job *job = take(pool);
+        struct job *job = take_job(pool);
         if (job->run == NULL) {
             g_free(job);
             return NULL;
@@ -85,7 +88,7 @@
     }
 }
 
-/* Starts a pool of `workers` threads (at least one). */
+/* Starts a pool of `workers` threads, at least one. */
 struct ch_pool *
 ch_pool_new(unsigned workers)
 {
@@ -98,46 +101,46 @@
     pthread_mutex_init(&pool->take_lock, NULL);
     pool->threads = g_new0(pthread_t, pool->count);
     for (unsigned i = 0; i < pool->count; i++) {
-        if (pthread_create(&pool->threads[i], NULL, work, pool) != 0) {
-            g_error("no thread for the worker pool");
+        if (pthread_create(&pool->threads[i], NULL, run_worker, pool) != 0) {
+            g_error("cannot create a thread of the worker pool");
         }
     }
     return pool;
 }
 
-/* Has a worker run run(data).  Jobs of one submitter may run at the same time
- * and in any order. */
+/* Queues a call of run(data) on a worker.  Jobs of the same submitter may run
+ * concurrently and in any order. */
 void
 ch_pool_submit(struct ch_pool *pool, void (*run)(void *data), void *data)
 {
     struct job *job = g_new(struct job, 1);
     job->run = run;
     job->data = data;
-    while (!put(pool, job)) {
+    while (!put_job(pool, job)) {
         sched_yield();
     }
 }
 
 /*
- * Called with the number of each step of work that takes long and never waits.
- * On a small share of a core such work keeps its thread's turn for half a
- * second, in which the loops that relay streams stand still; so it gives the
- * turn away after some steps.  Thirty-two classes of a configuration are read
- * in less than half a millisecond of a whole core.
+ * Work that takes long and never blocks calls this after each step, with the
+ * step's number.  On a small share of a core, such work can hold the processor
+ * for half a second, during which the event loops don't relay any streams.  So
+ * the thread yields after every 32 steps; 32 classes of a configuration, for
+ * example, are parsed in less than half a millisecond of a whole core.
  */
 void
 ch_pool_give_way(size_t step)
 {
     enum {
-        STEPS = 32
+        STEPS_PER_YIELD = 32
     };
-    if (step % STEPS == STEPS - 1) {
+    if (step % STEPS_PER_YIELD == STEPS_PER_YIELD - 1) {
         sched_yield();
     }
 }
 
-/* Runs what was submitted, ends the workers and frees the pool.  Nothing may
- * be submitted from outside the pool by then. */
+/* Runs the queued jobs, ends the workers and frees the pool.  Only the pool's
+ * own jobs may still submit further jobs.  NULL is allowed. */
 void
 ch_pool_free(struct ch_pool *pool)
 {
@@ -151,7 +154,7 @@
         pthread_join(pool->threads[i], NULL);
     }
     struct job *job;
-    while ((job = take(pool)) != NULL) {
+    while ((job = take_job(pool)) != NULL) {
         if (job->run != NULL) {
             job->run(job->data);
         }
--- a/libchestnuthitch/base/table.c
+++ b/libchestnuthitch/base/table.c
@@ -1,5 +1,6 @@
-/* Handle tables: a handle is a slot and the slot's generation, so that a late
- * message about something gone finds nothing rather than its successor. */
+/* Handle tables.  A handle is the index of a slot and the slot's generation,
+ * so that a late message for a removed item finds nothing instead of the item
+ * that uses the slot now. */
 
 #include "base/base.h"
 
@@ -19,7 +20,7 @@
     size_t count;
 };
 
-/* An empty table.  It has no lock of its own: its owner's lock guards it. */
+/* An empty table.  The table has no lock; the owner's lock must protect it. */
 struct ch_table *
 ch_table_new(void)
 {
@@ -40,7 +41,8 @@
     g_free(table);
 }
 
-/* Puts an item (not NULL) in and returns its handle, never 0. */
+/* Adds an item, which must not be NULL, and returns its handle, which is never
+ * 0. */
 uint64_t
 ch_table_add(struct ch_table *table, void *item)
 {
@@ -59,9 +61,9 @@
     return ((uint64_t)slot->generation << 32) | index;
 }
 
-/* The slot of a handle that is in force, or NULL. */
+/* The slot of a valid handle, or NULL. */
 static struct slot *
-slot_of(const struct ch_table *table, uint64_t handle)
+find_slot(const struct ch_table *table, uint64_t handle)
 {
     uint32_t index = (uint32_t)handle;
     if (index >= table->slots->len) {
@@ -74,19 +76,19 @@
     return slot;
 }
 
-/* The item, or NULL when it was removed. */
+/* The item, or NULL if it was removed. */
 void *
 ch_table_get(const struct ch_table *table, uint64_t handle)
 {
-    const struct slot *slot = slot_of(table, handle);
+    const struct slot *slot = find_slot(table, handle);
     return slot == NULL ? NULL : slot->item;
 }
 
-/* Takes the item out and returns it; NULL when it was gone. */
+/* Removes the item and returns it; NULL if it was removed before. */
 void *
 ch_table_remove(struct ch_table *table, uint64_t handle)
 {
-    struct slot *slot = slot_of(table, handle);
+    struct slot *slot = find_slot(table, handle);
     if (slot == NULL) {
         return NULL;
     }
@@ -99,7 +101,7 @@
     return item;
 }
 
-/* How many items are in. */
+/* The number of items. */
 size_t
 ch_table_count(const struct ch_table *table)
 {
@@ -107,7 +109,7 @@
 }
 
 /* Calls each for every item, in order of slots; the table must not change
- * meanwhile. */
+ * during the calls. */
 void
 ch_table_each(const struct ch_table *table,
               void (*each)(void *item, uint64_t handle, void *data),
--- a/libchestnuthitch/base/timer.c
+++ b/libchestnuthitch/base/timer.c
@@ -1,5 +1,5 @@
-/* Timers: one thread sleeps until the next is due and gives its job to the
- * pool. */
+/* Timers: one thread sleeps until the next timer expires and queues its
+ * callback on the worker pool. */
 
 #include "base/base.h"
 
@@ -18,13 +18,13 @@
     pthread_mutex_t lock;
     pthread_cond_t changed;
     pthread_t thread;
-    GSequence *due;        /* of struct timer, by time */
+    GSequence *due;        /* of struct timer, sorted by time */
     GHashTable *by_handle; /* handle to GSequenceIter */
     uint64_t last_handle;
     bool stopping;
 };
 
-/* Microseconds on the clock that the condition variable waits by. */
+/* Microseconds on the clock that the condition variable uses. */
 static int64_t
 clock_now(void)
 {
@@ -33,7 +33,8 @@
     return (int64_t)now.tv_sec * G_USEC_PER_SEC + now.tv_nsec / 1000;
 }
 
-/* Order by time, then by handle: equal times run in the order of asking. */
+/* Compares by time, then by handle: timers with equal times run in the order
+ * in which they were added. */
 static int
 compare_timers(const void *a, const void *b, void *unused)
 {
@@ -47,7 +48,8 @@
                                           : first->handle > second->handle;
 }
 
-/* Waits for the first timer to be due or for a change.  Lock held. */
+/* Waits until the first timer expires or `changed` is signalled.  Lock held.
+ */
 static void
 wait_for_change(struct ch_timers *timers)
 {
@@ -64,9 +66,9 @@
     pthread_cond_timedwait(&timers->changed, &timers->lock, &until);
 }
 
-/* Gives every timer that is due to the pool.  Lock held. */
+/* Queues the callbacks of all expired timers on the pool.  Lock held. */
 static void
-run_due(struct ch_timers *timers)
+run_expired(struct ch_timers *timers)
 {
     int64_t now = clock_now();
     for (;;) {
@@ -91,7 +93,7 @@
     struct ch_timers *timers = data;
     pthread_mutex_lock(&timers->lock);
     while (!timers->stopping) {
-        run_due(timers);
+        run_expired(timers);
         if (!timers->stopping) {
             wait_for_change(timers);
         }
@@ -100,7 +102,8 @@
     return NULL;
 }
 
-/* Starts the timers' thread; jobs run on the pool, which outlives it. */
+/* Starts the timers' thread.  Callbacks run on the pool, which must outlive
+ * the timers. */
 struct ch_timers *
 ch_timers_new(struct ch_pool *pool)
 {
@@ -115,13 +118,13 @@
     pthread_cond_init(&timers->changed, &attributes);
     pthread_condattr_destroy(&attributes);
     if (pthread_create(&timers->thread, NULL, run_timers, timers) != 0) {
-        g_error("no thread for the timers");
+        g_error("cannot create the thread of the timers");
     }
     return timers;
 }
 
-/* Ends the thread.  What was not yet due never runs, nor what is asked for
- * later: the pool's last jobs may still ask. */
+/* Ends the thread.  Pending timers never run, nor do timers that are added
+ * later; the last jobs of the pool may still add timers. */
 void
 ch_timers_stop(struct ch_timers *timers)
 {
@@ -135,7 +138,7 @@
     }
 }
 
-/* Frees the timers, stopped first if need be. */
+/* Stops the timers if they still run and frees them.  NULL is allowed. */
 void
 ch_timers_free(struct ch_timers *timers)
 {
@@ -150,7 +153,8 @@
     g_free(timers);
 }
 
-/* Has run(data) called on the pool after `delay` microseconds. */
+/* Adds a timer that calls run(data) on the pool after `delay` microseconds and
+ * returns its handle. */
 uint64_t
 ch_timers_after(struct ch_timers *timers, int64_t delay,
                 void (*run)(void *data), void *data)
@@ -162,24 +166,25 @@
     pthread_mutex_lock(&timers->lock);
     uint64_t handle = ++timers->last_handle;
     timer->handle = handle;
-    GSequenceIter *at =
+    GSequenceIter *position =
         g_sequence_insert_sorted(timers->due, timer, compare_timers, NULL);
-    g_hash_table_insert(timers->by_handle, &timer->handle, at);
+    g_hash_table_insert(timers->by_handle, &timer->handle, position);
     pthread_cond_signal(&timers->changed);
     pthread_mutex_unlock(&timers->lock);
     return handle;
 }
 
-/* True when the timer was still waiting: its job will not run. */
+/* Cancels a timer.  True if it was pending: its callback will not run.  False
+ * if it has expired or was cancelled before. */
 bool
 ch_timers_cancel(struct ch_timers *timers, uint64_t handle)
 {
     pthread_mutex_lock(&timers->lock);
-    GSequenceIter *at = g_hash_table_lookup(timers->by_handle, &handle);
-    if (at != NULL) {
+    GSequenceIter *position = g_hash_table_lookup(timers->by_handle, &handle);
+    if (position != NULL) {
         g_hash_table_remove(timers->by_handle, &handle);
-        g_sequence_remove(at);
+        g_sequence_remove(position);
     }
     pthread_mutex_unlock(&timers->lock);
-    return at != NULL;
+    return position != NULL;
 }
