--- a/tests/threaded/test_metrics_threads.c
+++ b/tests/threaded/test_metrics_threads.c
@@ -1,5 +1,5 @@
-/* Metrics and configurations shared by threads: no count is lost, a
- * configuration is freed once and by the last. */
+/* Metrics and configurations shared by threads: no count is lost, and a
+ * configuration is freed once, by the thread that drops the last reference. */
 
 #include "base/base.h"
 
@@ -9,10 +9,10 @@
 enum {
     THREADS = 4,
     ROUNDS = 2000,
-    NAMES = 200, /* more than the table of tenants holds */
+    NAMES = 200, /* more than the table of tenants can hold */
 };
 
-/* Counts under many names while others add the same ones. */
+/* Counts for many tenants, whose names the other threads add as well. */
 static void *
 count_all(void *data)
 {
@@ -27,7 +27,7 @@
     return NULL;
 }
 
-/* Runs `run` in every thread at once. */
+/* Runs `run` in several threads at once and joins them. */
 static void
 run_threads(void *(*run)(void *data), void *data)
 {
@@ -40,7 +40,7 @@
     }
 }
 
-/* Checks the sums of the one class. */
+/* Checks the sums of the only class. */
 static void
 check_sums(void *data, const char *class_name,
            const struct ch_class_outcomes *all)
@@ -51,9 +51,9 @@
     g_assert_cmpuint(all->counts[CH_RAN][1], ==, THREADS * ROUNDS / 2);
 }
 
-/* Every count of every thread is in the sums. */
+/* The sums contain every count of every thread. */
 static void
-test_counts(void)
+test_no_count_lost(void)
 {
     struct ch_metrics *metrics = ch_metrics_new();
     run_threads(count_all, metrics);
@@ -63,25 +63,25 @@
     ch_metrics_free(metrics);
 }
 
-/* Takes and gives back references, then gives back the one that it was
- * started with. */
+/* Adds and drops references, then drops the reference that the thread was
+ * given. */
 static void *
 use_config(void *data)
 {
     struct ch_config *config = data;
     for (int i = 0; i < ROUNDS; i++) {
-        struct ch_config *mine = ch_config_ref(config);
-        g_assert_cmpuint(mine->declaration->class_count, ==, 1);
-        ch_config_unref(mine);
+        struct ch_config *reference = ch_config_ref(config);
+        g_assert_cmpuint(reference->declaration->class_count, ==, 1);
+        ch_config_unref(reference);
     }
     ch_config_unref(config);
     return NULL;
 }
 
-/* The last reference frees, whichever thread holds it; the sanitizers find a
- * second or missing free. */
+/* Dropping the last reference frees the configuration, in whichever thread;
+ * the sanitizers report a double or a missing free. */
 static void
-test_config(void)
+test_config_freed_once(void)
 {
     struct ch_error error = {0};
     struct ch_declaration *declaration = ch_declaration_parse(
@@ -99,7 +99,7 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/metrics/threads", test_counts);
-    g_test_add_func("/config/threads", test_config);
+    g_test_add_func("/metrics/threads", test_no_count_lost);
+    g_test_add_func("/config/threads", test_config_freed_once);
     return g_test_run();
 }
--- a/tests/threaded/test_pool.c
+++ b/tests/threaded/test_pool.c
@@ -1,4 +1,5 @@
-/* The worker pool and the timers: every job once, none lost at the end. */
+/* The worker pool and the timers: every job runs once, also those that are
+ * queued when the pool is freed. */
 
 #include "base/base.h"
 
@@ -11,7 +12,6 @@
     JOBS = 20000,
 };
 
-/* Counts a job. */
 static void
 count_job(void *data)
 {
@@ -23,7 +23,7 @@
     unsigned *counts;
 };
 
-/* Submits one job for each count. */
+/* Submits one job for each element of counts. */
 static void *
 submit_jobs(void *data)
 {
@@ -34,10 +34,10 @@
     return NULL;
 }
 
-/* Several threads submit more than the ring holds; freeing the pool runs what
- * is left.  Each job has run exactly once. */
+/* Several threads submit more jobs than the ring can hold; freeing the pool
+ * runs the rest.  Every submitted job runs exactly once. */
 static void
-test_pool(void)
+test_every_job_runs_once(void)
 {
     unsigned *counts = g_new0(unsigned, JOBS);
     struct ch_pool *pool = ch_pool_new(3);
@@ -57,95 +57,98 @@
     g_free(counts);
 }
 
-struct order {
-    int next;
+struct sequence {
+    int next_index;
     sem_t done;
 };
 
-struct turn {
-    struct order *order;
-    int64_t earliest; /* bounds of when it is due */
+struct timer_run {
+    struct sequence *sequence;
+    int64_t earliest; /* bounds of the time when the timer expires */
     int64_t latest;
     int64_t ran_at;
-    int place;
+    int run_index; /* 0 for the first timer to run */
 };
 
-/* Notes when it ran, and as which. */
+/* Records when the timer ran and how many ran before. */
 static void
-take_turn(void *data)
+record_run(void *data)
 {
-    struct turn *turn = data;
-    turn->ran_at = g_get_monotonic_time();
-    turn->place = turn->order->next++;
-    sem_post(&turn->order->done);
+    struct timer_run *timer_run = data;
+    timer_run->ran_at = g_get_monotonic_time();
+    timer_run->run_index = timer_run->sequence->next_index++;
+    sem_post(&timer_run->sequence->done);
 }
 
-/* No timer runs before its time, and of two that are surely due at different
- * times the earlier runs first, whatever the order of asking (one worker keeps
- * it).  The bounds make the verdict the same on a machine that is busy. */
+/* No timer runs before its time.  If the bounds show that two timers expire at
+ * different times, the earlier timer runs first, regardless of the order in
+ * which the timers were added (a single worker keeps the order).  Because of
+ * the bounds, the result doesn't depend on the machine's load. */
 static void
-test_order(void)
+test_timer_order(void)
 {
     static const int64_t delays[] = {30000, 10000, 20000, 0};
     enum {
-        TURNS = G_N_ELEMENTS(delays)
+        TIMERS = G_N_ELEMENTS(delays)
     };
-    struct order order = {0};
-    struct turn turns[TURNS] = {0};
+    struct sequence sequence = {0};
+    struct timer_run runs[TIMERS] = {0};
     struct ch_pool *pool = ch_pool_new(1);
     struct ch_timers *timers = ch_timers_new(pool);
-    sem_init(&order.done, 0, 0);
-    for (int i = 0; i < TURNS; i++) {
-        turns[i].order = &order;
-        turns[i].earliest = g_get_monotonic_time() + delays[i];
-        (void)ch_timers_after(timers, delays[i], take_turn, &turns[i]);
-        turns[i].latest = g_get_monotonic_time() + delays[i];
+    sem_init(&sequence.done, 0, 0);
+    for (int i = 0; i < TIMERS; i++) {
+        runs[i].sequence = &sequence;
+        runs[i].earliest = g_get_monotonic_time() + delays[i];
+        (void)ch_timers_after(timers, delays[i], record_run, &runs[i]);
+        runs[i].latest = g_get_monotonic_time() + delays[i];
     }
-    for (int i = 0; i < TURNS; i++) {
-        sem_wait(&order.done);
+    for (int i = 0; i < TIMERS; i++) {
+        sem_wait(&sequence.done);
     }
-    for (int i = 0; i < TURNS; i++) {
-        g_assert_cmpint(turns[i].ran_at, >=, turns[i].earliest);
-        for (int j = 0; j < TURNS; j++) {
-            g_assert_true(turns[i].latest >= turns[j].earliest ||
-                          turns[i].place < turns[j].place);
+    for (int i = 0; i < TIMERS; i++) {
+        g_assert_cmpint(runs[i].ran_at, >=, runs[i].earliest);
+        for (int j = 0; j < TIMERS; j++) {
+            g_assert_true(runs[i].latest >= runs[j].earliest ||
+                          runs[i].run_index < runs[j].run_index);
         }
     }
     ch_timers_free(timers);
     ch_pool_free(pool);
-    sem_destroy(&order.done);
+    sem_destroy(&sequence.done);
 }
 
-/* A cancelled timer never runs, and says so once; one that has run cannot be
- * cancelled; what is not due when the timers end never runs. */
+/* A cancelled timer never runs, and only the first cancel returns true.  A
+ * timer that has run can't be cancelled.  Timers that are pending when the
+ * timers are freed never run. */
 static void
-test_cancel(void)
+test_timer_cancel(void)
 {
     unsigned counts[3] = {0};
-    struct order order = {0};
-    struct turn turn = {.order = &order};
+    struct sequence sequence = {0};
+    struct timer_run timer_run = {.sequence = &sequence};
     struct ch_pool *pool = ch_pool_new(1);
     struct ch_timers *timers = ch_timers_new(pool);
-    sem_init(&order.done, 0, 0);
-    uint64_t far = ch_timers_after(timers, G_MAXINT32, count_job, &counts[0]);
-    uint64_t near = ch_timers_after(timers, 0, take_turn, &turn);
+    sem_init(&sequence.done, 0, 0);
+    uint64_t later =
+        ch_timers_after(timers, G_MAXINT32, count_job, &counts[0]);
+    uint64_t immediate = ch_timers_after(timers, 0, record_run, &timer_run);
     (void)ch_timers_after(timers, G_MAXINT32, count_job, &counts[1]);
-    g_assert_true(ch_timers_cancel(timers, far));
-    g_assert_false(ch_timers_cancel(timers, far));
-    sem_wait(&order.done);
-    g_assert_false(ch_timers_cancel(timers, near));
+    g_assert_true(ch_timers_cancel(timers, later));
+    g_assert_false(ch_timers_cancel(timers, later));
+    sem_wait(&sequence.done);
+    g_assert_false(ch_timers_cancel(timers, immediate));
     ch_timers_free(timers);
     ch_pool_free(pool);
     g_assert_cmpuint(counts[0] + counts[1], ==, 0);
-    sem_destroy(&order.done);
+    sem_destroy(&sequence.done);
 }
 
 int
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/pool/every-job-once", test_pool);
-    g_test_add_func("/timers/order", test_order);
-    g_test_add_func("/timers/cancel", test_cancel);
+    g_test_add_func("/pool/every-job-once", test_every_job_runs_once);
+    g_test_add_func("/timers/order", test_timer_order);
+    g_test_add_func("/timers/cancel", test_timer_cancel);
     return g_test_run();
 }
--- a/tests/unit/test_codes.c
+++ b/tests/unit/test_codes.c
@@ -1,5 +1,5 @@
-/* Result codes: docs/RESULT-CODES.md says what codes.def says.  `test_codes
- * --write` writes the page anew. */
+/* Result codes: checks that docs/RESULT-CODES.md agrees with codes.def.
+ * `test_codes --write` regenerates the page. */
 
 #include "base/base.h"
 
@@ -21,22 +21,22 @@
 #undef CH_CODE
 };
 
-/* The page as it has to be, in a new string. */
+/* The text that the page must have, as a new string. */
 static char *
 make_page(void)
 {
     GString *page = g_string_new(
         "# Result codes\n\n"
-        "Made from libchestnuthitch/base/codes.def by "
+        "Generated from libchestnuthitch/base/codes.def by "
         "`build/address/tests/unit/test_codes --write`.\n\n"
-        "Every refusal and error bears a number (`Chestnuthitch-Code`, and "
-        "`code` in the JSON\nbody). A number keeps its meaning for good. The "
-        "outcome is what is certain about\nthe request when it ends with "
-        "the code: `not-run`, `ran` or `unknown`. A request of\nwhich "
-        "more is known (no byte of it went out) may say `not-run` where the "
-        "table says\n`unknown`. 1xx: the request is wrong; 2xx: refused "
-        "for now, come back; 3xx: the\nupstream; 4xx: the platform; 5xx: "
-        "settings and declarations; 6xx: between nodes;\n7xx: replay; 9xx: "
+        "Every refusal and error has a number (`Chestnuthitch-Code`, and "
+        "`code` in the JSON\nbody). The meaning of a number never changes. "
+        "The outcome says whether a request that\nends with the code was run: "
+        "`not-run`, `ran` or `unknown`. If no byte of a request was\nsent, "
+        "its outcome may be `not-run` where the table says `unknown`.\n"
+        "1xx: the request is invalid; 2xx: refused for now, retry later; "
+        "3xx: the upstream;\n4xx: the platform; 5xx: "
+        "settings and declarations; 6xx: between nodes; 7xx: replay;\n9xx: "
         "the machine and the command line.\n\n"
         "| number | name | HTTP | outcome | meaning |\n"
         "|---|---|---|---|---|\n");
@@ -50,9 +50,9 @@
     return g_string_free(page, FALSE);
 }
 
-/* The page in the repository is the one that the table gives. */
+/* The page in the repository equals the page generated from the table. */
 static void
-test_page(void)
+test_page_matches_table(void)
 {
     char *text = NULL;
     char *page = make_page();
@@ -62,10 +62,10 @@
     g_free(page);
 }
 
-/* Numbers are unique, rise, and give back their row; a number of a later
- * version counts as SYSTEM, whose outcome is unknown. */
+/* Numbers are unique and ascending, and each finds its own row.  A number that
+ * only a later version knows counts as SYSTEM, whose outcome is unknown. */
 static void
-test_numbers(void)
+test_numbers_find_rows(void)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         enum ch_code code = (enum ch_code)rows[i].number;
@@ -77,9 +77,9 @@
     g_assert_cmpint(ch_code_outcome((enum ch_code)899), ==, CH_UNKNOWN);
 }
 
-/* The first cause stays; a long message is cut. */
+/* The first error is kept; a long message is truncated. */
 static void
-test_error(void)
+test_first_error_kept(void)
 {
     struct ch_error error = {0};
     char *large = g_strnfill(4000, 'x');
@@ -90,7 +90,7 @@
     ch_error_clear(&error);
     ch_error_set(&error, CH_STOPPING, "second");
     g_assert_cmpstr(error.message, ==, "second");
-    ch_error_set(NULL, CH_LATE, "nobody asks");
+    ch_error_set(NULL, CH_LATE, "no error struct");
     g_free(large);
 }
 
@@ -104,8 +104,8 @@
         return written ? 0 : 1;
     }
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/codes/page", test_page);
-    g_test_add_func("/codes/numbers", test_numbers);
-    g_test_add_func("/codes/error", test_error);
+    g_test_add_func("/codes/page", test_page_matches_table);
+    g_test_add_func("/codes/numbers", test_numbers_find_rows);
+    g_test_add_func("/codes/error", test_first_error_kept);
     return g_test_run();
 }
--- a/tests/unit/test_json.c
+++ b/tests/unit/test_json.c
@@ -1,22 +1,22 @@
-/* The look at a JSON text before it is parsed. */
+/* The check of a JSON text's structure before it is parsed. */
 
 #include "base/json.h"
 
 #include <string.h>
 
 enum {
-    DEPTH = 3
+    MAX_DEPTH = 3
 };
 
-#define ROW(text, good, members)                                              \
+#define ROW(text, valid, members)                                             \
     {                                                                         \
-        text, sizeof(text) - 1, good, members                                 \
+        text, sizeof(text) - 1, valid, members                                \
     }
 
 static const struct {
     const char *text;
     size_t length;
-    bool good;
+    bool valid;
     size_t members;
 } rows[] = {
     ROW("", false, 0),
@@ -28,7 +28,7 @@
     ROW("{\"a\":1", false, 1),
     ROW("{\"a\":[[[1]]]}", false, 1),
     ROW("{\"a\":1}/*x*/", false, 1),
-    /* in strings */
+    /* brackets, escapes and control characters in strings */
     ROW("{\"a:{}[]\":\":{}[]\"}", true, 1),
     ROW("{\"a\":\"\"}", true, 1),
     ROW("{\"a\":\"\\\"\"}", true, 1),
@@ -48,10 +48,10 @@
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         size_t members = 0;
         g_test_message("row %zu: %s", i, rows[i].text);
-        bool good =
-            ch_json_shape(rows[i].text, rows[i].length, DEPTH, &members);
-        g_assert_cmpint(good, ==, rows[i].good);
-        if (good) {
+        bool valid =
+            ch_json_shape(rows[i].text, rows[i].length, MAX_DEPTH, &members);
+        g_assert_cmpint(valid, ==, rows[i].valid);
+        if (valid) {
             g_assert_cmpuint(members, ==, rows[i].members);
         }
     }
--- a/tests/unit/test_log.c
+++ b/tests/unit/test_log.c
@@ -1,4 +1,4 @@
-/* Log lines: one JSON object each, whatever the fields hold. */
+/* Log lines: each is a valid JSON object for any values of the fields. */
 
 #include "base/base.h"
 
@@ -6,20 +6,20 @@
 #include <math.h>
 #include <string.h>
 
-/* Keeps what is logged. */
+/* Appends a log line to a GString. */
 static void
-keep_line(void *data, const char *line, size_t length)
+append_line(void *data, const char *line, size_t length)
 {
     g_string_append_len(data, line, (gssize)length);
 }
 
-/* A client that logs into a string. */
+/* A client whose log is written to a GString. */
 static struct ch_client
-string_client(GString *lines)
+new_string_client(GString *lines)
 {
     struct ch_client client;
     ch_client_init(&client, "n1");
-    client.log_write = keep_line;
+    client.log_write = append_line;
     client.log_data = lines;
     return client;
 }
@@ -40,13 +40,13 @@
     {"bad \xff\xc3 end", "\"bad \xef\xbf\xbd\xef\xbf\xbd end\""},
 };
 
-/* Strings are escaped; what is not UTF-8 is replaced. */
+/* Strings are escaped; invalid UTF-8 is replaced. */
 static void
-test_strings(void)
+test_strings_escaped(void)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(string_cases); i++) {
         GString *lines = g_string_new(NULL);
-        struct ch_client client = string_client(lines);
+        struct ch_client client = new_string_client(lines);
         ch_log(&client, CH_LOG_INFO, "case",
                CH_F_STR("v", string_cases[i].value), CH_F_END);
         char *tail =
@@ -60,13 +60,13 @@
     }
 }
 
-/* Every kind of field in one line that a JSON reader takes; the time is
- * RFC 3339 in UTC with milliseconds. */
+/* A line with every kind of field is valid JSON; its time is RFC 3339 in UTC
+ * with milliseconds. */
 static void
-test_line(void)
+test_line_is_json(void)
 {
     GString *lines = g_string_new(NULL);
-    struct ch_client client = string_client(lines);
+    struct ch_client client = new_string_client(lines);
     ch_log(&client, CH_LOG_WARNING, "all", CH_F_INT("i", INT64_MIN),
            CH_F_NUM("d", 0.5), CH_F_NUM("n", NAN), CH_F_BOOL("b", true),
            CH_F_END);
@@ -87,12 +87,13 @@
     g_string_free(lines, TRUE);
 }
 
-/* A line above the level is not written; a very long field is cut. */
+/* A line above the log level is not written; a very long value is
+ * truncated. */
 static void
-test_bounds(void)
+test_level_and_length_limits(void)
 {
     GString *lines = g_string_new(NULL);
-    struct ch_client client = string_client(lines);
+    struct ch_client client = new_string_client(lines);
     client.log_level = CH_LOG_NOTICE;
     ch_log(&client, CH_LOG_INFO, "quiet", CH_F_END);
     g_assert_cmpuint(lines->len, ==, 0);
@@ -107,8 +108,8 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/log/strings", test_strings);
-    g_test_add_func("/log/line", test_line);
-    g_test_add_func("/log/bounds", test_bounds);
+    g_test_add_func("/log/strings", test_strings_escaped);
+    g_test_add_func("/log/line", test_line_is_json);
+    g_test_add_func("/log/bounds", test_level_and_length_limits);
     return g_test_run();
 }
--- a/tests/unit/test_metrics.c
+++ b/tests/unit/test_metrics.c
@@ -1,10 +1,10 @@
-/* Counters and histograms, and their text. */
+/* Counters and histograms, and their output for Prometheus. */
 
 #include "base/base.h"
 
 #include <string.h>
 
-/* The text of the metrics in a new string. */
+/* The rendered metrics, as a new string. */
 static char *
 render(const struct ch_metrics *metrics)
 {
@@ -13,20 +13,19 @@
     return g_string_free(out, FALSE);
 }
 
-/* True when the text has this line. */
 static bool
-has_line(const char *text, const char *line)
+contains_line(const char *text, const char *line)
 {
-    char *whole = g_strdup_printf("\n%s\n", line);
-    bool found = strstr(text, whole) != NULL;
-    g_free(whole);
+    char *delimited = g_strdup_printf("\n%s\n", line);
+    bool found = strstr(text, delimited) != NULL;
+    g_free(delimited);
     return found;
 }
 
 struct time_case {
     int64_t time;
-    const char *bucket; /* the lowest one that counts it */
-    const char *below;  /* the one under that, which does not */
+    const char *bucket; /* "le" of the lowest bucket that counts the time */
+    const char *below;  /* "le" of the bucket below, which doesn't count it */
 };
 
 static const struct time_case time_cases[] = {
@@ -37,24 +36,24 @@
     {INT64_MAX, "+Inf", "120"},
 };
 
-/* A time counts in its bucket and in every one above. */
+/* A time is counted in its bucket and in every higher bucket. */
 static void
-test_buckets(void)
+test_buckets_cumulative(void)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(time_cases); i++) {
         struct ch_metrics *metrics = ch_metrics_new();
         ch_metrics_observe(metrics, CH_HIST_QUEUED, "c", "t",
                            time_cases[i].time);
         char *text = render(metrics);
-        const char *form = "chestnuthitch_queued_seconds_bucket{class=\"c\","
-                           "tenant=\"t\",le=\"%s\"} %d";
-        char *in = g_strdup_printf(form, time_cases[i].bucket, 1);
-        char *top = g_strdup_printf(form, "+Inf", 1);
-        g_assert_true(has_line(text, in));
-        g_assert_true(has_line(text, top));
+        const char *format = "chestnuthitch_queued_seconds_bucket{class=\"c\","
+                             "tenant=\"t\",le=\"%s\"} %d";
+        char *in = g_strdup_printf(format, time_cases[i].bucket, 1);
+        char *top = g_strdup_printf(format, "+Inf", 1);
+        g_assert_true(contains_line(text, in));
+        g_assert_true(contains_line(text, top));
         if (time_cases[i].below != NULL) {
-            char *out = g_strdup_printf(form, time_cases[i].below, 0);
-            g_assert_true(has_line(text, out));
+            char *out = g_strdup_printf(format, time_cases[i].below, 0);
+            g_assert_true(contains_line(text, out));
             g_free(out);
         }
         g_free(in);
@@ -64,7 +63,7 @@
     }
 }
 
-/* Outcomes are kept by class, tenant and target met; sums by class. */
+/* Counts the classes and checks the sums over the tenants of one class. */
 static void
 check_sums(void *data, const char *class_name,
            const struct ch_class_outcomes *all)
@@ -78,9 +77,9 @@
     }
 }
 
-/* Requests show by outcome and by code, and in the sums for the status. */
+/* Requests are counted by outcome, by result code and in the sums by class. */
 static void
-test_outcomes(void)
+test_outcomes_counted(void)
 {
     struct ch_metrics *metrics = ch_metrics_new();
     ch_metrics_outcome(metrics, "order", "a", CH_OK, true);
@@ -88,13 +87,13 @@
     ch_metrics_outcome(metrics, "order", "b", CH_LATE, false);
     ch_metrics_outcome(metrics, "advice", "a", CH_UPSTREAM_CUT, false);
     char *text = render(metrics);
-    g_assert_true(has_line(
+    g_assert_true(contains_line(
         text, "chestnuthitch_outcomes_total{class=\"order\",tenant=\"b\","
               "outcome=\"not-run\",target=\"missed\"} 1"));
-    g_assert_true(has_line(
+    g_assert_true(contains_line(
         text, "chestnuthitch_results_total{class=\"order\",code=\"OK\"} 2"));
-    g_assert_true(has_line(text, "chestnuthitch_results_total{class="
-                                 "\"advice\",code=\"UPSTREAM_CUT\"} 1"));
+    g_assert_true(contains_line(text, "chestnuthitch_results_total{class="
+                                      "\"advice\",code=\"UPSTREAM_CUT\"} 1"));
     int classes = 0;
     ch_metrics_each_class(metrics, check_sums, &classes);
     g_assert_cmpint(classes, ==, 2);
@@ -102,10 +101,10 @@
     ch_metrics_free(metrics);
 }
 
-/* Names that callers make up do not grow the table: the ones past its end
- * are counted together. */
+/* Names that callers invent don't grow the table of tenants: once it is full,
+ * further names are counted together as "other". */
 static void
-test_tenants_bounded(void)
+test_tenants_limited(void)
 {
     struct ch_metrics *metrics = ch_metrics_new();
     for (int i = 0; i < 1000; i++) {
@@ -116,7 +115,7 @@
     char *text = render(metrics);
     char **parts = g_strsplit(text, "tenant=", -1);
     g_assert_cmpuint(g_strv_length(parts) - 1, ==, 129);
-    g_assert_true(has_line(
+    g_assert_true(contains_line(
         text, "chestnuthitch_outcomes_total{class=\"c\",tenant=\"other\","
               "outcome=\"ran\",target=\"met\"} 872"));
     g_strfreev(parts);
@@ -124,9 +123,10 @@
     ch_metrics_free(metrics);
 }
 
-/* Labels are escaped; counters show; without metrics nothing is counted. */
+/* Labels are escaped and counters are rendered; calls with NULL metrics have
+ * no effect. */
 static void
-test_text(void)
+test_labels_and_counters(void)
 {
     struct ch_metrics *metrics = ch_metrics_new();
     ch_metrics_outcome(metrics, "a\"b", "c\\d\ne\xff", CH_OK, true);
@@ -134,9 +134,9 @@
     ch_metrics_count(metrics, CH_COUNT_RETRIES, 3);
     g_assert_cmpuint(ch_metrics_read(metrics, CH_COUNT_RETRIES), ==, 3);
     char *text = render(metrics);
-    g_assert_true(has_line(text, "chestnuthitch_retries_total 3"));
-    g_assert_true(has_line(text, "# TYPE chestnuthitch_retries_total "
-                                 "counter"));
+    g_assert_true(contains_line(text, "chestnuthitch_retries_total 3"));
+    g_assert_true(contains_line(text, "# TYPE chestnuthitch_retries_total "
+                                      "counter"));
     g_assert_nonnull(strstr(text, "{class=\"a\\\"b\",tenant="
                                   "\"c\\\\d\\ne\xef\xbf\xbd\","));
     g_assert_nonnull(strstr(text, "{class=\"other\",tenant=\"t\","));
@@ -152,9 +152,9 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/metrics/buckets", test_buckets);
-    g_test_add_func("/metrics/outcomes", test_outcomes);
-    g_test_add_func("/metrics/tenants-bounded", test_tenants_bounded);
-    g_test_add_func("/metrics/text", test_text);
+    g_test_add_func("/metrics/buckets", test_buckets_cumulative);
+    g_test_add_func("/metrics/outcomes", test_outcomes_counted);
+    g_test_add_func("/metrics/tenants-bounded", test_tenants_limited);
+    g_test_add_func("/metrics/text", test_labels_and_counters);
     return g_test_run();
 }
--- a/tests/unit/test_table.c
+++ b/tests/unit/test_table.c
@@ -1,11 +1,11 @@
-/* Handle tables: a handle finds its own item or nothing. */
+/* Handle tables: a handle finds its own item or NULL. */
 
 #include "base/base.h"
 
-/* A late message bears the handle of something that is gone.  Its slot has a
- * new item by then; the old handle must not find it. */
+/* A late message carries the handle of an item that was removed.  Another item
+ * may use the slot by then; the stale handle must not find that item. */
 static void
-test_stale(void)
+test_stale_handle(void)
 {
     struct ch_table *table = ch_table_new();
     int items[2];
@@ -21,9 +21,9 @@
     ch_table_free(table);
 }
 
-/* Handles that were never given find nothing. */
+/* Handles that the table never returned find nothing. */
 static void
-test_foreign(void)
+test_unknown_handles(void)
 {
     static const uint64_t handles[] = {
         0, 1, UINT32_MAX, UINT64_MAX, UINT64_C(1) << 32, UINT64_C(2) << 32};
@@ -38,7 +38,7 @@
     ch_table_free(table);
 }
 
-/* Checks each item against its handle and counts it. */
+/* Checks that the item belongs to the handle and counts the item. */
 static void
 count_item(void *item, uint64_t handle, void *data)
 {
@@ -47,35 +47,36 @@
     (*count)++;
 }
 
-/* Many adds and removes in a fixed order of chance: every live handle finds
- * its item, each walk meets every item once. */
+/* Many adds and removes in a random order with a fixed seed: every valid
+ * handle finds its item, and an iteration visits every item once. */
 static void
-test_many(void)
+test_random_adds_and_removes(void)
 {
     enum {
         ITEMS = 500,
         ROUNDS = 20000
     };
-    uint64_t items[ITEMS] = {0}; /* each holds its own handle; 0: out */
-    size_t live = 0;
+    /* Each item holds its own handle; 0: it is not in the table. */
+    uint64_t items[ITEMS] = {0};
+    size_t live_count = 0;
     GRand *rand = g_rand_new_with_seed(7);
     struct ch_table *table = ch_table_new();
     for (int i = 0; i < ROUNDS; i++) {
         uint64_t *item = &items[g_rand_int_range(rand, 0, ITEMS)];
         if (*item == 0) {
             *item = ch_table_add(table, item);
-            live++;
+            live_count++;
             continue;
         }
         g_assert_true(ch_table_get(table, *item) == item);
         g_assert_true(ch_table_remove(table, *item) == item);
         *item = 0;
-        live--;
+        live_count--;
     }
-    size_t walked = 0;
-    ch_table_each(table, count_item, &walked);
-    g_assert_cmpuint(walked, ==, live);
-    g_assert_cmpuint(ch_table_count(table), ==, live);
+    size_t visited = 0;
+    ch_table_each(table, count_item, &visited);
+    g_assert_cmpuint(visited, ==, live_count);
+    g_assert_cmpuint(ch_table_count(table), ==, live_count);
     ch_table_free(table);
     g_rand_free(rand);
 }
@@ -84,8 +85,8 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/table/stale", test_stale);
-    g_test_add_func("/table/foreign", test_foreign);
-    g_test_add_func("/table/many", test_many);
+    g_test_add_func("/table/stale", test_stale_handle);
+    g_test_add_func("/table/foreign", test_unknown_handles);
+    g_test_add_func("/table/many", test_random_adds_and_removes);
     return g_test_run();
 }
