--- a/libchestnuthitch/base/metrics.c
+++ b/libchestnuthitch/base/metrics.c
@@ -80,11 +80,10 @@
     [CH_HIST_FIRST_TOKEN] = {"first_token_seconds",
                              "from arrival to the first token"},
     [CH_HIST_BETWEEN_TOKENS] = {"between_tokens_seconds",
-                                "mean time between tokens of a response"},
+                                "mean time between tokens of an answer"},
     [CH_HIST_WHOLE_ANSWER] = {"answer_seconds",
-                              "from arrival to the end of the response"},
-    [CH_HIST_QUEUED] = {"queued_seconds",
-                        "from arrival to the grant to dispatch"},
+                              "from arrival to the end of the answer"},
+    [CH_HIST_QUEUED] = {"queued_seconds", "from arrival to leave to dispatch"},
 };
 
 /* ---- names ---- */
@@ -447,7 +446,7 @@
 static void
 render_codes(const struct ch_metrics *metrics, GString *out)
 {
-    append_type(out, "results_total", "requests that ended, by result code",
+    append_type(out, "results_total", "requests ended, by result code",
                 "counter");
     for (size_t i = 0; i <= MAX_CLASSES; i++) {
         for (size_t j = 0; j < G_N_ELEMENTS(metrics->codes[0]); j++) {
@@ -473,10 +472,8 @@
         return;
     }
     render_counters(metrics, out);
-    append_type(
-        out, "outcomes_total",
-        "requests that ended, by outcome and by whether the target was met",
-        "counter");
+    append_type(out, "outcomes_total",
+                "requests ended, by outcome and by target met", "counter");
     render_series(metrics, out, -1);
     render_codes(metrics, out);
     for (int i = 0; i < CH_HISTOGRAMS; i++) {
