--- a/libchestnuthitch/base/declaration.c
+++ b/libchestnuthitch/base/declaration.c
@@ -1,4 +1,4 @@
-/* The operators' declaration: classes, models and services, read strictly. */
+/* Strict reader of an operator's declaration: classes, models and services. */
 
 #include "base/base.h"
 #include "base/ini.h"
@@ -7,8 +7,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A class as the file has it, before its names are resolved. */
-struct raw_class {
+/* A class as read from the file, before names are resolved to indexes. */
+struct parsed_class {
     char *name;
     int64_t first_token;
     int64_t between_tokens;
@@ -28,8 +28,8 @@
     int64_t time_limit;
 };
 
-/* A model as the file has it. */
-struct raw_model {
+/* A model as read from the file, before names are resolved to indexes. */
+struct parsed_model {
     char *name;
     unsigned memory_mb;
     unsigned adapter_memory_mb;
@@ -39,25 +39,25 @@
     int64_t load;
 };
 
-/* The file's groups by kind, each in order of name. */
-struct raw {
+/* The groups of the file by kind, each array sorted by name. */
+struct parsed {
     GArray *classes;  /* struct raw_class */
     GArray *models;   /* struct raw_model */
     GArray *services; /* struct ch_service */
     struct ch_caller_limits limits;
 };
 
-static const char *const yes_names[] = {"false", "true", NULL};
+static const char *const flag_names[] = {"false", "true", NULL};
 
-#define CLASS(member) offsetof(struct raw_class, member)
-#define MODEL(member) offsetof(struct raw_model, member)
+#define CLASS(member) offsetof(struct parsed_class, member)
+#define MODEL(member) offsetof(struct parsed_model, member)
 #define SERVICE(member) offsetof(struct ch_service, member)
 #define LIMIT(member) offsetof(struct ch_caller_limits, member)
 
 /*
- * Targets: a millisecond to ten minutes for a first token, an hour for a whole
- * answer; beyond that a typing error is likelier than a wish.  0 in a default
- * stands for "none stated" and cannot be written.
+ * Latency targets range from 1 ms to 10 minutes for the first token and to 1
+ * hour for a complete response; a larger value is more likely a typing error.
+ * A default of 0 stands for "no target"; an operator can't write 0.
  */
 static const struct ch_ini_row rows[] = {
     {"class", "first-token-ms", CH_INI_MILLISECONDS, CLASS(first_token), "", 1,
@@ -67,7 +67,7 @@
     {"class", "answer-ms", CH_INI_MILLISECONDS, CLASS(whole_answer), "", 1,
      3600000, NULL},
     {"class", "idempotent", CH_INI_FLAG, CLASS(idempotent), "true", 0, 0,
-     yes_names},
+     flag_names},
     {"class", "models", CH_INI_LIST, CLASS(models), "", 0, 0, NULL},
     {"class", "services", CH_INI_LIST, CLASS(services), "", 0, 0, NULL},
     {"class", "callers", CH_INI_LIST, CLASS(callers), "", 0, 0, NULL},
@@ -79,9 +79,9 @@
     {"class", "host", CH_INI_TEXT, CLASS(host), "", 0, 0, NULL},
     {"class", "path", CH_INI_TEXT, CLASS(path), "", 0, 0, NULL},
     {"class", "shares", CH_INI_SHARES, CLASS(shares), "", 0, 0, NULL},
-    {"class", "stream", CH_INI_FLAG, CLASS(stream), "false", 0, 0, yes_names},
+    {"class", "stream", CH_INI_FLAG, CLASS(stream), "false", 0, 0, flag_names},
     {"class", "resumable", CH_INI_FLAG, CLASS(resumable), "false", 0, 0,
-     yes_names},
+     flag_names},
     {"class", "priority", CH_INI_UNSIGNED, CLASS(priority), "0", 0, 1000,
      NULL},
     {"class", "tries", CH_INI_UNSIGNED, CLASS(tries), "1", 1, 100, NULL},
@@ -115,28 +115,28 @@
      86400000, NULL},
 };
 
-/* Groups of the platform, in the same file for replay: not ours to check. */
-static const char *const site_sections[] = {
+/* Groups that describe the platform.  For a replay they are in the same file;
+ * this reader accepts them unchecked. */
+static const char *const platform_sections[] = {
     "region",       "data-centre", "upstream", "entry",
     "weight-store", "link",        "engine",   NULL,
 };
 
 enum {
-    /* Classes by host and path are made in hundreds by an operator's program;
-     * counters beyond the first 96 are kept together. */
-    MOST_CLASSES = 8192,
-    /* Several times the largest fleet that is planned for. */
-    MOST_MODELS = 8192,
-    MOST_SERVICES = 1024,
+    /* An operator's program generates hundreds of classes by host and path.
+     * The classes beyond the first 96 share their metrics counters. */
+    MAX_CLASSES = 8192,
+    /* Several times the number in the largest planned deployment. */
+    MAX_MODELS = 8192,
+    MAX_SERVICES = 1024,
 };
 
 /* ---- reading ---- */
 
-/* Frees the strings of a class read so far. */
 static void
 clear_class(void *data)
 {
-    struct raw_class *class = data;
+    struct parsed_class *class = data;
     g_free(class->name);
     g_strfreev(class->models);
     g_strfreev(class->services);
@@ -146,17 +146,15 @@
     g_free(class->shares);
 }
 
-/* Frees the strings of a model read so far. */
 static void
 clear_model(void *data)
 {
-    struct raw_model *model = data;
+    struct parsed_model *model = data;
     g_free(model->name);
     g_strfreev(model->adapters);
     g_strfreev(model->services);
 }
 
-/* Frees a service's name. */
 static void
 clear_service(void *data)
 {
@@ -164,36 +162,35 @@
     g_free(service->name);
 }
 
-/* Order by name: every kind begins with its name. */
+/* Compares by name: the first member of every entry is its name. */
 static int
 compare_by_name(const void *a, const void *b)
 {
     return strcmp(*(char *const *)a, *(char *const *)b);
 }
 
-/* Empty arrays. */
 static void
-raw_init(struct raw *raw)
+parsed_init(struct parsed *parsed)
 {
-    raw->classes = g_array_new(FALSE, TRUE, sizeof(struct raw_class));
-    raw->models = g_array_new(FALSE, TRUE, sizeof(struct raw_model));
-    raw->services = g_array_new(FALSE, TRUE, sizeof(struct ch_service));
-    raw->limits = (struct ch_caller_limits){0};
-    g_array_set_clear_func(raw->classes, clear_class);
-    g_array_set_clear_func(raw->models, clear_model);
-    g_array_set_clear_func(raw->services, clear_service);
+    parsed->classes = g_array_new(FALSE, TRUE, sizeof(struct parsed_class));
+    parsed->models = g_array_new(FALSE, TRUE, sizeof(struct parsed_model));
+    parsed->services = g_array_new(FALSE, TRUE, sizeof(struct ch_service));
+    parsed->limits = (struct ch_caller_limits){0};
+    g_array_set_clear_func(parsed->classes, clear_class);
+    g_array_set_clear_func(parsed->models, clear_model);
+    g_array_set_clear_func(parsed->services, clear_service);
 }
 
-/* Frees what was read. */
 static void
-raw_clear(struct raw *raw)
+parsed_clear(struct parsed *parsed)
 {
-    g_array_free(raw->classes, TRUE);
-    g_array_free(raw->models, TRUE);
-    g_array_free(raw->services, TRUE);
+    g_array_free(parsed->classes, TRUE);
+    g_array_free(parsed->models, TRUE);
+    g_array_free(parsed->services, TRUE);
 }
 
-/* The name of "[SECTION NAME]" in a new string, or NULL with an error. */
+/* Returns the NAME of "[SECTION NAME]" as a new string, or NULL with an error.
+ */
 static char *
 group_name(const struct ch_ini *ini, const char *group, const char *section,
            struct ch_error *error)
@@ -211,24 +208,25 @@
     return g_strdup(name);
 }
 
-/* Appends the group's entry to the array of its kind and fills it. */
+/* Reads a group into a new entry at the end of entries, which holds at most
+ * max entries. */
 static bool
 read_entry(const struct ch_ini *ini, const char *group, const char *section,
-           GArray *into, guint most, struct ch_error *error)
+           GArray *entries, guint max, struct ch_error *error)
 {
     char *name = group_name(ini, group, section, error);
     if (name == NULL) {
         return false;
     }
-    if (into->len >= most) {
+    if (entries->len >= max) {
         ch_ini_fail(ini, group, NULL, CH_BAD_VALUE, error,
-                    "more than %u groups of this kind", most);
+                    "more than %u groups of this kind", max);
         g_free(name);
         return false;
     }
-    g_array_set_size(into, into->len + 1);
-    char *entry =
-        into->data + (size_t)(into->len - 1) * g_array_get_element_size(into);
+    g_array_set_size(entries, entries->len + 1);
+    char *entry = entries->data + (size_t)(entries->len - 1) *
+                                      g_array_get_element_size(entries);
     *(char **)entry = name;
     return ch_ini_known_keys(ini, group, section, rows, G_N_ELEMENTS(rows),
                              error) &&
@@ -236,145 +234,154 @@
                        error);
 }
 
-/* Reads one group by its first word. */
+/* Reads one group; its first word gives the kind. */
 static bool
-read_group(const struct ch_ini *ini, const char *group, struct raw *raw,
+read_group(const struct ch_ini *ini, const char *group, struct parsed *parsed,
            struct ch_error *error)
 {
     char *section = g_strndup(group, strcspn(group, " "));
-    bool fine = true;
+    bool ok = true;
     if (strcmp(section, "class") == 0) {
-        fine =
-            read_entry(ini, group, section, raw->classes, MOST_CLASSES, error);
+        ok = read_entry(ini, group, section, parsed->classes, MAX_CLASSES,
+                        error);
     }
     else if (strcmp(section, "model") == 0) {
-        fine =
-            read_entry(ini, group, section, raw->models, MOST_MODELS, error);
+        ok =
+            read_entry(ini, group, section, parsed->models, MAX_MODELS, error);
     }
     else if (strcmp(section, "service") == 0) {
-        fine = read_entry(ini, group, section, raw->services, MOST_SERVICES,
-                          error);
+        ok = read_entry(ini, group, section, parsed->services, MAX_SERVICES,
+                        error);
     }
     else if (strcmp(group, "limits") == 0) {
-        fine = ch_ini_known_keys(ini, group, section, rows, G_N_ELEMENTS(rows),
-                                 error) &&
-               ch_ini_fill(ini, group, section, rows, G_N_ELEMENTS(rows),
-                           &raw->limits, error);
+        ok = ch_ini_known_keys(ini, group, section, rows, G_N_ELEMENTS(rows),
+                               error) &&
+             ch_ini_fill(ini, group, section, rows, G_N_ELEMENTS(rows),
+                         &parsed->limits, error);
     }
-    else if (!g_strv_contains(site_sections, section)) {
+    else if (!g_strv_contains(platform_sections, section)) {
         ch_ini_fail(ini, group, NULL, CH_UNKNOWN_GROUP, error,
                     "no such group");
-        fine = false;
+        ok = false;
     }
     g_free(section);
-    return fine;
+    return ok;
 }
 
-/* Reads every group and puts each kind in order of name. */
+/* Reads all groups and sorts each kind by name. */
 static bool
-read_groups(const struct ch_ini *ini, struct raw *raw, struct ch_error *error)
+read_groups(const struct ch_ini *ini, struct parsed *parsed,
+            struct ch_error *error)
 {
     char **groups = g_key_file_get_groups(ini->file, NULL);
-    bool fine = true;
-    for (size_t i = 0; fine && groups[i] != NULL; i++) {
-        fine = read_group(ini, groups[i], raw, error);
+    bool ok = true;
+    for (size_t i = 0; ok && groups[i] != NULL; i++) {
+        ok = read_group(ini, groups[i], parsed, error);
         ch_pool_give_way(i);
     }
     g_strfreev(groups);
-    if (fine && raw->classes->len == 0) {
+    if (ok && parsed->classes->len == 0) {
         ch_ini_fail(ini, "class NAME", NULL, CH_MISSING, error,
                     "there is no class");
-        fine = false;
+        ok = false;
     }
-    g_array_sort(raw->classes, compare_by_name);
-    g_array_sort(raw->models, compare_by_name);
-    g_array_sort(raw->services, compare_by_name);
-    return fine;
+    g_array_sort(parsed->classes, compare_by_name);
+    g_array_sort(parsed->models, compare_by_name);
+    g_array_sort(parsed->services, compare_by_name);
+    return ok;
 }
 
 /* ---- checks between groups ---- */
 
-/* Notes a name; false with DUPLICATE when the name stood before.  "[model a]"
- * and "[model  a]" are two groups and one name, hence also within a kind. */
+/* Adds a name to known_names; fails with DUPLICATE if the name is there.  Two
+ * groups of one kind can have the same name, as "[model a]" and "[model  a]"
+ * differ as group names. */
 static bool
-note_name(const struct ch_ini *ini, GHashTable *seen, const char *section,
-          const char *name, const char *key, struct ch_error *error)
+add_name(const struct ch_ini *ini, GHashTable *known_names,
+         const char *section, const char *name, const char *key,
+         struct ch_error *error)
 {
     char *group = g_strdup_printf("%s %s", section, name);
-    const char *before = g_hash_table_lookup(seen, name);
-    if (before != NULL) {
+    const char *other_group = g_hash_table_lookup(known_names, name);
+    if (other_group != NULL) {
         ch_ini_fail(ini, group, key, CH_DUPLICATE, error,
-                    "the name '%s' is that of [%s] too", name, before);
+                    "the name '%s' is already used by [%s]", name,
+                    other_group);
         g_free(group);
         return false;
     }
-    g_hash_table_insert(seen, g_strdup(name), group);
+    g_hash_table_insert(known_names, g_strdup(name), group);
     return true;
 }
 
-/* Notes the names of a model's adapters. */
+/* Adds the names of a model's adapters to known_names, and checks that a model
+ * with adapters states their memory. */
 static bool
-note_adapters(const struct ch_ini *ini, GHashTable *seen,
-              const struct raw_model *model, struct ch_error *error)
+add_adapter_names(const struct ch_ini *ini, GHashTable *known_names,
+                  const struct parsed_model *model, struct ch_error *error)
 {
     char *group = g_strdup_printf("model %s", model->name);
-    bool fine = true;
-    for (size_t i = 0; fine && model->adapters[i] != NULL; i++) {
+    bool ok = true;
+    for (size_t i = 0; ok && model->adapters[i] != NULL; i++) {
         const char *name = model->adapters[i];
-        const char *before = g_hash_table_lookup(seen, name);
+        const char *other_group = g_hash_table_lookup(known_names, name);
         if (!ch_ini_name_check(name)) {
             ch_ini_fail(ini, group, "adapters", CH_BAD_VALUE, error,
                         "'%s' is not a name", name);
-            fine = false;
+            ok = false;
         }
-        else if (before != NULL) {
+        else if (other_group != NULL) {
             ch_ini_fail(ini, group, "adapters", CH_DUPLICATE, error,
-                        "the name '%s' is that of [%s] too", name, before);
-            fine = false;
+                        "the name '%s' is already used by [%s]", name,
+                        other_group);
+            ok = false;
         }
         else {
-            g_hash_table_insert(seen, g_strdup(name), g_strdup(group));
+            g_hash_table_insert(known_names, g_strdup(name), g_strdup(group));
         }
     }
-    if (fine && model->adapters[0] != NULL && model->adapter_memory_mb == 0) {
-        ch_ini_fail(ini, group, "adapter-memory-mb", CH_MISSING, error,
-                    "the key is missing; the model has adapters");
-        fine = false;
+    if (ok && model->adapters[0] != NULL && model->adapter_memory_mb == 0) {
+        ch_ini_fail(
+            ini, group, "adapter-memory-mb", CH_MISSING, error,
+            "the key is missing; a model with adapters needs this key");
+        ok = false;
     }
     g_free(group);
-    return fine;
+    return ok;
 }
 
-/* Models, adapters and services share one space of names: a caller names any
- * of them in the same field, and so does a trace. */
+/* Checks that names are unique among models, adapters and services together: a
+ * caller names any of these in the same field, and so does a trace. */
 static bool
-check_names(const struct ch_ini *ini, const struct raw *raw,
+check_names(const struct ch_ini *ini, const struct parsed *parsed,
             struct ch_error *error)
 {
-    GHashTable *seen =
+    GHashTable *known_names =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    bool fine = true;
-    for (guint i = 0; fine && i < raw->models->len; i++) {
-        fine = note_name(ini, seen, "model",
-                         g_array_index(raw->models, struct raw_model, i).name,
-                         NULL, error);
+    bool ok = true;
+    for (guint i = 0; ok && i < parsed->models->len; i++) {
+        ok = add_name(
+            ini, known_names, "model",
+            g_array_index(parsed->models, struct parsed_model, i).name, NULL,
+            error);
     }
-    for (guint i = 0; fine && i < raw->services->len; i++) {
-        fine =
-            note_name(ini, seen, "service",
-                      g_array_index(raw->services, struct ch_service, i).name,
-                      NULL, error);
+    for (guint i = 0; ok && i < parsed->services->len; i++) {
+        ok = add_name(
+            ini, known_names, "service",
+            g_array_index(parsed->services, struct ch_service, i).name, NULL,
+            error);
     }
-    for (guint i = 0; fine && i < raw->models->len; i++) {
-        fine = note_adapters(ini, seen,
-                             &g_array_index(raw->models, struct raw_model, i),
-                             error);
+    for (guint i = 0; ok && i < parsed->models->len; i++) {
+        ok = add_adapter_names(
+            ini, known_names,
+            &g_array_index(parsed->models, struct parsed_model, i), error);
     }
-    g_hash_table_destroy(seen);
-    return fine;
+    g_hash_table_destroy(known_names);
+    return ok;
 }
 
-/* Place of a name in an array of entries that begin with their name. */
+/* Index of a name in a sorted array of entries whose first member is their
+ * name, or -1. */
 static int
 find_name(const void *entries, size_t count, size_t size, const char *name)
 {
@@ -387,65 +394,68 @@
                : (int)((size_t)(found - (const char *)entries) / size);
 }
 
-/* True for the list "*". */
+/* True for the list "*", which stands for all entries. */
 static bool
-is_star(char **names)
+is_wildcard(char **names)
 {
     return names[0] != NULL && strcmp(names[0], "*") == 0;
 }
 
-/* Marks, by index, the entries that a class names; false with BAD_VALUE for
- * a name that is not declared. */
+/* Sets marks[index] for each of the entries that are listed in names; fails
+ * with BAD_VALUE for a name that isn't declared. */
 static bool
-mark(const struct ch_ini *ini, const char *group, const char *key,
-     char **names, const GArray *entries, uint8_t *marks,
-     struct ch_error *error)
+mark_named(const struct ch_ini *ini, const char *group, const char *key,
+           char **names, const GArray *entries, uint8_t *marks,
+           struct ch_error *error)
 {
-    if (is_star(names)) {
+    if (is_wildcard(names)) {
         memset(marks, 1, entries->len);
         return true;
     }
     size_t size = g_array_get_element_size((GArray *)entries);
     for (size_t i = 0; names[i] != NULL; i++) {
-        int at = find_name(entries->data, entries->len, size, names[i]);
-        if (at < 0) {
+        int index = find_name(entries->data, entries->len, size, names[i]);
+        if (index < 0) {
             ch_ini_fail(ini, group, key, CH_BAD_VALUE, error,
                         "'%s' is not declared", names[i]);
             return false;
         }
-        marks[at] = 1;
+        marks[index] = 1;
     }
     return true;
 }
 
-/* A class that is chosen by host and path names the services it goes to. */
+/* Checks a class that is selected by host and path: such a class needs a valid
+ * path and the services that its requests are sent to. */
 static bool
-check_route(const struct ch_ini *ini, const struct raw_class *class,
+check_route(const struct ch_ini *ini, const struct parsed_class *class,
             const char *group, struct ch_error *error)
 {
     if (class->path == NULL || class->path[0] != '/' ||
         !g_str_has_suffix(class->path, "/")) {
         ch_ini_fail(ini, group, "path", CH_BAD_VALUE, error,
-                    "a path begins and ends with a slash");
+                    "a path must begin and end with a slash");
         return false;
     }
     if (class->shares == NULL || class->shares[0] == '\0') {
         ch_ini_fail(ini, group, "shares", CH_MISSING, error,
-                    "a class with a host names the shares of its services");
+                    "a class with a host needs the shares of its services");
         return false;
     }
     return true;
 }
 
-/* A class has a target and something to use, or it means nothing. */
+/* Checks that a class has a latency target and models or services to use;
+ * a class without a target, or without anything to use, would have no
+ * effect. */
 static bool
-check_class(const struct ch_ini *ini, const struct raw_class *class,
+check_class(const struct ch_ini *ini, const struct parsed_class *class,
             const char *group, struct ch_error *error)
 {
     if (class->first_token == 0 && class->between_tokens == 0 &&
         class->whole_answer == 0) {
         ch_ini_fail(ini, group, "answer-ms", CH_MISSING, error,
-                    "a class states a target: first-token-ms, "
+                    "a class needs a target: first-token-ms, "
                     "between-tokens-ms or answer-ms");
         return false;
     }
@@ -454,12 +464,12 @@
     }
     if (class->models[0] == NULL && class->services[0] == NULL) {
         ch_ini_fail(ini, group, "models", CH_MISSING, error,
-                    "a class names the models or services that it may use");
+                    "a class needs models or services that it may use");
         return false;
     }
-    if (is_star(class->callers)) {
+    if (is_wildcard(class->callers)) {
         ch_ini_fail(ini, group, "callers", CH_BAD_VALUE, error,
-                    "callers are named one by one");
+                    "callers must be named one by one");
         return false;
     }
     return true;
@@ -467,15 +477,15 @@
 
 /* ---- building ---- */
 
-/* Moves the read models and services into the declaration. */
+/* Copies the parsed models, services and limits into the declaration. */
 static void
-build_items(struct ch_declaration *declaration, const struct raw *raw)
+build_items(struct ch_declaration *declaration, const struct parsed *parsed)
 {
-    declaration->model_count = raw->models->len;
-    declaration->models = g_new0(struct ch_model, raw->models->len);
-    for (guint i = 0; i < raw->models->len; i++) {
-        const struct raw_model *from =
-            &g_array_index(raw->models, struct raw_model, i);
+    declaration->model_count = parsed->models->len;
+    declaration->models = g_new0(struct ch_model, parsed->models->len);
+    for (guint i = 0; i < parsed->models->len; i++) {
+        const struct parsed_model *from =
+            &g_array_index(parsed->models, struct parsed_model, i);
         struct ch_model *model = &declaration->models[i];
         model->name = g_strdup(from->name);
         model->memory_mb = from->memory_mb;
@@ -490,41 +500,42 @@
         model->load = from->load;
         declaration->adapter_count += model->adapter_count;
     }
-    declaration->service_count = raw->services->len;
-    declaration->services = g_new0(struct ch_service, raw->services->len);
-    for (guint i = 0; i < raw->services->len; i++) {
+    declaration->service_count = parsed->services->len;
+    declaration->services = g_new0(struct ch_service, parsed->services->len);
+    for (guint i = 0; i < parsed->services->len; i++) {
         const struct ch_service *from =
-            &g_array_index(raw->services, struct ch_service, i);
+            &g_array_index(parsed->services, struct ch_service, i);
         declaration->services[i] = *from;
         declaration->services[i].name = g_strdup(from->name);
     }
-    declaration->limits = raw->limits;
+    declaration->limits = parsed->limits;
 }
 
-/* Resolves the services that may hold each model. */
+/* Resolves for each model the names of the services that may load the model.
+ */
 static bool
 build_model_services(const struct ch_ini *ini,
-                     struct ch_declaration *declaration, const struct raw *raw,
-                     struct ch_error *error)
+                     struct ch_declaration *declaration,
+                     const struct parsed *parsed, struct ch_error *error)
 {
-    bool fine = true;
-    for (guint i = 0; fine && i < raw->models->len; i++) {
-        const struct raw_model *from =
-            &g_array_index(raw->models, struct raw_model, i);
+    bool ok = true;
+    for (guint i = 0; ok && i < parsed->models->len; i++) {
+        const struct parsed_model *from =
+            &g_array_index(parsed->models, struct parsed_model, i);
         struct ch_model *model = &declaration->models[i];
         char *group = g_strdup_printf("model %s", from->name);
-        model->services = g_new0(uint8_t, MAX(raw->services->len, 1));
-        fine = mark(ini, group, "services", from->services, raw->services,
-                    model->services, error);
+        model->services = g_new0(uint8_t, MAX(parsed->services->len, 1));
+        ok = mark_named(ini, group, "services", from->services,
+                        parsed->services, model->services, error);
         g_free(group);
     }
-    return fine;
+    return ok;
 }
 
-/* Resolves one "NAME:WEIGHT" of a class's shares. */
+/* Parses one SERVICE:WEIGHT of a class's shares. */
 static bool
 build_share(const struct ch_ini *ini, const char *group, const char *text,
-            const struct raw *raw, struct ch_share *share,
+            const struct parsed *parsed, struct ch_share *share,
             struct ch_error *error)
 {
     const char *colon = strrchr(text, ':');
@@ -537,7 +548,7 @@
     }
     char *name = g_strndup(text, (size_t)(colon - text));
     share->weight = (unsigned)weight;
-    share->service = find_name(raw->services->data, raw->services->len,
+    share->service = find_name(parsed->services->data, parsed->services->len,
                                sizeof(struct ch_service), name);
     if (share->service < 0) {
         ch_ini_fail(ini, group, "shares", CH_BAD_VALUE, error,
@@ -547,11 +558,12 @@
     return share->service >= 0;
 }
 
-/* Fills in what a class that is chosen by host and path has. */
+/* Sets the members of a class that is selected by host and path; does nothing
+ * for other classes. */
 static bool
 build_route(const struct ch_ini *ini, const char *group,
-            struct ch_class *class, const struct raw_class *from,
-            const struct raw *raw, struct ch_error *error)
+            struct ch_class *class, const struct parsed_class *from,
+            const struct parsed *parsed, struct ch_error *error)
 {
     if (from->host == NULL) {
         return true;
@@ -566,49 +578,49 @@
     class->tries = from->tries;
     char **parts = g_strsplit_set(from->shares, ",; ", -1);
     class->shares = g_new0(struct ch_share, g_strv_length(parts));
-    bool fine = true;
-    for (size_t i = 0; fine && parts[i] != NULL; i++) {
+    bool ok = true;
+    for (size_t i = 0; ok && parts[i] != NULL; i++) {
         if (parts[i][0] == '\0') {
             continue;
         }
         struct ch_share *share = &class->shares[class->share_count];
-        fine = build_share(ini, group, parts[i], raw, share, error);
-        if (fine) {
+        ok = build_share(ini, group, parts[i], parsed, share, error);
+        if (ok) {
             class->services[share->service] = 1;
             class->share_count++;
         }
     }
     g_strfreev(parts);
-    return fine;
+    return ok;
 }
 
-/* Makes the index by which adapters are found. */
+/* Builds the array of all adapters, sorted by name for look-ups. */
 static void
 build_adapters(struct ch_declaration *declaration)
 {
     declaration->adapters =
         g_new0(struct ch_adapter, declaration->adapter_count);
-    size_t at = 0;
+    size_t index = 0;
     for (size_t i = 0; i < declaration->model_count; i++) {
         const struct ch_model *model = &declaration->models[i];
         for (size_t j = 0; j < model->adapter_count; j++) {
-            declaration->adapters[at++] = (struct ch_adapter){
+            declaration->adapters[index++] = (struct ch_adapter){
                 .name = model->adapters[j],
                 .model = (int)i,
                 .index = (int)j,
             };
         }
     }
-    if (at > 0) {
-        qsort(declaration->adapters, at, sizeof(struct ch_adapter),
+    if (index > 0) {
+        qsort(declaration->adapters, index, sizeof(struct ch_adapter),
               compare_by_name);
     }
 }
 
-/* Resolves one class against the models and services. */
+/* Checks a class and resolves its names of models and services. */
 static bool
 build_class(const struct ch_ini *ini, struct ch_class *class,
-            const struct raw_class *from, const struct raw *raw,
+            const struct parsed_class *from, const struct parsed *parsed,
             struct ch_error *error)
 {
     char *group = g_strdup_printf("class %s", from->name);
@@ -617,53 +629,54 @@
     class->between_tokens = from->between_tokens;
     class->whole_answer = from->whole_answer;
     class->idempotent = from->idempotent;
-    class->every_model = is_star(from->models);
-    class->models = g_new0(uint8_t, MAX(raw->models->len, 1));
-    class->services = g_new0(uint8_t, MAX(raw->services->len, 1));
-    bool fine = check_class(ini, from, group, error) &&
-                mark(ini, group, "models", from->models, raw->models,
-                     class->models, error) &&
-                mark(ini, group, "services", from->services, raw->services,
-                     class->services, error) &&
-                build_route(ini, group, class, from, raw, error);
+    class->every_model = is_wildcard(from->models);
+    class->models = g_new0(uint8_t, MAX(parsed->models->len, 1));
+    class->services = g_new0(uint8_t, MAX(parsed->services->len, 1));
+    bool ok = check_class(ini, from, group, error) &&
+              mark_named(ini, group, "models", from->models, parsed->models,
+                         class->models, error) &&
+              mark_named(ini, group, "services", from->services,
+                         parsed->services, class->services, error) &&
+              build_route(ini, group, class, from, parsed, error);
     g_free(group);
-    return fine;
+    return ok;
 }
 
-/* Resolves every class. */
+/* Builds all classes; fails with DUPLICATE if two have the same name. */
 static bool
 build_classes(const struct ch_ini *ini, struct ch_declaration *declaration,
-              const struct raw *raw, struct ch_error *error)
+              const struct parsed *parsed, struct ch_error *error)
 {
-    declaration->class_count = raw->classes->len;
-    declaration->classes = g_new0(struct ch_class, raw->classes->len);
-    for (guint i = 0; i < raw->classes->len; i++) {
-        const struct raw_class *from =
-            &g_array_index(raw->classes, struct raw_class, i);
+    declaration->class_count = parsed->classes->len;
+    declaration->classes = g_new0(struct ch_class, parsed->classes->len);
+    for (guint i = 0; i < parsed->classes->len; i++) {
+        const struct parsed_class *from =
+            &g_array_index(parsed->classes, struct parsed_class, i);
         ch_pool_give_way(i);
         if (i > 0 && strcmp(from->name, from[-1].name) == 0) {
             char *group = g_strdup_printf("class %s", from->name);
             ch_ini_fail(ini, group, NULL, CH_DUPLICATE, error,
-                        "the group stands twice");
+                        "duplicate group");
             g_free(group);
             return false;
         }
-        if (!build_class(ini, &declaration->classes[i], from, raw, error)) {
+        if (!build_class(ini, &declaration->classes[i], from, parsed, error)) {
             return false;
         }
     }
     return true;
 }
 
-/* Gathers the callers of all classes; a caller has one class. */
+/* Builds the sorted array of the callers of all classes; fails with DUPLICATE
+ * if a caller is in two classes. */
 static bool
 build_callers(const struct ch_ini *ini, struct ch_declaration *declaration,
-              const struct raw *raw, struct ch_error *error)
+              const struct parsed *parsed, struct ch_error *error)
 {
     GArray *callers = g_array_new(FALSE, TRUE, sizeof(struct ch_caller));
-    for (guint i = 0; i < raw->classes->len; i++) {
+    for (guint i = 0; i < parsed->classes->len; i++) {
         char **names =
-            g_array_index(raw->classes, struct raw_class, i).callers;
+            g_array_index(parsed->classes, struct parsed_class, i).callers;
         for (size_t j = 0; names[j] != NULL; j++) {
             struct ch_caller caller = {g_strdup(names[j]), i};
             g_array_append_val(callers, caller);
@@ -679,7 +692,7 @@
             char *group = g_strdup_printf(
                 "class %s", declaration->classes[caller->class_index].name);
             ch_ini_fail(ini, group, "callers", CH_DUPLICATE, error,
-                        "'%s' is a caller of class %s too", caller->name,
+                        "'%s' is also a caller of class %s", caller->name,
                         declaration->classes[caller[-1].class_index].name);
             g_free(group);
             return false;
@@ -690,9 +703,8 @@
 
 /* ---- canonical text ---- */
 
-/* Appends "[kind name]". */
 static void
-print_group(GString *out, const char *kind, const char *name)
+append_group(GString *out, const char *kind, const char *name)
 {
     g_string_append_c(out, '[');
     g_string_append(out, kind);
@@ -701,18 +713,18 @@
     g_string_append(out, "]\n");
 }
 
-/* Appends "key = milliseconds" of a target that is stated. */
+/* Appends "key = milliseconds" unless the duration (microseconds) is 0. */
 static void
-print_target(GString *out, const char *key, int64_t target)
+append_milliseconds(GString *out, const char *key, int64_t duration)
 {
-    if (target != 0) {
-        ch_ini_put_count(out, key, (uint64_t)target / 1000);
+    if (duration != 0) {
+        ch_ini_put_count(out, key, (uint64_t)duration / 1000);
     }
 }
 
 /* Appends "key = a, b, c" unless the list is empty. */
 static void
-print_list(GString *out, const char *key, char **names)
+append_list(GString *out, const char *key, char **names)
 {
     if (names[0] == NULL) {
         return;
@@ -724,7 +736,7 @@
 
 /* Appends "key = number" unless it is 0. */
 static void
-print_number(GString *out, const char *key, double number)
+append_number(GString *out, const char *key, double number)
 {
     char text[G_ASCII_DTOSTR_BUF_SIZE];
     if (number <= 0) {
@@ -738,16 +750,15 @@
                     g_ascii_formatd(text, sizeof(text), "%.10g", number));
 }
 
-/* Appends "key = true" or "key = false". */
 static void
-print_flag(GString *out, const char *key, bool flag)
+append_flag(GString *out, const char *key, bool flag)
 {
-    ch_ini_put_text(out, key, yes_names[flag ? 1 : 0]);
+    ch_ini_put_text(out, key, flag_names[flag ? 1 : 0]);
 }
 
-/* Appends what a class that is chosen by host and path has. */
+/* Appends the keys that only a class selected by host and path has. */
 static void
-print_route(GString *out, const struct raw_class *class)
+append_route(GString *out, const struct parsed_class *class)
 {
     if (class->host == NULL) {
         return;
@@ -755,75 +766,76 @@
     ch_ini_put_text(out, "host", class->host);
     ch_ini_put_text(out, "path", class->path);
     ch_ini_put_text(out, "shares", class->shares);
-    print_flag(out, "stream", class->stream);
-    print_flag(out, "resumable", class->resumable);
-    print_number(out, "priority", class->priority);
-    print_number(out, "tries", class->tries);
-    print_target(out, "gap-ms", class->gap);
-    print_target(out, "time-limit-ms", class->time_limit);
+    append_flag(out, "stream", class->stream);
+    append_flag(out, "resumable", class->resumable);
+    append_number(out, "priority", class->priority);
+    append_number(out, "tries", class->tries);
+    append_milliseconds(out, "gap-ms", class->gap);
+    append_milliseconds(out, "time-limit-ms", class->time_limit);
 }
 
-/* Appends a service's group. */
 static void
-print_service(GString *out, const struct ch_service *service)
-{
-    print_group(out, "service", service->name);
-    print_number(out, "connections", service->connections);
-    print_number(out, "batch", service->batch);
-    print_number(out, "memory-mb", service->memory_mb);
-    print_number(out, "context-tokens", service->context_tokens);
-    print_number(out, "adapter-places", service->adapter_places);
-    print_number(out, "loads-per-s", service->loads_per_s);
+append_service(GString *out, const struct ch_service *service)
+{
+    append_group(out, "service", service->name);
+    append_number(out, "connections", service->connections);
+    append_number(out, "batch", service->batch);
+    append_number(out, "memory-mb", service->memory_mb);
+    append_number(out, "context-tokens", service->context_tokens);
+    append_number(out, "adapter-places", service->adapter_places);
+    append_number(out, "loads-per-s", service->loads_per_s);
     g_string_append_c(out, '\n');
 }
 
-/* Appends the callers' limits, if there are any. */
+/* Appends the group [limits] unless all limits are 0. */
 static void
-print_limits(GString *out, const struct ch_caller_limits *limits)
+append_limits(GString *out, const struct ch_caller_limits *limits)
 {
     if (limits->header_bytes == 0 && limits->body_bytes == 0 &&
         limits->header_time == 0 && limits->idle_time == 0) {
         return;
     }
     g_string_append(out, "[limits]\n");
-    print_number(out, "header-bytes", (double)limits->header_bytes);
-    print_number(out, "body-bytes", (double)limits->body_bytes);
-    print_target(out, "header-ms", limits->header_time);
-    print_target(out, "idle-ms", limits->idle_time);
+    append_number(out, "header-bytes", (double)limits->header_bytes);
+    append_number(out, "body-bytes", (double)limits->body_bytes);
+    append_milliseconds(out, "header-ms", limits->header_time);
+    append_milliseconds(out, "idle-ms", limits->idle_time);
     g_string_append_c(out, '\n');
 }
 
-/* The canonical text: kinds, names, keys and lists in one order, defaults
- * left out where they say nothing. */
+/* Returns the canonical text as a new string: kinds, names, keys and lists
+ * have a fixed order, and keys whose value is an empty list or 0, for none,
+ * are left out. */
 static char *
-print_declaration(const struct ch_declaration *declaration,
-                  const struct raw *raw)
+format_declaration(const struct ch_declaration *declaration,
+                   const struct parsed *parsed)
 {
     GString *out = g_string_new(NULL);
-    for (guint i = 0; i < raw->classes->len; i++) {
-        const struct raw_class *class =
-            &g_array_index(raw->classes, struct raw_class, i);
+    for (guint i = 0; i < parsed->classes->len; i++) {
+        const struct parsed_class *class =
+            &g_array_index(parsed->classes, struct parsed_class, i);
         ch_pool_give_way(i);
-        print_group(out, "class", class->name);
-        print_target(out, "first-token-ms", class->first_token);
-        print_target(out, "between-tokens-ms", class->between_tokens);
-        print_target(out, "answer-ms", class->whole_answer);
-        print_flag(out, "idempotent", class->idempotent);
-        print_list(out, "models", class->models);
-        print_list(out, "services", class->services);
-        print_list(out, "callers", class->callers);
-        print_route(out, class);
+        append_group(out, "class", class->name);
+        append_milliseconds(out, "first-token-ms", class->first_token);
+        append_milliseconds(out, "between-tokens-ms", class->between_tokens);
+        append_milliseconds(out, "answer-ms", class->whole_answer);
+        append_flag(out, "idempotent", class->idempotent);
+        append_list(out, "models", class->models);
+        append_list(out, "services", class->services);
+        append_list(out, "callers", class->callers);
+        append_route(out, class);
         g_string_append_c(out, '\n');
     }
     for (size_t i = 0; i < declaration->model_count; i++) {
         const struct ch_model *model = &declaration->models[i];
-        print_group(out, "model", model->name);
+        append_group(out, "model", model->name);
         ch_ini_put_count(out, "memory-mb", model->memory_mb);
-        print_list(out, "adapters", model->adapters);
-        print_list(out, "services",
-                   g_array_index(raw->models, struct raw_model, i).services);
-        print_number(out, "numbered-adapters", model->numbered_adapters);
-        print_target(out, "load-ms", model->load);
+        append_list(out, "adapters", model->adapters);
+        append_list(
+            out, "services",
+            g_array_index(parsed->models, struct parsed_model, i).services);
+        append_number(out, "numbered-adapters", model->numbered_adapters);
+        append_milliseconds(out, "load-ms", model->load);
         if (model->adapter_count > 0 || model->numbered_adapters > 0) {
             ch_ini_put_count(out, "adapter-memory-mb",
                              model->adapter_memory_mb);
@@ -831,16 +843,17 @@
         g_string_append_c(out, '\n');
     }
     for (size_t i = 0; i < declaration->service_count; i++) {
-        print_service(out, &declaration->services[i]);
+        append_service(out, &declaration->services[i]);
     }
-    print_limits(out, &declaration->limits);
+    append_limits(out, &declaration->limits);
     return g_string_free(out, FALSE);
 }
 
-/* ---- the interface ---- */
+/* ---- public functions ---- */
 
-/* A declaration from INI text, checked; path is what errors call it.  NULL
- * with an error that names file, group and key. */
+/* Parses and checks a declaration.  path names the source in error messages,
+ * which also name the group and the key.  Returns NULL on an error; the caller
+ * frees the declaration. */
 struct ch_declaration *
 ch_declaration_parse(const char *text, const char *path,
                      struct ch_error *error)
@@ -849,31 +862,31 @@
     if (!ch_ini_open(&ini, text, path, error)) {
         return NULL;
     }
-    struct raw raw;
-    raw_init(&raw);
+    struct parsed parsed;
+    parsed_init(&parsed);
     struct ch_declaration *declaration = g_new0(struct ch_declaration, 1);
-    bool fine =
-        read_groups(&ini, &raw, error) && check_names(&ini, &raw, error);
-    if (fine) {
-        build_items(declaration, &raw);
+    bool ok =
+        read_groups(&ini, &parsed, error) && check_names(&ini, &parsed, error);
+    if (ok) {
+        build_items(declaration, &parsed);
         build_adapters(declaration);
-        fine = build_model_services(&ini, declaration, &raw, error) &&
-               build_classes(&ini, declaration, &raw, error) &&
-               build_callers(&ini, declaration, &raw, error);
+        ok = build_model_services(&ini, declaration, &parsed, error) &&
+             build_classes(&ini, declaration, &parsed, error) &&
+             build_callers(&ini, declaration, &parsed, error);
     }
-    if (fine) {
-        declaration->text = print_declaration(declaration, &raw);
+    if (ok) {
+        declaration->text = format_declaration(declaration, &parsed);
     }
-    raw_clear(&raw);
+    parsed_clear(&parsed);
     ch_ini_close(&ini);
-    if (!fine) {
+    if (!ok) {
         ch_declaration_free(declaration);
         return NULL;
     }
     return declaration;
 }
 
-/* ch_declaration_parse of a file. */
+/* As ch_declaration_parse, for a file. */
 struct ch_declaration *
 ch_declaration_load(const char *path, struct ch_error *error)
 {
@@ -887,7 +900,7 @@
     return declaration;
 }
 
-/* Frees a declaration, also one that is half built; NULL is nothing. */
+/* Frees a declaration, which may be incomplete or NULL. */
 void
 ch_declaration_free(struct ch_declaration *declaration)
 {
@@ -931,7 +944,7 @@
                      sizeof(struct ch_class), name);
 }
 
-/* Index of a model, or -1; adapters are not among them. */
+/* Index of a model, or -1; the name of an adapter gives -1. */
 int
 ch_declaration_model(const struct ch_declaration *declaration,
                      const char *name)
@@ -940,7 +953,7 @@
                      sizeof(struct ch_model), name);
 }
 
-/* Index of a plain service, or -1. */
+/* Index of a service, or -1. */
 int
 ch_declaration_service(const struct ch_declaration *declaration,
                        const char *name)
@@ -949,21 +962,21 @@
                      sizeof(struct ch_service), name);
 }
 
-/* Index of the model that an adapter belongs to, or -1; *adapter (may be
- * NULL) is its place among the model's adapters. */
+/* Index of the model that an adapter belongs to, or -1.  *adapter (unless
+ * adapter is NULL) becomes the index among the adapters of that model. */
 int
 ch_declaration_adapter(const struct ch_declaration *declaration,
                        const char *name, int *adapter)
 {
-    int at = find_name(declaration->adapters, declaration->adapter_count,
-                       sizeof(struct ch_adapter), name);
-    if (at < 0) {
+    int index = find_name(declaration->adapters, declaration->adapter_count,
+                          sizeof(struct ch_adapter), name);
+    if (index < 0) {
         return -1;
     }
     if (adapter != NULL) {
-        *adapter = declaration->adapters[at].index;
+        *adapter = declaration->adapters[index].index;
     }
-    return declaration->adapters[at].model;
+    return declaration->adapters[index].model;
 }
 
 /* Index of the class declared for a caller, or -1. */
@@ -971,13 +984,14 @@
 ch_declaration_caller_class(const struct ch_declaration *declaration,
                             const char *caller)
 {
-    int at = find_name(declaration->callers, declaration->caller_count,
-                       sizeof(struct ch_caller), caller);
-    return at < 0 ? -1 : (int)declaration->callers[at].class_index;
+    int index = find_name(declaration->callers, declaration->caller_count,
+                          sizeof(struct ch_caller), caller);
+    return index < 0 ? -1 : (int)declaration->callers[index].class_index;
 }
 
-/* See base.h.  All classes are looked at: hundreds of comparisons of short
- * strings, for some ten requests a second. */
+/* See base.h.  A linear search is fast enough, as the search
+ * compares hundreds of short
+ * strings, for about ten requests a second. */
 int
 ch_declaration_route(const struct ch_declaration *declaration,
                      const char *host, const char *path, size_t length)
--- a/libchestnuthitch/base/declaration_diff.c
+++ b/libchestnuthitch/base/declaration_diff.c
@@ -1,12 +1,12 @@
-/* What changed between two canonical texts, line by line under its group. */
+/* Differences between two canonical declarations, listed by group and key. */
 
 #include "base/base.h"
 
 #include <string.h>
 
-/* Parses a canonical text; one that does not parse counts as empty. */
+/* Parses a canonical text; text that is not valid INI counts as empty. */
 static GKeyFile *
-parse(const char *text)
+parse_canonical(const char *text)
 {
     GKeyFile *file = g_key_file_new();
     (void)g_key_file_load_from_data(file, text, strlen(text), G_KEY_FILE_NONE,
@@ -14,7 +14,7 @@
     return file;
 }
 
-/* Appends every line of a group that only one text has. */
+/* Appends all lines of a group that is in only one of the texts. */
 static void
 append_group(GString *out, GKeyFile *file, const char *group, char sign)
 {
@@ -28,7 +28,8 @@
     g_strfreev(keys);
 }
 
-/* Appends one key of a group when the two texts differ in it. */
+/* Appends the old and the new value of a key if they differ; NULL stands for a
+ * key that is absent. */
 static void
 append_key(GString *out, const char *key, const char *before,
            const char *after)
@@ -44,13 +45,13 @@
     }
 }
 
-/* Appends the keys of one group in one text; with skip_shared, only those
- * that the other text does not have. */
+/* Appends the changed keys among those that the group has in listed, which is
+ * from or to.  With skip_shared, keys that are also in from are skipped. */
 static void
-append_keys(GString *out, GKeyFile *from, GKeyFile *to, GKeyFile *walked,
+append_keys(GString *out, GKeyFile *from, GKeyFile *to, GKeyFile *listed,
             const char *group, bool skip_shared)
 {
-    char **keys = g_key_file_get_keys(walked, group, NULL, NULL);
+    char **keys = g_key_file_get_keys(listed, group, NULL, NULL);
     for (size_t i = 0; keys[i] != NULL; i++) {
         char *before = g_key_file_get_value(from, group, keys[i], NULL);
         char *after = g_key_file_get_value(to, group, keys[i], NULL);
@@ -63,7 +64,7 @@
     g_strfreev(keys);
 }
 
-/* Appends a group that both texts have, when some key of it changed. */
+/* Appends a group that both texts have, if any of its keys differ. */
 static void
 append_changed(GString *out, GKeyFile *from, GKeyFile *to, const char *group)
 {
@@ -76,14 +77,14 @@
     g_string_free(lines, TRUE);
 }
 
-/* The difference as text: " [group]" for a changed group, "-" before what is
- * only in `from` and "+" before what is only in `to`; empty when the two say
- * the same.  A new string. */
+/* Returns the difference as a new string: " [group]" for a changed group, "-"
+ * before lines that are only in `from`, "+" before lines that are only in
+ * `to`. The string is empty if the texts have the same content. */
 char *
 ch_declaration_diff(const char *from, const char *to)
 {
-    GKeyFile *before = parse(from);
-    GKeyFile *after = parse(to);
+    GKeyFile *before = parse_canonical(from);
+    GKeyFile *after = parse_canonical(to);
     GString *out = g_string_new(NULL);
     char **groups = g_key_file_get_groups(before, NULL);
     for (size_t i = 0; groups[i] != NULL; i++) {
--- a/libchestnuthitch/base/ini.c
+++ b/libchestnuthitch/base/ini.c
@@ -1,4 +1,4 @@
-/* Strict INI by tables of rows, for node settings and declarations. */
+/* Strict INI reader for node settings and declarations. */
 
 #include "base/ini.h"
 
@@ -8,30 +8,30 @@
 #include <stdio.h>
 #include <string.h>
 
-/* A value for an error message: control characters escaped, cut to a length
- * that leaves room for the rest.  A new string. */
+/* Returns a new string with text as an error message shows it: control
+ * characters escaped, and at most 60 bytes of text, so that the rest of the
+ * message fits. */
 static char *
-shown(const char *text)
+escape_excerpt(const char *text)
 {
-    char *cut = g_strndup(text, 60);
-    char *escaped = g_strescape(cut, NULL);
-    g_free(cut);
+    char *excerpt = g_strndup(text, 60);
+    char *escaped = g_strescape(excerpt, NULL);
+    g_free(excerpt);
     return escaped;
 }
 
-/* Sets an error that names the file, the group and the key (NULL: the group
- * as a whole; group NULL: the file as a whole). */
+/* See ini.h. */
 void
 ch_ini_fail(const struct ch_ini *ini, const char *group, const char *key,
-            enum ch_code code, struct ch_error *error, const char *form, ...)
+            enum ch_code code, struct ch_error *error, const char *format, ...)
 {
     char reason[256];
     va_list arguments;
-    va_start(arguments, form);
-    (void)vsnprintf(reason, sizeof(reason), form, arguments);
+    va_start(arguments, format);
+    (void)vsnprintf(reason, sizeof(reason), format, arguments);
     va_end(arguments);
-    char *group_text = shown(group == NULL ? "" : group);
-    char *key_text = shown(key == NULL ? "" : key);
+    char *group_text = escape_excerpt(group == NULL ? "" : group);
+    char *key_text = escape_excerpt(key == NULL ? "" : key);
     if (group == NULL) {
         ch_error_set(error, code, "%s: %s", ini->path, reason);
     }
@@ -47,8 +47,7 @@
     g_free(key_text);
 }
 
-/* The text of a file, or NULL with FILE_UNREADABLE or INI_SYNTAX (too long, a
- * NUL byte in it). */
+/* See ini.h. */
 char *
 ch_ini_file_text(const char *path, struct ch_error *error)
 {
@@ -62,24 +61,24 @@
         return NULL;
     }
     if (strlen(text) != length) {
-        ch_error_set(error, CH_INI_SYNTAX, "%s: a NUL byte at offset %zu",
-                     path, strlen(text));
+        ch_error_set(error, CH_INI_SYNTAX, "%s: NUL byte at offset %zu", path,
+                     strlen(text));
         g_free(text);
         return NULL;
     }
     return text;
 }
 
-/* What was seen of a text; the names point into a copy of it. */
-struct repeats {
+/* Groups and keys seen so far; the strings point into a copy of the text. */
+struct seen_names {
     GHashTable *groups;
-    GHashTable *keys; /* of the group that is being read */
+    GHashTable *keys; /* of the current group */
     const char *group;
 };
 
-/* Cuts a line to what stands between its blanks. */
+/* Strips leading and trailing white space in place. */
 static char *
-bare_line(char *line)
+trim_line(char *line)
 {
     while (g_ascii_isspace(*line)) {
         line++;
@@ -87,12 +86,13 @@
     return g_strchomp(line);
 }
 
-/* Notes one line's group or key; false when it was there before. */
+/* Records the group or key of a line.  Sets an error and returns false if the
+ * group, or the key in its group, was seen before. */
 static bool
-check_line(const struct ch_ini *ini, struct repeats *seen, char *line,
-           struct ch_error *error)
+check_line_unique(const struct ch_ini *ini, struct seen_names *seen,
+                  char *line, struct ch_error *error)
 {
-    line = bare_line(line);
+    line = trim_line(line);
     char *end = line[0] == '[' ? strrchr(line, ']') : NULL;
     if (end != NULL) {
         *end = '\0';
@@ -101,7 +101,7 @@
         g_hash_table_remove_all(seen->keys);
         if (!g_hash_table_add(seen->groups, line + 1)) {
             ch_ini_fail(ini, seen->group, NULL, CH_DUPLICATE, error,
-                        "the group stands twice");
+                        "duplicate group");
             return false;
         }
         return true;
@@ -114,39 +114,39 @@
     *equals = '\0';
     if (!g_hash_table_add(seen->keys, g_strchomp(line))) {
         ch_ini_fail(ini, seen->group, line, CH_DUPLICATE, error,
-                    "the key stands twice");
+                    "duplicate key");
         return false;
     }
     return true;
 }
 
-/* GKeyFile merges repeated groups and lets the last of repeated keys win, so
- * that an operator's first line would silently have no effect. */
+/* Rejects duplicate groups and keys.  GKeyFile merges duplicate groups and
+ * keeps the last of duplicate keys, so that an operator's first line would
+ * silently have no effect. */
 static bool
-check_repeats(const struct ch_ini *ini, const char *text,
-              struct ch_error *error)
+check_duplicates(const struct ch_ini *ini, const char *text,
+                 struct ch_error *error)
 {
     g_autofree char *copy = g_strdup(text);
-    struct repeats seen = {
+    struct seen_names seen = {
         .groups = g_hash_table_new(g_str_hash, g_str_equal),
         .keys = g_hash_table_new(g_str_hash, g_str_equal),
     };
-    bool fine = true;
-    for (char *line = copy; fine && line != NULL;) {
+    bool ok = true;
+    for (char *line = copy; ok && line != NULL;) {
         char *end = strchr(line, '\n');
         if (end != NULL) {
             *end++ = '\0';
         }
-        fine = check_line(ini, &seen, line, error);
+        ok = check_line_unique(ini, &seen, line, error);
         line = end;
     }
     g_hash_table_destroy(seen.groups);
     g_hash_table_destroy(seen.keys);
-    return fine;
+    return ok;
 }
 
-/* Parses text; path is what errors call it.  On false nothing is left to
- * close. */
+/* See ini.h. */
 bool
 ch_ini_open(struct ch_ini *ini, const char *text, const char *path,
             struct ch_error *error)
@@ -157,7 +157,7 @@
     GError *reason = NULL;
     if (length > CH_INI_MOST_BYTES) {
         ch_ini_fail(ini, NULL, NULL, CH_INI_SYNTAX, error,
-                    "%zu bytes are over the limit of %d", length,
+                    "%zu bytes exceed the limit of %d", length,
                     (int)CH_INI_MOST_BYTES);
     }
     else if (!g_utf8_validate(text, (gssize)length, NULL)) {
@@ -165,19 +165,19 @@
     }
     else if (!g_key_file_load_from_data(ini->file, text, length,
                                         G_KEY_FILE_NONE, &reason)) {
-        char *why = shown(reason->message);
-        ch_ini_fail(ini, NULL, NULL, CH_INI_SYNTAX, error, "%s", why);
-        g_free(why);
+        char *escaped = escape_excerpt(reason->message);
+        ch_ini_fail(ini, NULL, NULL, CH_INI_SYNTAX, error, "%s", escaped);
+        g_free(escaped);
         g_error_free(reason);
     }
-    else if (check_repeats(ini, text, error)) {
+    else if (check_duplicates(ini, text, error)) {
         return true;
     }
     ch_ini_close(ini);
     return false;
 }
 
-/* Frees what ch_ini_open made. */
+/* Frees the members of ini, not ini itself. */
 void
 ch_ini_close(struct ch_ini *ini)
 {
@@ -185,9 +185,9 @@
     g_free(ini->path);
 }
 
-/* Names stand in paths of the key-value service, in headers, labels and log
- * lines: letters, digits, '.', '_' and '-' need no escaping in any of them,
- * and 64 bytes bound what each of them holds. */
+/* Names are used in key-value store paths, HTTP headers, metric labels and log
+ * lines.  Letters, digits, '.', '_' and '-' need no escaping in any of these,
+ * and the limit of 64 bytes bounds the length of each. */
 bool
 ch_ini_name_check(const char *name)
 {
@@ -203,7 +203,6 @@
     return true;
 }
 
-/* The row of a key in a section, or NULL. */
 static const struct ch_ini_row *
 find_row(const struct ch_ini_row *rows, size_t count, const char *section,
          const char *key)
@@ -217,7 +216,7 @@
     return NULL;
 }
 
-/* False with UNKNOWN_SETTING when the group has a key without a row. */
+/* See ini.h. */
 bool
 ch_ini_known_keys(const struct ch_ini *ini, const char *group,
                   const char *section, const struct ch_ini_row *rows,
@@ -236,7 +235,8 @@
     return known;
 }
 
-/* Reads a decimal number within the row's range. */
+/* Parses a decimal number and checks the range of the row.  If this fails,
+ * *reason is a new string. */
 static bool
 read_number(const struct ch_ini_row *row, const char *text, double *number,
             char **reason)
@@ -253,36 +253,36 @@
         return false;
     }
     if (*number < row->least || *number > row->most) {
-        *reason =
-            g_strdup_printf("not from %.10g to %.10g", row->least, row->most);
+        *reason = g_strdup_printf("must be from %.10g to %.10g", row->least,
+                                  row->most);
         return false;
     }
     return true;
 }
 
-/* Stores a number as the row's type. */
+/* Stores a number as the type of the row; milliseconds become microseconds. */
 static void
-store_number(const struct ch_ini_row *row, double number, void *at)
+store_number(const struct ch_ini_row *row, double number, void *destination)
 {
     switch (row->type) {
     case CH_INI_UNSIGNED:
-        *(unsigned *)at = (unsigned)number;
+        *(unsigned *)destination = (unsigned)number;
         break;
     case CH_INI_SIZE:
-        *(size_t *)at = (size_t)number;
+        *(size_t *)destination = (size_t)number;
         break;
     case CH_INI_MILLISECONDS:
-        *(int64_t *)at = (int64_t)number * 1000;
+        *(int64_t *)destination = (int64_t)number * 1000;
         break;
     default:
-        *(double *)at = number;
+        *(double *)destination = number;
         break;
     }
 }
 
-/* Stores the place of text among the row's choices. */
+/* Stores the index of text in the choices of the row. */
 static bool
-store_choice(const struct ch_ini_row *row, const char *text, void *at,
+store_choice(const struct ch_ini_row *row, const char *text, void *destination,
              char **reason)
 {
     for (int i = 0; row->choices[i] != NULL; i++) {
@@ -290,30 +290,29 @@
             continue;
         }
         if (row->type == CH_INI_FLAG) {
-            *(bool *)at = i == 1;
+            *(bool *)destination = i == 1;
         }
         else {
-            *(int *)at = i + (int)row->least;
+            *(int *)destination = i + (int)row->least;
         }
         return true;
     }
-    char *all = g_strjoinv(", ", (char **)row->choices);
-    *reason = g_strdup_printf("not one of %s", all);
-    g_free(all);
+    char *choice_list = g_strjoinv(", ", (char **)row->choices);
+    *reason = g_strdup_printf("not one of %s", choice_list);
+    g_free(choice_list);
     return false;
 }
 
-/* Order of two names in an array of strings. */
 static int
 compare_names(const void *a, const void *b)
 {
     return strcmp(*(char *const *)a, *(char *const *)b);
 }
 
-/* Stores a list of names, sorted; separators are commas, semicolons and
- * blanks. */
+/* Stores a sorted list of names; the separators in text are commas,
+ * semicolons, spaces and tabs.  The list is stored even if the check fails. */
 static bool
-store_list(const char *text, void *at, char **reason)
+store_list(const char *text, void *destination, char **reason)
 {
     char **parts = g_strsplit_set(text, ",; \t", -1);
     GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
@@ -324,94 +323,99 @@
     }
     g_strfreev(parts);
     g_ptr_array_sort(names, compare_names);
-    bool star =
+    bool wildcard =
         names->len == 1 && strcmp(g_ptr_array_index(names, 0), "*") == 0;
-    for (guint i = 0; *reason == NULL && !star && i < names->len; i++) {
+    for (guint i = 0; *reason == NULL && !wildcard && i < names->len; i++) {
         const char *name = g_ptr_array_index(names, i);
         if (!ch_ini_name_check(name)) {
             *reason = g_strdup_printf("'%.64s' is not a name", name);
         }
         else if (i > 0 && strcmp(name, g_ptr_array_index(names, i - 1)) == 0) {
-            *reason = g_strdup_printf("'%s' stands twice", name);
+            *reason = g_strdup_printf("'%s' is listed twice", name);
         }
     }
     g_ptr_array_add(names, NULL);
-    *(char ***)at = (char **)g_ptr_array_free(names, FALSE);
+    *(char ***)destination = (char **)g_ptr_array_free(names, FALSE);
     return *reason == NULL;
 }
 
-/* Stores an address after its check. */
 static bool
-store_address(const struct ch_ini_row *row, const char *text, void *at,
-              char **reason)
+store_address(const struct ch_ini_row *row, const char *text,
+              void *destination, char **reason)
 {
     struct ch_error error = {0};
     if (!ch_address_check(text, &error)) {
-        *reason = g_strdup("not ip:port with an IPv4 number");
+        *reason =
+            g_strdup("not ip:port with an IPv4 address and a port number");
         return false;
     }
     double port = g_ascii_strtod(strrchr(text, ':') + 1, NULL);
     if (port < row->least) {
-        *reason = g_strdup("port 0 is for listeners alone");
+        *reason = g_strdup("port 0 is only allowed for listeners");
         return false;
     }
-    *(char **)at = g_strdup(text);
+    *(char **)destination = g_strdup(text);
     return true;
 }
 
-/* Stores text that may stand in a header or a path.  blanks: whether there may
- * be some. */
+/* Stores text that is safe in a header or a path: printable ASCII, with spaces
+ * only if blanks is true. */
 static bool
-store_text(const char *text, bool blanks, void *at, char **reason)
+store_text(const char *text, bool blanks, void *destination, char **reason)
 {
     for (const char *c = text; *c != '\0'; c++) {
         if (!g_ascii_isprint(*c) || (*c == ' ' && !blanks)) {
-            *reason = g_strdup("not printable ASCII, or with blanks");
+            *reason = g_strdup(
+                "has blanks or characters that are not printable ASCII");
             return false;
         }
     }
-    *(char **)at = g_strdup(text);
+    *(char **)destination = g_strdup(text);
     return true;
 }
 
-/* Stores text as the row's type; false with a reason (g_free). */
+/* Stores text as the type of the row.  If this fails, *reason is a new string.
+ */
 static bool
-store(const struct ch_ini_row *row, const char *text, void *at, char **reason)
+store_value(const struct ch_ini_row *row, const char *text, void *destination,
+            char **reason)
 {
     double number = 0;
     switch (row->type) {
     case CH_INI_NAME:
         if (!ch_ini_name_check(text)) {
-            *reason = g_strdup("not a name: 1 to 64 of A-Z a-z 0-9 . _ -");
+            *reason = g_strdup("not a name: use 1 to 64 of A-Z a-z 0-9 . _ -");
             return false;
         }
-        *(char **)at = g_strdup(text);
+        *(char **)destination = g_strdup(text);
         return true;
     case CH_INI_ADDRESS:
-        return store_address(row, text, at, reason);
+        return store_address(row, text, destination, reason);
     case CH_INI_CHOICE:
     case CH_INI_FLAG:
-        return store_choice(row, text, at, reason);
+        return store_choice(row, text, destination, reason);
     case CH_INI_LIST:
-        return store_list(text, at, reason);
+        return store_list(text, destination, reason);
     case CH_INI_TEXT:
-        return store_text(text, false, at, reason);
+        return store_text(text, false, destination, reason);
     case CH_INI_SHARES:
-        return store_text(text, true, at, reason);
+        return store_text(text, true, destination, reason);
     default:
         if (!read_number(row, text, &number, reason)) {
             return false;
         }
-        store_number(row, number, at);
+        store_number(row, number, destination);
         return true;
     }
 }
 
-/* Stores one row's value, or its default when the key is not there; an empty
- * default leaves the member as it is, zero. */
+/* Stores the value of one row, or the default if the file has no such key.  An
+ * empty default leaves the member at zero, except that a list becomes empty.
+ */
 static bool
-fill_row(const struct ch_ini *ini, const char *group,
-         const struct ch_ini_row *row, void *into, struct ch_error *error)
+read_row(const struct ch_ini *ini, const char *group,
+         const struct ch_ini_row *row, void *destination,
+         struct ch_error *error)
 {
     char *text = g_key_file_get_value(ini->file, group, row->key, NULL);
     if (text == NULL && row->fallback == NULL) {
@@ -427,35 +431,35 @@
     }
     g_strstrip(text);
     char *reason = NULL;
-    bool fine = store(row, text, (char *)into + row->offset, &reason);
-    if (!fine) {
-        char *value = shown(text);
+    bool ok =
+        store_value(row, text, (char *)destination + row->offset, &reason);
+    if (!ok) {
+        char *value = escape_excerpt(text);
         ch_ini_fail(ini, group, row->key, CH_BAD_VALUE, error, "'%s': %s",
                     value, reason);
         g_free(value);
     }
     g_free(reason);
     g_free(text);
-    return fine;
+    return ok;
 }
 
-/* Fills the members of *into that a section's rows name; what was stored
- * before an error stays there for the owner to free. */
+/* See ini.h. */
 bool
 ch_ini_fill(const struct ch_ini *ini, const char *group, const char *section,
-            const struct ch_ini_row *rows, size_t count, void *into,
+            const struct ch_ini_row *rows, size_t count, void *destination,
             struct ch_error *error)
 {
     for (size_t i = 0; i < count; i++) {
         if (strcmp(rows[i].section, section) == 0 &&
-            !fill_row(ini, group, &rows[i], into, error)) {
+            !read_row(ini, group, &rows[i], destination, error)) {
             return false;
         }
     }
     return true;
 }
 
-/* Appends "key = text". */
+/* See ini.h. */
 void
 ch_ini_put_text(GString *out, const char *key, const char *text)
 {
@@ -465,17 +469,17 @@
     g_string_append_c(out, '\n');
 }
 
-/* Appends "key = number", without printf: a configuration has tens of
- * thousands of these. */
+/* See ini.h.  Doesn't use printf, which is slower: a configuration has tens of
+ * thousands of these lines. */
 void
 ch_ini_put_count(GString *out, const char *key, uint64_t number)
 {
     char digits[24];
-    char *first = &digits[sizeof(digits) - 1];
-    *first = '\0';
+    char *first_digit = &digits[sizeof(digits) - 1];
+    *first_digit = '\0';
     do {
-        *--first = (char)('0' + number % 10);
+        *--first_digit = (char)('0' + number % 10);
         number /= 10;
     } while (number > 0);
-    ch_ini_put_text(out, key, first);
+    ch_ini_put_text(out, key, first_digit);
 }
--- a/tests/fuzz/fuzz_ini.c
+++ b/tests/fuzz/fuzz_ini.c
@@ -1,5 +1,6 @@
-/* Any bytes as settings and as a declaration: no fault, an error or a result;
- * a declaration's canonical text gives itself. */
+/* Fuzz test: parses any bytes as settings and as a declaration.  Each parser
+ * must give either a result or an error, and parsing the canonical text of a
+ * declaration must give the same text again. */
 
 #include "base/base.h"
 
@@ -8,7 +9,7 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *bytes, size_t length);
 
-/* One input.  Aborts when a promise of the readers is broken. */
+/* Parses one input; aborts if a parser breaks one of these rules. */
 int
 LLVMFuzzerTestOneInput(const uint8_t *bytes, size_t length)
 {
--- a/tests/unit/test_declaration.c
+++ b/tests/unit/test_declaration.c
@@ -1,4 +1,4 @@
-/* Declarations: mistakes, one canonical text, look-ups and differences. */
+/* Declarations: invalid input, canonical text, look-ups and differences. */
 
 #include "base/base.h"
 
@@ -34,47 +34,49 @@
     {CLASS MODEL "adapters = a1\n", CH_MISSING,
      "[model m1] adapter-memory-mb: the key is missing"},
     {CLASS MODEL "adapters = a1, a1\nadapter-memory-mb = 1\n", CH_BAD_VALUE,
-     "[model m1] adapters: 'a1, a1': 'a1' stands twice"},
+     "[model m1] adapters: 'a1, a1': 'a1' is listed twice"},
     {CLASS MODEL "adapters = *\nadapter-memory-mb = 1\n", CH_BAD_VALUE,
      "[model m1] adapters: '*' is not a name"},
     {CLASS MODEL "adapters = m1\nadapter-memory-mb = 1\n", CH_DUPLICATE,
-     "[model m1] adapters: the name 'm1' is that of [model m1] too"},
+     "[model m1] adapters: the name 'm1' is already used by [model m1]"},
     {CLASS MODEL "adapters = a1\nadapter-memory-mb = 1\n"
                  "[model m2]\nmemory-mb = 1\nadapters = a1\n"
                  "adapter-memory-mb = 1\n",
      CH_DUPLICATE,
-     "[model m2] adapters: the name 'a1' is that of [model m1] too"},
+     "[model m2] adapters: the name 'a1' is already used by [model m1]"},
     {CLASS MODEL "[service m1]\n", CH_DUPLICATE,
-     "[service m1]: the name 'm1' is that of [model m1] too"},
+     "[service m1]: the name 'm1' is already used by [model m1]"},
     {CLASS MODEL "[model  m1]\nmemory-mb = 2\n", CH_DUPLICATE, "[model m1]"},
-    {CLASS CLASS MODEL, CH_DUPLICATE, "[class c1]: the group stands twice"},
+    {CLASS CLASS MODEL, CH_DUPLICATE, "[class c1]: duplicate group"},
     {CLASS MODEL " [model m1] \n", CH_DUPLICATE,
-     "f.ini: [model m1]: the group stands twice"},
+     "f.ini: [model m1]: duplicate group"},
     {CLASS MODEL "  memory-mb  = 3", CH_DUPLICATE,
-     "f.ini: [model m1] memory-mb: the key stands twice"},
+     "f.ini: [model m1] memory-mb: duplicate key"},
     {CLASS MODEL "# memory-mb = 3\nmemory-mb=3\n", CH_DUPLICATE,
-     "f.ini: [model m1] memory-mb: the key stands twice"},
+     "f.ini: [model m1] memory-mb: duplicate key"},
     {CLASS MODEL "[class  c1]\nanswer-ms = 1\nmodels = *\n", CH_DUPLICATE,
-     "[class c1]: the group stands twice"},
+     "[class c1]: duplicate group"},
     {CLASS "services = s1\n" MODEL, CH_BAD_VALUE,
      "[class c1] services: 's1' is not declared"},
     {"[class c1]\nmodels = m1\n" MODEL, CH_MISSING,
-     "f.ini: [class c1] answer-ms: a class states a target"},
+     "f.ini: [class c1] answer-ms: a class needs a target"},
     {"[class c1]\nanswer-ms = 100\n" MODEL, CH_MISSING,
-     "f.ini: [class c1] models: a class names the models"},
+     "f.ini: [class c1] models: a class needs models"},
     {"[class c1]\nanswer-ms = 0\nmodels = m1\n" MODEL, CH_BAD_VALUE,
-     "[class c1] answer-ms: '0': not from 1"},
+     "[class c1] answer-ms: '0': must be from 1"},
     {"[class c1]\nfirst-token-ms = 1e3\nmodels = m1\n" MODEL, CH_BAD_VALUE,
      "not a whole number"},
     {CLASS "idempotent = perhaps\n" MODEL, CH_BAD_VALUE,
      "[class c1] idempotent: 'perhaps': not one of false, true"},
-    {CLASS "callers = *\n" MODEL, CH_BAD_VALUE, "callers are named one by"},
+    {CLASS "callers = *\n" MODEL, CH_BAD_VALUE,
+     "callers must be named one by"},
     {CLASS "callers = a\n" MODEL
            "[class c2]\nanswer-ms = 1\nmodels = *\ncallers = a\n",
-     CH_DUPLICATE, "callers: 'a' is a caller of class c"},
+     CH_DUPLICATE, "callers: 'a' is also a caller of class c"},
 };
 
-/* Each mistake gives its code and a message with file, group and key. */
+/* Each kind of invalid input gives its error code and a message that names the
+ * file, the group and the key. */
 static void
 test_bad(void)
 {
@@ -89,7 +91,8 @@
     }
 }
 
-/* Texts that say the same; the first of each pair is canonical. */
+/* Pairs of texts with the same content; the first of each pair is canonical.
+ */
 static const char *const same_cases[][2] = {
     {"[class c1]\nanswer-ms = 100\nidempotent = true\nmodels = m1\n\n"
      "[model m1]\nmemory-mb = 10\n\n",
@@ -102,7 +105,7 @@
      "[model m1]\nadapter-memory-mb=3\nadapters=y;x\nmemory-mb=10\n"
      "[class c1]\ncallers = b a\nidempotent = false\nmodels=*\n"
      "services=s2,s1\nbetween-tokens-ms=6\nfirst-token-ms=5\n"},
-    /* Numbers of all sizes; the same keys in two groups. */
+    /* Small and large numbers; the same keys in two groups. */
     {"[class c1]\nfirst-token-ms = 600000\nidempotent = true\n"
      "services = s1\n\n"
      "[service s1]\nconnections = 1000000\nbatch = 7\n"
@@ -117,8 +120,8 @@
      "[class c1]\nservices=s1\nfirst-token-ms=600000\n"},
 };
 
-/* The same declaration gives the same bytes, whatever the order of the file,
- * and the canonical text gives itself. */
+/* The canonical text doesn't depend on the order of the file, and parsing the
+ * canonical text gives the same bytes again. */
 static void
 test_canonical(void)
 {
@@ -134,7 +137,8 @@
     }
 }
 
-/* Look-ups by name; marks of what each class may use. */
+/* Look-ups by name, and the marks of the models and services that a class may
+ * use. */
 static void
 test_lookup(void)
 {
@@ -164,7 +168,7 @@
     ch_declaration_free(declaration);
 }
 
-/* Every declaration that is shipped is one. */
+/* Every example declaration is valid. */
 static void
 test_examples(void)
 {
@@ -199,7 +203,7 @@
     {"[a]\nx = 1\n[b]\n", "[b]\n", "-[a]\n-x = 1\n"},
 };
 
-/* Lines that changed, under their groups. */
+/* The difference lists the changed lines by group. */
 static void
 test_diff(void)
 {
@@ -210,44 +214,45 @@
     }
 }
 
-/* ---- long work ---- */
+/* ---- yielding the processor ---- */
 
-static unsigned yields;
+static unsigned yield_count;
 
-/* In place of the system's. */
+/* Replaces the system call and counts its calls. */
 int
 sched_yield(void)
 {
-    yields++;
+    yield_count++;
     return 0;
 }
 
 /*
- * All streams of a small node pause for most of a second: a worker reads a
- * large configuration in one piece, and the loops that relay them get no turn
- * meanwhile.  It gives its turn away every few classes, and not for a few.
+ * Guards against all streams of a small node stalling for most of a second
+ * while a worker parses a large configuration: the event loops that relay the
+ * streams get no processor time meanwhile.  The parser must yield every few
+ * classes of a large declaration, and not at all for a small one.
  */
 static void
-test_gives_way(void)
+test_yields_processor(void)
 {
     static const struct {
         unsigned classes;
-        unsigned least;
-        unsigned most;
-    } sizes[] = {{10, 0, 0}, {3200, 300, 600}};
-    for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
+        unsigned min_yields;
+        unsigned max_yields;
+    } cases[] = {{10, 0, 0}, {3200, 300, 600}};
+    for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         GString *out = g_string_new(MODEL);
-        for (unsigned j = 0; j < sizes[i].classes; j++) {
+        for (unsigned j = 0; j < cases[i].classes; j++) {
             g_string_append_printf(
                 out, "[class c%u]\nanswer-ms = 100\nmodels = m1\n", j);
         }
         struct ch_error error = {0};
-        yields = 0;
+        yield_count = 0;
         struct ch_declaration *declaration =
             ch_declaration_parse(out->str, "f.ini", &error);
         g_assert_cmpstr(error.message, ==, "");
-        g_assert_cmpuint(yields, >=, sizes[i].least);
-        g_assert_cmpuint(yields, <=, sizes[i].most);
+        g_assert_cmpuint(yield_count, >=, cases[i].min_yields);
+        g_assert_cmpuint(yield_count, <=, cases[i].max_yields);
         ch_declaration_free(declaration);
         g_string_free(out, TRUE);
     }
@@ -262,6 +267,6 @@
     g_test_add_func("/declaration/lookup", test_lookup);
     g_test_add_func("/declaration/examples", test_examples);
     g_test_add_func("/declaration/diff", test_diff);
-    g_test_add_func("/declaration/gives-way", test_gives_way);
+    g_test_add_func("/declaration/gives-way", test_yields_processor);
     return g_test_run();
 }
--- a/tests/unit/test_settings.c
+++ b/tests/unit/test_settings.c
@@ -1,5 +1,4 @@
-/* Settings: defaults, and every kind of mistake with the error that names it.
- */
+/* Settings: defaults, values, and the error for each kind of invalid input. */
 
 #include "base/base.h"
 
@@ -19,7 +18,8 @@
 };
 
 static const struct bad_case bad_cases[] = {
-    {"", CH_MISSING, "f.ini: [node]: the group is missing; it needs name"},
+    {"", CH_MISSING,
+     "f.ini: [node]: the group is missing; its key 'name' is required"},
     {NODE LISTEN, CH_MISSING, "f.ini: [platform]: the group is missing"},
     {NODE LISTEN "[platform]\nkv = 127.0.0.1:4\n", CH_MISSING,
      "f.ini: [platform] hosts: the key is missing"},
@@ -30,13 +30,15 @@
      "f.ini: [limits] queue: 'many': not a whole number"},
     {GOOD "[limits]\nqueue = 1.5\n", CH_BAD_VALUE, "not a whole number"},
     {GOOD "[limits]\nqueue =\n", CH_BAD_VALUE, "'': not a whole number"},
-    {GOOD "[limits]\nqueue = 0\n", CH_BAD_VALUE, "'0': not from 1 to 100000"},
-    {GOOD "[limits]\nqueue = -4\n", CH_BAD_VALUE, "not from 1"},
+    {GOOD "[limits]\nqueue = 0\n", CH_BAD_VALUE,
+     "'0': must be from 1 to 100000"},
+    {GOOD "[limits]\nqueue = -4\n", CH_BAD_VALUE, "must be from 1"},
     {GOOD "[limits]\nqueue = 99999999999999999999\n", CH_BAD_VALUE,
-     "not from 1"},
+     "must be from 1"},
     {GOOD "[limits]\nqueue = 0x10\n", CH_BAD_VALUE, "not a whole number"},
     {GOOD "[limits]\nretry-share = nan\n", CH_BAD_VALUE, "not a number"},
-    {GOOD "[limits]\nretry-share = 1.01\n", CH_BAD_VALUE, "not from 0 to 1"},
+    {GOOD "[limits]\nretry-share = 1.01\n", CH_BAD_VALUE,
+     "must be from 0 to 1"},
     {GOOD "[limits]\nretry-share = 1e999\n", CH_BAD_VALUE, "not a number"},
     {GOOD "[upstreams]\nfencing = yes\n", CH_BAD_VALUE,
      "[upstreams] fencing: 'yes': not one of ignore, refuse"},
@@ -47,11 +49,11 @@
     {GOOD "[policies]\npledges = off\n", CH_UNKNOWN_GROUP,
      "f.ini: [policies]: no such group"},
     {GOOD "[policy]\npledges = off\npledges = on\n", CH_DUPLICATE,
-     "f.ini: [policy] pledges: the key stands twice"},
+     "f.ini: [policy] pledges: duplicate key"},
     {GOOD "[node]\nworkers = 2\n", CH_DUPLICATE,
-     "f.ini: [node]: the group stands twice"},
+     "f.ini: [node]: duplicate group"},
     {GOOD "[once]\nslots = 1\nslots = 2\n", CH_DUPLICATE,
-     "f.ini: [once] slots: the key stands twice"},
+     "f.ini: [once] slots: duplicate key"},
     {"[node]\nname = a/b\nregion = r\ndata-centre = d\n" LISTEN PLATFORM,
      CH_BAD_VALUE, "[node] name: 'a/b': not a name"},
     {"[node]\nname =\nregion = r\ndata-centre = d\n" LISTEN PLATFORM,
@@ -65,7 +67,7 @@
     {NODE "[listen]\ncallers = 127.0.0.1:1\nadmin = 127.0.0.1:2\n"
           "peers = 127.0.0.1:1\n" PLATFORM,
      CH_DUPLICATE,
-     "[listen] peers: '127.0.0.1:1' is the address of callers too"},
+     "[listen] peers: '127.0.0.1:1' is also the address of callers"},
     {NODE "[listen]\ncallers = 0.0.0.0:1\nadmin = 127.0.0.1:1\n"
           "peers = 127.0.0.1:3\n" PLATFORM,
      CH_DUPLICATE, "[listen] admin"},
@@ -76,7 +78,8 @@
     {"[node]\nname = \xff\n", CH_INI_SYNTAX, "f.ini: not UTF-8"},
 };
 
-/* Each mistake gives its code and a message with file, group and key. */
+/* Each kind of invalid input gives its error code and a message that names the
+ * file, the group and the key. */
 static void
 test_bad(void)
 {
@@ -91,7 +94,7 @@
     }
 }
 
-/* What the required keys leave out has its default. */
+/* Optional keys that are absent have their defaults. */
 static void
 test_defaults(void)
 {
@@ -110,7 +113,8 @@
     ch_settings_free(settings);
 }
 
-/* Every type is read; three listeners may all leave the port to the kernel. */
+/* Values of each type are read.  All three listeners may have port 0, for
+ * which the kernel picks a free port. */
 static void
 test_values(void)
 {
@@ -132,11 +136,11 @@
     ch_settings_free(settings);
 }
 
-/* Every key of [policy] with its member. */
+/* Every key of [policy] and its member in the settings. */
 static const struct {
     const char *key;
     size_t member;
-} mechanisms[] = {
+} policy_switches[] = {
     {"whole-fleet", offsetof(struct ch_without, whole_fleet)},
     {"several-victims", offsetof(struct ch_without, several_victims)},
     {"move-apart", offsetof(struct ch_without, move_apart)},
@@ -149,46 +153,48 @@
     {"learnt-speeds", offsetof(struct ch_without, learnt_speeds)},
 };
 
-/* Adds "KEY " of what is off, "+" of what is on. */
+/* Appends the key of a disabled feature, "+" for an enabled one. */
 static void
-add_off(void *data, const char *key, bool on)
+append_switch(void *data, const char *key, bool on)
 {
     g_string_append_printf(data, "%s", on ? "+" : key);
 }
 
-/* Each key switches its own mechanism off and no other, and is told so; by
- * default, and stated as on, none is off. */
+/* Each key disables its own feature and no other, and
+ * ch_settings_each_policy reports this.  By default, and if a key is set to
+ * on, no feature is disabled. */
 static void
 test_policy(void)
 {
-    const struct ch_without none = {0};
-    G_STATIC_ASSERT(G_N_ELEMENTS(mechanisms) == sizeof(none));
-    for (size_t i = 0; i < 2 * G_N_ELEMENTS(mechanisms); i++) {
-        const char *key = mechanisms[i / 2].key;
-        bool off = i % 2 == 1;
+    const struct ch_without all_enabled = {0};
+    G_STATIC_ASSERT(G_N_ELEMENTS(policy_switches) == sizeof(all_enabled));
+    for (size_t i = 0; i < 2 * G_N_ELEMENTS(policy_switches); i++) {
+        const char *key = policy_switches[i / 2].key;
+        bool disabled = i % 2 == 1;
         struct ch_error error = {0};
-        struct ch_without expect = none;
-        g_autoptr(GString) told = g_string_new(NULL);
+        struct ch_without expect = all_enabled;
+        g_autoptr(GString) reported = g_string_new(NULL);
         g_autofree char *text = g_strdup_printf(GOOD "[policy]\n%s = %s\n",
-                                                key, off ? "off" : "on");
+                                                key, disabled ? "off" : "on");
         struct ch_settings *settings =
             ch_settings_parse(text, "f.ini", &error);
-        g_test_message("%s %s", key, off ? "off" : "on");
+        g_test_message("%s %s", key, disabled ? "off" : "on");
         g_assert_cmpstr(error.message, ==, "");
-        ((bool *)&expect)[mechanisms[i / 2].member] = off;
+        ((bool *)&expect)[policy_switches[i / 2].member] = disabled;
         g_assert_cmpmem(&settings->without, sizeof(expect), &expect,
                         sizeof(expect));
-        ch_settings_each_policy(settings, add_off, told);
-        g_assert_cmpuint(told->len, ==,
-                         G_N_ELEMENTS(mechanisms) +
-                             (off ? strlen(key) - 1 : 0));
-        g_assert_true(!off || strstr(told->str, key) != NULL);
+        ch_settings_each_policy(settings, append_switch, reported);
+        g_assert_cmpuint(reported->len, ==,
+                         G_N_ELEMENTS(policy_switches) +
+                             (disabled ? strlen(key) - 1 : 0));
+        g_assert_true(!disabled || strstr(reported->str, key) != NULL);
         ch_settings_free(settings);
     }
 }
 
-/* A fleet of another size scales the bounds: fractions of them are read.
- * Guards against nodes that do not start as one bound is no whole number. */
+/* Limits may be fractions.  Limits scaled to the size of a deployment are not
+ * always whole numbers; guards against nodes that don't start for this
+ * reason. */
 static void
 test_fractions(void)
 {
@@ -205,9 +211,10 @@
     ch_settings_free(settings);
 }
 
-/* The example with every default stated, its "#key = value" lines taken in. */
+/* Returns the example with its "#key = value" lines, which show the defaults,
+ * uncommented; a new string. */
 static char *
-stated_example(void)
+read_example_with_defaults(void)
 {
     char *text = NULL;
     g_assert_true(g_file_get_contents("examples/node.ini", &text, NULL, NULL));
@@ -218,9 +225,10 @@
     return stated;
 }
 
-/* The numbers of settings alone; takes them over. */
+/* Returns a copy of the settings with all strings set to NULL, and frees the
+ * settings. */
 static struct ch_settings
-numbers_of(struct ch_settings *settings)
+take_numbers(struct ch_settings *settings)
 {
     struct ch_settings numbers;
     memcpy(&numbers, settings, sizeof(numbers));
@@ -232,23 +240,23 @@
     return numbers;
 }
 
-/* The defaults that the example states are those that hold. */
+/* The defaults shown in the example are the actual defaults. */
 static void
 test_example_defaults(void)
 {
     struct ch_error error = {0};
-    char *text = stated_example();
+    char *text = read_example_with_defaults();
     struct ch_settings *stated = ch_settings_parse(text, "f.ini", &error);
     g_assert_cmpstr(error.message, ==, "");
-    struct ch_settings *plain = ch_settings_parse(GOOD, "f.ini", &error);
-    struct ch_settings a = numbers_of(stated);
-    struct ch_settings b = numbers_of(plain);
+    struct ch_settings *defaults = ch_settings_parse(GOOD, "f.ini", &error);
+    struct ch_settings a = take_numbers(stated);
+    struct ch_settings b = take_numbers(defaults);
     g_assert_cmpmem(&a, sizeof(a), &b, sizeof(b));
     g_assert_nonnull(strstr(text, "\ndrain-ms = "));
     g_free(text);
 }
 
-/* Files: the shipped example loads; one that is not there names itself. */
+/* The example file loads; the error for a missing file names the file. */
 static void
 test_files(void)
 {
