--- a/libchestnuthitch/explain/explain.c
+++ b/libchestnuthitch/explain/explain.c
@@ -1,4 +1,4 @@
-/* Lines of nodes' logs, gathered. */
+/* Collects what the report needs from the log lines of nodes. */
 
 #include "explain/explain_internal.h"
 
@@ -7,9 +7,8 @@
 
 #include <string.h>
 
-/* ---- life ---- */
+/* ---- creation and destruction ---- */
 
-/* Frees a row. */
 static void
 free_row(void *data)
 {
@@ -19,7 +18,6 @@
     g_free(row);
 }
 
-/* Frees a change. */
 static void
 free_change(void *data)
 {
@@ -29,16 +27,15 @@
     g_free(change);
 }
 
-/* Frees what is known of a model that was short. */
 static void
-free_short(void *data)
+free_shortage(void *data)
 {
     struct ch_explain_short *entry = data;
     g_free(entry->model);
     g_free(entry);
 }
 
-/* Nothing gathered yet. */
+/* See explain.h. */
 struct ch_explain *
 ch_explain_new(unsigned interval)
 {
@@ -50,11 +47,11 @@
         g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_change);
     explain->changes = g_ptr_array_new_with_free_func(free_change);
     explain->shorts =
-        g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_short);
+        g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_shortage);
     return explain;
 }
 
-/* Frees all that was gathered. */
+/* Frees explain, which may be NULL. */
 void
 ch_explain_free(struct ch_explain *explain)
 {
@@ -68,11 +65,11 @@
     g_free(explain);
 }
 
-/* ---- members ---- */
+/* ---- JSON members ---- */
 
-/* A member that is a whole number; 0: it is none. */
+/* An integer member, or 0 if the member is absent or has another type. */
 static int64_t
-number_of(JsonObject *object, const char *name)
+get_integer(JsonObject *object, const char *name)
 {
     JsonNode *node = json_object_get_member(object, name);
     return node != NULL && JSON_NODE_HOLDS_VALUE(node) &&
@@ -81,9 +78,9 @@
                : 0;
 }
 
-/* A member that is true. */
+/* True if the member is the boolean true. */
 static bool
-flag_of(JsonObject *object, const char *name)
+get_flag(JsonObject *object, const char *name)
 {
     JsonNode *node = json_object_get_member(object, name);
     return node != NULL && JSON_NODE_HOLDS_VALUE(node) &&
@@ -91,9 +88,9 @@
            json_node_get_boolean(node);
 }
 
-/* The time of a line in microseconds since 1970; 0: it has none. */
+/* The time of a line in microseconds since 1970, or 0 without a valid time. */
 static int64_t
-time_of(JsonObject *object)
+get_time(JsonObject *object)
 {
     const char *text = ch_json_text(object, "time");
     GDateTime *time =
@@ -101,17 +98,16 @@
     if (time == NULL) {
         return 0;
     }
-    int64_t micros = g_date_time_to_unix(time) * G_USEC_PER_SEC +
-                     g_date_time_get_microsecond(time);
+    int64_t unix_time_us = g_date_time_to_unix(time) * G_USEC_PER_SEC +
+                           g_date_time_get_microsecond(time);
     g_date_time_unref(time);
-    return micros;
+    return unix_time_us;
 }
 
 /* ---- requests ---- */
 
-/* What a result code says of a request's end. */
 static enum ch_ending
-ending_of(int64_t code)
+outcome_of_code(int64_t code)
 {
     switch (code) {
     case CH_OK:
@@ -143,77 +139,84 @@
     }
 }
 
-/* The row of a model in the interval of a time, added when there is none. */
+/* The row for a model and the interval that contains time (microseconds since
+ * 1970).  Adds the row if there is none. */
 static struct ch_explain_row *
-row_of(struct ch_explain *explain, const char *model, int64_t time)
+get_row(struct ch_explain *explain, const char *model, int64_t time)
 {
-    int64_t number = time / G_USEC_PER_SEC / explain->interval;
-    char *key = g_strdup_printf("%" G_GINT64_FORMAT " %s", number, model);
+    int64_t interval_index = time / G_USEC_PER_SEC / explain->interval;
+    char *key =
+        g_strdup_printf("%" G_GINT64_FORMAT " %s", interval_index, model);
     struct ch_explain_row *row = g_hash_table_lookup(explain->rows, key);
     if (row != NULL) {
         g_free(key);
         return row;
     }
     row = g_new0(struct ch_explain_row, 1);
-    row->interval = number;
+    row->interval = interval_index;
     row->model = g_strdup(model);
     row->firsts = g_array_new(FALSE, FALSE, sizeof(int64_t));
     g_hash_table_insert(explain->rows, key, row);
     return row;
 }
 
-/* A request that has ended; counted when it came. */
+/* Adds a finished request to the interval in which the request arrived, which
+ * is total_us before the time of the line. */
 static void
-take_request(struct ch_explain *explain, JsonObject *line, int64_t time)
+add_request(struct ch_explain *explain, JsonObject *line, int64_t time)
 {
     const char *model = ch_json_text(line, "model");
-    int64_t first = number_of(line, "first_us");
+    int64_t first_data_time = get_integer(line, "first_us");
     if (model == NULL || model[0] == '\0') {
         return;
     }
     struct ch_explain_row *row =
-        row_of(explain, model, time - number_of(line, "total_us"));
-    enum ch_ending ending = ending_of(number_of(line, "code"));
-    row->endings[ending]++;
-    row->in_time += ending == CH_ENDING_SERVED && first > 0 &&
-                            first <= number_of(line, "target_us")
+        get_row(explain, model, time - get_integer(line, "total_us"));
+    enum ch_ending outcome = outcome_of_code(get_integer(line, "code"));
+    row->endings[outcome]++;
+    row->in_time += outcome == CH_ENDING_SERVED && first_data_time > 0 &&
+                            first_data_time <= get_integer(line, "target_us")
                         ? 1
                         : 0;
-    if (first > 0) {
-        g_array_append_val(row->firsts, first);
+    if (first_data_time > 0) {
+        g_array_append_val(row->firsts, first_data_time);
     }
 }
 
-/* ---- changes of models ---- */
+/* ---- changes of the models on engines ---- */
 
-/* A load or unload was decided. */
+/* Adds a decision to load or unload a model.  An unload begins a change only
+ * if the memory is reserved for another model.  A decision for another model
+ * than that of the pending change replaces the pending change. */
 static void
-take_move(struct ch_explain *explain, JsonObject *line, int64_t time)
+add_model_move(struct ch_explain *explain, JsonObject *line, int64_t time)
 {
     const char *upstream = ch_json_text(line, "upstream");
     const char *model = ch_json_text(line, "model");
-    const char *pledged = ch_json_text(line, "pledged");
-    bool loads = g_strcmp0(ch_json_text(line, "action"), "load") == 0;
-    const char *comes = loads ? model : pledged;
-    if (upstream == NULL || comes == NULL || comes[0] == '\0') {
+    const char *reserved_for = ch_json_text(line, "pledged");
+    bool is_load = g_strcmp0(ch_json_text(line, "action"), "load") == 0;
+    const char *incoming_model = is_load ? model : reserved_for;
+    if (upstream == NULL || incoming_model == NULL ||
+        incoming_model[0] == '\0') {
         return;
     }
     struct ch_explain_change *change =
         g_hash_table_lookup(explain->changing, upstream);
-    if (change == NULL || strcmp(change->model, comes) != 0) {
+    if (change == NULL || strcmp(change->model, incoming_model) != 0) {
         change = g_new0(struct ch_explain_change, 1);
         change->upstream = g_strdup(upstream);
-        change->model = g_strdup(comes);
+        change->model = g_strdup(incoming_model);
         change->decided = time;
         g_hash_table_replace(explain->changing, change->upstream, change);
     }
-    change->load = loads ? time : change->load;
-    change->from_store = change->from_store || flag_of(line, "from_store");
+    change->load = is_load ? time : change->load;
+    change->from_store = change->from_store || get_flag(line, "from_store");
 }
 
-/* A model has gone: there is room, if one was to come. */
+/* Adds a finished unload: memory is free for the pending change, unless its
+ * load was decided before. */
 static void
-take_unloaded(struct ch_explain *explain, JsonObject *line, int64_t time)
+add_model_unloaded(struct ch_explain *explain, JsonObject *line, int64_t time)
 {
     const char *upstream = ch_json_text(line, "upstream");
     struct ch_explain_change *change =
@@ -224,9 +227,9 @@
     }
 }
 
-/* A model has come: the change is done. */
+/* Adds a finished load, which ends the pending change. */
 static void
-take_loaded(struct ch_explain *explain, JsonObject *line, int64_t time)
+add_model_loaded(struct ch_explain *explain, JsonObject *line, int64_t time)
 {
     const char *upstream = ch_json_text(line, "upstream");
     const char *model = ch_json_text(line, "model");
@@ -241,18 +244,19 @@
     g_ptr_array_add(explain->changes, change);
 }
 
-/* ---- models that stay short ---- */
+/* ---- models with a shortage ---- */
 
-/* A holder found a model short and did nothing for it. */
+/* Adds a line of a lease holder that found a shortage of a model and
+ * decided neither to load the model nor to free memory for it. */
 static void
-take_short(struct ch_explain *explain, JsonObject *line, int64_t time)
+add_model_shortage(struct ch_explain *explain, JsonObject *line, int64_t time)
 {
     (void)time;
     const char *model = ch_json_text(line, "model");
     if (model == NULL) {
         return;
     }
-    unsigned replicas = (unsigned)number_of(line, "replicas");
+    unsigned replicas = (unsigned)get_integer(line, "replicas");
     struct ch_explain_short *entry =
         g_hash_table_lookup(explain->shorts, model);
     if (entry == NULL) {
@@ -263,36 +267,39 @@
     }
     entry->lines++;
     entry->most_asked =
-        MAX(entry->most_asked, number_of(line, "asked_thousandths"));
+        MAX(entry->most_asked, get_integer(line, "asked_thousandths"));
     entry->least_replicas = MIN(entry->least_replicas, replicas);
-    entry->changing += number_of(line, "changing");
-    entry->no_room += number_of(line, "no_room");
-    entry->no_load += number_of(line, "no_load");
+    entry->changing += get_integer(line, "changing");
+    entry->no_room += get_integer(line, "no_room");
+    entry->no_load += get_integer(line, "no_load");
 }
 
-/* ---- lines ---- */
+/* ---- log lines ---- */
 
 static const struct {
     const char *event;
-    void (*take)(struct ch_explain *explain, JsonObject *line, int64_t time);
+    void (*add)(struct ch_explain *explain, JsonObject *line, int64_t time);
 } events[] = {
-    {"request", take_request},         {"model-move", take_move},
-    {"model-unloaded", take_unloaded}, {"model-loaded", take_loaded},
-    {"model-short", take_short},
+    {"request", add_request},
+    {"model-move", add_model_move},
+    {"model-unloaded", add_model_unloaded},
+    {"model-loaded", add_model_loaded},
+    {"model-short", add_model_shortage},
 };
 
-/* Takes what is known of an event, and passes others over. */
+/* Adds an event; other kinds of events are ignored.  False if the object has
+ * no event or no valid time. */
 static bool
-take_object(struct ch_explain *explain, JsonObject *object)
+add_event(struct ch_explain *explain, JsonObject *object)
 {
     const char *event = ch_json_text(object, "event");
-    int64_t time = time_of(object);
+    int64_t time = get_time(object);
     if (event == NULL || time == 0) {
         return false;
     }
     for (size_t i = 0; i < G_N_ELEMENTS(events); i++) {
         if (strcmp(events[i].event, event) == 0) {
-            events[i].take(explain, object, time);
+            events[i].add(explain, object, time);
         }
     }
     return true;
@@ -302,17 +309,17 @@
 bool
 ch_explain_line(struct ch_explain *explain, const char *line)
 {
-    const char *begin = strchr(line, '{');
-    if (begin == NULL) {
+    const char *json = strchr(line, '{');
+    if (json == NULL) {
         return false;
     }
-    size_t length = strlen(begin);
-    while (length > 0 && g_ascii_isspace(begin[length - 1])) {
+    size_t length = strlen(json);
+    while (length > 0 && g_ascii_isspace(json[length - 1])) {
         length--;
     }
     JsonParser *parser = NULL;
-    JsonObject *object = ch_json_object(begin, length, &parser);
-    bool fine = object != NULL && take_object(explain, object);
+    JsonObject *object = ch_json_object(json, length, &parser);
+    bool ok = object != NULL && add_event(explain, object);
     g_object_unref(parser);
-    return fine;
+    return ok;
 }
--- a/libchestnuthitch/explain/explain.h
+++ b/libchestnuthitch/explain/explain.h
@@ -2,9 +2,10 @@
 #define CH_EXPLAIN_H
 
 /*
- * What nodes' logs tell of requests for models: how many were asked for, what
- * became of them and why, how long changes of models took, and which models
- * were short.  No files, no clock.
+ * Report on requests for models, made from the logs of nodes: how many
+ * requests arrived, their outcomes and the reasons, how long changes of the
+ * models on engines took, and which models had a shortage of engines.  Reads
+ * neither files nor the clock.
  */
 
 #include <glib.h>
@@ -13,15 +14,16 @@
 
 struct ch_explain;
 
-/* interval: seconds of one row, at least 1. */
+/* interval: length of a report row in seconds; 0 counts as 1. */
 struct ch_explain *ch_explain_new(unsigned interval);
 void ch_explain_free(struct ch_explain *explain);
 
-/* Takes one line of a log, in any order among nodes; what stands before the
-   object is passed over.  False: it is no line of a node's log. */
+/* Adds one log line.  Lines of different nodes may come in any order.  Text
+   before the JSON object is skipped.  Returns false if the line isn't a log
+   line of a node. */
 bool ch_explain_line(struct ch_explain *explain, const char *line);
 
-/* The report as text; a new string. */
+/* Returns the report as a new string. */
 char *ch_explain_report(struct ch_explain *explain);
 
 #endif
--- a/libchestnuthitch/explain/explain_report.c
+++ b/libchestnuthitch/explain/explain_report.c
@@ -1,4 +1,4 @@
-/* What was gathered from logs, as text. */
+/* Writes the report as text. */
 
 #include "explain/explain_internal.h"
 
@@ -7,32 +7,32 @@
 #include <string.h>
 
 enum {
-    /* Changes that took longest are listed, so many. */
-    MOST_LONGEST = 5,
+    /* The report lists this many of the changes that took longest. */
+    LONGEST_CHANGES_SHOWN = 5,
 };
 
-static const char *const endings[CH_ENDING_COUNT] = {
+static const char *const outcome_names[CH_ENDING_COUNT] = {
     "served", "full", "absent", "refused", "engine", "time", "gone", "other",
 };
 
 /* ---- numbers ---- */
 
-/* The value below which a part of the values lies, in milliseconds; they are
- * put in order. */
+/* The value (microseconds) below which the fraction of the values lies, in
+ * milliseconds; 0 without values.  Sorts the values. */
 static double
-part_ms(GArray *values, double part)
+percentile_ms(GArray *values, double fraction)
 {
     if (values->len == 0) {
         return 0;
     }
     g_array_sort(values, ch_compare_int64);
-    guint at = (guint)(part * (values->len - 1));
-    return (double)g_array_index(values, int64_t, at) / 1000;
+    guint index = (guint)(fraction * (values->len - 1));
+    return (double)g_array_index(values, int64_t, index) / 1000;
 }
 
-/* Adds a time of day, in UTC. */
+/* Appends the time of day in UTC; seconds since 1970. */
 static void
-add_clock(GString *out, int64_t seconds)
+append_time_of_day(GString *out, int64_t seconds)
 {
     GDateTime *time = g_date_time_new_from_unix_utc(seconds);
     char *text = g_date_time_format(time, "%H:%M:%S");
@@ -43,9 +43,9 @@
 
 /* ---- requests ---- */
 
-/* Orders rows by time, then by model. */
+/* Sorts rows by time, then by model. */
 static gint
-by_time(gconstpointer a, gconstpointer b)
+compare_rows(gconstpointer a, gconstpointer b)
 {
     const struct ch_explain_row *first = *(struct ch_explain_row *const *)a;
     const struct ch_explain_row *second = *(struct ch_explain_row *const *)b;
@@ -55,28 +55,28 @@
     return strcmp(first->model, second->model);
 }
 
-/* Adds one row. */
 static void
-add_row(GString *out, const struct ch_explain *explain,
-        const struct ch_explain_row *row)
+append_row(GString *out, const struct ch_explain *explain,
+           const struct ch_explain_row *row)
 {
-    unsigned asked = 0;
+    unsigned request_count = 0;
     for (int i = 0; i < CH_ENDING_COUNT; i++) {
-        asked += row->endings[i];
+        request_count += row->endings[i];
     }
-    add_clock(out, row->interval * explain->interval);
-    g_string_append_printf(out, "  %-16s %7u %7u", row->model, asked,
+    append_time_of_day(out, row->interval * explain->interval);
+    g_string_append_printf(out, "  %-16s %7u %7u", row->model, request_count,
                            row->in_time);
     for (int i = 0; i < CH_ENDING_COUNT; i++) {
         g_string_append_printf(out, " %7u", row->endings[i]);
     }
-    g_string_append_printf(out, " %8.0f %8.0f\n", part_ms(row->firsts, 0.5),
-                           part_ms(row->firsts, 0.95));
+    g_string_append_printf(out, " %8.0f %8.0f\n",
+                           percentile_ms(row->firsts, 0.5),
+                           percentile_ms(row->firsts, 0.95));
 }
 
-/* Adds all rows. */
+/* Appends the header and the rows of all intervals and models. */
 static void
-add_rows(GString *out, struct ch_explain *explain)
+append_rows(GString *out, struct ch_explain *explain)
 {
     GPtrArray *rows = g_ptr_array_new();
     GHashTableIter iterator;
@@ -85,24 +85,24 @@
     while (g_hash_table_iter_next(&iterator, NULL, &row)) {
         g_ptr_array_add(rows, row);
     }
-    g_ptr_array_sort(rows, by_time);
+    g_ptr_array_sort(rows, compare_rows);
     g_string_append_printf(out, "%-8s  %-16s %7s %7s", "from", "model",
                            "asked", "in time");
     for (int i = 0; i < CH_ENDING_COUNT; i++) {
-        g_string_append_printf(out, " %7s", endings[i]);
+        g_string_append_printf(out, " %7s", outcome_names[i]);
     }
     g_string_append_printf(out, " %8s %8s\n", "p50 ms", "p95 ms");
     for (guint i = 0; i < rows->len; i++) {
-        add_row(out, explain, g_ptr_array_index(rows, i));
+        append_row(out, explain, g_ptr_array_index(rows, i));
     }
     g_ptr_array_free(rows, TRUE);
 }
 
-/* ---- changes ---- */
+/* ---- changes of the models on engines ---- */
 
-/* Orders changes by how long they took, the longest first. */
+/* Sorts changes by duration, the longest first. */
 static gint
-by_length(gconstpointer a, gconstpointer b)
+compare_durations(gconstpointer a, gconstpointer b)
 {
     const struct ch_explain_change *first =
         *(struct ch_explain_change *const *)a;
@@ -113,62 +113,64 @@
     return (x < y) - (x > y);
 }
 
-/* Adds a line on one part of all changes. */
+/* Appends a line on the durations (microseconds) and frees the array. */
 static void
-add_part(GString *out, const char *what, GArray *times)
+append_duration(GString *out, const char *label, GArray *durations)
 {
-    g_string_append_printf(out, "%-22s %5u  p50 %6.0f ms  p90 %6.0f ms\n",
-                           what, times->len, part_ms(times, 0.5),
-                           part_ms(times, 0.9));
-    g_array_free(times, TRUE);
+    g_string_append_printf(
+        out, "%-22s %5u  p50 %6.0f ms  p90 %6.0f ms\n", label, durations->len,
+        percentile_ms(durations, 0.5), percentile_ms(durations, 0.9));
+    g_array_free(durations, TRUE);
 }
 
-/* Adds the parts of all changes. */
+/* Appends how long the changes took in total and in each of their parts. */
 static void
-add_parts(GString *out, const struct ch_explain *explain)
+append_durations(GString *out, const struct ch_explain *explain)
 {
-    GArray *all = g_array_new(FALSE, FALSE, sizeof(int64_t));
-    GArray *rooms = g_array_new(FALSE, FALSE, sizeof(int64_t));
-    GArray *store = g_array_new(FALSE, FALSE, sizeof(int64_t));
-    GArray *copies = g_array_new(FALSE, FALSE, sizeof(int64_t));
+    GArray *totals = g_array_new(FALSE, FALSE, sizeof(int64_t));
+    GArray *unloads = g_array_new(FALSE, FALSE, sizeof(int64_t));
+    GArray *store_loads = g_array_new(FALSE, FALSE, sizeof(int64_t));
+    GArray *copy_loads = g_array_new(FALSE, FALSE, sizeof(int64_t));
     for (guint i = 0; i < explain->changes->len; i++) {
         const struct ch_explain_change *change =
             g_ptr_array_index(explain->changes, i);
-        int64_t whole = change->loaded - change->decided;
-        int64_t room = change->room - change->decided;
+        int64_t total = change->loaded - change->decided;
+        int64_t unload = change->room - change->decided;
         int64_t load = change->loaded - change->load;
-        g_array_append_val(all, whole);
+        g_array_append_val(totals, total);
         if (change->room != 0) {
-            g_array_append_val(rooms, room);
+            g_array_append_val(unloads, unload);
         }
-        g_array_append_val(change->from_store ? store : copies, load);
+        g_array_append_val(change->from_store ? store_loads : copy_loads,
+                           load);
     }
-    add_part(out, "changes, whole", all);
-    add_part(out, "making room", rooms);
-    add_part(out, "loads from the store", store);
-    add_part(out, "loads of a copy", copies);
+    append_duration(out, "changes, whole", totals);
+    append_duration(out, "freeing memory", unloads);
+    append_duration(out, "loads from the store", store_loads);
+    append_duration(out, "loads of a local copy", copy_loads);
 }
 
-/* Adds the changes that took longest. */
+/* Appends the changes that took longest. */
 static void
-add_longest(GString *out, const struct ch_explain *explain)
+append_longest(GString *out, const struct ch_explain *explain)
 {
-    g_ptr_array_sort(explain->changes, by_length);
-    for (guint i = 0; i < explain->changes->len && i < MOST_LONGEST; i++) {
+    g_ptr_array_sort(explain->changes, compare_durations);
+    for (guint i = 0; i < explain->changes->len && i < LONGEST_CHANGES_SHOWN;
+         i++) {
         const struct ch_explain_change *change =
             g_ptr_array_index(explain->changes, i);
-        add_clock(out, change->decided / G_USEC_PER_SEC);
+        append_time_of_day(out, change->decided / G_USEC_PER_SEC);
         g_string_append_printf(out, "  %s on %s: %" G_GINT64_FORMAT " ms\n",
                                change->model, change->upstream,
                                (change->loaded - change->decided) / 1000);
     }
 }
 
-/* ---- models that stayed short ---- */
+/* ---- models with a shortage ---- */
 
-/* Orders models by how often they were short. */
+/* Sorts models by the number of lines on their shortage, the highest first. */
 static gint
-by_lines(gconstpointer a, gconstpointer b)
+compare_shortages(gconstpointer a, gconstpointer b)
 {
     const struct ch_explain_short *first = a;
     const struct ch_explain_short *second = b;
@@ -178,17 +180,18 @@
     return strcmp(first->model, second->model);
 }
 
-/* Adds all of them; obstacles are means of engines. */
+/* Appends all shortages.  The numbers of engines that are changing, have no
+ * room or get no load are means per line. */
 static void
-add_shorts(GString *out, const struct ch_explain *explain)
+append_shortages(GString *out, const struct ch_explain *explain)
 {
-    GList *entries =
-        g_list_sort(g_hash_table_get_values(explain->shorts), by_lines);
+    GList *entries = g_list_sort(g_hash_table_get_values(explain->shorts),
+                                 compare_shortages);
     g_string_append_printf(out, "%-16s %6s %9s %8s %9s %8s %8s\n", "model",
                            "lines", "asked", "replicas", "changing", "no room",
                            "no load");
-    for (const GList *at = entries; at != NULL; at = at->next) {
-        const struct ch_explain_short *entry = at->data;
+    for (const GList *node = entries; node != NULL; node = node->next) {
+        const struct ch_explain_short *entry = node->data;
         double lines = entry->lines;
         g_string_append_printf(
             out, "%-16s %6u %9.1f %8u %9.1f %8.1f %8.1f\n", entry->model,
@@ -204,14 +207,14 @@
 ch_explain_report(struct ch_explain *explain)
 {
     GString *out = g_string_new(NULL);
-    add_rows(out, explain);
+    append_rows(out, explain);
     g_string_append(out, "\nChanges of models\n");
-    add_parts(out, explain);
+    append_durations(out, explain);
     if (explain->changes->len > 0) {
         g_string_append(out, "the longest:\n");
-        add_longest(out, explain);
+        append_longest(out, explain);
     }
-    g_string_append(out, "\nModels that stayed short\n");
-    add_shorts(out, explain);
+    g_string_append(out, "\nModels with a shortage\n");
+    append_shortages(out, explain);
     return g_string_free(out, FALSE);
 }
