--- a/libchestnuthitch/base/declaration.c
+++ b/libchestnuthitch/base/declaration.c
@@ -41,8 +41,8 @@
 
 /* The groups of the file by kind, each array sorted by name. */
 struct parsed {
-    GArray *classes;  /* struct raw_class */
-    GArray *models;   /* struct raw_model */
+    GArray *classes;  /* struct parsed_class */
+    GArray *models;   /* struct parsed_model */
     GArray *services; /* struct ch_service */
     struct ch_caller_limits limits;
 };
@@ -57,7 +57,8 @@
 /*
  * Latency targets range from 1 ms to 10 minutes for the first token and to 1
  * hour for a complete response; a larger value is more likely a typing error.
- * A default of 0 stands for "no target"; an operator can't write 0.
+ * A target of 0, the default, stands for "no target"; an operator can't write
+ * 0.
  */
 static const struct ch_ini_row rows[] = {
     {"class", "first-token-ms", CH_INI_MILLISECONDS, CLASS(first_token), "", 1,
@@ -131,7 +132,7 @@
     MAX_SERVICES = 1024,
 };
 
-/* ---- reading ---- */
+/* ---- parsing ---- */
 
 static void
 clear_class(void *data)
@@ -990,8 +991,7 @@
 }
 
 /* See base.h.  A linear search is fast enough, as the search
- * compares hundreds of short
- * strings, for about ten requests a second. */
+ * compares hundreds of short strings, for about ten requests a second. */
 int
 ch_declaration_route(const struct ch_declaration *declaration,
                      const char *host, const char *path, size_t length)
--- a/libchestnuthitch/explain/explain_internal.h
+++ b/libchestnuthitch/explain/explain_internal.h
@@ -36,7 +36,7 @@
     int64_t decided;
     int64_t room;   /* the last unload ended; 0: no unload ended */
     int64_t load;   /* when the load was decided; 0: not yet */
-    int64_t loaded; /* 0: not yet */
+    int64_t loaded; /* when the load ended; 0: not yet */
     bool from_store;
 };
 
@@ -44,7 +44,7 @@
 struct ch_explain_short {
     char *model;
     unsigned lines;
-    int64_t most_asked; /* thousandths of an engine's time */
+    int64_t most_asked; /* demand; thousandths of an engine */
     unsigned least_replicas;
     int64_t changing; /* engines with a pending change; sum over the lines */
     int64_t no_room;  /* engines that can't free enough memory; sum over the
@@ -56,7 +56,7 @@
 struct ch_explain {
     unsigned interval;    /* seconds */
     GHashTable *rows;     /* "INTERVAL MODEL" to struct ch_explain_row */
-    GHashTable *changing; /* upstream to struct ch_explain_change */
+    GHashTable *changing; /* upstream to struct ch_explain_change, pending */
     GPtrArray *changes;   /* struct ch_explain_change, finished */
     GHashTable *shorts;   /* model to struct ch_explain_shortage */
 };
--- a/libchestnuthitch/explain/explain_report.c
+++ b/libchestnuthitch/explain/explain_report.c
@@ -180,8 +180,8 @@
     return strcmp(first->model, second->model);
 }
 
-/* Appends all shortages.  The numbers of engines that are changing, have no
- * room or get no load are means per line. */
+/* Appends all shortages.  The numbers of engines with a pending change,
+ * without enough memory or without a load are means per line. */
 static void
 append_shortages(GString *out, const struct ch_explain *explain)
 {
