--- a/libchestnuthitch/explain/explain_report.c
+++ b/libchestnuthitch/explain/explain_report.c
@@ -145,9 +145,9 @@
                            load);
     }
     append_duration(out, "changes, whole", totals);
-    append_duration(out, "freeing memory", unloads);
+    append_duration(out, "making room", unloads);
     append_duration(out, "loads from the store", store_loads);
-    append_duration(out, "loads of a local copy", copy_loads);
+    append_duration(out, "loads of a copy", copy_loads);
 }
 
 /* Appends the changes that took longest. */
@@ -214,7 +214,7 @@
         g_string_append(out, "the longest:\n");
         append_longest(out, explain);
     }
-    g_string_append(out, "\nModels with a shortage\n");
+    g_string_append(out, "\nModels that stayed short\n");
     append_shortages(out, explain);
     return g_string_free(out, FALSE);
 }
--- a/tests/unit/test_explain.c
+++ b/tests/unit/test_explain.c
@@ -44,9 +44,9 @@
       HEAD("07.700", "model-loaded") ",\"upstream\":\"e1\",\"model\":\"m2\","
                                      "\"took_us\":4500000}"},
      "changes, whole             1  p50   6700 ms  p90   6700 ms\n"
-     "freeing memory             1  p50   2000 ms  p90   2000 ms\n"
+     "making room                1  p50   2000 ms  p90   2000 ms\n"
      "loads from the store       1  p50   4500 ms  p90   4500 ms\n"
-     "loads of a local copy      0  p50      0 ms  p90      0 ms\n"
+     "loads of a copy            0  p50      0 ms  p90      0 ms\n"
      "the longest:\n"
      "00:00:01  m2 on e1: 6700 ms\n"},
     {"a change that another change replaced does not count",
