--- a/cli/admin_client.c
+++ b/cli/admin_client.c
@@ -1,4 +1,4 @@
-/* Calls to a node's admin listener, by libcurl's easy interface. */
+/* Calls to a node's admin listener with libcurl's easy interface. */
 
 #include "admin_client.h"
 
@@ -8,105 +8,111 @@
 #include <string.h>
 
 enum {
-    CONNECT_MS = 2000,
-    /* Above the node's own time-outs to the key-value service, so that the
-       node's clear answer comes before this one. */
-    TOTAL_MS = 15000,
-    MOST_ANSWER_BYTES = 64 * 1024 * 1024,
+    CONNECT_TIMEOUT_MS = 2000,
+    /* Longer than the node's own timeouts for calls to the key-value store, so
+       that the node's specific error arrives before this timeout ends. */
+    CALL_TIMEOUT_MS = 15000,
+    MAX_RESPONSE_BYTES = 64 * 1024 * 1024,
 };
 
-/* Gathers the body; too much of it ends the call. */
+/* Write callback of libcurl: appends to the response body.  Returning 0 makes
+ * libcurl abort the call when the body is too large. */
 static size_t
-keep_body(char *bytes, size_t size, size_t count, void *data)
+append_body(char *bytes, size_t size, size_t count, void *data)
 {
     GString *body = data;
-    if (body->len + size * count > MOST_ANSWER_BYTES) {
+    if (body->len + size * count > MAX_RESPONSE_BYTES) {
         return 0;
     }
     g_string_append_len(body, bytes, (gssize)(size * count));
     return size * count;
 }
 
-/* Sets what every call needs.  A handle of its own for each call: its first
- * connection is fresh, so that libcurl has none to send a POST on again. */
+/* Sets the options that every call needs.  Each call has its own handle and a
+ * fresh connection: on a reused connection, libcurl could send a POST a second
+ * time. */
 static void
 set_options(CURL *curl, const char *url, const char *method, const char *body,
-            GString *out)
+            GString *response_body)
 {
     curl_easy_setopt(curl, CURLOPT_URL, url);
     curl_easy_setopt(curl, CURLOPT_CUSTOMREQUEST, method);
     curl_easy_setopt(curl, CURLOPT_FRESH_CONNECT, 1L);
     curl_easy_setopt(curl, CURLOPT_NOSIGNAL, 1L);
     curl_easy_setopt(curl, CURLOPT_NOPROXY, "*");
-    curl_easy_setopt(curl, CURLOPT_CONNECTTIMEOUT_MS, (long)CONNECT_MS);
-    curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, (long)TOTAL_MS);
-    curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, keep_body);
-    curl_easy_setopt(curl, CURLOPT_WRITEDATA, out);
+    curl_easy_setopt(curl, CURLOPT_CONNECTTIMEOUT_MS,
+                     (long)CONNECT_TIMEOUT_MS);
+    curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, (long)CALL_TIMEOUT_MS);
+    curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, append_body);
+    curl_easy_setopt(curl, CURLOPT_WRITEDATA, response_body);
     if (body != NULL) {
         curl_easy_setopt(curl, CURLOPT_POSTFIELDS, body);
         curl_easy_setopt(curl, CURLOPT_POSTFIELDSIZE, (long)strlen(body));
     }
 }
 
-/* One call to one node ("ip:port"); body NULL: none.  The answer's members
- * are new; status 0 with a message when no whole answer came. */
+/* Calls one node ("ip:port"); a NULL body sends none.  When no complete
+ * response arrives, its status is 0 and its error message says why.  Free the
+ * response with cli_response_clear(). */
 void
 cli_call(const char *node, const char *method, const char *path,
-         const char *body, struct cli_answer *answer)
+         const char *body, struct cli_answer *response)
 {
-    *answer = (struct cli_answer){0};
-    GString *out = g_string_new(NULL);
+    *response = (struct cli_answer){0};
+    GString *response_body = g_string_new(NULL);
     CURL *curl = curl_easy_init();
     char *url = g_strdup_printf("http://%s%s", node, path);
     struct curl_slist *headers =
         curl_slist_append(NULL, "Content-Type: text/plain; charset=utf-8");
     headers = curl_slist_append(headers, "Expect:");
-    set_options(curl, url, method, body, out);
+    set_options(curl, url, method, body, response_body);
     curl_easy_setopt(curl, CURLOPT_HTTPHEADER, headers);
     CURLcode result = curl_easy_perform(curl);
     long status = 0;
-    curl_off_t connected = 0;
+    curl_off_t connect_time = 0;
     curl_easy_getinfo(curl, CURLINFO_RESPONSE_CODE, &status);
-    curl_easy_getinfo(curl, CURLINFO_CONNECT_TIME_T, &connected);
-    answer->sent = connected > 0;
+    curl_easy_getinfo(curl, CURLINFO_CONNECT_TIME_T, &connect_time);
+    response->sent = connect_time > 0;
     if (result == CURLE_OK) {
-        answer->status = (int)status;
+        response->status = (int)status;
     }
     else {
-        (void)snprintf(answer->message, sizeof(answer->message), "%s: %s",
+        (void)snprintf(response->message, sizeof(response->message), "%s: %s",
                        node, curl_easy_strerror(result));
     }
-    answer->body = g_string_free(out, FALSE);
+    response->body = g_string_free(response_body, FALSE);
     curl_slist_free_all(headers);
     curl_easy_cleanup(curl);
     g_free(url);
 }
 
-/* The same call to each node in turn until one answers.  A call with a body
- * goes to the next node only if nothing was sent to this one. */
+/* Calls the nodes in turn until one responds.  A call with a body may change
+ * state, so that it is tried at the next node only if nothing was sent to the
+ * previous one.  Free the response with cli_response_clear(). */
 void
 cli_call_any(char **nodes, const char *method, const char *path,
-             const char *body, struct cli_answer *answer)
+             const char *body, struct cli_answer *response)
 {
     for (size_t i = 0; nodes[i] != NULL; i++) {
-        cli_call(nodes[i], method, path, body, answer);
-        bool done = answer->status != 0 || (body != NULL && answer->sent);
+        cli_call(nodes[i], method, path, body, response);
+        bool done = response->status != 0 || (body != NULL && response->sent);
         if (done || nodes[i + 1] == NULL) {
             return;
         }
-        cli_answer_clear(answer);
+        cli_answer_clear(response);
     }
 }
 
-/* Frees what an answer holds. */
+/* Frees the body, but not the structure itself. */
 void
-cli_answer_clear(struct cli_answer *answer)
+cli_answer_clear(struct cli_answer *response)
 {
-    g_free(answer->body);
-    answer->body = NULL;
+    g_free(response->body);
+    response->body = NULL;
 }
 
-/* True when at least one node is named, and each as ip:port; else says so. */
+/* Returns true if there is at least one node and each is an ip:port; otherwise
+ * prints an error. */
 bool
 cli_nodes_check(char **nodes)
 {
@@ -127,9 +133,9 @@
     return true;
 }
 
-/* An object's string member; "" when it has none. */
+/* Returns a new copy of a string member; "" if it is missing or no string. */
 static char *
-dup_member(JsonObject *object, const char *name)
+dup_string_member(JsonObject *object, const char *name)
 {
     JsonNode *node = json_object_get_member(object, name);
     if (node == NULL || !JSON_NODE_HOLDS_VALUE(node) ||
@@ -139,9 +145,9 @@
     return g_strdup(json_node_get_string(node));
 }
 
-/* An object's integer member; 0 when it has none. */
+/* Returns an integer member; 0 if it is missing or no integer. */
 static int64_t
-int_member(JsonObject *object, const char *name)
+get_int_member(JsonObject *object, const char *name)
 {
     JsonNode *node = json_object_get_member(object, name);
     if (node == NULL || !JSON_NODE_HOLDS_VALUE(node) ||
@@ -151,10 +157,11 @@
     return json_node_get_int(node);
 }
 
-/* The object of an answer, or its member of that name (NULL: itself); NULL
- * when there is none.  It lives as long as the parser. */
+/* Parses a response and returns its root object, or the object in the named
+ * member of the root; NULL if there is no such object.  The parser owns the
+ * returned object. */
 static JsonObject *
-object_of(JsonParser *parser, const char *json, const char *member)
+parse_object(JsonParser *parser, const char *json, const char *member)
 {
     if (!json_parser_load_from_data(parser, json, -1, NULL)) {
         return NULL;
@@ -169,14 +176,15 @@
     return json_node_get_object(root);
 }
 
-/* Reads a configuration from an answer, or from its member of that name;
- * revision 0 when there is none. */
+/* Reads a configuration from a response, or from the named member of it (NULL:
+ * the response itself).  Without a configuration, the revision is 0 and the
+ * strings are empty.  Free it with cli_config_clear(). */
 void
 cli_config_parse(const char *json, const char *member,
                  struct cli_config *config)
 {
     JsonParser *parser = json_parser_new();
-    JsonObject *object = object_of(parser, json, member);
+    JsonObject *object = parse_object(parser, json, member);
     *config = (struct cli_config){0};
     if (object == NULL) {
         config->token = g_strdup("");
@@ -184,15 +192,15 @@
         config->text = g_strdup("");
     }
     else {
-        config->revision = (uint64_t)int_member(object, "revision");
-        config->token = dup_member(object, "token");
-        config->author = dup_member(object, "author");
-        config->text = dup_member(object, "text");
+        config->revision = (uint64_t)get_int_member(object, "revision");
+        config->token = dup_string_member(object, "token");
+        config->author = dup_string_member(object, "author");
+        config->text = dup_string_member(object, "text");
     }
     g_object_unref(parser);
 }
 
-/* Frees what a configuration holds. */
+/* Frees the strings, but not the structure itself. */
 void
 cli_config_clear(struct cli_config *config)
 {
@@ -201,19 +209,21 @@
     g_free(config->text);
 }
 
-/* Reads a node's error; SYSTEM with the body when it is no such JSON. */
+/* Reads the error in a node's response; CH_SYSTEM with the start of the body
+ * if the response is not a JSON error. */
 void
 cli_error_parse(const char *json, struct ch_error *error)
 {
     JsonParser *parser = json_parser_new();
-    JsonObject *object = object_of(parser, json, "error");
+    JsonObject *object = parse_object(parser, json, "error");
     ch_error_clear(error);
     if (object == NULL) {
-        ch_error_set(error, CH_SYSTEM, "no error of a node: '%.100s'", json);
+        ch_error_set(error, CH_SYSTEM,
+                     "unexpected response from the node: '%.100s'", json);
     }
     else {
-        char *message = dup_member(object, "message");
-        ch_error_set(error, (enum ch_code)int_member(object, "code"), "%s",
+        char *message = dup_string_member(object, "message");
+        ch_error_set(error, (enum ch_code)get_int_member(object, "code"), "%s",
                      message);
         g_free(message);
     }
--- a/cli/admin_client.h
+++ b/cli/admin_client.h
@@ -1,30 +1,31 @@
 #ifndef CLI_ADMIN_CLIENT_H
 #define CLI_ADMIN_CLIENT_H
 
-/* Calls of the operators' commands to a node's admin listener. */
+/* HTTP calls from the operators' commands to a node's admin listener. */
 
 #include "cli.h"
 
 struct cli_answer {
-    int status; /* 0: no answer came */
-    bool sent;  /* some byte of the request may have gone out */
-    char *body; /* NUL-terminated; "" when there is none */
-    char message[160];
+    int status;        /* HTTP status; 0: no complete response was received */
+    bool sent;         /* a part of the request may have been sent */
+    char *body;        /* NUL-terminated; "" for an empty body */
+    char message[160]; /* why there is no response, when status is 0 */
 };
 
-/* Of a configuration as a node gives it. */
+/* A configuration in a node's response.  The strings are never NULL after
+ * cli_config_parse(). */
 struct cli_config {
-    uint64_t revision; /* 0: none is in force */
+    uint64_t revision; /* 0: no configuration is in force */
     char *token;
     char *author;
     char *text;
 };
 
 void cli_call(const char *node, const char *method, const char *path,
-              const char *body, struct cli_answer *answer);
+              const char *body, struct cli_answer *response);
 void cli_call_any(char **nodes, const char *method, const char *path,
-                  const char *body, struct cli_answer *answer);
-void cli_answer_clear(struct cli_answer *answer);
+                  const char *body, struct cli_answer *response);
+void cli_answer_clear(struct cli_answer *response);
 bool cli_nodes_check(char **nodes);
 void cli_config_parse(const char *json, const char *member,
                       struct cli_config *config);
--- a/cli/config.c
+++ b/cli/config.c
@@ -1,4 +1,4 @@
-/* chestnuthitch config: check, show, diff and apply a declaration. */
+/* chestnuthitch config: checks, shows, compares and applies a declaration. */
 
 #include "admin_client.h"
 
@@ -7,58 +7,58 @@
 #include <string.h>
 
 enum {
-    NO_BASE = -1,
+    BASE_IN_FORCE = -1,
 };
 
 struct options {
     char **nodes;
     char *author;
-    gint64 base; /* NO_BASE: the revision in force */
-    char **rest; /* what is left: the verb and its file */
+    gint64 base;      /* revision, or BASE_IN_FORCE */
+    char **arguments; /* positional: the verb and its file */
 };
 
 enum {
-    /* A lost answer is settled by reading back: a write that took effect shows
-       within the key-value service's time-out and a node's watch. */
-    READ_BACK_TRIES = 40,
-    READ_BACK_PAUSE = 250 * 1000,
+    /* After a lost response, the configuration is read back until the outcome
+       is known.  A successful write becomes visible within the timeout of the
+       key-value store plus the delay of a node's watch; the attempts are meant
+       to cover that time. */
+    READ_BACK_ATTEMPTS = 40,
+    READ_BACK_INTERVAL_US = 250 * 1000,
 };
 
-/* Writes an error for the operator. */
 static void
-complain(const char *message)
+print_error(const char *message)
 {
     (void)fprintf(stderr, "chestnuthitch: %s\n", message);
 }
 
-/* Gets the configuration in force (revision 0: none yet); false when no node
- * answered, which is said. */
+/* Reads the configuration in force (revision 0: none yet) from a node.  If no
+ * node gives it, prints an error and returns false. */
 static bool
-fetch(const struct options *options, struct cli_config *config)
+fetch_config(const struct options *options, struct cli_config *config)
 {
-    struct cli_answer answer;
-    cli_call_any(options->nodes, "GET", "/admin/v1/config", NULL, &answer);
-    bool found = answer.status == 200 || answer.status == 404;
+    struct cli_answer response;
+    cli_call_any(options->nodes, "GET", "/admin/v1/config", NULL, &response);
+    bool found = response.status == 200 || response.status == 404;
     if (found) {
-        cli_config_parse(answer.status == 200 ? answer.body : "", NULL,
+        cli_config_parse(response.status == 200 ? response.body : "", NULL,
                          config);
     }
     else {
-        complain(answer.status == 0 ? answer.message : answer.body);
+        print_error(response.status == 0 ? response.message : response.body);
     }
-    cli_answer_clear(&answer);
+    cli_answer_clear(&response);
     return found;
 }
 
-/* Writes who made a revision. */
+/* Writes a line with the number of a revision and its author. */
 static void
-print_revision(FILE *out, const char *before, const struct cli_config *config)
+print_revision(FILE *out, const char *prefix, const struct cli_config *config)
 {
-    (void)fprintf(out, "%srevision %" PRIu64 " by %s\n", before,
+    (void)fprintf(out, "%srevision %" PRIu64 " by %s\n", prefix,
                   config->revision, config->author);
 }
 
-/* Writes the difference between what is in force and a declaration. */
 static void
 print_diff(const char *from, const char *to)
 {
@@ -73,24 +73,25 @@
           const struct ch_declaration *declaration)
 {
     (void)printf("%s: %zu classes, %zu models, %zu services\n",
-                 options->rest[1], declaration->class_count,
+                 options->arguments[1], declaration->class_count,
                  declaration->model_count, declaration->service_count);
     return CLI_OK;
 }
 
-/* config show: the declaration in force, as a file that can be applied. */
+/* config show: prints the declaration in force in a form that can be
+ * applied. */
 static int
 run_show(const struct options *options,
          const struct ch_declaration *declaration)
 {
     (void)declaration;
     struct cli_config config;
-    if (!fetch(options, &config)) {
+    if (!fetch_config(options, &config)) {
         return CLI_AWAY;
     }
     int status = CLI_OK;
     if (config.revision == 0) {
-        complain("no configuration is in force yet");
+        print_error("no configuration is in force yet");
         status = CLI_FAILED;
     }
     else {
@@ -101,13 +102,14 @@
     return status;
 }
 
-/* config diff FILE: from what is in force to the file. */
+/* config diff FILE: prints the changes from the declaration in force to the
+ * file. */
 static int
 run_diff(const struct options *options,
          const struct ch_declaration *declaration)
 {
     struct cli_config config;
-    if (!fetch(options, &config)) {
+    if (!fetch_config(options, &config)) {
         return CLI_AWAY;
     }
     print_diff(config.text, declaration->text);
@@ -115,7 +117,8 @@
     return CLI_OK;
 }
 
-/* Says that somebody else was first, and what would still change. */
+/* Reports that another author changed the configuration first, and prints the
+ * changes that the file would still make. */
 static int
 report_conflict(const struct cli_config *config,
                 const struct ch_declaration *declaration)
@@ -127,12 +130,13 @@
     return CLI_CONFLICT;
 }
 
-/* What one look tells of an apply whose answer was lost: an exit status, or -1
- * when the base is still in force.  Somebody else's later revision does not
- * tell whether the file was in force before it. */
+/* Evaluates one read-back after an apply whose response was lost.  Returns an
+ * exit status, or -1 while the base is still in force.  If another author's
+ * later revision is in force, it is unknown whether the file was in force
+ * before that revision. */
 static int
-settle(const struct cli_config *config,
-       const struct ch_declaration *declaration, uint64_t base)
+evaluate_read_back(const struct cli_config *config,
+                   const struct ch_declaration *declaration, uint64_t base)
 {
     if (config->revision <= base) {
         return -1;
@@ -142,7 +146,7 @@
         return CLI_OK;
     }
     print_revision(stderr,
-                   "chestnuthitch: the answer was lost; now in force is ",
+                   "chestnuthitch: the response was lost; now in force is ",
                    config);
     (void)fprintf(stderr, "The file may have been in force before it.  From "
                           "that revision to your file:\n");
@@ -150,105 +154,109 @@
     return CLI_AWAY;
 }
 
-/* Settles an apply whose answer was lost by looking at what is in force. */
+/* Finds the outcome of an apply whose response was lost by reading back the
+ * configuration in force.  Returns an exit status. */
 static int
-read_back(const struct options *options,
-          const struct ch_declaration *declaration, uint64_t base)
+resolve_lost_apply(const struct options *options,
+                   const struct ch_declaration *declaration, uint64_t base)
 {
-    for (int i = 0; i < READ_BACK_TRIES; i++) {
+    for (int i = 0; i < READ_BACK_ATTEMPTS; i++) {
         struct cli_config config;
-        if (fetch(options, &config)) {
-            int status = settle(&config, declaration, base);
+        if (fetch_config(options, &config)) {
+            int status = evaluate_read_back(&config, declaration, base);
             cli_config_clear(&config);
             if (status >= 0) {
                 return status;
             }
         }
-        g_usleep(READ_BACK_PAUSE);
+        g_usleep(READ_BACK_INTERVAL_US);
     }
-    complain("the answer was lost and the file is not in force; it may still "
-             "come into force: run `config show` before applying again");
+    print_error(
+        "the response was lost and the file is not in force; it may still "
+        "come into force: run `config show` before applying again");
     return CLI_AWAY;
 }
 
-/* The exit status that a refusal of the node stands for. */
+/* Maps an error in a node's response to an exit status. */
 static int
-refusal_status(const struct ch_error *error)
+error_exit_status(const struct ch_error *error)
 {
-    int http = ch_code_http(error->code);
-    if (http >= 500) {
+    int http_status = ch_code_http(error->code);
+    if (http_status >= 500) {
         return CLI_AWAY;
     }
-    return http == 400 || http == 413 ? CLI_BAD_INPUT : CLI_FAILED;
+    return http_status == 400 || http_status == 413 ? CLI_BAD_INPUT
+                                                    : CLI_FAILED;
 }
 
-/* Turns the node's answer to an apply into words and an exit status. */
+/* Prints the outcome of an apply and returns its exit status. */
 static int
 report_apply(const struct options *options,
              const struct ch_declaration *declaration, uint64_t base,
-             const struct cli_answer *answer)
+             const struct cli_answer *response)
 {
     struct cli_config config;
     struct ch_error error;
-    if (answer->status == 200) {
-        cli_config_parse(answer->body, NULL, &config);
+    if (response->status == 200) {
+        cli_config_parse(response->body, NULL, &config);
         print_revision(stdout, "in force: ", &config);
         cli_config_clear(&config);
         return CLI_OK;
     }
-    if (answer->status == 0) {
-        complain(answer->message);
-        return answer->sent ? read_back(options, declaration, base) : CLI_AWAY;
+    if (response->status == 0) {
+        print_error(response->message);
+        return response->sent ? resolve_lost_apply(options, declaration, base)
+                              : CLI_AWAY;
     }
-    cli_error_parse(answer->body, &error);
+    cli_error_parse(response->body, &error);
     if (error.code == CH_KV_CONFLICT) {
-        cli_config_parse(answer->body, "config", &config);
+        cli_config_parse(response->body, "config", &config);
         int status = report_conflict(&config, declaration);
         cli_config_clear(&config);
         return status;
     }
-    complain(error.message);
+    print_error(error.message);
     if (ch_code_outcome(error.code) == CH_UNKNOWN) {
-        return read_back(options, declaration, base);
+        return resolve_lost_apply(options, declaration, base);
     }
-    return refusal_status(&error);
+    return error_exit_status(&error);
 }
 
-/* config apply FILE: compare-and-swap against the revision in force, or the
- * one named with --base. */
+/* config apply FILE: replaces the configuration by compare-and-swap against
+ * the revision in force or the revision given with --base. */
 static int
 run_apply(const struct options *options,
           const struct ch_declaration *declaration)
 {
     struct cli_config config;
-    if (!fetch(options, &config)) {
+    if (!fetch_config(options, &config)) {
         return CLI_AWAY;
     }
-    uint64_t base =
-        options->base == NO_BASE ? config.revision : (uint64_t)options->base;
-    bool same =
+    uint64_t base = options->base == BASE_IN_FORCE ? config.revision
+                                                   : (uint64_t)options->base;
+    bool unchanged =
         config.revision != 0 && strcmp(config.text, declaration->text) == 0;
-    if (same) {
+    if (unchanged) {
         print_revision(stdout, "already in force: ", &config);
     }
     cli_config_clear(&config);
-    if (same) {
+    if (unchanged) {
         return CLI_OK;
     }
     char *path = g_strdup_printf("/admin/v1/config?base=%" PRIu64 "&author=%s",
                                  base, options->author);
-    struct cli_answer answer;
-    cli_call_any(options->nodes, "POST", path, declaration->text, &answer);
-    int status = report_apply(options, declaration, base, &answer);
-    cli_answer_clear(&answer);
+    struct cli_answer response;
+    cli_call_any(options->nodes, "POST", path, declaration->text, &response);
+    int status = report_apply(options, declaration, base, &response);
+    cli_answer_clear(&response);
     g_free(path);
     return status;
 }
 
 struct verb {
     const char *name;
-    bool file;
-    bool node;
+    bool needs_file;
+    bool needs_node;
     int (*run)(const struct options *options,
                const struct ch_declaration *declaration);
 };
@@ -260,33 +268,34 @@
     {"apply", true, true, run_apply},
 };
 
-/* The verb that the command line names with the right number of files. */
+/* Returns the verb that the command line names, or NULL if it is unknown or
+ * has the wrong number of files. */
 static const struct verb *
-find_verb(char **rest)
+find_verb(char **arguments)
 {
-    guint count = rest == NULL ? 0 : g_strv_length(rest);
+    guint count = arguments == NULL ? 0 : g_strv_length(arguments);
     for (size_t i = 0; count > 0 && i < G_N_ELEMENTS(verbs); i++) {
-        if (strcmp(rest[0], verbs[i].name) == 0 &&
-            count == (verbs[i].file ? 2U : 1U)) {
+        if (strcmp(arguments[0], verbs[i].name) == 0 &&
+            count == (verbs[i].needs_file ? 2U : 1U)) {
             return &verbs[i];
         }
     }
     return NULL;
 }
 
-/* Checks what the verb needs, loads its file and runs it. */
+/* Checks the options that the verb needs, loads its file and runs the verb. */
 static int
 run_verb(const struct verb *verb, const struct options *options)
 {
-    if (verb->node && !cli_nodes_check(options->nodes)) {
+    if (verb->needs_node && !cli_nodes_check(options->nodes)) {
         return CLI_BAD_INPUT;
     }
     struct ch_declaration *declaration = NULL;
     struct ch_error error = {0};
-    if (verb->file) {
-        declaration = ch_declaration_load(options->rest[1], &error);
+    if (verb->needs_file) {
+        declaration = ch_declaration_load(options->arguments[1], &error);
         if (declaration == NULL) {
-            complain(error.message);
+            print_error(error.message);
             return CLI_BAD_INPUT;
         }
     }
@@ -295,20 +304,21 @@
     return status;
 }
 
-/* Parses the options into *options; false with a message said. */
+/* Parses the command line; on an error, prints it and returns false. */
 static bool
 parse_options(int argc, char **argv, struct options *options)
 {
     const GOptionEntry entries[] = {
         {"node", 'n', 0, G_OPTION_ARG_STRING_ARRAY, &options->nodes,
-         "Admin listener of a node; several are tried in turn", "IP:PORT"},
+         "Admin listener of a node; if repeated, nodes are tried in turn",
+         "IP:PORT"},
         {"author", 'a', 0, G_OPTION_ARG_STRING, &options->author,
-         "Who applies (default: the user's name)", "NAME"},
+         "Author of the change (default: the user's name)", "NAME"},
         {"base", 'b', 0, G_OPTION_ARG_INT64, &options->base,
-         "Revision that the file was made from (default: the one in force)",
+         "Revision that the file is based on (default: the one in force)",
          "REVISION"},
-        {G_OPTION_REMAINING, 0, 0, G_OPTION_ARG_STRING_ARRAY, &options->rest,
-         NULL, NULL},
+        {G_OPTION_REMAINING, 0, 0, G_OPTION_ARG_STRING_ARRAY,
+         &options->arguments, NULL, NULL},
         {0},
     };
     GOptionContext *context =
@@ -317,44 +327,45 @@
         context, "Checks, shows, compares or applies the declaration of "
                  "classes and models.");
     g_option_context_set_description(
-        context, "Exit status: 0 done, 1 nothing in force to show, 2 wrong "
-                 "input, 3 conflict, 4 not\nreachable or not known.\n");
+        context, "Exit status: 0 done, 1 no configuration in force to show or "
+                 "change refused,\n2 invalid input, 3 conflict, 4 no node "
+                 "or store reachable, or outcome not known.\n");
     g_option_context_add_main_entries(context, entries, NULL);
-    GError *reason = NULL;
-    bool fine = g_option_context_parse(context, &argc, &argv, &reason);
-    if (!fine) {
-        complain(reason->message);
-        g_error_free(reason);
+    GError *parse_error = NULL;
+    bool valid = g_option_context_parse(context, &argc, &argv, &parse_error);
+    if (!valid) {
+        print_error(parse_error->message);
+        g_error_free(parse_error);
     }
-    else if (options->base < NO_BASE) {
-        complain("--base: not a revision (0 for none)");
-        fine = false;
+    else if (options->base < BASE_IN_FORCE) {
+        print_error(
+            "--base: not a revision (use 0 if no configuration is in force)");
+        valid = false;
     }
     g_option_context_free(context);
-    return fine;
+    return valid;
 }
 
-/* The subcommand; argv[0] is its name. */
 int
 cli_config(int argc, char **argv)
 {
-    struct options options = {.base = NO_BASE};
+    struct options options = {.base = BASE_IN_FORCE};
     int status = CLI_BAD_INPUT;
     if (parse_options(argc, argv, &options)) {
         if (options.author == NULL) {
             options.author = g_strdup(g_get_user_name());
         }
-        const struct verb *verb = find_verb(options.rest);
+        const struct verb *verb = find_verb(options.arguments);
         if (verb == NULL) {
-            complain("config takes: check FILE | show | diff FILE | apply "
-                     "FILE (see --help)");
+            print_error("config takes: check FILE | show | diff FILE | apply "
+                        "FILE (see --help)");
         }
         else {
             status = run_verb(verb, &options);
         }
     }
     g_strfreev(options.nodes);
-    g_strfreev(options.rest);
+    g_strfreev(options.arguments);
     g_free(options.author);
     return status;
 }
--- a/cli/explain.c
+++ b/cli/explain.c
@@ -1,4 +1,5 @@
-/* chestnuthitch explain: what nodes' logs tell of requests for models. */
+/* chestnuthitch explain: reports from nodes' logs how requests ended, and
+ * why. */
 
 #include "cli.h"
 
@@ -9,118 +10,121 @@
 #include <string.h>
 
 enum {
-    USUAL_INTERVAL = 5,   /* seconds */
-    MOST_INTERVAL = 3600, /* seconds */
+    DEFAULT_INTERVAL_S = 5,
+    MAX_INTERVAL_S = 3600,
 };
 
-/* What was read. */
-struct counts {
-    unsigned lines;
-    unsigned strange;
+/* Counts of the lines read from all logs. */
+struct line_counts {
+    unsigned total;
+    unsigned unrecognized; /* not in the format of a node's log */
 };
 
-/* Reads the command line; false when it is wrong, which is said.  What is
- * left in argv are the files. */
+/* Parses the command line; on an error, prints it and returns false.  The log
+ * files stay in argv, from argv[1]. */
 static bool
-read_options(int *argc, char ***argv, gint *interval)
+parse_options(int *argc, char ***argv, gint *interval_s)
 {
     GOptionEntry entries[] = {
-        {"interval", 0, 0, G_OPTION_ARG_INT, interval,
-         "Seconds of one row (default: 5)", "SECONDS"},
+        {"interval", 0, 0, G_OPTION_ARG_INT, interval_s,
+         "Length of one row in seconds (default: 5)", "SECONDS"},
         {NULL, 0, 0, 0, NULL, NULL, NULL},
     };
     GOptionContext *context = g_option_context_new(
-        "LOG... - tell from nodes' logs what became of requests, and why");
+        "LOG... - report from nodes' logs how requests ended, and why");
     g_option_context_add_main_entries(context, entries, NULL);
     g_option_context_set_description(
         context, "LOG is a file of JSON lines, or - for standard input.  Exit "
-                 "status: 0; 2 for\na file that can't be read or that holds "
-                 "no line of a log.\n");
-    GError *reason = NULL;
-    bool fine = g_option_context_parse(context, argc, argv, &reason);
-    if (!fine) {
-        (void)fprintf(stderr, "chestnuthitch: %s\n", reason->message);
-        g_error_free(reason);
+                 "status: 0 success,\n2 invalid command line, a file that "
+                 "can't be read or no line of a node's log.\n");
+    GError *parse_error = NULL;
+    bool success = g_option_context_parse(context, argc, argv, &parse_error);
+    if (!success) {
+        (void)fprintf(stderr, "chestnuthitch: %s\n", parse_error->message);
+        g_error_free(parse_error);
     }
-    else if (*argc < 2 || *interval < 1 || *interval > MOST_INTERVAL) {
+    else if (*argc < 2 || *interval_s < 1 || *interval_s > MAX_INTERVAL_S) {
         (void)fprintf(stderr,
-                      "chestnuthitch: explain needs a log, and an interval "
-                      "of 1 to %d seconds\n",
-                      MOST_INTERVAL);
-        fine = false;
+                      "chestnuthitch: explain requires at least one log, and "
+                      "an interval of 1 to %d seconds\n",
+                      MAX_INTERVAL_S);
+        success = false;
     }
     g_option_context_free(context);
-    return fine;
+    return success;
 }
 
-/* Takes all lines of a stream. */
 static void
-read_lines(struct ch_explain *explain, FILE *in, struct counts *counts)
+read_lines(struct ch_explain *explain, FILE *in,
+           struct line_counts *line_counts)
 {
     char *line = NULL;
     size_t size = 0;
     while (getline(&line, &size, in) >= 0) {
-        counts->lines++;
-        counts->strange += ch_explain_line(explain, line) ? 0 : 1;
+        line_counts->total++;
+        line_counts->unrecognized += ch_explain_line(explain, line) ? 0 : 1;
     }
     free(line);
 }
 
-/* Takes a file; false when it can't be read, which is said. */
+/* Reads a log file ("-": standard input).  If it can't be read to its end,
+ * prints an error and returns false. */
 static bool
-read_file(struct ch_explain *explain, const char *path, struct counts *counts)
+read_file(struct ch_explain *explain, const char *path,
+          struct line_counts *line_counts)
 {
-    bool standard = strcmp(path, "-") == 0;
-    FILE *in = standard ? stdin : fopen(path, "re");
+    bool is_stdin = strcmp(path, "-") == 0;
+    FILE *in = is_stdin ? stdin : fopen(path, "re");
     if (in == NULL) {
         (void)fprintf(stderr, "chestnuthitch: %s: %s\n", path,
                       g_strerror(errno));
         return false;
     }
-    read_lines(explain, in, counts);
-    bool fine = !ferror(in);
-    if (!fine) {
-        (void)fprintf(stderr, "chestnuthitch: %s can't be read to its end\n",
-                      path);
+    read_lines(explain, in, line_counts);
+    bool success = !ferror(in);
+    if (!success) {
+        (void)fprintf(
+            stderr,
+            "chestnuthitch: %s: read error before the end of the file\n",
+            path);
     }
-    if (!standard) {
+    if (!is_stdin) {
         (void)fclose(in);
     }
-    return fine;
+    return success;
 }
 
-/* Runs `chestnuthitch explain`. */
 int
 cli_explain(int argc, char **argv)
 {
-    gint interval = USUAL_INTERVAL;
-    struct counts counts = {0};
-    if (!read_options(&argc, &argv, &interval)) {
+    gint interval_s = DEFAULT_INTERVAL_S;
+    struct line_counts line_counts = {0};
+    if (!parse_options(&argc, &argv, &interval_s)) {
         return CLI_BAD_INPUT;
     }
-    struct ch_explain *explain = ch_explain_new((unsigned)interval);
-    bool fine = true;
-    for (int i = 1; fine && i < argc; i++) {
-        fine = read_file(explain, argv[i], &counts);
+    struct ch_explain *explain = ch_explain_new((unsigned)interval_s);
+    bool success = true;
+    for (int i = 1; success && i < argc; i++) {
+        success = read_file(explain, argv[i], &line_counts);
     }
-    if (fine && counts.strange == counts.lines) {
+    if (success && line_counts.unrecognized == line_counts.total) {
         (void)fprintf(stderr,
-                      "chestnuthitch: no line of a node's log in %u "
-                      "lines\n",
-                      counts.lines);
-        fine = false;
+                      "chestnuthitch: none of %u lines is from a node's "
+                      "log\n",
+                      line_counts.total);
+        success = false;
     }
-    if (fine) {
+    if (success) {
         char *report = ch_explain_report(explain);
         (void)fputs(report, stdout);
         g_free(report);
     }
-    if (fine && counts.strange > 0) {
+    if (success && line_counts.unrecognized > 0) {
         (void)fprintf(stderr,
-                      "chestnuthitch: %u of %u lines are none of a node's "
+                      "chestnuthitch: %u of %u lines are not from a node's "
                       "log\n",
-                      counts.strange, counts.lines);
+                      line_counts.unrecognized, line_counts.total);
     }
     ch_explain_free(explain);
-    return fine ? CLI_OK : CLI_BAD_INPUT;
+    return success ? CLI_OK : CLI_BAD_INPUT;
 }
--- a/cli/main.c
+++ b/cli/main.c
@@ -1,4 +1,4 @@
-/* chestnuthitch: picks the subcommand. */
+/* chestnuthitch: runs the subcommand that the command line names. */
 
 #include "cli.h"
 
@@ -15,13 +15,13 @@
 static const struct command commands[] = {
     {"node", cli_node, "run the node of this entry host"},
     {"config", cli_config, "check, show, diff or apply a declaration"},
-    {"replay", cli_replay, "run a trace through the decisions"},
-    {"status", cli_status, "show nodes, upstreams and what is in force"},
-    {"release", cli_release, "let a barred request go to upstreams again"},
-    {"explain", cli_explain, "tell from logs what became of requests"},
+    {"replay", cli_replay, "run a trace through the decision code"},
+    {"status", cli_status, "show nodes, upstreams and the revision in force"},
+    {"release", cli_release,
+     "allow a barred request to be sent to upstreams again"},
+    {"explain", cli_explain, "report from logs how requests ended, and why"},
 };
 
-/* Writes the list of subcommands. */
 static void
 print_usage(FILE *out)
 {
@@ -30,10 +30,12 @@
         (void)fprintf(out, "  %-8s %s\n", commands[i].name,
                       commands[i].summary);
     }
-    (void)fprintf(out, "\n`chestnuthitch COMMAND --help` tells more.\n");
+    (void)fprintf(out, "\nRun `chestnuthitch COMMAND --help` for the options "
+                       "of a command.\n");
 }
 
-/* Runs a subcommand under its full name, which its --help shows. */
+/* Runs a subcommand.  The program name is set to "chestnuthitch NAME", which
+ * the subcommand's --help shows. */
 static int
 run_command(const struct command *command, int argc, char **argv)
 {
@@ -46,7 +48,8 @@
 int
 main(int argc, char **argv)
 {
-    /* Characters alone: numbers are read and written the same everywhere. */
+    /* Only the character set follows the user's locale: numbers are read and
+       written in the same format in every locale. */
     (void)setlocale(LC_CTYPE, "");
     if (argc < 2) {
         print_usage(stderr);
--- a/cli/node.c
+++ b/cli/node.c
@@ -1,4 +1,4 @@
-/* chestnuthitch node: the process of one entry host. */
+/* chestnuthitch node: the process that runs on each entry host. */
 
 #include "cli.h"
 
@@ -8,9 +8,9 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Blocks the signals that end the node in this thread and so in every thread
- * started later: the main thread alone takes them, by sigwait, and no call of
- * a worker is interrupted. */
+/* Blocks the signals that stop the node in this thread and in all threads
+ * started later.  Only the main thread receives them, with sigwait(), so that
+ * they interrupt no system call of a worker thread. */
 static void
 block_signals(sigset_t *signals)
 {
@@ -19,29 +19,31 @@
     sigaddset(signals, SIGINT);
     sigaddset(signals, SIGHUP);
     (void)pthread_sigmask(SIG_BLOCK, signals, NULL);
-    /* A peer that closes shows as an error of write, not as our death. */
+    /* Writing to a connection that the peer has closed returns an error
+       instead of ending the process. */
     (void)signal(SIGPIPE, SIG_IGN);
 }
 
-/* Waits for a signal that ends the node.  A hang-up says that the settings may
- * have changed: none of them may change while a node runs, which is told. */
+/* Waits for a signal that stops the node.  SIGHUP usually means that the
+ * settings have changed, but no setting can change while a node runs: SIGHUP
+ * only logs that a restart is needed. */
 static void
-wait_for_end(const struct ch_client *client, const sigset_t *signals)
+wait_for_stop_signal(const struct ch_client *client, const sigset_t *signals)
 {
-    int number = SIGHUP;
-    while (number == SIGHUP) {
-        (void)sigwait(signals, &number);
+    int signal_number = SIGHUP;
+    while (signal_number == SIGHUP) {
+        (void)sigwait(signals, &signal_number);
         ch_log(client, CH_LOG_NOTICE, "signal",
-               CH_F_STR("name", strsignal(number)),
-               CH_F_STR("effect", number == SIGHUP
+               CH_F_STR("name", strsignal(signal_number)),
+               CH_F_STR("effect", signal_number == SIGHUP
                                       ? "settings take effect at a restart"
                                       : "stopping"),
                CH_F_END);
     }
 }
 
-/* Runs the node until it is asked to stop.  The signals stay blocked during
- * the stop: a second one does not cut requests that are being answered. */
+/* Runs the node until a signal stops it.  The signals stay blocked during the
+ * stop, so that a second signal does not interrupt requests in progress. */
 static int
 run_node(const struct ch_settings *settings)
 {
@@ -65,15 +67,16 @@
     }
     ch_log(&client, CH_LOG_NOTICE, "started",
            CH_F_STR("version", CHESTNUTHITCH_VERSION), CH_F_END);
-    wait_for_end(&client, &signals);
+    wait_for_stop_signal(&client, &signals);
     ch_node_stop(node);
     ch_metrics_free(client.metrics);
     return CLI_OK;
 }
 
-/* Loads the settings and runs, or with check only says that they are good. */
+/* Loads the settings and runs the node; with check_only, only reports that the
+ * settings are valid. */
 static int
-load_and_run(const char *path, bool check)
+load_and_run(const char *path, bool check_only)
 {
     struct ch_error error = {0};
     struct ch_settings *settings = ch_settings_load(path, &error);
@@ -82,7 +85,7 @@
         return CLI_BAD_INPUT;
     }
     int status = CLI_OK;
-    if (check) {
+    if (check_only) {
         (void)printf("%s: settings of node %s are good\n", path,
                      settings->name);
     }
@@ -93,16 +96,16 @@
     return status;
 }
 
-/* The subcommand; argv[0] is its name. */
 int
 cli_node(int argc, char **argv)
 {
     char *path = NULL;
-    gboolean check = FALSE;
+    gboolean check_only = FALSE;
     const GOptionEntry entries[] = {
         {"settings", 's', 0, G_OPTION_ARG_FILENAME, &path,
-         "Settings of this node (INI); else CHESTNUTHITCH_SETTINGS", "FILE"},
-        {"check", 'c', 0, G_OPTION_ARG_NONE, &check,
+         "Settings of this node (INI; default: CHESTNUTHITCH_SETTINGS)",
+         "FILE"},
+        {"check", 'c', 0, G_OPTION_ARG_NONE, &check_only,
          "Check the settings and exit", NULL},
         {0},
     };
@@ -111,22 +114,23 @@
                                  "Runs the node of this entry host until "
                                  "SIGTERM or SIGINT, then stops gracefully.");
     g_option_context_set_description(
-        context, "Exit status: 0 stopped as asked, 1 could not start, 2 wrong "
-                 "command line or settings.\n");
+        context,
+        "Exit status: 0 stopped as asked, 1 could not start, 2 invalid "
+        "command line or settings.\n");
     g_option_context_add_main_entries(context, entries, NULL);
-    GError *reason = NULL;
+    GError *parse_error = NULL;
     int status = CLI_BAD_INPUT;
     path = g_strdup(g_getenv("CHESTNUTHITCH_SETTINGS"));
-    if (!g_option_context_parse(context, &argc, &argv, &reason)) {
-        (void)fprintf(stderr, "chestnuthitch: %s\n", reason->message);
-        g_error_free(reason);
+    if (!g_option_context_parse(context, &argc, &argv, &parse_error)) {
+        (void)fprintf(stderr, "chestnuthitch: %s\n", parse_error->message);
+        g_error_free(parse_error);
     }
     else if (path == NULL || argc > 1) {
         (void)fprintf(stderr, "chestnuthitch: node takes --settings FILE "
                               "(or CHESTNUTHITCH_SETTINGS) [--check]\n");
     }
     else {
-        status = load_and_run(path, check);
+        status = load_and_run(path, check_only);
     }
     g_option_context_free(context);
     g_free(path);
--- a/cli/replay.c
+++ b/cli/replay.c
@@ -1,4 +1,5 @@
-/* chestnuthitch replay: a trace through the decisions, in virtual time. */
+/* chestnuthitch replay: replays a trace through the decision code in virtual
+ * time. */
 
 #include "cli.h"
 
@@ -15,25 +16,24 @@
     gint64 seed;
 };
 
-/* Everything that a run is made from. */
+/* Everything that a run needs. */
 struct input {
     struct ch_declaration *declaration;
     struct ch_site *site;
     struct ch_trace *trace;
     const struct ch_policy *policy;
-    char *expect; /* NULL: none */
+    char *expect; /* text of the expectations; NULL: none */
 };
 
-/* Writes an error for the operator. */
 static void
-complain(const char *message)
+print_error(const char *message)
 {
     (void)fprintf(stderr, "chestnuthitch: %s\n", message);
 }
 
-/* Reads the command line; false when it is wrong, which is said. */
+/* Parses the command line; on an error, prints it and returns false. */
 static bool
-read_options(int argc, char **argv, struct options *options)
+parse_options(int argc, char **argv, struct options *options)
 {
     GOptionEntry entries[] = {
         {"settings", 0, 0, G_OPTION_ARG_FILENAME, &options->settings,
@@ -43,35 +43,36 @@
         {"policy", 0, 0, G_OPTION_ARG_STRING, &options->policy,
          "Policy to run (default: default)", "NAME"},
         {"expect", 0, 0, G_OPTION_ARG_FILENAME, &options->expect,
-         "Outcomes to hold the run against", "FILE.ini"},
+         "Expected outcomes to check the run against", "FILE.ini"},
         {"seed", 0, 0, G_OPTION_ARG_INT64, &options->seed,
-         "Seed of what is drawn (default: 1)", "N"},
+         "Seed of the random numbers (default: 1)", "N"},
         {NULL, 0, 0, 0, NULL, NULL, NULL},
     };
     GOptionContext *context =
-        g_option_context_new("- run a trace through the decisions");
+        g_option_context_new("- run a trace through the decision code");
     g_option_context_add_main_entries(context, entries, NULL);
     g_option_context_set_description(
         context,
-        "One JSON object goes to standard output.  Exit status: 0; 1 when an "
-        "expectation\nfails; 2 for bad input, named by file, line and "
-        "column.\n");
-    GError *reason = NULL;
-    bool fine = g_option_context_parse(context, &argc, &argv, &reason);
-    if (!fine) {
-        complain(reason->message);
-        g_error_free(reason);
+        "Writes one JSON object to standard output.  Exit status: 0 success, "
+        "1 an\nexpectation failed, 2 invalid input; the error names file, "
+        "line and column.\n");
+    GError *parse_error = NULL;
+    bool success = g_option_context_parse(context, &argc, &argv, &parse_error);
+    if (!success) {
+        print_error(parse_error->message);
+        g_error_free(parse_error);
     }
     else if (argc > 1 || options->settings == NULL || options->trace == NULL) {
-        complain("replay needs --settings and --trace, and nothing else "
-                 "without a name");
-        fine = false;
+        print_error("replay requires --settings and --trace, and nothing else "
+                    "without an option name");
+        success = false;
     }
     g_option_context_free(context);
-    return fine;
+    return success;
 }
 
-/* The policy by name; NULL when there is none, which is said. */
+/* Finds a policy by name.  If there is none, prints the known names and
+ * returns NULL. */
 static const struct ch_policy *
 find_policy(const char *name)
 {
@@ -85,7 +86,8 @@
     return policy;
 }
 
-/* Reads all files; false when one is wrong, which is said. */
+/* Reads all files; on the first error, prints it and returns false.  The
+ * input must be freed in both cases. */
 static bool
 read_input(const struct options *options, struct input *input)
 {
@@ -95,31 +97,32 @@
     if (input->policy == NULL) {
         return false;
     }
-    bool fine = true;
+    bool success = true;
     input->declaration = ch_declaration_load(options->settings, &error);
-    fine = input->declaration != NULL;
-    if (fine) {
+    success = input->declaration != NULL;
+    if (success) {
         input->site = ch_site_load(options->settings, &error);
-        fine = input->site != NULL;
+        success = input->site != NULL;
     }
-    if (fine) {
+    if (success) {
         input->trace = ch_trace_load(options->trace, input->declaration,
                                      input->site, &error);
-        fine = input->trace != NULL;
+        success = input->trace != NULL;
     }
-    if (fine && options->expect != NULL) {
+    if (success && options->expect != NULL) {
         input->expect = ch_ini_file_text(options->expect, &error);
-        fine = input->expect != NULL;
+        success = input->expect != NULL;
     }
-    if (!fine) {
-        complain(error.message);
+    if (!success) {
+        print_error(error.message);
     }
-    return fine;
+    return success;
 }
 
-/* Runs, prints, and holds the run against its expectations. */
+/* Runs the trace, prints the result and checks it against the expectations.
+ * Returns an exit status. */
 static int
-run(const struct options *options, const struct input *input)
+run_replay(const struct options *options, const struct input *input)
 {
     struct ch_result *result =
         ch_replay_run(input->site, input->declaration, input->trace,
@@ -132,7 +135,7 @@
     struct ch_error error = {0};
     if (input->expect != NULL &&
         !ch_expect_check(input->expect, options->expect, result, &error)) {
-        complain(error.message);
+        print_error(error.message);
         status = error.code == CH_EXPECTATION ? CLI_FAILED : CLI_BAD_INPUT;
     }
     ch_result_free(result);
@@ -145,8 +148,8 @@
     struct options options = {.seed = 1};
     struct input input = {0};
     int status = CLI_BAD_INPUT;
-    if (read_options(argc, argv, &options) && read_input(&options, &input)) {
-        status = run(&options, &input);
+    if (parse_options(argc, argv, &options) && read_input(&options, &input)) {
+        status = run_replay(&options, &input);
     }
     ch_trace_free(input.trace);
     ch_site_free(input.site);
