--- a/libchestnuthitch/replay/bound.c
+++ b/libchestnuthitch/replay/bound.c
@@ -1,41 +1,41 @@
 /*
- * The best that any policy could do on a trace, by an optimistic calculation.
+ * Upper bound of the attainment that any policy can reach on a trace.
  *
- * All engines are taken for one that holds every model, needs no prefill and
- * no load, and makes tokens at the rate of full batches that still keep the
- * targets between tokens.  Requests that come and are due within a stretch of
- * time must share what it makes in that stretch; when they need more, the
- * least that must miss is what is left after the shortest are served.  Misses
- * of stretches that do not overlap add up; the best set of stretches on a
- * grid is found by dynamic programming.  Each step leaves out something that
- * a real policy has to pay for, so none can pass the figure.
+ * All engines are treated as a single engine that holds every model, needs no
+ * prefill and no loads, and generates tokens at the rate of the largest
+ * batches that still meet the token targets.  Requests that arrive and are
+ * due within a time interval must share the tokens generated in the interval.
+ * If they need more, serving the shortest requests first leaves the fewest
+ * misses.  Misses of intervals that don't overlap add up; dynamic programming
+ * finds the set of intervals on a grid with the most misses.  Each
+ * simplification leaves out a cost that a real policy has, so no policy can
+ * exceed the bound.
  */
 
 #include "replay/replay.h"
 
 enum {
-    GRID = 5 * G_USEC_PER_SEC,
-    LONGEST = 9, /* stretches of 1, 2, 4, ... 256 grid steps */
+    GRID_US = 5 * G_USEC_PER_SEC,
+    INTERVAL_SIZES = 9, /* intervals of 1, 2, 4, ... 256 grid steps */
 };
 
-/* A request as the bound sees it. */
 struct job {
     int64_t from;
-    int64_t due; /* its last token, to be in time */
+    int64_t due; /* target time of the last token */
     double work; /* tokens */
 };
 
-/* Tokens a second that one engine makes with a full batch within the largest
- * target between tokens (0: none). */
+/* Returns the most tokens a second of one engine, over all batch sizes that
+ * meet the token target (0: no target). */
 static double
-engine_rate(const struct ch_site *site, uint32_t batch, int64_t between)
+engine_rate(const struct ch_site *site, uint32_t batch, int64_t token_target)
 {
     const struct ch_site_engine *engine = &site->engine;
     double best = 0;
     for (uint32_t n = 1; n <= batch; n++) {
         double token =
             (double)engine->token + (double)engine->token_per_request * n;
-        if (n > 1 && between > 0 && token > (double)between) {
+        if (n > 1 && token_target > 0 && token > (double)token_target) {
             break;
         }
         best = MAX(best, n / token * G_USEC_PER_SEC);
@@ -43,24 +43,27 @@
     return best;
 }
 
-/* Tokens a second of the whole site at its best. */
+/* Returns the most tokens a second of all engines together, under the largest
+ * token target of any class. */
 static double
 site_rate(const struct ch_site *site, const struct ch_declaration *declaration)
 {
-    int64_t between = 0;
+    int64_t token_target = 0;
     for (size_t i = 0; i < declaration->class_count; i++) {
-        between = MAX(between, declaration->classes[i].between_tokens);
+        token_target =
+            MAX(token_target, declaration->classes[i].between_tokens);
     }
     double sum = 0;
     for (size_t i = 0; i < site->upstream_count; i++) {
         if (site->upstreams[i].service == NULL) {
-            sum += engine_rate(site, site->upstreams[i].batch, between);
+            sum += engine_rate(site, site->upstreams[i].batch, token_target);
         }
     }
     return sum;
 }
 
-/* The jobs of a trace that have a target for the first token. */
+/* Returns the requests that have targets for the first token and between
+ * tokens. */
 static GArray *
 read_jobs(const struct ch_declaration *declaration,
           const struct ch_trace *trace)
@@ -87,18 +90,18 @@
     return jobs;
 }
 
-/* Order of work, least first. */
 static int
-compare_work(const void *a, const void *b)
+compare_token_counts(const void *a, const void *b)
 {
     double left = *(const double *)a;
     double right = *(const double *)b;
     return (left > right) - (left < right);
 }
 
-/* The fewest that must miss among jobs that lie within a stretch. */
+/* Returns the fewest jobs that must miss their target among those that arrive
+ * and are due within an interval. */
 static uint32_t
-must_miss(const GArray *jobs, int64_t from, int64_t to, double rate)
+count_misses(const GArray *jobs, int64_t from, int64_t to, double rate)
 {
     GArray *work = g_array_new(FALSE, FALSE, sizeof(double));
     double sum = 0;
@@ -112,11 +115,11 @@
             sum += job->work;
         }
     }
-    double room = rate * (double)(to - from) / G_USEC_PER_SEC;
+    double capacity = rate * (double)(to - from) / G_USEC_PER_SEC;
     uint32_t missed = 0;
-    if (sum > room) {
-        g_array_sort(work, compare_work);
-        for (guint i = work->len; i-- > 0 && sum > room;) {
+    if (sum > capacity) {
+        g_array_sort(work, compare_token_counts);
+        for (guint i = work->len; i-- > 0 && sum > capacity;) {
             sum -= g_array_index(work, double, i);
             missed++;
         }
@@ -125,7 +128,7 @@
     return missed;
 }
 
-/* The attainment that no policy can pass on this trace. */
+/* Returns the attainment that no policy can exceed on this trace. */
 double
 ch_bound_attainment(const struct ch_site *site,
                     const struct ch_declaration *declaration,
@@ -142,14 +145,14 @@
     }
     GArray *jobs = read_jobs(declaration, trace);
     double rate = site_rate(site, declaration);
-    size_t steps = (size_t)(last / GRID) + (1u << (LONGEST - 1)) + 1;
+    size_t steps = (size_t)(last / GRID_US) + (1u << (INTERVAL_SIZES - 1)) + 1;
     uint32_t *best = g_new0(uint32_t, steps + 1);
     for (size_t step = 1; step <= steps; step++) {
         best[step] = best[step - 1];
-        for (unsigned k = 0; k < LONGEST && (1u << k) <= step; k++) {
+        for (unsigned k = 0; k < INTERVAL_SIZES && (1u << k) <= step; k++) {
             size_t begin = step - (1u << k);
-            uint32_t missed = must_miss(jobs, (int64_t)begin * GRID,
-                                        (int64_t)step * GRID, rate);
+            uint32_t missed = count_misses(jobs, (int64_t)begin * GRID_US,
+                                           (int64_t)step * GRID_US, rate);
             best[step] = MAX(best[step], best[begin] + missed);
         }
     }
--- a/libchestnuthitch/replay/replay.h
+++ b/libchestnuthitch/replay/replay.h
@@ -2,20 +2,21 @@
 #define CH_REPLAY_H
 
 /*
- * Replay: a recorded trace through the decisions of decide/, in virtual time,
- * against a small stated model of the engines, the weight store and the link
- * between regions.  The same input gives the same bytes of output.
+ * Replays a recorded trace through the decision code of decide/ in virtual
+ * time.  Engines, the weight store and the link between regions are simulated
+ * by a small model whose parameters are in the site file.  The output is
+ * deterministic: the same input gives the same bytes.
  */
 
 #include "base/base.h"
 #include "decide/policy.h"
 
-/* ---- the site: what the platform would report (site_read.c) ---- */
+/* ---- the site: machines and links to simulate (site_read.c) ---- */
 
 struct ch_site_region {
     char *name;
-    int64_t client_delay; /* one way, caller to entry host */
-    char **callers;       /* who come in here; all others go by hash */
+    int64_t client_delay; /* one way, caller to entry node */
+    char **callers; /* callers of this region; others are assigned by hash */
 };
 
 struct ch_site_data_centre {
@@ -26,7 +27,7 @@
 struct ch_site_upstream {
     char *name;
     size_t data_centre;
-    char *service; /* NULL: an engine */
+    char *service; /* plain service's name; NULL: an engine */
     uint32_t memory_mb;
     uint32_t accelerators;
     uint32_t batch;
@@ -37,17 +38,18 @@
     size_t data_centre;
 };
 
-/* The engine's model: a token takes token + each running request's share. */
+/* Simulated engine.  A token of each running request takes token_time, plus
+ * token_time_per_request for each request that runs. */
 struct ch_site_engine {
-    int64_t token;             /* time for a token, alone */
-    int64_t token_per_request; /* more for each request in the batch */
-    double prefill_per_s;      /* prompt tokens */
-    uint32_t cache_tokens;     /* prefix cache */
-    uint32_t prefix_tokens;    /* of a prompt that names a prefix */
+    int64_t token;             /* fixed part of a token's time */
+    int64_t token_per_request; /* added per request in the batch */
+    double prefill_per_s;      /* prompt tokens a second */
+    uint32_t cache_tokens;     /* capacity of the prefix cache */
+    uint32_t prefix_tokens;    /* shared tokens of a prompt with a prefix */
     int64_t report;            /* time between load reports */
-    int64_t service;           /* mean time of a plain service's call */
-    uint32_t token_bytes;      /* of an answer, on the link */
-    bool fencing;              /* refuses orders with old numbers */
+    int64_t service;           /* mean time of a call of a plain service */
+    uint32_t token_bytes;      /* bytes of a response's token on the link */
+    bool fencing;              /* rejects orders with an old fencing token */
 };
 
 struct ch_site {
@@ -55,15 +57,15 @@
     size_t region_count;
     struct ch_site_data_centre *data_centres;
     size_t data_centre_count;
-    struct ch_site_upstream *upstreams; /* in order of name */
+    struct ch_site_upstream *upstreams; /* sorted by name */
     size_t upstream_count;
-    struct ch_site_entry *entries; /* in order of name */
+    struct ch_site_entry *entries; /* sorted by name */
     size_t entry_count;
     struct ch_site_engine engine;
     double loads_per_s;
     unsigned loads_parallel;
     unsigned adapters_parallel;
-    double load_mb_per_s; /* of one load at full speed */
+    double load_mb_per_s; /* speed of a load that has no competition */
     int64_t adapter_least;
     int64_t adapter_most;
     double link_mbit;
@@ -71,6 +73,8 @@
     int64_t data_centre_delay; /* one way, within a region */
 };
 
+/* Reads the site file.  The result belongs to the caller; NULL with an error.
+ */
 struct ch_site *ch_site_load(const char *path, struct ch_error *error);
 struct ch_site *ch_site_parse(const char *text, const char *path,
                               struct ch_error *error);
@@ -94,27 +98,28 @@
 };
 
 struct ch_trace_event {
-    int64_t at; /* microseconds from the trace's start */
+    int64_t at; /* microseconds since the start of the trace */
     enum ch_trace_kind kind;
-    size_t target; /* of upstreams or entries; by kind */
+    size_t target; /* index of an upstream or entry node, by kind */
     double value;
     char *caller;
     size_t class_index;
-    int model; /* index of the declaration; -1: a service's call */
+    int model; /* index in the declaration; -1: call of a service */
     int service;
     int adapter; /* index in the model; -1: none */
     uint64_t prefix;
     uint32_t prompt_tokens;
     uint32_t output_tokens;
-    char *key; /* NULL: none */
+    char *key; /* idempotency key; NULL: none */
 };
 
 struct ch_trace {
-    struct ch_trace_event *events; /* in order of time */
+    struct ch_trace_event *events; /* sorted by time */
     size_t count;
 };
 
-/* CSV, or a node's log when the text begins with "{". */
+/* Reads CSV, or the log of a node if the text begins with "{".  The result
+ * belongs to the caller; NULL with an error. */
 struct ch_trace *ch_trace_load(const char *path,
                                const struct ch_declaration *declaration,
                                const struct ch_site *site,
@@ -125,14 +130,14 @@
                                 struct ch_error *error);
 void ch_trace_free(struct ch_trace *trace);
 
-/* ---- what came out (result.c) ---- */
+/* ---- result of a run (result.c) ---- */
 
 struct ch_result_class {
     char *name;
     uint64_t requests;
     uint64_t met;
     uint64_t refused;
-    GArray *times; /* int64_t: whole answers as the caller saw them */
+    GArray *times; /* int64_t: time to the whole response, at the caller */
 };
 
 struct ch_result {
@@ -150,26 +155,28 @@
     uint64_t link_bytes;
     uint64_t retries;
     uint64_t ran_twice;    /* non-idempotent keys dispatched more than once */
-    uint64_t dispatches;   /* to upstreams, retries among them */
-    uint64_t run_late;     /* answered whole, past the target */
-    double worst_tenant;   /* lowest attainment of a caller */
-    double bound;          /* attainment that no policy can pass (bound.c) */
-    GArray *refusal_times; /* int64_t: arrival to refusal */
-    GArray *goodput;       /* uint32_t: requests met, by second of arrival */
-    GArray *offered;       /* uint32_t: requests, by second of arrival */
+    uint64_t dispatches;   /* to upstreams, including retries */
+    uint64_t run_late;     /* responses complete but later than the target */
+    double worst_tenant;   /* lowest attainment among the callers */
+    double bound;          /* upper bound of the attainment (bound.c) */
+    GArray *refusal_times; /* int64_t: time from arrival to refusal */
+    GArray
+        *goodput; /* uint32_t: requests within target, by second of arrival */
+    GArray *offered; /* uint32_t: requests, by second of arrival */
     struct ch_result_class *classes;
     size_t class_count;
 };
 
 struct ch_result *ch_result_new(const struct ch_declaration *declaration);
 void ch_result_free(struct ch_result *result);
-/* The nth part of a thousand of an array of int64_t, which it sorts. */
+/* The quantile in thousandths (500: median) of an array of int64_t, which is
+ * sorted in place; 0 if the array is empty. */
 int64_t ch_result_quantile(GArray *times, unsigned per_mille);
 double ch_result_attainment(const struct ch_result *result);
-/* One JSON object and a newline. */
+/* Appends one JSON object and a newline. */
 void ch_result_print(struct ch_result *result, GString *out);
 
-/* ---- a run (sim_run.c) and the bound (bound.c) ---- */
+/* ---- a run (sim_run.c) and the upper bound (bound.c) ---- */
 
 struct ch_result *ch_replay_run(const struct ch_site *site,
                                 const struct ch_declaration *declaration,
@@ -179,10 +186,11 @@
                            const struct ch_declaration *declaration,
                            const struct ch_trace *trace);
 
-/* ---- stated outcomes (expect.c) ---- */
+/* ---- expected results (expect.c) ---- */
 
-/* True: all hold.  False: error names the first that fails with both
-   figures (EXPECTATION), or what is wrong with the file. */
+/* Checks a result against an expectation file.  False: the error names the
+ * first expectation that fails, with the expected and the actual figure
+ * (EXPECTATION), or the fault of the file. */
 bool ch_expect_check(const char *text, const char *path,
                      struct ch_result *result, struct ch_error *error);
 
--- a/libchestnuthitch/replay/result.c
+++ b/libchestnuthitch/replay/result.c
@@ -1,18 +1,18 @@
-/* What came out of a run, and its one JSON object. */
+/* Result of a run and its output as JSON. */
 
 #include "replay/replay.h"
 
 #include <inttypes.h>
 #include <string.h>
 
-/* An empty array of times. */
 static GArray *
 new_times(void)
 {
     return g_array_new(FALSE, FALSE, sizeof(int64_t));
 }
 
-/* Nothing counted yet, with a place for each class. */
+/* Returns a result with all counts at 0 and an element for each class; the
+ * caller frees it. */
 struct ch_result *
 ch_result_new(const struct ch_declaration *declaration)
 {
@@ -47,7 +47,6 @@
     g_free(result);
 }
 
-/* Order of times. */
 static int
 compare_times(const void *a, const void *b)
 {
@@ -56,8 +55,8 @@
     return (left > right) - (left < right);
 }
 
-/* The time below which so many in a thousand lie; 0 when there are none.
- * Sorts the array. */
+/* Returns the quantile in thousandths; 0 if the array is empty.  Sorts the
+ * array. */
 int64_t
 ch_result_quantile(GArray *times, unsigned per_mille)
 {
@@ -65,11 +64,11 @@
         return 0;
     }
     g_array_sort(times, compare_times);
-    guint place = (guint)((uint64_t)(times->len - 1) * per_mille / 1000);
-    return g_array_index(times, int64_t, place);
+    guint rank = (guint)((uint64_t)(times->len - 1) * per_mille / 1000);
+    return g_array_index(times, int64_t, rank);
 }
 
-/* The share of requests that met their target; 1 when there were none. */
+/* Returns the share of requests that met their target; 1 without requests. */
 double
 ch_result_attainment(const struct ch_result *result)
 {
@@ -87,7 +86,6 @@
     g_string_append_printf(out, "  \"%s\": %s,\n", name, text);
 }
 
-/* Appends a count. */
 static void
 append_count(GString *out, const char *name, uint64_t value)
 {
@@ -102,7 +100,6 @@
                            time / 1000, (int)(time % 1000), end);
 }
 
-/* Appends one class. */
 static void
 append_class(GString *out, const struct ch_result_class *class, bool last)
 {
@@ -117,8 +114,8 @@
     g_string_append(out, last ? "\n" : ",\n");
 }
 
-/* Appends one JSON object and a newline.  The fields up to per_class are the
- * interface; those after it help whoever works on the policies. */
+/* Appends one JSON object and a newline.  The members up to per_class are the
+ * public interface; those after it are for the development of policies. */
 void
 ch_result_print(struct ch_result *result, GString *out)
 {
--- a/libchestnuthitch/replay/sim.h
+++ b/libchestnuthitch/replay/sim.h
@@ -1,8 +1,9 @@
 #ifndef CH_REPLAY_SIM_H
 #define CH_REPLAY_SIM_H
 
-/* The inside of a run: virtual time, the model of engines, store and link,
- * and the entry hosts whose decisions are the code under test. */
+/* Internals of a simulated run: virtual time, the simulated engines, weight
+ * store and link, and the entry nodes, whose decisions are made by the code
+ * under test. */
 
 #include "decide/ledger.h"
 #include "replay/replay.h"
@@ -11,10 +12,10 @@
 
 /* ---- virtual time (sim_run.c) ---- */
 
-/* What is to happen; a, b and c mean what the handler's comment says. */
+/* A scheduled event; the comment of each handler describes a, b and c. */
 struct sim_event {
     int64_t at;
-    uint64_t order; /* of events at the same time: first scheduled first */
+    uint64_t order; /* among events of the same time, lowest first */
     void (*handle)(struct sim *sim, const struct sim_event *event);
     uint64_t a;
     uint64_t b;
@@ -25,7 +26,7 @@
                   void (*handle)(struct sim *sim,
                                  const struct sim_event *event),
                   uint64_t a, uint64_t b, uint64_t c);
-/* A number from 0 to 1 that depends on the seed and the key alone. */
+/* Returns a number from 0 to 1 that depends only on seed, key and salt. */
 double sim_random(const struct sim *sim, uint64_t key, uint64_t salt);
 
 /* ---- engines and plain services (sim_engine.c) ---- */
@@ -37,10 +38,10 @@
     char order[24];
 };
 
-/* One request in an engine: thresholds on the engine's progress. */
+/* One request in an engine, with the engine progress at which it advances. */
 struct sim_job {
     uint64_t dispatch;
-    double first; /* progress at which the first token is out */
+    double first; /* engine progress at the first token */
     double end;
     bool first_out;
     uint32_t tokens;
@@ -51,14 +52,14 @@
     uint32_t capacity_mb;
     uint32_t batch;
     double slow;
-    double progress; /* tokens that a request running all along would have */
-    int64_t at;      /* when progress was so */
-    uint64_t turn;   /* step events of an earlier turn are void */
+    double progress; /* tokens of a request that had run all the time */
+    int64_t at;      /* time of the latest update of progress */
+    uint64_t turn;   /* step events with an older version are ignored */
     GArray *running; /* struct sim_job */
-    GArray *waiting; /* struct sim_job, thresholds relative */
+    GArray *waiting; /* struct sim_job, progress relative to its start */
     GArray *items;   /* struct sim_item */
     GArray *cache;   /* uint64_t: prefixes, least recently used first */
-    GPtrArray *done; /* ids of orders carried out */
+    GPtrArray *done; /* IDs of completed orders */
     unsigned boot;
     bool down;
     bool leaving;
@@ -98,11 +99,11 @@
 void sim_store_load(struct sim *sim, size_t upstream, GQuark item,
                     uint32_t memory_mb);
 void sim_store_adapter(struct sim *sim, size_t upstream, GQuark item);
-/* Microseconds from one region to another for so many bytes, which it
-   counts when the regions differ. */
+/* Returns the microseconds to send bytes from one region to another, and
+ * counts the bytes if the regions differ. */
 int64_t sim_link_send(struct sim *sim, size_t from, size_t to, uint64_t bytes);
 
-/* ---- upstreams' homes (sim_homes.c) ---- */
+/* ---- home nodes of upstreams (sim_homes.c) ---- */
 
 enum {
     SIM_NOBODY = -1,
@@ -114,9 +115,9 @@
     size_t region;
     struct sim_engine engine;
     struct ch_home *home;
-    int host; /* entry host that is its home; SIM_NOBODY: none just now */
+    int host; /* entry node that is the home node; SIM_NO_HOST: none */
     struct ch_ledger *ledger;
-    GHashTable *told; /* GQuark to state that the home was told, plus one */
+    GHashTable *told; /* GQuark to the item state the home node has, plus 1 */
 };
 
 void sim_home_init(struct sim *sim, size_t upstream);
@@ -130,14 +131,14 @@
 void sim_home_gossip(struct sim *sim, const struct sim_event *event);
 int sim_home_host(const struct sim *sim, size_t upstream);
 
-/* ---- entry hosts and requests (sim_entries.c) ---- */
+/* ---- entry nodes and requests (sim_entries.c) ---- */
 
 struct sim_entry {
     const struct ch_site_entry *site;
     size_t region;
     bool up;
     struct ch_fleet fleet;
-    uint32_t *asked; /* by upstream: asks not yet answered */
+    uint32_t *asked; /* by upstream: asks without a reply so far */
     struct ch_retry_budget budget;
     struct ch_bucket link;
     struct ch_bucket loads;
@@ -154,22 +155,23 @@
     struct ch_work work;
     size_t entry;
     enum sim_state state;
-    unsigned asks;        /* since the last dispatch */
-    uint64_t ask;         /* the one in force */
-    int upstream;         /* of that ask */
+    unsigned asks;        /* asks since the latest dispatch */
+    uint64_t ask;         /* number of the valid ask */
+    int upstream;         /* upstream of the valid ask */
     GArray *excluded;     /* GQuark: failures first, then refusals */
-    guint failed;         /* how many of them are failures */
-    enum ch_code refusal; /* the latest home's; OK: none */
-    int64_t arrived;      /* when the caller sent it */
-    int64_t sent;         /* at the latest dispatch */
-    int64_t first;        /* first byte at the entry host; 0: none yet */
+    guint failed;         /* number of failures in excluded */
+    enum ch_code refusal; /* latest refusal by a home node; OK: none */
+    int64_t arrived;      /* time at which the caller sent the request */
+    int64_t sent;         /* time of the latest dispatch */
+    int64_t first;        /* first byte at the entry node; 0: none yet */
     int64_t this_first;   /* first byte of the latest dispatch */
-    uint32_t given;       /* tokens that the caller has */
+    uint32_t given;       /* tokens that the caller received */
     uint32_t dispatches;
     bool ran;
 };
 
-/* An ask by its number: which request made it. */
+/* An ask: a request asks an upstream's home node for a grant.  Its index in
+ * sim.asks is its number. */
 struct sim_ask {
     uint64_t request;
     size_t upstream;
@@ -185,14 +187,14 @@
 void sim_request_fail(struct sim *sim, const struct sim_event *event);
 void sim_entry_down(struct sim *sim, size_t entry);
 void sim_link_cut(struct sim *sim);
-/* The request of an ask when that ask is still in force; NULL otherwise. */
+/* Returns the request of an ask, or NULL if the ask is no longer valid. */
 struct sim_request *sim_request_of(struct sim *sim, uint64_t ask);
-/* Microseconds between an entry host and an upstream or another host. */
+/* Returns the one-way delay in microseconds between two data centres. */
 int64_t sim_delay(const struct sim *sim, size_t centre_a, size_t centre_b);
 
-/* ---- the whole ---- */
+/* ---- the simulation ---- */
 
-/* What became of a key of a non-idempotent request. */
+/* State of the key of a non-idempotent request. */
 enum sim_key {
     SIM_KEY_RUNNING = 1,
     SIM_KEY_DONE,
@@ -212,17 +214,17 @@
     struct sim_entry *entries;
     struct sim_store store;
     GArray **first_items; /* by upstream: struct sim_item at the start */
-    int64_t client_delay; /* the longest, between callers and entry hosts */
-    int64_t *link_free;   /* by region: when its way out is free */
-    struct sim_request *requests; /* by place in the trace */
+    int64_t client_delay; /* longest delay from a caller to an entry node */
+    int64_t *link_free;   /* by region: when its outgoing link is free */
+    struct sim_request *requests; /* by index in the trace */
     GArray *asks;                 /* struct sim_ask */
-    GHashTable *keys;             /* text to enum sim_key */
-    GHashTable *key_runs;         /* text to dispatches */
-    uint64_t open;                /* requests not yet over */
+    GHashTable *keys;             /* key to enum sim_key_state */
+    GHashTable *key_runs;         /* key to number of dispatches */
+    uint64_t open;                /* requests not finished */
     bool kv_down;
     bool link_down;
     int64_t link_changed;
-    int64_t end; /* no event after it */
+    int64_t end; /* later events are not run */
     struct ch_result *result;
     uint8_t *model_asked;
     uint8_t *model_run;
--- a/libchestnuthitch/replay/sim_engine.c
+++ b/libchestnuthitch/replay/sim_engine.c
@@ -1,33 +1,34 @@
-/* The model of an engine: continuous batching in which a token takes longer
- * the more requests run, prefill that costs progress unless the prefix is
- * cached, and memory.  A plain service is the same with a fixed time a call.
+/* Simulates an engine: continuous batching, in which a token takes longer the
+ * more requests run; prefill, which takes engine time unless the prefix is
+ * cached; and memory.  A plain service is simulated likewise, with a time for
+ * each call that doesn't depend on the number of running calls.
  *
- * All that run make tokens at the same pace, so one number tells how far the
- * engine is, and a request ends when that number passes its threshold. */
+ * All running requests generate tokens at the same rate.  A single counter of
+ * progress therefore serves for the whole engine, and a request ends when the
+ * counter reaches the request's end_progress. */
 
 #include "replay/sim.h"
 
 #include <math.h>
 #include <string.h>
 
-/* Progress is compared with this tolerance: a thousandth of a token. */
-static const double CLOSE = 1e-3;
+/* Tolerance in comparisons of progress: a thousandth of a token. */
+static const double PROGRESS_TOLERANCE = 1e-3;
 
 enum {
-    /* Ids that a report carries; INTERFACES.md asks for 64. */
-    ORDERS_TOLD = 128,
-    /* After this an engine that leaves takes nothing new. */
-    LEAVE_GRACE = 3 * G_USEC_PER_SEC,
+    /* Completed orders in a report; INTERFACES.md requires at least 64. */
+    MAX_REPORTED_ORDERS = 128,
+    /* A draining engine accepts new requests for this long. */
+    DRAIN_GRACE_US = 3 * G_USEC_PER_SEC,
 };
 
-/* Empties an array of jobs. */
 static GArray *
 new_jobs(void)
 {
     return g_array_new(FALSE, FALSE, sizeof(struct sim_job));
 }
 
-/* An engine that runs, with empty memory. */
+/* Sets up a running engine with empty memory. */
 void
 sim_engine_init(struct sim *sim, size_t upstream)
 {
@@ -46,7 +47,7 @@
     };
 }
 
-/* Frees what an engine holds. */
+/* Frees the members of an engine, but not the engine itself. */
 void
 sim_engine_clear(struct sim_engine *engine)
 {
@@ -57,9 +58,9 @@
     g_ptr_array_unref(engine->done);
 }
 
-/* Microseconds for one unit of progress at the present batch. */
+/* Returns the microseconds for one unit of progress at the current batch. */
 static double
-pace(const struct sim *sim, const struct sim_engine *engine)
+step_time(const struct sim *sim, const struct sim_engine *engine)
 {
     if (engine->service) {
         return engine->slow;
@@ -70,27 +71,28 @@
            engine->slow;
 }
 
-/* Brings progress up to the present. */
+/* Updates the progress to the current time. */
 static void
 advance(struct sim *sim, struct sim_engine *engine)
 {
     if (engine->running->len > 0 && sim->now > engine->at) {
         engine->progress +=
-            (double)(sim->now - engine->at) / pace(sim, engine);
+            (double)(sim->now - engine->at) / step_time(sim, engine);
     }
     engine->at = sim->now;
 }
 
-/* The progress that a job waits for next. */
+/* Returns the progress at which a job's next event is due. */
 static double
-threshold(const struct sim_job *job)
+next_progress(const struct sim_job *job)
 {
     return job->first_out ? job->end : job->first;
 }
 
 static void step(struct sim *sim, const struct sim_event *event);
 
-/* Schedules the next threshold; earlier schedules become void. */
+/* Schedules the event of the job that is due next, and invalidates step events
+ * scheduled earlier. */
 static void
 schedule_step(struct sim *sim, size_t upstream)
 {
@@ -98,19 +100,20 @@
     engine->turn++;
     double next = INFINITY;
     for (guint i = 0; i < engine->running->len; i++) {
-        next =
-            MIN(next,
-                threshold(&g_array_index(engine->running, struct sim_job, i)));
+        next = MIN(next, next_progress(&g_array_index(engine->running,
+                                                      struct sim_job, i)));
     }
     if (isfinite(next)) {
-        double left = MAX(next - engine->progress, 0.0) * pace(sim, engine);
+        double left =
+            MAX(next - engine->progress, 0.0) * step_time(sim, engine);
         sim_schedule(sim, sim->now + (int64_t)ceil(left), step, upstream,
                      engine->turn, 0);
     }
 }
 
-/* Whether the prefix is cached; it is then, or from now on, the one used
- * last.  The least recently used go when the cache is full. */
+/* Returns whether the prefix is cached, and makes it the most recently used
+ * prefix, adding it if needed.  A full cache drops the least recently used
+ * prefix. */
 static bool
 touch_prefix(const struct sim *sim, struct sim_engine *engine, uint64_t prefix)
 {
@@ -123,14 +126,14 @@
         }
     }
     g_array_append_val(engine->cache, prefix);
-    guint most = model->cache_tokens / MAX(model->prefix_tokens, 1);
-    if (engine->cache->len > most) {
+    guint max = model->cache_tokens / MAX(model->prefix_tokens, 1);
+    if (engine->cache->len > max) {
         g_array_remove_index(engine->cache, 0);
     }
     return found;
 }
 
-/* The job of a dispatch, thresholds relative to where it starts. */
+/* Returns the job of a dispatch, with progress relative to its start. */
 static struct sim_job
 make_job(struct sim *sim, struct sim_engine *engine, uint64_t dispatch)
 {
@@ -138,8 +141,8 @@
     struct sim_job job = {.dispatch = dispatch, .tokens = 1};
     const struct ch_site_engine *model = &sim->site->engine;
     if (engine->service) {
-        double part = 0.5 + sim_random(sim, dispatch, 11);
-        job.first = part * (double)model->service;
+        double factor = 0.5 + sim_random(sim, dispatch, 11);
+        job.first = factor * (double)model->service;
         job.end = job.first;
         return job;
     }
@@ -148,18 +151,19 @@
     if (prefix != 0 && touch_prefix(sim, engine, prefix)) {
         prompt -= MIN(prompt, model->prefix_tokens);
     }
-    /* Prefill takes the engine's time alone; as progress, that is so many
-     * tokens of an engine with one request. */
-    double alone = (double)(model->token + model->token_per_request);
-    double prefill =
-        (double)prompt / model->prefill_per_s * G_USEC_PER_SEC / alone;
+    /* Prefill is converted to progress: the number of tokens that an engine
+     * with a single request generates in the prefill time. */
+    double single_token_time =
+        (double)(model->token + model->token_per_request);
+    double prefill = (double)prompt / model->prefill_per_s * G_USEC_PER_SEC /
+                     single_token_time;
     job.tokens = request->work.output_tokens;
     job.first = prefill + 1.0;
     job.end = prefill + MAX(job.tokens, 1);
     return job;
 }
 
-/* Starts waiting jobs while the batch has room. */
+/* Starts waiting jobs until the batch is full. */
 static void
 start_waiting(struct sim_engine *engine)
 {
@@ -172,10 +176,11 @@
     }
 }
 
-/* Microseconds from an upstream to the host of a request, and the bytes on
- * the link. */
+/* Returns the microseconds to send bytes from an upstream to a request's
+ * entry node, and accounts for the bytes on the link. */
 static int64_t
-way_back(struct sim *sim, size_t upstream, uint64_t dispatch, uint64_t bytes)
+response_delay(struct sim *sim, size_t upstream, uint64_t dispatch,
+               uint64_t bytes)
 {
     const struct sim_request *request = sim_request_of(sim, dispatch);
     const struct sim_upstream *from = &sim->upstreams[upstream];
@@ -184,22 +189,23 @@
            sim_link_send(sim, from->region, entry->region, bytes);
 }
 
-/* Tells the entry host of a job's first token or end. */
+/* Notifies the entry node of a job's first token or of its end. */
 static void
-tell(struct sim *sim, size_t upstream, const struct sim_job *job, bool end)
+notify_entry(struct sim *sim, size_t upstream, const struct sim_job *job,
+             bool end)
 {
     if (sim_request_of(sim, job->dispatch) == NULL) {
         return;
     }
-    uint64_t each = sim->site->engine.token_bytes;
-    uint64_t bytes = end ? each * job->tokens : each;
-    int64_t delay = way_back(sim, upstream, job->dispatch, bytes);
+    uint64_t token_bytes = sim->site->engine.token_bytes;
+    uint64_t bytes = end ? token_bytes * job->tokens : token_bytes;
+    int64_t delay = response_delay(sim, upstream, job->dispatch, bytes);
     sim_schedule(sim, sim->now + delay,
                  end ? sim_request_done : sim_request_first, job->dispatch,
                  job->tokens, 0);
 }
 
-/* A threshold is reached.  a: upstream, b: turn. */
+/* Handles the jobs that are due.  a: upstream, b: step version. */
 static void
 step(struct sim *sim, const struct sim_event *event)
 {
@@ -212,12 +218,14 @@
     for (guint i = 0; i < engine->running->len;) {
         struct sim_job *job =
             &g_array_index(engine->running, struct sim_job, i);
-        if (!job->first_out && job->first <= engine->progress + CLOSE) {
+        if (!job->first_out &&
+            job->first <= engine->progress + PROGRESS_TOLERANCE) {
             job->first_out = true;
-            tell(sim, upstream, job, false);
+            notify_entry(sim, upstream, job, false);
         }
-        if (job->first_out && job->end <= engine->progress + CLOSE) {
-            tell(sim, upstream, job, true);
+        if (job->first_out &&
+            job->end <= engine->progress + PROGRESS_TOLERANCE) {
+            notify_entry(sim, upstream, job, true);
             g_array_remove_index(engine->running, i);
             continue;
         }
@@ -227,36 +235,38 @@
     schedule_step(sim, upstream);
 }
 
-/* Answers a dispatch with a failure.  may_have_run: it had begun. */
+/* Fails a dispatch.  may_have_run: the engine may have run the request. */
 static void
-refuse(struct sim *sim, size_t upstream, uint64_t dispatch, enum ch_code code,
-       bool may_have_run)
+fail_dispatch(struct sim *sim, size_t upstream, uint64_t dispatch,
+              enum ch_code code, bool may_have_run)
 {
     if (sim_request_of(sim, dispatch) == NULL) {
         return;
     }
-    int64_t delay = way_back(sim, upstream, dispatch, 0);
+    int64_t delay = response_delay(sim, upstream, dispatch, 0);
     sim_schedule(sim, sim->now + delay, sim_request_fail, dispatch, code,
                  may_have_run ? 1 : 0);
 }
 
-/* A request reaches the upstream. */
+/* Accepts a request that reached the upstream, or fails it: the engine is
+ * down, has drained, or lacks the model or adapter. */
 void
 sim_engine_accept(struct sim *sim, size_t upstream, uint64_t dispatch)
 {
     struct sim_engine *engine = &sim->upstreams[upstream].engine;
     const struct sim_request *request = sim_request_of(sim, dispatch);
     if (engine->down) {
-        refuse(sim, upstream, dispatch, CH_UPSTREAM_CONNECT, false);
+        fail_dispatch(sim, upstream, dispatch, CH_UPSTREAM_CONNECT, false);
         return;
     }
-    bool gone = engine->leaving && sim->now - engine->left_at > LEAVE_GRACE;
+    bool drained =
+        engine->leaving && sim->now - engine->left_at > DRAIN_GRACE_US;
     bool absent =
         !engine->service && (!sim_engine_has(engine, request->work.model) ||
                              (request->work.adapter != 0 &&
                               !sim_engine_has(engine, request->work.adapter)));
-    if (gone || absent) {
-        refuse(sim, upstream, dispatch, CH_UPSTREAM_REFUSED, false);
+    if (drained || absent) {
+        fail_dispatch(sim, upstream, dispatch, CH_UPSTREAM_REFUSED, false);
         return;
     }
     advance(sim, engine);
@@ -266,7 +276,7 @@
     schedule_step(sim, upstream);
 }
 
-/* The entry host closed the connection. */
+/* Drops the job of a dispatch whose entry node closed the connection. */
 void
 sim_engine_cancel(struct sim *sim, size_t upstream, uint64_t dispatch)
 {
@@ -285,7 +295,7 @@
     schedule_step(sim, upstream);
 }
 
-/* Tokens of a job that are out by now. */
+/* Returns the number of tokens that a job has generated so far. */
 static uint32_t
 tokens_out(const struct sim_engine *engine, const struct sim_job *job)
 {
@@ -296,7 +306,8 @@
     return (uint32_t)CLAMP(out, 1.0, (double)job->tokens);
 }
 
-/* The engine dies: what ran is cut, memory is lost, a boot is over. */
+/* Crashes an engine: running requests are interrupted, the memory is lost and
+ * the boot ID changes. */
 void
 sim_engine_fail(struct sim *sim, size_t upstream)
 {
@@ -309,12 +320,12 @@
         if (request != NULL) {
             request->given += tokens_out(engine, job);
         }
-        refuse(sim, upstream, job->dispatch, CH_UPSTREAM_CUT, true);
+        fail_dispatch(sim, upstream, job->dispatch, CH_UPSTREAM_CUT, true);
     }
     for (guint i = 0; i < engine->waiting->len; i++) {
         const struct sim_job *job =
             &g_array_index(engine->waiting, struct sim_job, i);
-        refuse(sim, upstream, job->dispatch, CH_UPSTREAM_CUT, true);
+        fail_dispatch(sim, upstream, job->dispatch, CH_UPSTREAM_CUT, true);
     }
     g_array_set_size(engine->running, 0);
     g_array_set_size(engine->waiting, 0);
@@ -326,7 +337,7 @@
     engine->down = true;
 }
 
-/* The engine's pace changes by a factor. */
+/* Sets the factor by which an engine's tokens take longer (1: none). */
 void
 sim_engine_set_slow(struct sim *sim, size_t upstream, double slow)
 {
@@ -336,7 +347,7 @@
     schedule_step(sim, upstream);
 }
 
-/* The item's place in memory; -1: it is not there. */
+/* Returns the index of an item in memory, loading or loaded; -1: absent. */
 static int
 find_item(const struct sim_engine *engine, GQuark item)
 {
@@ -348,27 +359,28 @@
     return -1;
 }
 
-/* Whether the item can be used. */
+/* Returns whether an item is loaded. */
 bool
 sim_engine_has(const struct sim_engine *engine, GQuark item)
 {
-    int at = find_item(engine, item);
-    return at >= 0 &&
-           !g_array_index(engine->items, struct sim_item, (guint)at).loading;
+    int index = find_item(engine, item);
+    return index >= 0 &&
+           !g_array_index(engine->items, struct sim_item, (guint)index)
+                .loading;
 }
 
-/* Notes an order as carried out. */
+/* Records an order as completed; drops the oldest order beyond the limit. */
 static void
-note_done(struct sim_engine *engine, const char *order)
+record_completed(struct sim_engine *engine, const char *order)
 {
     g_ptr_array_add(engine->done, g_strdup(order));
-    if (engine->done->len > ORDERS_TOLD) {
+    if (engine->done->len > MAX_REPORTED_ORDERS) {
         g_ptr_array_remove_index(engine->done, 0);
     }
 }
 
-/* An order to load arrives.  Memory is taken at once; beyond the capacity it
- * is an overcommit, the one thing that must never be seen. */
+/* Handles an order to load.  The memory is taken at once; more than the
+ * capacity counts as an overcommit, which must never occur. */
 void
 sim_engine_load(struct sim *sim, size_t upstream, GQuark item,
                 uint32_t memory_mb, const char *order)
@@ -377,10 +389,10 @@
     if (engine->down || find_item(engine, item) >= 0) {
         return;
     }
-    struct sim_item fresh = {
+    struct sim_item new_item = {
         .name = item, .memory_mb = memory_mb, .loading = true};
-    g_strlcpy(fresh.order, order, sizeof(fresh.order));
-    g_array_append_val(engine->items, fresh);
+    g_strlcpy(new_item.order, order, sizeof(new_item.order));
+    g_array_append_val(engine->items, new_item);
     uint64_t used = 0;
     for (guint i = 0; i < engine->items->len; i++) {
         used += g_array_index(engine->items, struct sim_item, i).memory_mb;
@@ -398,22 +410,22 @@
     }
 }
 
-/* The weights have come, if this boot still waits for them. */
+/* Finishes a load, unless the engine restarted or dropped the item. */
 void
 sim_engine_loaded(struct sim *sim, size_t upstream, GQuark item, unsigned boot)
 {
     struct sim_engine *engine = &sim->upstreams[upstream].engine;
-    int at = find_item(engine, item);
-    if (engine->boot != boot || at < 0) {
+    int index = find_item(engine, item);
+    if (engine->boot != boot || index < 0) {
         return;
     }
     struct sim_item *held =
-        &g_array_index(engine->items, struct sim_item, (guint)at);
+        &g_array_index(engine->items, struct sim_item, (guint)index);
     held->loading = false;
-    note_done(engine, held->order);
+    record_completed(engine, held->order);
 }
 
-/* An order to unload arrives. */
+/* Handles an order to unload; an absent item counts as unloaded. */
 void
 sim_engine_unload(struct sim *sim, size_t upstream, GQuark item,
                   const char *order)
@@ -422,12 +434,12 @@
     if (engine->down) {
         return;
     }
-    int at = find_item(engine, item);
-    if (at >= 0) {
-        g_array_remove_index(engine->items, (guint)at);
+    int index = find_item(engine, item);
+    if (index >= 0) {
+        g_array_remove_index(engine->items, (guint)index);
         if (strchr(g_quark_to_string(item), '/') == NULL) {
             sim->result->model_unloads++;
         }
     }
-    note_done(engine, order);
+    record_completed(engine, order);
 }
--- a/libchestnuthitch/replay/sim_run.c
+++ b/libchestnuthitch/replay/sim_run.c
@@ -1,4 +1,5 @@
-/* A run: virtual time, the trace's events, and where models stand at first. */
+/* A simulated run: virtual time, the events of the trace and the initial
+ * placement of models. */
 
 #include "decide/home.h"
 #include "replay/sim.h"
@@ -6,21 +7,21 @@
 #include <string.h>
 
 enum {
-    /* What has not come to an end so long after the trace has is counted as
-     * failed: longer than any answer of the traces on the slowest engine. */
-    PATIENCE = 120ll * G_USEC_PER_SEC,
-    /* Nodes notice a host that came or went after this. */
-    NOTICE = G_USEC_PER_SEC,
+    /* Requests not finished this long after the trace's last event count as
+     * failed.  Any response in the traces takes less, even on the slowest
+     * engine. */
+    FINISH_TIMEOUT_US = 120ll * G_USEC_PER_SEC,
+    /* Time after which nodes notice that a host started or stopped. */
+    NOTICE_DELAY_US = G_USEC_PER_SEC,
 };
 
-/* Whether one event comes before another. */
 static bool
 is_before(const struct sim_event *a, const struct sim_event *b)
 {
     return a->at < b->at || (a->at == b->at && a->order < b->order);
 }
 
-/* Puts an event into the heap of what is to happen. */
+/* Adds an event to the heap; a time in the past becomes the current time. */
 void
 sim_schedule(struct sim *sim, int64_t at,
              void (*handle)(struct sim *sim, const struct sim_event *event),
@@ -36,15 +37,15 @@
     };
     g_array_append_val(sim->heap, event);
     struct sim_event *heap = (struct sim_event *)(void *)sim->heap->data;
-    guint place = sim->heap->len - 1;
-    while (place > 0 && is_before(&event, &heap[(place - 1) / 2])) {
-        heap[place] = heap[(place - 1) / 2];
-        place = (place - 1) / 2;
+    guint index = sim->heap->len - 1;
+    while (index > 0 && is_before(&event, &heap[(index - 1) / 2])) {
+        heap[index] = heap[(index - 1) / 2];
+        index = (index - 1) / 2;
     }
-    heap[place] = event;
+    heap[index] = event;
 }
 
-/* Takes the next event out of the heap, which must not be empty. */
+/* Removes the next event from the heap, which must not be empty. */
 static struct sim_event
 take_next(struct sim *sim)
 {
@@ -52,24 +53,24 @@
     struct sim_event next = heap[0];
     guint count = sim->heap->len - 1;
     struct sim_event last = heap[count];
-    guint place = 0;
+    guint index = 0;
     for (;;) {
-        guint child = 2 * place + 1;
+        guint child = 2 * index + 1;
         if (child + 1 < count && is_before(&heap[child + 1], &heap[child])) {
             child++;
         }
         if (child >= count || !is_before(&heap[child], &last)) {
             break;
         }
-        heap[place] = heap[child];
-        place = child;
+        heap[index] = heap[child];
+        index = child;
     }
-    heap[place] = last;
+    heap[index] = last;
     g_array_set_size(sim->heap, count);
     return next;
 }
 
-/* A number from 0 to 1 that depends on the seed and the key alone. */
+/* Returns a number from 0 to 1 that depends only on seed, key and salt. */
 double
 sim_random(const struct sim *sim, uint64_t key, uint64_t salt)
 {
@@ -77,7 +78,7 @@
     return (double)(bits >> 11) / (double)(1ull << 53);
 }
 
-/* A model with its adapters, in megabytes. */
+/* Returns the memory of a model with all its adapters, in megabytes. */
 static uint32_t
 model_mb(const struct ch_model *model)
 {
@@ -85,10 +86,9 @@
            (uint32_t)model->adapter_count * model->adapter_memory_mb;
 }
 
-/* Puts a model and its adapters into an engine's memory as if they had been
- * there for long. */
+/* Adds a model and its adapters to an engine's memory, already loaded. */
 static void
-put(struct sim *sim, size_t upstream, const struct ch_model *model)
+add_model(struct sim *sim, size_t upstream, const struct ch_model *model)
 {
     GArray *items = sim->upstreams[upstream].engine.items;
     struct sim_item item = {.name = g_quark_from_string(model->name),
@@ -103,39 +103,41 @@
     }
 }
 
-/* The engine with the most room that lacks the model; -1: it fits nowhere. */
+/* Returns the engine with the most free memory among those that lack the model
+ * and can hold it; -1: none. */
 static int
-roomiest(const struct sim *sim, const uint32_t *room,
-         const struct ch_model *model)
+find_freest_engine(const struct sim *sim, const uint32_t *free_mb,
+                   const struct ch_model *model)
 {
     int best = -1;
     GQuark name = g_quark_from_string(model->name);
     for (size_t i = 0; i < sim->site->upstream_count; i++) {
-        if (sim->upstreams[i].engine.service || room[i] < model_mb(model) ||
+        if (sim->upstreams[i].engine.service || free_mb[i] < model_mb(model) ||
             sim_engine_has(&sim->upstreams[i].engine, name)) {
             continue;
         }
-        if (best < 0 || room[i] > room[best]) {
+        if (best < 0 || free_mb[i] > free_mb[best]) {
             best = (int)i;
         }
     }
     return best;
 }
 
-/* Where all policies start: the largest models first, each to the roomiest
- * engine, then second replicas while anything fits.  What fits nowhere is
- * absent at first. */
+/* Sets the initial placement, which is the same for all policies.  The largest
+ * models come first, each on the engine with the most free memory; a second
+ * round adds second replicas where they fit.  A model that fits on no engine
+ * is absent. */
 static void
-place_first(struct sim *sim)
+place_initial(struct sim *sim)
 {
     const struct ch_declaration *declaration = sim->declaration;
-    uint32_t *room = g_new0(uint32_t, sim->site->upstream_count);
+    uint32_t *free_mb = g_new0(uint32_t, sim->site->upstream_count);
     for (size_t i = 0; i < sim->site->upstream_count; i++) {
-        room[i] = sim->upstreams[i].engine.capacity_mb;
+        free_mb[i] = sim->upstreams[i].engine.capacity_mb;
     }
-    for (int round = 0; round < 2; round++) {
+    for (int pass = 0; pass < 2; pass++) {
         uint8_t *placed = g_new0(uint8_t, declaration->model_count);
-        for (size_t turn = 0; turn < declaration->model_count; turn++) {
+        for (size_t step = 0; step < declaration->model_count; step++) {
             int largest = -1;
             for (size_t i = 0; i < declaration->model_count; i++) {
                 if (placed[i] == 0 &&
@@ -147,19 +149,19 @@
             }
             placed[largest] = 1;
             const struct ch_model *model = &declaration->models[largest];
-            int at = roomiest(sim, room, model);
-            if (at >= 0) {
-                put(sim, (size_t)at, model);
-                room[at] -= model_mb(model);
+            int engine = find_freest_engine(sim, free_mb, model);
+            if (engine >= 0) {
+                add_model(sim, (size_t)engine, model);
+                free_mb[engine] -= model_mb(model);
             }
         }
         g_free(placed);
     }
-    g_free(room);
+    g_free(free_mb);
 }
 
-/* An engine starts anew.  Under a fixed placement it comes up with what it
- * was given at first, as its operators would have it. */
+/* Starts an engine.  Under a fixed placement its memory has the models of the
+ * initial placement, as an operator would configure it. */
 static void
 start_engine(struct sim *sim, size_t upstream)
 {
@@ -174,9 +176,9 @@
     }
 }
 
-/* Nodes notice that hosts came or went: homes fall to others. */
+/* Nodes notice that hosts started or stopped: assigns home nodes anew. */
 static void
-move_homes(struct sim *sim, const struct sim_event *event)
+assign_homes(struct sim *sim, const struct sim_event *event)
 {
     (void)event;
     for (size_t i = 0; i < sim->site->upstream_count; i++) {
@@ -184,9 +186,10 @@
     }
 }
 
-/* An entry host goes; its homes are nobody's until that is noticed. */
+/* Stops an entry node.  Its upstreams have no home node until other nodes
+ * notice. */
 static void
-entry_goes(struct sim *sim, size_t entry)
+stop_entry(struct sim *sim, size_t entry)
 {
     if (!sim->entries[entry].up) {
         return;
@@ -197,10 +200,10 @@
             sim->upstreams[i].host = SIM_NOBODY;
         }
     }
-    sim_schedule(sim, sim->now + NOTICE, move_homes, 0, 0, 0);
+    sim_schedule(sim, sim->now + NOTICE_DELAY_US, assign_homes, 0, 0, 0);
 }
 
-/* The link between regions is cut or mended. */
+/* Interrupts or restores the link between regions. */
 static void
 set_link(struct sim *sim, bool down)
 {
@@ -213,17 +216,18 @@
     }
 }
 
-/* An engine leaves: it says so in its reports, and ends what runs. */
+/* Drains an engine: its reports say so, and running requests finish. */
 static void
-leave(struct sim *sim, size_t upstream)
+drain_engine(struct sim *sim, size_t upstream)
 {
     sim->upstreams[upstream].engine.leaving = true;
     sim->upstreams[upstream].engine.left_at = sim->now;
 }
 
-/* The trace's next event.  a: its place. */
+/* Runs an event of the trace and schedules the next.  a: index in the trace.
+ */
 static void
-trace_event(struct sim *sim, const struct sim_event *event)
+run_trace_event(struct sim *sim, const struct sim_event *event)
 {
     const struct ch_trace_event *from = &sim->trace->events[event->a];
     switch (from->kind) {
@@ -240,7 +244,7 @@
         start_engine(sim, from->target);
         break;
     case CH_TRACE_LEAVE:
-        leave(sim, from->target);
+        drain_engine(sim, from->target);
         break;
     case CH_TRACE_KV_DOWN:
     case CH_TRACE_KV_UP:
@@ -251,11 +255,11 @@
         set_link(sim, from->kind == CH_TRACE_LINK_DOWN);
         break;
     case CH_TRACE_ENTRY_DOWN:
-        entry_goes(sim, from->target);
+        stop_entry(sim, from->target);
         break;
     case CH_TRACE_ENTRY_UP:
         sim->entries[from->target].up = true;
-        sim_schedule(sim, sim->now + NOTICE, move_homes, 0, 0, 0);
+        sim_schedule(sim, sim->now + NOTICE_DELAY_US, assign_homes, 0, 0, 0);
         break;
     }
     if (event->a + 1 < sim->trace->count) {
@@ -264,11 +268,12 @@
         if (next->kind == CH_TRACE_REQUEST) {
             delay = sim->client_delay;
         }
-        sim_schedule(sim, next->at + delay, trace_event, event->a + 1, 0, 0);
+        sim_schedule(sim, next->at + delay, run_trace_event, event->a + 1, 0,
+                     0);
     }
 }
 
-/* Makes everything that a run needs, at the time 0. */
+/* Allocates a run at time 0. */
 static struct sim *
 sim_new(const struct ch_site *site, const struct ch_declaration *declaration,
         const struct ch_trace *trace, const struct ch_policy *policy,
@@ -307,7 +312,7 @@
     return sim;
 }
 
-/* Sets upstreams and entry hosts up, with all models where they start. */
+/* Sets up the entry nodes, the upstreams and the initial placement. */
 static void
 set_up(struct sim *sim)
 {
@@ -323,7 +328,7 @@
         sim_engine_init(sim, i);
         sim_home_init(sim, i);
     }
-    place_first(sim);
+    place_initial(sim);
     for (size_t i = 0; i < site->upstream_count; i++) {
         const GArray *items = sim->upstreams[i].engine.items;
         sim->first_items[i] =
@@ -331,7 +336,8 @@
         g_array_append_vals(sim->first_items[i], items->data, items->len);
         struct sim_event event = {.a = i};
         sim_home_report(sim, &event);
-        /* Reports and ticks of different homes do not fall together. */
+        /* A different phase for each upstream, so that their reports and
+         * ticks don't coincide. */
         int64_t phase = (int64_t)i * 997;
         sim_schedule(sim, phase + CH_HOME_TICK, sim_home_tick, i, 0, 0);
     }
@@ -339,9 +345,11 @@
     sim_home_gossip(sim, &event);
 }
 
-/* Counts what the run left open, and what no policy's counts show. */
+/* Completes the result: unfinished requests count as failed; counts models
+ * that were requested but never served, and finds the lowest attainment of a
+ * caller. */
 static void
-sum_up(struct sim *sim)
+complete_result(struct sim *sim)
 {
     struct ch_result *result = sim->result;
     result->failed += sim->open;
@@ -361,7 +369,7 @@
     }
 }
 
-/* Frees all but the result. */
+/* Frees a run, but not its result. */
 static void
 sim_free(struct sim *sim)
 {
@@ -395,8 +403,8 @@
     g_free(sim);
 }
 
-/* Runs a trace; the result is the caller's to free.  It depends on the
- * arguments alone. */
+/* Runs a trace.  The caller frees the result, which depends only on the
+ * arguments. */
 struct ch_result *
 ch_replay_run(const struct ch_site *site,
               const struct ch_declaration *declaration,
@@ -406,9 +414,9 @@
     struct sim *sim = sim_new(site, declaration, trace, policy, seed);
     set_up(sim);
     if (trace->count > 0) {
-        sim->end = trace->events[trace->count - 1].at + PATIENCE;
-        sim_schedule(sim, trace->events[0].at + sim->client_delay, trace_event,
-                     0, 0, 0);
+        sim->end = trace->events[trace->count - 1].at + FINISH_TIMEOUT_US;
+        sim_schedule(sim, trace->events[0].at + sim->client_delay,
+                     run_trace_event, 0, 0, 0);
     }
     while (sim->heap->len > 0 && sim->open > 0) {
         struct sim_event event = take_next(sim);
@@ -418,7 +426,7 @@
         sim->now = event.at;
         event.handle(sim, &event);
     }
-    sum_up(sim);
+    complete_result(sim);
     struct ch_result *result = sim->result;
     result->bound = ch_bound_attainment(site, declaration, trace);
     sim_free(sim);
--- a/libchestnuthitch/replay/sim_store.c
+++ b/libchestnuthitch/replay/sim_store.c
@@ -1,11 +1,11 @@
-/* The weight store and the link between regions: shared, narrow, no smarter
- * than the brief says. */
+/* Simulates the weight store and the link between regions.  Both are shared
+ * and have limited capacity. */
 
 #include "replay/sim.h"
 
 #include <math.h>
 
-/* Megabytes a second of one load while so many run. */
+/* Returns the megabytes a second of each load while `loads` run. */
 static double
 load_rate(const struct sim *sim, guint loads)
 {
@@ -16,7 +16,7 @@
     return rate;
 }
 
-/* Brings all loads up to the present. */
+/* Updates the progress of all loads to the current time. */
 static void
 advance(struct sim *sim)
 {
@@ -31,25 +31,27 @@
 
 static void step(struct sim *sim, const struct sim_event *event);
 
-/* Schedules the end of the load that is nearest to it. */
+/* Schedules the end of the load that finishes first. */
 static void
 schedule_step(struct sim *sim)
 {
     struct sim_store *store = &sim->store;
     store->turn++;
-    double least = INFINITY;
+    double min_left_mb = INFINITY;
     for (guint i = 0; i < store->loads->len; i++) {
-        least = MIN(least,
-                    g_array_index(store->loads, struct sim_load, i).left_mb);
+        min_left_mb =
+            MIN(min_left_mb,
+                g_array_index(store->loads, struct sim_load, i).left_mb);
     }
-    if (isfinite(least)) {
-        double seconds = MAX(least, 0.0) / load_rate(sim, store->loads->len);
+    if (isfinite(min_left_mb)) {
+        double seconds =
+            MAX(min_left_mb, 0.0) / load_rate(sim, store->loads->len);
         sim_schedule(sim, sim->now + (int64_t)ceil(seconds * G_USEC_PER_SEC),
                      step, store->turn, 0, 0);
     }
 }
 
-/* A load is over.  a: turn. */
+/* Handles the end of a load.  a: step version. */
 static void
 step(struct sim *sim, const struct sim_event *event)
 {
@@ -68,7 +70,7 @@
     schedule_step(sim);
 }
 
-/* An engine begins to fetch a model. */
+/* Starts the load of a model on an engine. */
 void
 sim_store_load(struct sim *sim, size_t upstream, GQuark item,
                uint32_t memory_mb)
@@ -84,7 +86,7 @@
     schedule_step(sim);
 }
 
-/* An adapter has come.  a: upstream, b: item, c: boot. */
+/* Handles the end of an adapter load.  a: upstream, b: item, c: boot ID. */
 static void
 adapter_loaded(struct sim *sim, const struct sim_event *event)
 {
@@ -93,8 +95,9 @@
                       (unsigned)event->c);
 }
 
-/* An engine begins to fetch an adapter: a time within the stated range, in
- * proportion longer beyond the stated number in flight. */
+/* Starts the load of an adapter.  It takes a random time within the site's
+ * range, and proportionally longer when more adapters are in flight than the
+ * site can load in parallel. */
 void
 sim_store_adapter(struct sim *sim, size_t upstream, GQuark item)
 {
@@ -103,13 +106,13 @@
     double range = (double)(site->adapter_most - site->adapter_least);
     double time = (double)site->adapter_least +
                   range * sim_random(sim, (uint64_t)sim->now + item, 5);
-    double crowd = (double)sim->store.adapters / site->adapters_parallel;
-    time *= MAX(crowd, 1.0);
+    double load_factor = (double)sim->store.adapters / site->adapters_parallel;
+    time *= MAX(load_factor, 1.0);
     sim_schedule(sim, sim->now + (int64_t)time, adapter_loaded, upstream, item,
                  sim->upstreams[upstream].engine.boot);
 }
 
-/* Sends bytes; between regions they wait for those sent before them. */
+/* Sends bytes; between regions they queue behind those sent earlier. */
 int64_t
 sim_link_send(struct sim *sim, size_t from, size_t to, uint64_t bytes)
 {
