--- a/libchestnuthitch/replay/expect.c
+++ b/libchestnuthitch/replay/expect.c
@@ -1,20 +1,17 @@
 /*
- * Stated outcomes: an INI of figures that a run is held against.
+ * Expected results of a run, read from an INI file.
  *
- *   [expect]                    over the whole run
+ *   [expect]                    for the whole run
  *   attainment-at-least = 0.95
  *   overcommit-events-at-most = 0
- *   [class advice]              of one class
+ *   [class advice]              for one class
  *   attainment-at-least = 0.9
  *   p95-ms-at-most = 9000
- *   [window overload]           requests that arrived from second 600 to 1200
- *   from-s = 600
- *   to-s = 1200
- *   met-per-s-at-least = 4
- *   share-of = capacity         met here, against another window's, by second
- *   share-at-least = 0.9
+ *   [window overload]           for requests that arrive from second 600 to
+ * 1200 from-s = 600 to-s = 1200 met-per-s-at-least = 4 share-of = capacity
+ * met-per-s relative to that of another window share-at-least = 0.9
  *
- * Every figure may stand with -at-least or with -at-most.
+ * Each figure can be bounded by -at-least or by -at-most.
  */
 
 #include "base/ini.h"
@@ -26,14 +23,14 @@
 
 struct scope;
 
-/* A figure of some kind of group. */
+/* A figure that a section of the file can bound. */
 struct figure {
     const char *section;
     const char *name;
     double (*read)(const struct scope *scope);
 };
 
-/* What a figure is read from. */
+/* The group of the file and the result from which a figure is read. */
 struct scope {
     const struct ch_ini *ini;
     const char *group;
@@ -51,63 +48,64 @@
     return ch_result_attainment(scope->result);
 }
 
-/* Attainment of the caller that fared worst. */
+/* Lowest attainment among the callers. */
 static double
 read_worst_tenant(const struct scope *scope)
 {
     return scope->result->worst_tenant;
 }
 
-/* Times that an engine was given more than it holds. */
+/* Number of loads that exceeded an engine's memory. */
 static double
 read_overcommit(const struct scope *scope)
 {
     return (double)scope->result->overcommit_events;
 }
 
-/* Models that were asked for and never answered. */
+/* Number of models that were requested but never served. */
 static double
 read_unreachable(const struct scope *scope)
 {
     return (double)scope->result->unreachable_models;
 }
 
-/* Loads of models. */
 static double
 read_loads(const struct scope *scope)
 {
     return (double)scope->result->model_loads;
 }
 
-/* Requests refused, not run. */
+/* Number of requests that were refused and not run. */
 static double
 read_refused(const struct scope *scope)
 {
     return (double)scope->result->refused_not_run;
 }
 
-/* Requests that ended with an error after they may have run. */
+/* Number of idempotent requests that failed after they may have run, and of
+ * requests not finished at the end of the run. */
 static double
 read_failed(const struct scope *scope)
 {
     return (double)scope->result->failed;
 }
 
-/* Requests whose callers were told that it may have run. */
+/* Number of non-idempotent requests whose callers were told that they may have
+ * run. */
 static double
 read_unknown(const struct scope *scope)
 {
     return (double)scope->result->unknown;
 }
 
-/* Keys of non-idempotent requests that were dispatched twice. */
+/* Number of keys of non-idempotent requests that were dispatched twice. */
 static double
 read_ran_twice(const struct scope *scope)
 {
     return (double)scope->result->ran_twice;
 }
 
-/* Requests to upstreams for each one that came. */
+/* Dispatches to upstreams per request. */
 static double
 read_amplification(const struct scope *scope)
 {
@@ -116,7 +114,7 @@
     return (double)result->dispatches / (double)MAX(fresh, 1);
 }
 
-/* Milliseconds to a refusal, 95 in 100. */
+/* 95th percentile of the time to a refusal, in milliseconds. */
 static double
 read_refusal(const struct scope *scope)
 {
@@ -124,7 +122,7 @@
            1000.0;
 }
 
-/* Megabytes on the link between regions. */
+/* Megabytes sent on the link between regions. */
 static double
 read_link(const struct scope *scope)
 {
@@ -140,30 +138,30 @@
                                 : (double)class->met / (double)class->requests;
 }
 
-/* Milliseconds to whole answers, half of them. */
+/* Median time to a complete response, in milliseconds. */
 static double
 read_class_p50(const struct scope *scope)
 {
     return (double)ch_result_quantile(scope->class->times, 500) / 1000.0;
 }
 
-/* Milliseconds to whole answers, 95 in 100. */
+/* 95th percentile of the time to a complete response, in milliseconds. */
 static double
 read_class_p95(const struct scope *scope)
 {
     return (double)ch_result_quantile(scope->class->times, 950) / 1000.0;
 }
 
-/* Milliseconds to whole answers, 99 in 100. */
+/* 99th percentile of the time to a complete response, in milliseconds. */
 static double
 read_class_p99(const struct scope *scope)
 {
     return (double)ch_result_quantile(scope->class->times, 990) / 1000.0;
 }
 
-/* A window's sum over counts by second. */
+/* Returns the sum of the counts by second that are within a window. */
 static double
-window_sum(const struct scope *scope, const GArray *seconds)
+sum_window(const struct scope *scope, const GArray *seconds)
 {
     double sum = 0;
     for (guint i = 0; i < seconds->len; i++) {
@@ -174,24 +172,25 @@
     return sum;
 }
 
-/* Share of the requests that arrived in a window and met their target. */
+/* Share of the requests arriving in a window that met their target. */
 static double
 read_window_attainment(const struct scope *scope)
 {
-    double offered = window_sum(scope, scope->result->offered);
-    double met = window_sum(scope, scope->result->goodput);
+    double offered = sum_window(scope, scope->result->offered);
+    double met = sum_window(scope, scope->result->goodput);
     return offered > 0 ? met / offered : 1.0;
 }
 
-/* Requests a second that arrived in a window and met their target. */
+/* Requests arriving in a window that met their target, per second. */
 static double
 read_window_rate(const struct scope *scope)
 {
-    return window_sum(scope, scope->result->goodput) /
+    return sum_window(scope, scope->result->goodput) /
            MAX(scope->to_s - scope->from_s, 1);
 }
 
-/* A window's rate against that of another. */
+/* Rate of a window relative to that of its share-of window; 0 without
+ * share-of, 1 if the other rate is 0. */
 static double
 read_window_share(const struct scope *scope)
 {
@@ -224,14 +223,14 @@
     {"window", "share", read_window_share},
 };
 
-/* A number from the file. */
+/* Reads a required number. */
 static bool
-number(const struct ch_ini *ini, const char *group, const char *key,
-       double *out, struct ch_error *error)
+read_number(const struct ch_ini *ini, const char *group, const char *key,
+            double *out, struct ch_error *error)
 {
     char *text = g_key_file_get_value(ini->file, group, key, NULL);
     if (text == NULL) {
-        ch_ini_fail(ini, group, key, CH_MISSING, error, "it is needed here");
+        ch_ini_fail(ini, group, key, CH_MISSING, error, "required here");
         return false;
     }
     char *end = NULL;
@@ -245,7 +244,8 @@
     return fine;
 }
 
-/* The figure that a key names, without its ending; NULL: none. */
+/* Returns the figure of a key whose bound suffix starts at length; NULL: none.
+ */
 static const struct figure *
 find_figure(const char *section, const char *key, size_t length)
 {
@@ -259,50 +259,51 @@
     return NULL;
 }
 
-/* Holds one key against the run. */
+/* Checks the result against one key. */
 static bool
 check_key(const struct scope *scope, const char *section, const char *key,
           struct ch_error *error)
 {
-    bool least = g_str_has_suffix(key, "-at-least");
-    size_t ending = least ? strlen("-at-least") : strlen("-at-most");
+    bool is_minimum = g_str_has_suffix(key, "-at-least");
+    size_t suffix_length =
+        is_minimum ? strlen("-at-least") : strlen("-at-most");
     const struct figure *figure = NULL;
-    if (least || g_str_has_suffix(key, "-at-most")) {
-        figure = find_figure(section, key, strlen(key) - ending);
+    if (is_minimum || g_str_has_suffix(key, "-at-most")) {
+        figure = find_figure(section, key, strlen(key) - suffix_length);
     }
     if (figure == NULL) {
         ch_ini_fail(scope->ini, scope->group, key, CH_UNKNOWN_SETTING, error,
-                    "no such expectation");
+                    "unknown expectation");
         return false;
     }
-    double stated;
-    if (!number(scope->ini, scope->group, key, &stated, error)) {
+    double expected;
+    if (!read_number(scope->ini, scope->group, key, &expected, error)) {
         return false;
     }
-    double found = figure->read(scope);
-    if (least ? found >= stated : found <= stated) {
+    double actual = figure->read(scope);
+    if (is_minimum ? actual >= expected : actual <= expected) {
         return true;
     }
     ch_ini_fail(scope->ini, scope->group, key, CH_EXPECTATION, error,
-                "stated %g, found %g", stated, found);
+                "stated %g, found %g", expected, actual);
     return false;
 }
 
-/* Reads the stretch of a window. */
+/* Reads the start and the end of a window. */
 static bool
 read_window(const struct ch_ini *ini, const char *group, struct scope *scope,
             struct ch_error *error)
 {
     scope->ini = ini;
     scope->group = group;
-    return number(ini, group, "from-s", &scope->from_s, error) &&
-           number(ini, group, "to-s", &scope->to_s, error);
+    return read_number(ini, group, "from-s", &scope->from_s, error) &&
+           read_number(ini, group, "to-s", &scope->to_s, error);
 }
 
-/* Reads what a window is measured against, if anything. */
+/* Reads the share-of window of a window, if any.  The caller frees *group. */
 static bool
-read_other(struct scope *scope, struct scope *other, char **group,
-           struct ch_error *error)
+read_share_window(struct scope *scope, struct scope *other, char **group,
+                  struct ch_error *error)
 {
     char *name = g_key_file_get_string(scope->ini->file, scope->group,
                                        "share-of", NULL);
@@ -321,25 +322,26 @@
     return read_window(scope->ini, *group, other, error);
 }
 
-/* Holds all keys of a group against the run. */
+/* Checks the result against all keys of a group. */
 static bool
 check_keys(const struct scope *scope, const char *section,
            struct ch_error *error)
 {
-    static const char *const places[] = {"from-s", "to-s", "share-of", NULL};
+    static const char *const window_keys[] = {"from-s", "to-s", "share-of",
+                                              NULL};
     char **keys =
         g_key_file_get_keys(scope->ini->file, scope->group, NULL, NULL);
     bool fine = true;
     for (size_t i = 0; fine && keys[i] != NULL; i++) {
-        bool place =
-            strcmp(section, "window") == 0 && g_strv_contains(places, keys[i]);
-        fine = place || check_key(scope, section, keys[i], error);
+        bool is_window_key = strcmp(section, "window") == 0 &&
+                             g_strv_contains(window_keys, keys[i]);
+        fine = is_window_key || check_key(scope, section, keys[i], error);
     }
     g_strfreev(keys);
     return fine;
 }
 
-/* The class of "[class NAME]"; NULL: none. */
+/* Returns the class of a group "[class NAME]"; NULL: none. */
 static struct ch_result_class *
 find_class(struct ch_result *result, const char *group)
 {
@@ -353,7 +355,7 @@
     return NULL;
 }
 
-/* Holds one group against the run. */
+/* Checks the result against one group. */
 static bool
 check_group(const struct ch_ini *ini, const char *group,
             struct ch_result *result, struct ch_error *error)
@@ -366,7 +368,7 @@
         scope.class = find_class(result, group);
         if (scope.class == NULL) {
             ch_ini_fail(ini, group, NULL, CH_UNKNOWN_CLASS, error,
-                        "no such class");
+                        "unknown class");
             return false;
         }
         return check_keys(&scope, "class", error);
@@ -375,18 +377,18 @@
         struct scope other;
         char *other_group = NULL;
         bool fine = read_window(ini, group, &scope, error) &&
-                    read_other(&scope, &other, &other_group, error) &&
+                    read_share_window(&scope, &other, &other_group, error) &&
                     check_keys(&scope, "window", error);
         g_free(other_group);
         return fine;
     }
-    ch_ini_fail(ini, group, NULL, CH_UNKNOWN_GROUP, error, "no such group");
+    ch_ini_fail(ini, group, NULL, CH_UNKNOWN_GROUP, error, "unknown group");
     return false;
 }
 
-/* Holds a run against the expectations of an INI text.  False: error has
- * EXPECTATION with the first that fails and both figures, or what is wrong
- * with the text. */
+/* Checks a result against the expectations of an INI text.  False: the error
+ * is EXPECTATION with both figures of the first expectation that fails, or
+ * names the fault of the text. */
 bool
 ch_expect_check(const char *text, const char *path, struct ch_result *result,
                 struct ch_error *error)
--- a/libchestnuthitch/replay/sim_entries.c
+++ b/libchestnuthitch/replay/sim_entries.c
@@ -1,25 +1,27 @@
-/* The entry hosts of a run and the course of a request through them. */
+/* Entry nodes of a run, and how they handle requests. */
 
 #include "replay/sim.h"
 
 #include <string.h>
 
 enum {
-    /* Homes that a request asks before its refusal is final. */
-    MOST_ASKS = 3,
-    /* A cut link is noticed after this: a node's silence limit. */
-    SILENT = G_USEC_PER_SEC,
-    /* A stream that goes silent is given up after this. */
-    STALL = 2 * G_USEC_PER_SEC,
-    KV_TIME = 3 * 1000,
+    /* Home nodes that a request asks before it is refused. */
+    MAX_ASKS = 3,
+    /* Time after which a node notices an interrupted link. */
+    SILENCE_LIMIT_US = G_USEC_PER_SEC,
+    /* A response that makes no progress for this long is abandoned. */
+    STALL_TIMEOUT_US = 2 * G_USEC_PER_SEC,
+    KV_WRITE_US = 3 * 1000,
 };
 
-/* The part of the link that data may fill; the rest is for control. */
-static const double LINK_SHARE = 0.8;
-/* Retries for each fresh request, as a node's settings state by default. */
-static const double RETRY_SHARE = 0.1;
+/* Share of the link for requests and responses; control messages have the
+ * rest. */
+static const double LINK_DATA_SHARE = 0.8;
+/* Retries for each new request, as in a node's default settings. */
+static const double RETRIES_PER_REQUEST = 0.1;
 
-/* An entry host that sees all upstreams, and knows nothing of them yet. */
+/* Sets up an entry node that lists all upstreams but doesn't know their state
+ * yet. */
 void
 sim_entry_init(struct sim *sim, size_t entry)
 {
@@ -42,14 +44,14 @@
         size_t other = site->entries[i].data_centre;
         neighbours += site->data_centres[other].region == host->region ? 1 : 0;
     }
-    double bytes = site->link_mbit * 1e6 / 8.0 * LINK_SHARE;
+    double bytes = site->link_mbit * 1e6 / 8.0 * LINK_DATA_SHARE;
     bytes /= (double)neighbours;
     ch_bucket_init(&host->link, bytes, 2.0 * bytes, 0);
     ch_bucket_init(&host->loads, site->loads_per_s, 3.0, 0);
-    ch_retry_budget_init(&host->budget, RETRY_SHARE);
+    ch_retry_budget_init(&host->budget, RETRIES_PER_REQUEST);
 }
 
-/* Frees what an entry host sees. */
+/* Frees the members of an entry node, but not the node itself. */
 void
 sim_entry_clear(struct sim *sim, struct sim_entry *entry)
 {
@@ -64,7 +66,8 @@
     g_free(entry->asked);
 }
 
-/* Microseconds one way between two data centres. */
+/* Returns the one-way delay in microseconds between two data centres (200
+ * within a data centre). */
 int64_t
 sim_delay(const struct sim *sim, size_t centre_a, size_t centre_b)
 {
@@ -79,7 +82,8 @@
     return site->region_delay;
 }
 
-/* The request whose ask of that number is in force. */
+/* Returns the unfinished request whose current ask has this number, or NULL.
+ */
 struct sim_request *
 sim_request_of(struct sim *sim, uint64_t ask)
 {
@@ -88,9 +92,9 @@
     return request->state != SIM_OVER && request->ask == ask ? request : NULL;
 }
 
-/* The region that a caller's requests come in by. */
+/* Returns the region where a caller's requests arrive. */
 static size_t
-region_of(const struct sim *sim, const char *caller)
+find_caller_region(const struct sim *sim, const char *caller)
 {
     const struct ch_site *site = sim->site;
     for (size_t i = 0; i < site->region_count; i++) {
@@ -102,18 +106,19 @@
     return ch_hash_string(caller) % MAX(site->region_count, 1);
 }
 
-/* The live entry host that the platform's balancer picks, in the caller's
- * region if there is one; SIM_NOBODY when none lives. */
+/* Returns a live entry node, chosen at random as by the platform's load
+ * balancer, in the caller's region if possible; SIM_NO_HOST: none is live. */
 static int
 pick_entry(const struct sim *sim, const char *caller, uint64_t key)
 {
-    size_t region = region_of(sim, caller);
+    size_t region = find_caller_region(sim, caller);
     for (int local = 1; local >= 0; local--) {
         size_t count = 0;
         for (size_t i = 0; i < sim->site->entry_count; i++) {
             const struct sim_entry *entry = &sim->entries[i];
-            bool fits = entry->up && (local == 0 || entry->region == region);
-            count += fits ? 1 : 0;
+            bool eligible =
+                entry->up && (local == 0 || entry->region == region);
+            count += eligible ? 1 : 0;
         }
         if (count == 0) {
             continue;
@@ -121,8 +126,9 @@
         size_t pick = (size_t)(sim_random(sim, key, 3) * (double)count);
         for (size_t i = 0; i < sim->site->entry_count; i++) {
             const struct sim_entry *entry = &sim->entries[i];
-            bool fits = entry->up && (local == 0 || entry->region == region);
-            if (fits && pick-- == 0) {
+            bool eligible =
+                entry->up && (local == 0 || entry->region == region);
+            if (eligible && pick-- == 0) {
                 return (int)i;
             }
         }
@@ -130,35 +136,35 @@
     return SIM_NOBODY;
 }
 
-/* The text under which a request's key is kept. */
+/* Returns the key of sim.keys for a request; the caller frees it. */
 static char *
-key_text(const struct sim_request *request)
+format_key(const struct sim_request *request)
 {
     return g_strdup_printf("%s/%s", request->event->caller,
                            request->event->key);
 }
 
-/* Whether the request is one whose key is kept. */
+/* Returns whether the request must run at most once. */
 static bool
 is_keyed(const struct sim_request *request)
 {
     return !request->work.idempotent && request->event->key != NULL;
 }
 
-/* Sets what became of the request's key. */
+/* Sets the state of the request's key, if it has one. */
 static void
-note_key(struct sim *sim, const struct sim_request *request,
-         enum sim_key state)
+set_key_state(struct sim *sim, const struct sim_request *request,
+              enum sim_key state)
 {
     if (is_keyed(request)) {
-        g_hash_table_replace(sim->keys, key_text(request),
+        g_hash_table_replace(sim->keys, format_key(request),
                              GINT_TO_POINTER((int)state));
     }
 }
 
-/* The counts of a caller, made when first seen. */
+/* Returns the counts of a request's caller, created if needed. */
 static struct sim_tenant *
-tenant_of(struct sim *sim, const struct sim_request *request)
+get_tenant(struct sim *sim, const struct sim_request *request)
 {
     struct sim_tenant *tenant =
         g_hash_table_lookup(sim->tenants, request->event->caller);
@@ -169,11 +175,12 @@
     return tenant;
 }
 
-/* Whether a whole answer met the targets of its class, as the caller saw it:
- * arrived to first, and to last, in microseconds. */
+/* Returns whether a complete response met the targets of its class.  first and
+ * last: microseconds from arrival to the first and the last byte, at the
+ * caller. */
 static bool
-has_met(const struct sim *sim, const struct sim_request *request,
-        int64_t first, int64_t last)
+is_within_target(const struct sim *sim, const struct sim_request *request,
+                 int64_t first, int64_t last)
 {
     const struct ch_class *class =
         &sim->declaration->classes[request->event->class_index];
@@ -190,7 +197,7 @@
     return true;
 }
 
-/* Adds one to the count of a second. */
+/* Increments the count of the second that contains a time. */
 static void
 count_second(GArray *seconds, int64_t at)
 {
@@ -201,25 +208,27 @@
     g_array_index(seconds, uint32_t, second)++;
 }
 
-/* Ends a request and counts it, the caller's way back among its time. */
+/* Finishes a request and counts it.  Its time includes the delay back to the
+ * caller. */
 static void
 finish(struct sim *sim, struct sim_request *request, enum ch_code code)
 {
     struct ch_result *result = sim->result;
     struct ch_result_class *class =
         &result->classes[request->event->class_index];
-    int64_t way =
+    int64_t return_delay =
         sim->site->regions[sim->entries[request->entry].region].client_delay;
-    int64_t last = sim->now + way - request->arrived;
-    int64_t first =
-        request->first > 0 ? request->first + way - request->arrived : last;
-    struct sim_tenant *tenant = tenant_of(sim, request);
+    int64_t last = sim->now + return_delay - request->arrived;
+    int64_t first = request->first > 0
+                        ? request->first + return_delay - request->arrived
+                        : last;
+    struct sim_tenant *tenant = get_tenant(sim, request);
     request->state = SIM_OVER;
     sim->open--;
     g_array_unref(request->excluded);
     request->excluded = NULL;
     if (code == CH_OK) {
-        bool met = has_met(sim, request, first, last);
+        bool met = is_within_target(sim, request, first, last);
         g_array_append_val(class->times, last);
         result->met += met ? 1 : 0;
         class->met += met ? 1 : 0;
@@ -246,9 +255,10 @@
     }
 }
 
-/* Asks the home that the entry host's router chooses. */
+/* Asks for a grant at the home node of the upstream that the router chooses.
+ */
 static void
-ask(struct sim *sim, struct sim_request *request)
+ask_home(struct sim *sim, struct sim_request *request)
 {
     struct sim_entry *entry = &sim->entries[request->entry];
     request->ask = sim->asks->len;
@@ -264,8 +274,9 @@
     };
     g_array_append_val(sim->asks, record);
     if (route.code != CH_OK) {
-        note_key(sim, request, request->ran ? SIM_KEY_UNKNOWN : 0);
-        /* The caller learns what the last home said, as from a node. */
+        set_key_state(sim, request, request->ran ? SIM_KEY_UNKNOWN : 0);
+        /* The caller receives the last home node's refusal, as from a real
+         * node. */
         finish(sim, request,
                request->refusal != CH_OK ? request->refusal : route.code);
         return;
@@ -280,8 +291,8 @@
         return;
     }
     if (sim->link_down && sim->entries[host].region != entry->region) {
-        sim_schedule(sim, sim->now + SILENT, sim_request_answer, request->ask,
-                     CH_PEER_TIMEOUT, 0);
+        sim_schedule(sim, sim->now + SILENCE_LIMIT_US, sim_request_answer,
+                     request->ask, CH_PEER_TIMEOUT, 0);
         return;
     }
     int64_t delay = sim_delay(sim, entry->site->data_centre,
@@ -289,9 +300,9 @@
     sim_schedule(sim, sim->now + delay, sim_home_ask, request->ask, 0, 0);
 }
 
-/* Fills in what the decisions see of a request. */
+/* Fills in the part of a request on which decisions are based. */
 static void
-fill_work(struct sim *sim, struct sim_request *request)
+fill_request_info(struct sim *sim, struct sim_request *request)
 {
     const struct ch_trace_event *event = request->event;
     const struct ch_declaration *declaration = sim->declaration;
@@ -332,7 +343,8 @@
     }
 }
 
-/* Whether an entry host reaches the key-value service. */
+/* Returns whether a request's entry node reaches the key-value store, which is
+ * in the first region. */
 static bool
 kv_reachable(const struct sim *sim, const struct sim_request *request)
 {
@@ -340,25 +352,28 @@
            (!sim->link_down || sim->entries[request->entry].region == 0);
 }
 
-/* A request whose record is made asks for leave.  a: the request. */
+/* Asks for a grant, once the at-most-once record is written.  a: the request.
+ */
 static void
-ask_recorded(struct sim *sim, const struct sim_event *event)
+ask_after_record(struct sim *sim, const struct sim_event *event)
 {
     struct sim_request *request = &sim->requests[event->a];
     if (request->state != SIM_OVER) {
-        ask(sim, request);
+        ask_home(sim, request);
     }
 }
 
-/* A keyed request: its key decides whether it is run at all. */
+/* Starts a request with a key, or finishes it at once: its response is stored,
+ * it is in progress, its outcome is unknown, or the key-value store can't be
+ * reached. */
 static void
-begin_keyed(struct sim *sim, struct sim_request *request)
+start_keyed(struct sim *sim, struct sim_request *request)
 {
     if (!kv_reachable(sim, request)) {
         finish(sim, request, CH_ONCE_UNAVAILABLE);
         return;
     }
-    char *text = key_text(request);
+    char *text = format_key(request);
     int state = GPOINTER_TO_INT(g_hash_table_lookup(sim->keys, text));
     g_free(text);
     if (state == SIM_KEY_DONE) {
@@ -370,15 +385,15 @@
                state == SIM_KEY_RUNNING ? CH_IN_PROGRESS : CH_OUTCOME_UNKNOWN);
     }
     else {
-        note_key(sim, request, SIM_KEY_RUNNING);
+        set_key_state(sim, request, SIM_KEY_RUNNING);
         size_t centre = sim->entries[request->entry].site->data_centre;
-        int64_t delay = KV_TIME + 2 * sim_delay(sim, centre, 0);
-        sim_schedule(sim, sim->now + delay, ask_recorded,
+        int64_t delay = KV_WRITE_US + 2 * sim_delay(sim, centre, 0);
+        sim_schedule(sim, sim->now + delay, ask_after_record,
                      (uint64_t)(request - sim->requests), 0, 0);
     }
 }
 
-/* A request comes in at an entry host.  a: its place in the trace. */
+/* Handles a request that arrives at an entry node.  a: index in the trace. */
 void
 sim_request_arrive(struct sim *sim, const struct sim_event *event)
 {
@@ -391,8 +406,8 @@
     request->upstream = SIM_NOBODY;
     request->ask = G_MAXUINT64;
     request->excluded = g_array_new(FALSE, FALSE, sizeof(GQuark));
-    fill_work(sim, request);
-    tenant_of(sim, request)->requests++;
+    fill_request_info(sim, request);
+    get_tenant(sim, request)->requests++;
     sim->result->requests++;
     sim->result->classes[from->class_index].requests++;
     count_second(sim->result->offered, from->at);
@@ -402,19 +417,20 @@
     }
     ch_retry_budget_fresh(&sim->entries[entry].budget);
     if (is_keyed(request)) {
-        begin_keyed(sim, request);
+        start_keyed(sim, request);
         return;
     }
-    ask(sim, request);
+    ask_home(sim, request);
 }
 
-/* Gives a grant back to the home. */
+/* Releases a grant at the home node, with the microseconds to the first byte
+ * and per token. */
 static void
-release(struct sim *sim, uint64_t number, enum ch_code code, int64_t first,
-        int64_t token)
+release_grant(struct sim *sim, uint64_t ask, enum ch_code code, int64_t first,
+              int64_t token)
 {
     const struct sim_ask *record =
-        &g_array_index(sim->asks, struct sim_ask, number);
+        &g_array_index(sim->asks, struct sim_ask, ask);
     const struct sim_request *request = &sim->requests[record->request];
     int host = sim->upstreams[record->upstream].host;
     if (host == SIM_NOBODY) {
@@ -425,13 +441,12 @@
                   sim->entries[host].site->data_centre);
     uint64_t sample = ((uint64_t)MIN(first, UINT32_MAX) << 32) |
                       (uint64_t)MIN(token, UINT32_MAX);
-    sim_schedule(sim, sim->now + delay, sim_home_release, number, code,
-                 sample);
+    sim_schedule(sim, sim->now + delay, sim_home_release, ask, code, sample);
 }
 
-/* The call goes out to the upstream. */
+/* Sends a request to its upstream. */
 static void
-dispatch(struct sim *sim, struct sim_request *request)
+send_request(struct sim *sim, struct sim_request *request)
 {
     struct sim_entry *entry = &sim->entries[request->entry];
     const struct sim_upstream *to = &sim->upstreams[request->upstream];
@@ -446,25 +461,28 @@
     if (to->region != entry->region) {
         const struct ch_site_engine *model = &sim->site->engine;
         uint64_t bytes = 4ull * request->work.prompt_tokens;
-        uint64_t back =
+        uint64_t response_bytes =
             (uint64_t)model->token_bytes * request->work.output_tokens;
-        ch_bucket_take(&entry->link, (double)(bytes + back), sim->now);
+        ch_bucket_take(&entry->link, (double)(bytes + response_bytes),
+                       sim->now);
         delay += sim_link_send(sim, entry->region, to->region, bytes);
     }
     sim_schedule(sim, sim->now + delay, sim_request_dispatch, request->ask, 0,
                  0);
 }
 
-/* Refusals after which another home may say something else. */
+/* Returns whether another home node may still grant a request refused with
+ * this code. */
 static bool
-is_worth_asking_on(enum ch_code code)
+may_ask_other_home(enum ch_code code)
 {
     return code == CH_LATE || code == CH_SHARE_FULL || code == CH_QUEUE_FULL ||
            code == CH_NO_UPSTREAM || code == CH_PEER_LOST ||
            code == CH_PEER_TIMEOUT;
 }
 
-/* A home's answer.  a: the ask, b: code, c: when to come back. */
+/* Handles a home node's reply to an ask.  a: the ask, b: code, c: time after
+ * which to retry. */
 void
 sim_request_answer(struct sim *sim, const struct sim_event *event)
 {
@@ -474,13 +492,13 @@
     enum ch_code code = (enum ch_code)event->b;
     if (request == NULL || request->state != SIM_ASKING) {
         if (code == CH_OK) {
-            release(sim, event->a, CH_DEADLINE, 0, 0);
+            release_grant(sim, event->a, CH_DEADLINE, 0, 0);
         }
         return;
     }
     sim->entries[request->entry].asked[record->upstream]--;
     if (code == CH_OK) {
-        dispatch(sim, request);
+        send_request(sim, request);
         return;
     }
     GQuark name = sim->upstreams[record->upstream].name;
@@ -488,18 +506,18 @@
     if (ch_code_outcome(code) == CH_NOT_RUN) {
         request->refusal = code;
     }
-    if (request->asks < MOST_ASKS && is_worth_asking_on(code)) {
-        ask(sim, request);
+    if (request->asks < MAX_ASKS && may_ask_other_home(code)) {
+        ask_home(sim, request);
         return;
     }
     if (code == CH_PEER_LOST || code == CH_PEER_TIMEOUT) {
-        code = CH_NO_UPSTREAM; /* no grant came: nothing was dispatched */
+        code = CH_NO_UPSTREAM; /* without a grant, nothing was dispatched */
     }
-    note_key(sim, request, request->ran ? SIM_KEY_UNKNOWN : 0);
+    set_key_state(sim, request, request->ran ? SIM_KEY_UNKNOWN : 0);
     finish(sim, request, code);
 }
 
-/* A call reaches the upstream.  a: the ask. */
+/* Handles a request that reaches its upstream.  a: the ask. */
 void
 sim_request_dispatch(struct sim *sim, const struct sim_event *event)
 {
@@ -509,7 +527,7 @@
     }
     size_t upstream = (size_t)request->upstream;
     if (is_keyed(request) && !sim->upstreams[upstream].engine.down) {
-        char *text = key_text(request);
+        char *text = format_key(request);
         int runs = GPOINTER_TO_INT(g_hash_table_lookup(sim->key_runs, text));
         g_hash_table_replace(sim->key_runs, text, GINT_TO_POINTER(runs + 1));
         sim->result->ran_twice += runs == 1 ? 1 : 0;
@@ -517,7 +535,7 @@
     sim_engine_accept(sim, upstream, event->a);
 }
 
-/* The first token comes in.  a: the ask. */
+/* Handles the first token at the entry node.  a: the ask. */
 void
 sim_request_first(struct sim *sim, const struct sim_event *event)
 {
@@ -531,7 +549,7 @@
     }
 }
 
-/* The answer is whole.  a: the ask, b: tokens. */
+/* Handles the end of a complete response.  a: the ask, b: tokens. */
 void
 sim_request_done(struct sim *sim, const struct sim_event *event)
 {
@@ -546,12 +564,13 @@
     if (event->b > 1 && !request->work.service) {
         token = (sim->now - request->sent - first) / (int64_t)(event->b - 1);
     }
-    release(sim, event->a, CH_OK, first, token);
-    note_key(sim, request, SIM_KEY_DONE);
+    release_grant(sim, event->a, CH_OK, first, token);
+    set_key_state(sim, request, SIM_KEY_DONE);
     finish(sim, request, CH_OK);
 }
 
-/* A dispatch failed.  a: the ask, b: code, c: 1 when it may have run. */
+/* Handles a failed dispatch: retries the request or finishes it.  a: the ask,
+ * b: code, c: 1 if the request may have run. */
 void
 sim_request_fail(struct sim *sim, const struct sim_event *event)
 {
@@ -562,7 +581,7 @@
     enum ch_code code = (enum ch_code)event->b;
     bool ran = event->c != 0;
     request->ran = request->ran || ran;
-    release(sim, event->a, code, 0, 0);
+    release_grant(sim, event->a, code, 0, 0);
     GQuark name = sim->upstreams[request->upstream].name;
     g_array_set_size(request->excluded, request->failed);
     g_array_append_val(request->excluded, name);
@@ -574,12 +593,12 @@
         .stream = !request->work.service,
         .events_given = request->given,
     };
-    bool held = false;
+    bool retry_taken = false;
     enum ch_retry retry =
-        ch_retry_decide(&sim->entries[request->entry].budget, &held,
+        ch_retry_decide(&sim->entries[request->entry].budget, &retry_taken,
                         &request->work, &failure, sim->now);
     if (retry == CH_RETRY_NO) {
-        note_key(sim, request, request->ran ? SIM_KEY_UNKNOWN : 0);
+        set_key_state(sim, request, request->ran ? SIM_KEY_UNKNOWN : 0);
         finish(sim, request, code);
         return;
     }
@@ -592,19 +611,19 @@
     }
     request->work.attempt++;
     request->asks = 0;
-    ask(sim, request);
+    ask_home(sim, request);
 }
 
-/* The homes notice that an entry host is gone.  a: the ask. */
+/* A home node notices that an entry node is lost.  a: the ask. */
 static void
-forget(struct sim *sim, const struct sim_event *event)
+withdraw_ask(struct sim *sim, const struct sim_event *event)
 {
     size_t upstream =
         g_array_index(sim->asks, struct sim_ask, event->a).upstream;
     sim_home_forget(sim, upstream, event->a);
 }
 
-/* An entry host dies, and with it the callers' connections that it held. */
+/* Stops an entry node, which interrupts the connections of its callers. */
 void
 sim_entry_down(struct sim *sim, size_t entry)
 {
@@ -619,17 +638,18 @@
             sim_engine_cancel(sim, (size_t)request->upstream, request->ask);
         }
         if (request->upstream != SIM_NOBODY) {
-            sim_schedule(sim, sim->now + SILENT, forget, request->ask, 0, 0);
+            sim_schedule(sim, sim->now + SILENCE_LIMIT_US, withdraw_ask,
+                         request->ask, 0, 0);
         }
-        request->ran = true; /* for all that the caller can tell */
-        note_key(sim, request, SIM_KEY_UNKNOWN);
+        request->ran = true; /* the caller can't know whether it ran */
+        set_key_state(sim, request, SIM_KEY_UNKNOWN);
         finish(sim, request, CH_UPSTREAM_CUT);
     }
     memset(sim->entries[entry].asked, 0,
            sim->site->upstream_count * sizeof(uint32_t));
 }
 
-/* The link between the regions is cut: what crosses it stalls. */
+/* Interrupts the link between regions: calls and asks across it stall. */
 void
 sim_link_cut(struct sim *sim)
 {
@@ -645,13 +665,14 @@
         }
         if (request->state == SIM_RUNNING) {
             sim_engine_cancel(sim, (size_t)request->upstream, request->ask);
-            sim_schedule(sim, sim->now + STALL, sim_request_fail, request->ask,
-                         CH_UPSTREAM_STALLED, 1);
+            sim_schedule(sim, sim->now + STALL_TIMEOUT_US, sim_request_fail,
+                         request->ask, CH_UPSTREAM_STALLED, 1);
         }
         else {
-            sim_schedule(sim, sim->now + SILENT, sim_request_answer,
+            sim_schedule(sim, sim->now + SILENCE_LIMIT_US, sim_request_answer,
                          request->ask, CH_PEER_TIMEOUT, 0);
-            sim_schedule(sim, sim->now + SILENT, forget, request->ask, 0, 0);
+            sim_schedule(sim, sim->now + SILENCE_LIMIT_US, withdraw_ask,
+                         request->ask, 0, 0);
         }
     }
 }
--- a/libchestnuthitch/replay/sim_homes.c
+++ b/libchestnuthitch/replay/sim_homes.c
@@ -1,22 +1,25 @@
-/* The homes of a run: the code under test, with what a node does around it,
- * the ledger in the key-value service, orders, reports and gossip. */
+/* Home nodes of upstreams in a run: the code under test, with the parts of a
+ * node around it: the ledger in the key-value store, orders, engine reports
+ * and gossip. */
 
 #include "replay/sim.h"
 
 #include <string.h>
 
 enum {
-    KV_TIME = 3 * 1000, /* a write at the key-value service */
-    GOSSIP = 250 * 1000,
-    /* What a node makes of another region that has gone silent. */
-    SILENT = G_USEC_PER_SEC,
-    QUEUE = 64, /* more would wait longer than any target of the examples */
+    KV_WRITE_US = 3 * 1000, /* time of a write to the key-value store */
+    GOSSIP_PERIOD_US = 250 * 1000,
+    /* Upstreams of an unreachable region count as down after this. */
+    SILENCE_LIMIT_US = G_USEC_PER_SEC,
+    MAX_QUEUE_LENGTH = 64, /* in a longer queue the last request would miss any
+                              target of the examples */
 };
 
 static const char SENDER[] = "replay#1";
 
-/* The entry host that is home of an upstream: by rendezvous among the live
- * ones of its data centre, else of its region, else of all. */
+/* Returns the entry node that is the home node of an upstream: the highest
+ * rendezvous weight among the live entry nodes of its data centre, or if there
+ * are none, of its region, or else of all regions. */
 int
 sim_home_host(const struct sim *sim, size_t upstream)
 {
@@ -28,13 +31,14 @@
         int best = SIM_NOBODY;
         uint64_t best_weight = 0;
         for (size_t i = 0; i < site->entry_count; i++) {
-            size_t at = site->entries[i].data_centre;
-            bool near = scope == 2 ||
-                        (scope == 1 ? site->data_centres[at].region == region
-                                    : at == centre);
+            size_t entry_centre = site->entries[i].data_centre;
+            bool in_scope =
+                scope == 2 ||
+                (scope == 1 ? site->data_centres[entry_centre].region == region
+                            : entry_centre == centre);
             uint64_t weight =
                 ch_hash_pair(key, ch_hash_string(site->entries[i].name));
-            if (sim->entries[i].up && near &&
+            if (sim->entries[i].up && in_scope &&
                 (best == SIM_NOBODY || weight > best_weight)) {
                 best = (int)i;
                 best_weight = weight;
@@ -47,38 +51,41 @@
     return SIM_NOBODY;
 }
 
-/* What the platform's list says of an upstream. */
+/* Returns an upstream's configuration as the host list would have it. */
 static struct ch_home_facts
-facts_of(const struct sim *sim, size_t upstream)
+get_config(const struct sim *sim, size_t upstream)
 {
-    const struct sim_upstream *held = &sim->upstreams[upstream];
+    const struct sim_upstream *upstream_state = &sim->upstreams[upstream];
     return (struct ch_home_facts){
-        .name = held->name,
-        .service = held->site->service == NULL
+        .name = upstream_state->name,
+        .service = upstream_state->site->service == NULL
                        ? 0
-                       : g_quark_from_string(held->site->service),
-        .capacity_mb = held->site->memory_mb,
-        .accelerators = held->site->accelerators,
-        .batch = held->site->batch,
-        .max_queue = QUEUE,
+                       : g_quark_from_string(upstream_state->site->service),
+        .capacity_mb = upstream_state->site->memory_mb,
+        .accelerators = upstream_state->site->accelerators,
+        .batch = upstream_state->site->batch,
+        .max_queue = MAX_QUEUE_LENGTH,
     };
 }
 
-/* A home for an upstream, on the host that it falls to. */
+/* Creates the home state of an upstream on its home node, and the ledger if
+ * there is none yet. */
 void
 sim_home_init(struct sim *sim, size_t upstream)
 {
-    struct sim_upstream *held = &sim->upstreams[upstream];
-    struct ch_home_facts facts = facts_of(sim, upstream);
-    held->host = sim_home_host(sim, upstream);
-    held->home = ch_home_new(sim->policy, &facts, sim->now);
-    held->told = g_hash_table_new(NULL, NULL);
-    if (held->ledger == NULL) {
-        held->ledger = ch_ledger_new(held->site->name, held->site->memory_mb);
+    struct sim_upstream *upstream_state = &sim->upstreams[upstream];
+    struct ch_home_facts config = get_config(sim, upstream);
+    upstream_state->host = sim_home_host(sim, upstream);
+    upstream_state->home = ch_home_new(sim->policy, &config, sim->now);
+    upstream_state->told = g_hash_table_new(NULL, NULL);
+    if (upstream_state->ledger == NULL) {
+        upstream_state->ledger = ch_ledger_new(
+            upstream_state->site->name, upstream_state->site->memory_mb);
     }
 }
 
-/* Frees the home; the ledger is the key-value service's and stays. */
+/* Frees the home state.  The ledger is kept in the key-value store and stays.
+ */
 void
 sim_home_clear(struct sim_upstream *upstream)
 {
@@ -88,31 +95,33 @@
     upstream->told = NULL;
 }
 
-/* Whether the home's host reaches the key-value service, which stands in the
+/* Returns whether the home node reaches the key-value store, which is in the
  * first region. */
 static bool
-kv_reachable(const struct sim *sim, const struct sim_upstream *held)
+kv_reachable(const struct sim *sim, const struct sim_upstream *upstream_state)
 {
     if (sim->kv_down) {
         return false;
     }
-    return !sim->link_down || held->host == SIM_NOBODY ||
-           sim->entries[held->host].region == 0;
+    return !sim->link_down || upstream_state->host == SIM_NOBODY ||
+           sim->entries[upstream_state->host].region == 0;
 }
 
-/* Whether orders may go out: the ledger can be written, or the engine itself
- * refuses old orders and so is the arbiter. */
+/* Returns whether orders may be sent: the ledger can be written, or the
+ * engines reject orders with an old fencing token, so that conflicting orders
+ * do no harm. */
 static bool
-may_order(const struct sim *sim, const struct sim_upstream *held)
+may_order(const struct sim *sim, const struct sim_upstream *upstream_state)
 {
-    return sim->site->engine.fencing || kv_reachable(sim, held);
+    return sim->site->engine.fencing || kv_reachable(sim, upstream_state);
 }
 
-/* The host's view of the fleet, with the loads that may begin now. */
+/* Returns the home node's view of the fleet, with the number of loads that may
+ * start now. */
 static struct ch_fleet *
-host_fleet(struct sim *sim, const struct sim_upstream *held)
+update_fleet(struct sim *sim, const struct sim_upstream *upstream_state)
 {
-    struct sim_entry *host = &sim->entries[held->host];
+    struct sim_entry *host = &sim->entries[upstream_state->host];
     unsigned loading = 0;
     for (size_t i = 0; i < host->fleet.count; i++) {
         const GArray *list = host->fleet.upstreams[i].loading;
@@ -122,21 +131,22 @@
             loading += strchr(name, '/') == NULL ? 1 : 0;
         }
     }
-    unsigned most = sim->site->loads_parallel;
+    unsigned max_loads = sim->site->loads_parallel;
     double level = ch_bucket_level(&host->loads, sim->now);
-    unsigned left = loading < most ? most - loading : 0;
+    unsigned left = loading < max_loads ? max_loads - loading : 0;
     host->fleet.loads_left = MIN(left, (unsigned)level);
     return &host->fleet;
 }
 
-static void order(struct sim *sim, const struct sim_event *event);
+static void send_order(struct sim *sim, const struct sim_event *event);
 
-/* Carries out what a home decided. */
+/* Applies the decisions of a home node and frees their list. */
 static void
-act(struct sim *sim, size_t upstream, struct ch_actions *out)
+apply_actions(struct sim *sim, size_t upstream, struct ch_actions *out)
 {
-    struct sim_upstream *held = &sim->upstreams[upstream];
-    const struct ch_site_entry *host = &sim->site->entries[held->host];
+    struct sim_upstream *upstream_state = &sim->upstreams[upstream];
+    const struct ch_site_entry *host =
+        &sim->site->entries[upstream_state->host];
     for (guint i = 0; i < out->list->len; i++) {
         const struct ch_action *action =
             &g_array_index(out->list, struct ch_action, i);
@@ -144,10 +154,13 @@
             action->kind == CH_ACTION_UNLOAD) {
             bool load = action->kind == CH_ACTION_LOAD;
             if (load && strchr(g_quark_to_string(action->item), '/') == NULL) {
-                ch_bucket_take(&sim->entries[held->host].loads, 1.0, sim->now);
+                ch_bucket_take(&sim->entries[upstream_state->host].loads, 1.0,
+                               sim->now);
             }
-            int64_t delay = KV_TIME + 2 * sim_delay(sim, host->data_centre, 0);
-            sim_schedule(sim, sim->now + delay, order, upstream, action->item,
+            int64_t delay =
+                KV_WRITE_US + 2 * sim_delay(sim, host->data_centre, 0);
+            sim_schedule(sim, sim->now + delay, send_order, upstream,
+                         action->item,
                          ((uint64_t)action->memory_mb << 1) | (load ? 1 : 0));
             continue;
         }
@@ -164,32 +177,34 @@
     g_array_unref(out->list);
 }
 
-/* An empty list of actions. */
 static struct ch_actions
-no_actions(void)
+new_actions(void)
 {
     return (struct ch_actions){
         .list = g_array_new(FALSE, FALSE, sizeof(struct ch_action))};
 }
 
-/* Tells the home of one item's state in the ledger, if that is news. */
+/* Notifies the home node of an item's state in the ledger, if it changed. */
 static void
-tell_item(struct sim *sim, size_t upstream, GQuark item,
-          enum ch_item_state state, uint32_t memory_mb)
+notify_item(struct sim *sim, size_t upstream, GQuark item,
+            enum ch_item_state state, uint32_t memory_mb)
 {
-    struct sim_upstream *held = &sim->upstreams[upstream];
+    struct sim_upstream *upstream_state = &sim->upstreams[upstream];
     gpointer key = GUINT_TO_POINTER(item);
-    guint before = GPOINTER_TO_UINT(g_hash_table_lookup(held->told, key));
+    guint before =
+        GPOINTER_TO_UINT(g_hash_table_lookup(upstream_state->told, key));
     if (before == (guint)state + 1) {
         return;
     }
-    g_hash_table_insert(held->told, key, GUINT_TO_POINTER((guint)state + 1));
-    struct ch_actions out = no_actions();
-    ch_home_set_item(held->home, item, state, memory_mb, sim->now, &out);
-    act(sim, upstream, &out);
+    g_hash_table_insert(upstream_state->told, key,
+                        GUINT_TO_POINTER((guint)state + 1));
+    struct ch_actions out = new_actions();
+    ch_home_set_item(upstream_state->home, item, state, memory_mb, sim->now,
+                     &out);
+    apply_actions(sim, upstream, &out);
 }
 
-/* Tells the home what the ledger holds now. */
+/* Notifies the home node of all changes in the ledger. */
 static void
 sync_ledger(struct sim *sim, size_t upstream)
 {
@@ -198,40 +213,44 @@
         [CH_LEDGER_RESIDENT] = CH_ITEM_RESIDENT,
         [CH_LEDGER_UNLOADING] = CH_ITEM_UNLOADING,
     };
-    struct sim_upstream *held = &sim->upstreams[upstream];
-    if (held->host == SIM_NOBODY) {
+    struct sim_upstream *upstream_state = &sim->upstreams[upstream];
+    if (upstream_state->host == SIM_NOBODY) {
         return;
     }
-    GList *known = g_hash_table_get_keys(held->told);
-    for (GList *at = known; at != NULL; at = at->next) {
-        GQuark item = GPOINTER_TO_UINT(at->data);
-        if (ch_ledger_find(held->ledger, g_quark_to_string(item)) == NULL) {
-            tell_item(sim, upstream, item, CH_ITEM_ABSENT, 0);
+    GList *known = g_hash_table_get_keys(upstream_state->told);
+    for (GList *link = known; link != NULL; link = link->next) {
+        GQuark item = GPOINTER_TO_UINT(link->data);
+        if (ch_ledger_find(upstream_state->ledger, g_quark_to_string(item)) ==
+            NULL) {
+            notify_item(sim, upstream, item, CH_ITEM_ABSENT, 0);
         }
     }
     g_list_free(known);
-    for (size_t i = 0; i < held->ledger->count; i++) {
-        const struct ch_ledger_entry *entry = &held->ledger->entries[i];
-        tell_item(sim, upstream, g_quark_from_string(entry->item),
-                  states[entry->state], entry->memory_mb);
+    for (size_t i = 0; i < upstream_state->ledger->count; i++) {
+        const struct ch_ledger_entry *entry =
+            &upstream_state->ledger->entries[i];
+        notify_item(sim, upstream, g_quark_from_string(entry->item),
+                    states[entry->state], entry->memory_mb);
     }
 }
 
-/* Puts the next version of a ledger in force. */
+/* Replaces the ledger by its next version and takes ownership of it. */
 static void
-write_ledger(struct sim_upstream *held, struct ch_ledger *next)
+replace_ledger(struct sim_upstream *upstream_state, struct ch_ledger *next)
 {
-    ch_ledger_free(held->ledger);
-    held->ledger = next;
+    ch_ledger_free(upstream_state->ledger);
+    upstream_state->ledger = next;
 }
 
-/* An order reaches the engine.  a: upstream, b: item, c: load or unload. */
+/* Handles an order at the engine.  a: upstream, b: item, c: 1 to load, 0 to
+ * unload. */
 static void
-order_arrives(struct sim *sim, const struct sim_event *event)
+handle_order(struct sim *sim, const struct sim_event *event)
 {
-    struct sim_upstream *held = &sim->upstreams[event->a];
+    struct sim_upstream *upstream_state = &sim->upstreams[event->a];
     const char *item = g_quark_to_string((GQuark)event->b);
-    const struct ch_ledger_entry *entry = ch_ledger_find(held->ledger, item);
+    const struct ch_ledger_entry *entry =
+        ch_ledger_find(upstream_state->ledger, item);
     if (entry == NULL) {
         return;
     }
@@ -241,94 +260,95 @@
         sim_engine_unload(sim, (size_t)event->a, (GQuark)event->b, id);
         return;
     }
-    bool refused = held->engine.down;
+    bool refused = upstream_state->engine.down;
     sim_engine_load(sim, (size_t)event->a, (GQuark)event->b, entry->memory_mb,
                     id);
-    struct ch_ledger *next = ch_ledger_next(held->ledger, SENDER);
+    struct ch_ledger *next = ch_ledger_next(upstream_state->ledger, SENDER);
     ch_ledger_end(next, id, SENDER, refused);
-    write_ledger(held, next);
+    replace_ledger(upstream_state, next);
     sync_ledger(sim, (size_t)event->a);
 }
 
-/* Tells a home that an order will not be done. */
+/* Notifies a home node that an order failed. */
 static void
-order_fails(struct sim *sim, size_t upstream, GQuark item, bool load,
-            enum ch_code code)
+notify_order_failed(struct sim *sim, size_t upstream, GQuark item, bool load,
+                    enum ch_code code)
 {
-    struct ch_actions out = no_actions();
+    struct ch_actions out = new_actions();
     ch_home_order_failed(sim->upstreams[upstream].home, item,
                          load ? CH_ACTION_LOAD : CH_ACTION_UNLOAD, code,
                          sim->now, &out);
-    act(sim, upstream, &out);
+    apply_actions(sim, upstream, &out);
 }
 
-/* The ledger is written for an order, which then goes out.  a: upstream, b:
- * item, c: twice the memory, plus one for a load. */
+/* Writes an order into the ledger and sends it.  a: upstream, b: item, c:
+ * twice the memory in megabytes, plus 1 for a load. */
 static void
-order(struct sim *sim, const struct sim_event *event)
+send_order(struct sim *sim, const struct sim_event *event)
 {
     size_t upstream = (size_t)event->a;
-    struct sim_upstream *held = &sim->upstreams[upstream];
+    struct sim_upstream *upstream_state = &sim->upstreams[upstream];
     GQuark item = (GQuark)event->b;
     bool load = (event->c & 1) != 0;
-    if (held->host == SIM_NOBODY) {
+    if (upstream_state->host == SIM_NOBODY) {
         return;
     }
-    if (!may_order(sim, held)) {
-        order_fails(sim, upstream, item, load, CH_KV_UNREACHABLE);
+    if (!may_order(sim, upstream_state)) {
+        notify_order_failed(sim, upstream, item, load, CH_KV_UNREACHABLE);
         return;
     }
     char id[24];
     g_snprintf(id, sizeof(id), "o-%" G_GUINT64_FORMAT, sim->scheduled);
-    struct ch_ledger *next = ch_ledger_next(held->ledger, SENDER);
+    struct ch_ledger *next = ch_ledger_next(upstream_state->ledger, SENDER);
     const char *name = g_quark_to_string(item);
     bool fine = load ? ch_ledger_reserve(next, name, (uint32_t)(event->c >> 1),
                                          id, SENDER, NULL)
                      : ch_ledger_release(next, name, id, NULL);
     if (!fine) {
         ch_ledger_free(next);
-        order_fails(sim, upstream, item, load, CH_KV_CONFLICT);
+        notify_order_failed(sim, upstream, item, load, CH_KV_CONFLICT);
         return;
     }
-    write_ledger(held, next);
+    replace_ledger(upstream_state, next);
     sync_ledger(sim, upstream);
-    int64_t delay = sim_delay(sim, sim->site->entries[held->host].data_centre,
-                              held->site->data_centre);
-    sim_schedule(sim, sim->now + delay, order_arrives, upstream, item,
+    int64_t delay =
+        sim_delay(sim, sim->site->entries[upstream_state->host].data_centre,
+                  upstream_state->site->data_centre);
+    sim_schedule(sim, sim->now + delay, handle_order, upstream, item,
                  load ? 1 : 0);
 }
 
-/* A request asks for leave.  a: the ask. */
+/* Queues a request that asks for a grant.  a: the ask. */
 void
 sim_home_ask(struct sim *sim, const struct sim_event *event)
 {
     const struct sim_request *request = sim_request_of(sim, event->a);
     size_t upstream =
         g_array_index(sim->asks, struct sim_ask, event->a).upstream;
-    struct sim_upstream *held = &sim->upstreams[upstream];
+    struct sim_upstream *upstream_state = &sim->upstreams[upstream];
     if (request == NULL) {
         return;
     }
-    if (held->host == SIM_NOBODY) {
+    if (upstream_state->host == SIM_NOBODY) {
         sim_schedule(sim, sim->now, sim_request_answer, event->a, CH_PEER_LOST,
                      0);
         return;
     }
-    struct ch_actions out = no_actions();
-    ch_home_offer(held->home, &request->work, host_fleet(sim, held), sim->now,
-                  &out);
-    act(sim, upstream, &out);
+    struct ch_actions out = new_actions();
+    ch_home_offer(upstream_state->home, &request->work,
+                  update_fleet(sim, upstream_state), sim->now, &out);
+    apply_actions(sim, upstream, &out);
 }
 
-/* A grant comes back.  a: the ask, b: code, c: first byte and time for a
- * token, both in microseconds, 32 bits each. */
+/* Handles the release of a grant.  a: the ask, b: code, c: time to the first
+ * byte (upper 32 bits) and time per token (lower 32 bits), in microseconds. */
 void
 sim_home_release(struct sim *sim, const struct sim_event *event)
 {
     size_t upstream =
         g_array_index(sim->asks, struct sim_ask, event->a).upstream;
-    struct sim_upstream *held = &sim->upstreams[upstream];
-    if (held->host == SIM_NOBODY) {
+    struct sim_upstream *upstream_state = &sim->upstreams[upstream];
+    if (upstream_state->host == SIM_NOBODY) {
         return;
     }
     struct ch_sample sample = {
@@ -337,35 +357,36 @@
         .token = (int64_t)(event->c & UINT32_MAX),
         .tokens = 2,
     };
-    struct ch_actions out = no_actions();
-    ch_home_release(held->home, event->a, &sample, sim->now, &out);
-    act(sim, upstream, &out);
+    struct ch_actions out = new_actions();
+    ch_home_release(upstream_state->home, event->a, &sample, sim->now, &out);
+    apply_actions(sim, upstream, &out);
 }
 
-/* The home is told that the node of an ask went away. */
+/* Withdraws an ask and releases its grant, since its entry node is lost. */
 void
 sim_home_forget(struct sim *sim, size_t upstream, uint64_t ask)
 {
-    struct sim_upstream *held = &sim->upstreams[upstream];
-    if (held->host == SIM_NOBODY) {
+    struct sim_upstream *upstream_state = &sim->upstreams[upstream];
+    if (upstream_state->host == SIM_NOBODY) {
         return;
     }
     struct ch_sample sample = {.code = CH_PEER_LOST};
-    struct ch_actions out = no_actions();
-    ch_home_withdraw(held->home, ask, sim->now, &out);
-    ch_home_release(held->home, ask, &sample, sim->now, &out);
-    act(sim, upstream, &out);
+    struct ch_actions out = new_actions();
+    ch_home_withdraw(upstream_state->home, ask, sim->now, &out);
+    ch_home_release(upstream_state->home, ask, &sample, sim->now, &out);
+    apply_actions(sim, upstream, &out);
 }
 
-/* Each home's regular work.  a: upstream. */
+/* Runs the periodic work of a home node.  a: upstream. */
 void
 sim_home_tick(struct sim *sim, const struct sim_event *event)
 {
-    struct sim_upstream *held = &sim->upstreams[event->a];
-    if (held->host != SIM_NOBODY) {
-        struct ch_actions out = no_actions();
-        ch_home_tick(held->home, host_fleet(sim, held), sim->now, &out);
-        act(sim, (size_t)event->a, &out);
+    struct sim_upstream *upstream_state = &sim->upstreams[event->a];
+    if (upstream_state->host != SIM_NOBODY) {
+        struct ch_actions out = new_actions();
+        ch_home_tick(upstream_state->home, update_fleet(sim, upstream_state),
+                     sim->now, &out);
+        apply_actions(sim, (size_t)event->a, &out);
     }
     if (sim->open > 0) {
         sim_schedule(sim, sim->now + CH_HOME_TICK, sim_home_tick, event->a, 0,
@@ -373,12 +394,12 @@
     }
 }
 
-/* Takes an engine's report into the ledger. */
+/* Updates the ledger from an engine's report. */
 static void
-observe(struct sim *sim, size_t upstream)
+observe_report(struct sim *sim, size_t upstream)
 {
-    struct sim_upstream *held = &sim->upstreams[upstream];
-    const struct sim_engine *engine = &held->engine;
+    struct sim_upstream *upstream_state = &sim->upstreams[upstream];
+    const struct sim_engine *engine = &upstream_state->engine;
     GPtrArray *names = g_ptr_array_new();
     GArray *sizes = g_array_new(FALSE, FALSE, sizeof(uint32_t));
     for (guint i = 0; i < engine->items->len; i++) {
@@ -400,9 +421,9 @@
         .orders_done_count = engine->done->len,
         .after_ends = true,
     };
-    struct ch_ledger *next = ch_ledger_next(held->ledger, SENDER);
+    struct ch_ledger *next = ch_ledger_next(upstream_state->ledger, SENDER);
     if (ch_ledger_observe(next, &evidence)) {
-        write_ledger(held, next);
+        replace_ledger(upstream_state, next);
         sync_ledger(sim, upstream);
     }
     else {
@@ -412,20 +433,23 @@
     g_array_unref(sizes);
 }
 
-/* An engine's report comes in.  a: upstream. */
+/* Handles an engine's report and schedules the next.  a: upstream, b: not 0 to
+ * schedule none. */
 void
 sim_home_report(struct sim *sim, const struct sim_event *event)
 {
-    struct sim_upstream *held = &sim->upstreams[event->a];
-    const struct sim_engine *engine = &held->engine;
-    if (held->host != SIM_NOBODY) {
-        if (!engine->down && !engine->service && may_order(sim, held)) {
-            observe(sim, (size_t)event->a);
+    struct sim_upstream *upstream_state = &sim->upstreams[event->a];
+    const struct sim_engine *engine = &upstream_state->engine;
+    if (upstream_state->host != SIM_NOBODY) {
+        if (!engine->down && !engine->service &&
+            may_order(sim, upstream_state)) {
+            observe_report(sim, (size_t)event->a);
         }
-        struct ch_actions out = no_actions();
-        ch_home_report(held->home, engine->running->len, engine->waiting->len,
-                       engine->leaving, engine->down, sim->now, &out);
-        act(sim, (size_t)event->a, &out);
+        struct ch_actions out = new_actions();
+        ch_home_report(upstream_state->home, engine->running->len,
+                       engine->waiting->len, engine->leaving, engine->down,
+                       sim->now, &out);
+        apply_actions(sim, (size_t)event->a, &out);
     }
     if (sim->open > 0 && event->b == 0) {
         sim_schedule(sim, sim->now + sim->site->engine.report, sim_home_report,
@@ -433,17 +457,17 @@
     }
 }
 
-/* The home falls to another host: its queue is lost with it, its counts
- * begin anew, the ledger stays. */
+/* Assigns an upstream's home node anew.  If it changed, the queue is lost, the
+ * counts start at zero, and the ledger stays. */
 void
 sim_home_move(struct sim *sim, size_t upstream)
 {
-    struct sim_upstream *held = &sim->upstreams[upstream];
+    struct sim_upstream *upstream_state = &sim->upstreams[upstream];
     int host = sim_home_host(sim, upstream);
-    if (host == held->host) {
+    if (host == upstream_state->host) {
         return;
     }
-    sim_home_clear(held);
+    sim_home_clear(upstream_state);
     sim_home_init(sim, upstream);
     sync_ledger(sim, upstream);
     for (size_t i = 0; i < sim->trace->count; i++) {
@@ -456,7 +480,7 @@
     }
 }
 
-/* Frees the two lists of a view. */
+/* Frees the lists of a view, if it has them. */
 static void
 clear_view(struct ch_upstream_view *view)
 {
@@ -466,16 +490,20 @@
     }
 }
 
-/* Gives one view to one entry host, unless the link between them is cut. */
+/* Copies an upstream's view to an entry node.  If the link between them is
+ * interrupted, the entry node instead marks the upstream as down after the
+ * silence limit. */
 static void
-give_view(struct sim *sim, struct sim_entry *entry, size_t upstream,
-          const struct ch_upstream_view *view)
+publish_view(struct sim *sim, struct sim_entry *entry, size_t upstream,
+             const struct ch_upstream_view *view)
 {
     struct ch_upstream_view *own = &entry->fleet.upstreams[upstream];
     int host = sim->upstreams[upstream].host;
-    bool cut = sim->link_down && sim->entries[host].region != entry->region;
-    if (cut) {
-        own->down = own->down || sim->now - sim->link_changed > SILENT;
+    bool unreachable =
+        sim->link_down && sim->entries[host].region != entry->region;
+    if (unreachable) {
+        own->down =
+            own->down || sim->now - sim->link_changed > SILENCE_LIMIT_US;
         return;
     }
     clear_view(own);
@@ -485,25 +513,27 @@
     own->sent_since = entry->asked[upstream];
 }
 
-/* All nodes are told the state of all homes. */
+/* Publishes the state of all home nodes to all entry nodes.  b: not 0 to run
+ * only once. */
 void
 sim_home_gossip(struct sim *sim, const struct sim_event *event)
 {
     for (size_t u = 0; u < sim->site->upstream_count; u++) {
-        struct sim_upstream *held = &sim->upstreams[u];
-        if (held->host == SIM_NOBODY) {
+        struct sim_upstream *upstream_state = &sim->upstreams[u];
+        if (upstream_state->host == SIM_NOBODY) {
             continue;
         }
         struct ch_upstream_view view;
-        ch_home_view(held->home, sim->now, &view);
-        view.region = (uint16_t)held->region;
-        view.data_centre = (uint16_t)held->site->data_centre;
+        ch_home_view(upstream_state->home, sim->now, &view);
+        view.region = (uint16_t)upstream_state->region;
+        view.data_centre = (uint16_t)upstream_state->site->data_centre;
         for (size_t i = 0; i < sim->site->entry_count; i++) {
-            give_view(sim, &sim->entries[i], u, &view);
+            publish_view(sim, &sim->entries[i], u, &view);
         }
         clear_view(&view);
     }
     if (sim->open > 0 && event->b == 0) {
-        sim_schedule(sim, sim->now + GOSSIP, sim_home_gossip, 0, 0, 0);
+        sim_schedule(sim, sim->now + GOSSIP_PERIOD_US, sim_home_gossip, 0, 0,
+                     0);
     }
 }
--- a/libchestnuthitch/replay/site_read.c
+++ b/libchestnuthitch/replay/site_read.c
@@ -1,12 +1,13 @@
-/* The site that a replay runs on: the groups of the INI that the platform
- * would report, read as strictly as the declaration beside them. */
+/* Reads the site of a replay: the INI groups that describe machines and links.
+ * They are checked as strictly as the groups of the declaration, which are in
+ * the same file. */
 
 #include "base/ini.h"
 #include "replay/replay.h"
 
 #include <string.h>
 
-/* A group as the file has it, before its names are resolved. */
+/* Groups as read from the file, before names are resolved to indexes. */
 struct raw_region {
     char *name;
     int64_t client_delay;
@@ -32,24 +33,24 @@
     char *data_centre;
 };
 
-/* Groups without a name of their own. */
-struct raw_rest {
+/* The groups that have no name and occur at most once. */
+struct raw_unnamed {
     double loads_per_s;
-    unsigned loads_parallel;
-    unsigned adapters_parallel;
+    unsigned max_parallel_loads;
+    unsigned max_parallel_adapter_loads;
     double load_mb_per_s;
-    int64_t adapter_least;
-    int64_t adapter_most;
-    double link_mbit;
+    int64_t min_adapter_load_time;
+    int64_t max_adapter_load_time;
+    double link_mbit_per_s;
     int64_t region_delay;
     unsigned data_centre_delay;
-    unsigned token;
-    unsigned token_per_request;
-    double prefill_per_s;
+    unsigned token_time;
+    unsigned token_time_per_request;
+    double prefill_tokens_per_s;
     unsigned cache_tokens;
     unsigned prefix_tokens;
-    int64_t report;
-    int64_t service;
+    int64_t report_period;
+    int64_t mean_service_time;
     unsigned token_bytes;
     bool fencing;
 };
@@ -58,11 +59,11 @@
 #define CENTRE(member) offsetof(struct raw_data_centre, member)
 #define UPSTREAM(member) offsetof(struct raw_upstream, member)
 #define ENTRY(member) offsetof(struct raw_entry, member)
-#define REST(member) offsetof(struct raw_rest, member)
+#define UNNAMED(member) offsetof(struct raw_unnamed, member)
 
 static const char *const fencing_names[] = {"ignore", "refuse", NULL};
 
-/* The ranges are those within which the model's arithmetic stays exact. */
+/* Within these ranges the arithmetic of the simulation stays exact. */
 static const struct ch_ini_row rows[] = {
     {"region", "client-ms", CH_INI_MILLISECONDS, REGION(client_delay), "3", 0,
      1000, NULL},
@@ -79,52 +80,51 @@
      NULL},
     {"entry", "data-centre", CH_INI_NAME, ENTRY(data_centre), NULL, 0, 0,
      NULL},
-    {"weight-store", "loads-per-s", CH_INI_DOUBLE, REST(loads_per_s), "1.5",
+    {"weight-store", "loads-per-s", CH_INI_DOUBLE, UNNAMED(loads_per_s), "1.5",
      0.001, 1000, NULL},
-    {"weight-store", "parallel", CH_INI_UNSIGNED, REST(loads_parallel), "10",
-     1, 10000, NULL},
-    {"weight-store", "load-mb-per-s", CH_INI_DOUBLE, REST(load_mb_per_s),
+    {"weight-store", "parallel", CH_INI_UNSIGNED, UNNAMED(max_parallel_loads),
+     "10", 1, 10000, NULL},
+    {"weight-store", "load-mb-per-s", CH_INI_DOUBLE, UNNAMED(load_mb_per_s),
      "2100", 1, 1000000, NULL},
     {"weight-store", "adapters-parallel", CH_INI_UNSIGNED,
-     REST(adapters_parallel), "80", 1, 10000, NULL},
+     UNNAMED(max_parallel_adapter_loads), "80", 1, 10000, NULL},
     {"weight-store", "adapter-least-ms", CH_INI_MILLISECONDS,
-     REST(adapter_least), "6", 1, 60000, NULL},
+     UNNAMED(min_adapter_load_time), "6", 1, 60000, NULL},
     {"weight-store", "adapter-most-ms", CH_INI_MILLISECONDS,
-     REST(adapter_most), "19", 1, 60000, NULL},
-    {"link", "mbit-per-s", CH_INI_DOUBLE, REST(link_mbit), "30", 0.001, 100000,
-     NULL},
-    {"link", "region-ms", CH_INI_MILLISECONDS, REST(region_delay), "30", 0,
+     UNNAMED(max_adapter_load_time), "19", 1, 60000, NULL},
+    {"link", "mbit-per-s", CH_INI_DOUBLE, UNNAMED(link_mbit_per_s), "30",
+     0.001, 100000, NULL},
+    {"link", "region-ms", CH_INI_MILLISECONDS, UNNAMED(region_delay), "30", 0,
      10000, NULL},
-    {"link", "data-centre-us", CH_INI_UNSIGNED, REST(data_centre_delay),
+    {"link", "data-centre-us", CH_INI_UNSIGNED, UNNAMED(data_centre_delay),
      "1500", 0, 10000000, NULL},
-    {"engine", "token-us", CH_INI_UNSIGNED, REST(token), "20000", 1, 10000000,
-     NULL},
+    {"engine", "token-us", CH_INI_UNSIGNED, UNNAMED(token_time), "20000", 1,
+     10000000, NULL},
     {"engine", "token-us-per-request", CH_INI_UNSIGNED,
-     REST(token_per_request), "2600", 0, 10000000, NULL},
-    {"engine", "prefill-tokens-per-s", CH_INI_DOUBLE, REST(prefill_per_s),
-     "8000", 1, 10000000, NULL},
-    {"engine", "prefix-cache-tokens", CH_INI_UNSIGNED, REST(cache_tokens),
+     UNNAMED(token_time_per_request), "2600", 0, 10000000, NULL},
+    {"engine", "prefill-tokens-per-s", CH_INI_DOUBLE,
+     UNNAMED(prefill_tokens_per_s), "8000", 1, 10000000, NULL},
+    {"engine", "prefix-cache-tokens", CH_INI_UNSIGNED, UNNAMED(cache_tokens),
      "200000", 0, 1000000000, NULL},
-    {"engine", "prefix-tokens", CH_INI_UNSIGNED, REST(prefix_tokens), "256", 0,
-     1000000, NULL},
-    {"engine", "report-ms", CH_INI_MILLISECONDS, REST(report), "500", 1, 60000,
-     NULL},
-    {"engine", "service-ms", CH_INI_MILLISECONDS, REST(service), "40", 1,
-     60000, NULL},
-    {"engine", "bytes-per-token", CH_INI_UNSIGNED, REST(token_bytes), "200", 1,
-     1000000, NULL},
-    {"engine", "fencing", CH_INI_FLAG, REST(fencing), "ignore", 0, 0,
+    {"engine", "prefix-tokens", CH_INI_UNSIGNED, UNNAMED(prefix_tokens), "256",
+     0, 1000000, NULL},
+    {"engine", "report-ms", CH_INI_MILLISECONDS, UNNAMED(report_period), "500",
+     1, 60000, NULL},
+    {"engine", "service-ms", CH_INI_MILLISECONDS, UNNAMED(mean_service_time),
+     "40", 1, 60000, NULL},
+    {"engine", "bytes-per-token", CH_INI_UNSIGNED, UNNAMED(token_bytes), "200",
+     1, 1000000, NULL},
+    {"engine", "fencing", CH_INI_FLAG, UNNAMED(fencing), "ignore", 0, 0,
      fencing_names},
 };
 
-/* A kind of group with names: how large an entry of it is. */
-struct kind {
+/* A kind of named group, with the size of its struct. */
+struct group_kind {
     const char *section;
     size_t size;
     void (*clear)(void *entry);
 };
 
-/* Frees the strings of a region. */
 static void
 clear_region(void *entry)
 {
@@ -133,7 +133,6 @@
     g_strfreev(region->callers);
 }
 
-/* Frees the strings of a data centre. */
 static void
 clear_data_centre(void *entry)
 {
@@ -142,7 +141,6 @@
     g_free(centre->region);
 }
 
-/* Frees the strings of an upstream. */
 static void
 clear_upstream(void *entry)
 {
@@ -152,7 +150,6 @@
     g_free(upstream->service);
 }
 
-/* Frees the strings of an entry host. */
 static void
 clear_entry(void *entry)
 {
@@ -166,116 +163,120 @@
     KIND_DATA_CENTRE,
     KIND_UPSTREAM,
     KIND_ENTRY,
-    KINDS,
+    KIND_COUNT,
 };
 
-static const struct kind kinds[KINDS] = {
+static const struct group_kind group_kinds[KIND_COUNT] = {
     {"region", sizeof(struct raw_region), clear_region},
     {"data-centre", sizeof(struct raw_data_centre), clear_data_centre},
     {"upstream", sizeof(struct raw_upstream), clear_upstream},
     {"entry", sizeof(struct raw_entry), clear_entry},
 };
 
-static const char *const plain_sections[] = {"weight-store", "link", "engine",
-                                             NULL};
+static const char *const unnamed_sections[] = {"weight-store", "link",
+                                               "engine", NULL};
 
-/* Order by name: every kind begins with its name. */
+/* Compares groups by name, which is the first member of every kind. */
 static int
 compare_by_name(const void *a, const void *b)
 {
     return strcmp(*(char *const *)a, *(char *const *)b);
 }
 
-/* Appends one group to the entries of its kind. */
+/* Reads a named group and appends it to the entries of its kind. */
 static bool
 read_named(const struct ch_ini *ini, const char *group,
-           const struct kind *kind, GArray *into, struct ch_error *error)
+           const struct group_kind *group_kind, GArray *into,
+           struct ch_error *error)
 {
-    const char *name = group + strlen(kind->section);
+    const char *name = group + strlen(group_kind->section);
     name += strspn(name, " ");
     if (!ch_ini_name_check(name)) {
         ch_ini_fail(ini, group, NULL, CH_BAD_VALUE, error,
                     "not [%s NAME] with a name of A-Z a-z 0-9 . _ -",
-                    kind->section);
+                    group_kind->section);
         return false;
     }
     guint at = into->len;
     g_array_set_size(into, at + 1);
-    char *entry = into->data + (size_t)at * kind->size;
+    char *entry = into->data + (size_t)at * group_kind->size;
     *(char **)entry = g_strdup(name);
-    return ch_ini_known_keys(ini, group, kind->section, rows,
+    return ch_ini_known_keys(ini, group, group_kind->section, rows,
                              G_N_ELEMENTS(rows), error) &&
-           ch_ini_fill(ini, group, kind->section, rows, G_N_ELEMENTS(rows),
-                       entry, error);
+           ch_ini_fill(ini, group, group_kind->section, rows,
+                       G_N_ELEMENTS(rows), entry, error);
 }
 
-/* Reads all groups of the site; those of the declaration are left alone. */
+/* Reads all named groups of the site, sorted by name.  Groups of the
+ * declaration are skipped. */
 static bool
-read_groups(const struct ch_ini *ini, GArray *entries[KINDS],
+read_groups(const struct ch_ini *ini, GArray *entries[KIND_COUNT],
             struct ch_error *error)
 {
     char **groups = g_key_file_get_groups(ini->file, NULL);
     bool fine = true;
     for (size_t i = 0; fine && groups[i] != NULL; i++) {
         char *section = g_strndup(groups[i], strcspn(groups[i], " "));
-        for (size_t k = 0; fine && k < KINDS; k++) {
-            if (strcmp(section, kinds[k].section) == 0) {
-                fine =
-                    read_named(ini, groups[i], &kinds[k], entries[k], error);
+        for (size_t k = 0; fine && k < KIND_COUNT; k++) {
+            if (strcmp(section, group_kinds[k].section) == 0) {
+                fine = read_named(ini, groups[i], &group_kinds[k], entries[k],
+                                  error);
             }
         }
         g_free(section);
     }
     g_strfreev(groups);
-    for (size_t k = 0; k < KINDS; k++) {
+    for (size_t k = 0; k < KIND_COUNT; k++) {
         g_array_sort(entries[k], compare_by_name);
     }
     return fine;
 }
 
-/* Reads the groups that stand once; a group left out has its defaults. */
+/* Reads the groups without a name.  A group that is absent has the default
+ * values. */
 static bool
-read_rest(const struct ch_ini *ini, struct raw_rest *rest,
-          struct ch_error *error)
+read_unnamed(const struct ch_ini *ini, struct raw_unnamed *unnamed,
+             struct ch_error *error)
 {
-    for (size_t i = 0; plain_sections[i] != NULL; i++) {
-        const char *section = plain_sections[i];
+    for (size_t i = 0; unnamed_sections[i] != NULL; i++) {
+        const char *section = unnamed_sections[i];
         if (g_key_file_has_group(ini->file, section) &&
             !ch_ini_known_keys(ini, section, section, rows, G_N_ELEMENTS(rows),
                                error)) {
             return false;
         }
-        if (!ch_ini_fill(ini, section, section, rows, G_N_ELEMENTS(rows), rest,
-                         error)) {
+        if (!ch_ini_fill(ini, section, section, rows, G_N_ELEMENTS(rows),
+                         unnamed, error)) {
             return false;
         }
     }
     return true;
 }
 
-/* The place of a name among entries, or -1 with an error for the group that
- * names it. */
+/* Returns the index of a name among entries; -1 with an error for the group
+ * that refers to it. */
 static int
-resolve(const struct ch_ini *ini, const GArray *entries,
-        const struct kind *kind, const char *section, const char *owner,
-        const char *name, struct ch_error *error)
+find_index(const struct ch_ini *ini, const GArray *entries,
+           const struct group_kind *group_kind, const char *section,
+           const char *group_name, const char *name, struct ch_error *error)
 {
     for (guint i = 0; i < entries->len; i++) {
-        if (strcmp(*(char **)(entries->data + i * kind->size), name) == 0) {
+        if (strcmp(*(char **)(entries->data + i * group_kind->size), name) ==
+            0) {
             return (int)i;
         }
     }
-    char *group = g_strdup_printf("%s %s", section, owner);
-    ch_ini_fail(ini, group, kind->section, CH_BAD_VALUE, error,
-                "there is no [%s %s]", kind->section, name);
+    char *group = g_strdup_printf("%s %s", section, group_name);
+    ch_ini_fail(ini, group, group_kind->section, CH_BAD_VALUE, error,
+                "there is no [%s %s]", group_kind->section, name);
     g_free(group);
     return -1;
 }
 
-/* Takes regions and data centres over. */
+/* Adds regions and data centres to the site. */
 static bool
-take_places(const struct ch_ini *ini, GArray *entries[KINDS],
-            struct ch_site *site, struct ch_error *error)
+add_places(const struct ch_ini *ini, GArray *entries[KIND_COUNT],
+           struct ch_site *site, struct ch_error *error)
 {
     site->region_count = entries[KIND_REGION]->len;
     site->regions = g_new0(struct ch_site_region, site->region_count);
@@ -294,8 +295,9 @@
     for (size_t i = 0; i < count; i++) {
         const struct raw_data_centre *raw = &g_array_index(
             entries[KIND_DATA_CENTRE], struct raw_data_centre, i);
-        int region = resolve(ini, entries[KIND_REGION], &kinds[KIND_REGION],
-                             "data-centre", raw->name, raw->region, error);
+        int region =
+            find_index(ini, entries[KIND_REGION], &group_kinds[KIND_REGION],
+                       "data-centre", raw->name, raw->region, error);
         if (region < 0) {
             return false;
         }
@@ -306,19 +308,19 @@
     return true;
 }
 
-/* Takes upstreams over, with their places. */
+/* Adds upstreams to the site, with the indexes of their data centres. */
 static bool
-take_upstreams(const struct ch_ini *ini, GArray *entries[KINDS],
-               struct ch_site *site, struct ch_error *error)
+add_upstreams(const struct ch_ini *ini, GArray *entries[KIND_COUNT],
+              struct ch_site *site, struct ch_error *error)
 {
     size_t count = entries[KIND_UPSTREAM]->len;
     site->upstreams = g_new0(struct ch_site_upstream, count);
     for (size_t i = 0; i < count; i++) {
         const struct raw_upstream *raw =
             &g_array_index(entries[KIND_UPSTREAM], struct raw_upstream, i);
-        int centre =
-            resolve(ini, entries[KIND_DATA_CENTRE], &kinds[KIND_DATA_CENTRE],
-                    "upstream", raw->name, raw->data_centre, error);
+        int centre = find_index(ini, entries[KIND_DATA_CENTRE],
+                                &group_kinds[KIND_DATA_CENTRE], "upstream",
+                                raw->name, raw->data_centre, error);
         if (centre < 0) {
             return false;
         }
@@ -327,7 +329,7 @@
             char *group = g_strdup_printf("upstream %s", raw->name);
             ch_ini_fail(ini, group,
                         raw->memory_mb == 0 ? "memory-mb" : "accelerators",
-                        CH_MISSING, error, "an engine needs it");
+                        CH_MISSING, error, "required for an engine");
             g_free(group);
             return false;
         }
@@ -343,19 +345,19 @@
     return true;
 }
 
-/* Takes entry hosts over, with their places. */
+/* Adds entry nodes to the site, with the indexes of their data centres. */
 static bool
-take_entries(const struct ch_ini *ini, GArray *entries[KINDS],
-             struct ch_site *site, struct ch_error *error)
+add_entries(const struct ch_ini *ini, GArray *entries[KIND_COUNT],
+            struct ch_site *site, struct ch_error *error)
 {
     size_t count = entries[KIND_ENTRY]->len;
     site->entries = g_new0(struct ch_site_entry, count);
     for (size_t i = 0; i < count; i++) {
         const struct raw_entry *raw =
             &g_array_index(entries[KIND_ENTRY], struct raw_entry, i);
-        int centre =
-            resolve(ini, entries[KIND_DATA_CENTRE], &kinds[KIND_DATA_CENTRE],
-                    "entry", raw->name, raw->data_centre, error);
+        int centre = find_index(ini, entries[KIND_DATA_CENTRE],
+                                &group_kinds[KIND_DATA_CENTRE], "entry",
+                                raw->name, raw->data_centre, error);
         if (centre < 0) {
             return false;
         }
@@ -365,33 +367,35 @@
     return true;
 }
 
-/* Takes the single groups over. */
+/* Sets the site's values from the groups without a name. */
 static void
-take_rest(const struct raw_rest *rest, struct ch_site *site)
+set_unnamed(const struct raw_unnamed *unnamed, struct ch_site *site)
 {
     site->engine = (struct ch_site_engine){
-        .token = rest->token,
-        .token_per_request = rest->token_per_request,
-        .prefill_per_s = rest->prefill_per_s,
-        .cache_tokens = rest->cache_tokens,
-        .prefix_tokens = rest->prefix_tokens,
-        .report = rest->report,
-        .service = rest->service,
-        .token_bytes = rest->token_bytes,
-        .fencing = rest->fencing,
+        .token = unnamed->token_time,
+        .token_per_request = unnamed->token_time_per_request,
+        .prefill_per_s = unnamed->prefill_tokens_per_s,
+        .cache_tokens = unnamed->cache_tokens,
+        .prefix_tokens = unnamed->prefix_tokens,
+        .report = unnamed->report_period,
+        .service = unnamed->mean_service_time,
+        .token_bytes = unnamed->token_bytes,
+        .fencing = unnamed->fencing,
     };
-    site->loads_per_s = rest->loads_per_s;
-    site->loads_parallel = rest->loads_parallel;
-    site->adapters_parallel = rest->adapters_parallel;
-    site->load_mb_per_s = rest->load_mb_per_s;
-    site->adapter_least = rest->adapter_least;
-    site->adapter_most = MAX(rest->adapter_most, rest->adapter_least);
-    site->link_mbit = rest->link_mbit;
-    site->region_delay = rest->region_delay;
-    site->data_centre_delay = rest->data_centre_delay;
+    site->loads_per_s = unnamed->loads_per_s;
+    site->loads_parallel = unnamed->max_parallel_loads;
+    site->adapters_parallel = unnamed->max_parallel_adapter_loads;
+    site->load_mb_per_s = unnamed->load_mb_per_s;
+    site->adapter_least = unnamed->min_adapter_load_time;
+    site->adapter_most =
+        MAX(unnamed->max_adapter_load_time, unnamed->min_adapter_load_time);
+    site->link_mbit = unnamed->link_mbit_per_s;
+    site->region_delay = unnamed->region_delay;
+    site->data_centre_delay = unnamed->data_centre_delay;
 }
 
-/* A site needs an upstream to serve and an entry host to be asked. */
+/* A site needs an upstream, which serves requests, and an entry node, which
+ * accepts them. */
 static bool
 check_complete(const struct ch_ini *ini, const struct ch_site *site,
                struct ch_error *error)
@@ -409,8 +413,8 @@
     return true;
 }
 
-/* The site of an INI text, or NULL with an error that names path, group and
- * key. */
+/* Reads a site from an INI text.  The caller frees it; NULL with an error that
+ * names path, group and key. */
 struct ch_site *
 ch_site_parse(const char *text, const char *path, struct ch_error *error)
 {
@@ -418,21 +422,21 @@
     if (!ch_ini_open(&ini, text, path, error)) {
         return NULL;
     }
-    GArray *entries[KINDS];
-    for (size_t k = 0; k < KINDS; k++) {
-        entries[k] = g_array_new(FALSE, TRUE, (guint)kinds[k].size);
-        g_array_set_clear_func(entries[k], kinds[k].clear);
+    GArray *entries[KIND_COUNT];
+    for (size_t k = 0; k < KIND_COUNT; k++) {
+        entries[k] = g_array_new(FALSE, TRUE, (guint)group_kinds[k].size);
+        g_array_set_clear_func(entries[k], group_kinds[k].clear);
     }
-    struct raw_rest rest = {0};
+    struct raw_unnamed unnamed = {0};
     struct ch_site *site = g_new0(struct ch_site, 1);
     bool fine = read_groups(&ini, entries, error) &&
-                read_rest(&ini, &rest, error) &&
-                take_places(&ini, entries, site, error) &&
-                take_upstreams(&ini, entries, site, error) &&
-                take_entries(&ini, entries, site, error) &&
+                read_unnamed(&ini, &unnamed, error) &&
+                add_places(&ini, entries, site, error) &&
+                add_upstreams(&ini, entries, site, error) &&
+                add_entries(&ini, entries, site, error) &&
                 check_complete(&ini, site, error);
-    take_rest(&rest, site);
-    for (size_t k = 0; k < KINDS; k++) {
+    set_unnamed(&unnamed, site);
+    for (size_t k = 0; k < KIND_COUNT; k++) {
         g_array_free(entries[k], TRUE);
     }
     ch_ini_close(&ini);
@@ -443,7 +447,7 @@
     return site;
 }
 
-/* The site of an INI file, or NULL with an error. */
+/* Reads a site from an INI file.  The caller frees it; NULL with an error. */
 struct ch_site *
 ch_site_load(const char *path, struct ch_error *error)
 {
@@ -484,7 +488,8 @@
     g_free(site);
 }
 
-/* Accelerators that are paid for, used or not. */
+/* Returns the number of accelerators of all engines, used or not, since all of
+ * them are paid for. */
 uint32_t
 ch_site_accelerators(const struct ch_site *site)
 {
--- a/libchestnuthitch/replay/trace.c
+++ b/libchestnuthitch/replay/trace.c
@@ -1,5 +1,5 @@
-/* Traces as CSV: one event a line, read strictly.  Errors name file, line and
- * column, both counted from 1. */
+/* Reads traces as CSV, one event a line, and rejects any malformed line.
+ * Errors name the file, line and column; lines and columns count from 1. */
 
 #include "base/ini.h"
 #include "replay/trace_read.h"
@@ -31,7 +31,7 @@
     COLUMNS,
 };
 
-/* What an event's target names. */
+/* Kind of machine that an event's target names. */
 enum target_kind {
     TARGET_NONE,
     TARGET_UPSTREAM,
@@ -56,35 +56,35 @@
     {"entry-up", CH_TRACE_ENTRY_UP, TARGET_ENTRY},
 };
 
-/* Sets BAD_TRACE for the reader's place. */
+/* Sets BAD_TRACE with the reader's line and a column. */
 void
 ch_trace_fail(const struct ch_trace_reader *reader, size_t column,
-              const char *form, ...)
+              const char *format, ...)
 {
     char reason[256];
     va_list arguments;
-    va_start(arguments, form);
-    (void)vsnprintf(reason, sizeof(reason), form, arguments);
+    va_start(arguments, format);
+    (void)vsnprintf(reason, sizeof(reason), format, arguments);
     va_end(arguments);
     ch_error_set(reader->error, CH_BAD_TRACE, "%s:%zu:%zu: %s", reader->path,
                  reader->line, column, reason);
 }
 
-/* One line split at its commas. */
+/* A line split at its commas, and the column where each field starts. */
 struct row {
     char *fields[COLUMNS];
     size_t columns[COLUMNS];
 };
 
-/* Splits the line in place. */
+/* Splits a line in place.  The row points into the line. */
 static bool
 split(const struct ch_trace_reader *reader, char *line, struct row *row)
 {
-    char *at = line;
+    char *field = line;
     for (size_t i = 0; i < COLUMNS; i++) {
-        row->fields[i] = at;
-        row->columns[i] = (size_t)(at - line) + 1;
-        char *comma = strchr(at, ',');
+        row->fields[i] = field;
+        row->columns[i] = (size_t)(field - line) + 1;
+        char *comma = strchr(field, ',');
         if (i + 1 == COLUMNS) {
             if (comma != NULL) {
                 ch_trace_fail(reader, (size_t)(comma - line) + 1,
@@ -94,41 +94,41 @@
             return true;
         }
         if (comma == NULL) {
-            ch_trace_fail(reader, (size_t)(at - line) + strlen(at) + 1,
-                          "%zu columns where %d are needed", i + 1, COLUMNS);
+            ch_trace_fail(reader, (size_t)(field - line) + strlen(field) + 1,
+                          "%zu columns, expected %d", i + 1, COLUMNS);
             return false;
         }
         *comma = '\0';
-        at = comma + 1;
+        field = comma + 1;
     }
     return true;
 }
 
-/* A number within a range; an empty field is `fallback`, and an error when
- * that is negative. */
+/* Reads a number from 0 to max.  An empty field gives the default value, or an
+ * error if the default value is negative. */
 static bool
 read_number(const struct ch_trace_reader *reader, const struct row *row,
-            size_t field, double fallback, double most, double *out)
+            size_t field, double default_value, double max, double *out)
 {
     const char *text = row->fields[field];
-    if (text[0] == '\0' && fallback >= 0) {
-        *out = fallback;
+    if (text[0] == '\0' && default_value >= 0) {
+        *out = default_value;
         return true;
     }
     char *end = NULL;
     errno = 0;
     double value = g_ascii_strtod(text, &end);
     if (text[0] == '\0' || *end != '\0' || errno != 0 || !isfinite(value) ||
-        value < 0 || value > most) {
+        value < 0 || value > max) {
         ch_trace_fail(reader, row->columns[field],
-                      "not a number from 0 to %.0f", most);
+                      "not a number from 0 to %.0f", max);
         return false;
     }
     *out = value;
     return true;
 }
 
-/* The place of an upstream or entry host by name; -1: none. */
+/* Returns the index of an upstream or entry node by name; -1: none. */
 static int
 find_target(const struct ch_site *site, enum target_kind kind,
             const char *name)
@@ -145,7 +145,7 @@
     return -1;
 }
 
-/* Reads the event's kind with its target and value. */
+/* Reads the kind of an event, its target and its value. */
 static bool
 read_event(const struct ch_trace_reader *reader, const struct row *row,
            struct ch_trace_event *event)
@@ -156,7 +156,7 @@
         i++;
     }
     if (i == G_N_ELEMENTS(events)) {
-        ch_trace_fail(reader, row->columns[EVENT], "no such event");
+        ch_trace_fail(reader, row->columns[EVENT], "unknown event");
         return false;
     }
     event->kind = events[i].kind;
@@ -186,7 +186,8 @@
     return true;
 }
 
-/* Finds what a request names; the column numbers are for its errors. */
+/* Sets class, model or service, and adapter of an event from their names.
+ * Errors use the columns in names. */
 bool
 ch_trace_resolve(const struct ch_trace_reader *reader,
                  const struct ch_trace_names *names,
@@ -195,7 +196,7 @@
     const struct ch_declaration *declaration = reader->declaration;
     int class_index = ch_declaration_class(declaration, names->class_name);
     if (class_index < 0) {
-        ch_trace_fail(reader, names->class_column, "no such class");
+        ch_trace_fail(reader, names->class_column, "unknown class");
         return false;
     }
     const struct ch_class *class = &declaration->classes[class_index];
@@ -207,7 +208,7 @@
                          : ch_declaration_service(declaration, names->model);
     if (event->model < 0 && event->service < 0) {
         ch_trace_fail(reader, names->model_column,
-                      "no such model or plain service");
+                      "unknown model or plain service");
         return false;
     }
     bool allowed = event->model >= 0
@@ -215,7 +216,7 @@
                        : class->services[event->service];
     if (!allowed) {
         ch_trace_fail(reader, names->model_column,
-                      "the class may not use this");
+                      "the class may not use this model or service");
         return false;
     }
     if (names->adapter[0] == '\0') {
@@ -233,13 +234,13 @@
     return true;
 }
 
-/* Reads the columns of a request. */
+/* Reads the columns of a request; the event owns its strings. */
 static bool
 read_request(const struct ch_trace_reader *reader, const struct row *row,
              struct ch_trace_event *event)
 {
     if (row->fields[CALLER][0] == '\0') {
-        ch_trace_fail(reader, row->columns[CALLER], "no caller");
+        ch_trace_fail(reader, row->columns[CALLER], "missing caller");
         return false;
     }
     struct ch_trace_names names = {
@@ -268,14 +269,14 @@
     return true;
 }
 
-/* Reads one line into the events. */
+/* Reads one line and appends its event. */
 static bool
 read_line(const struct ch_trace_reader *reader, char *line)
 {
     struct row row;
     struct ch_trace_event event = {.adapter = -1, .model = -1, .service = -1};
     double at;
-    /* A month: longer recordings are to be cut. */
+    /* At most 31 days; longer recordings must be split. */
     if (!split(reader, line, &row) ||
         !read_number(reader, &row, AT, -1, 31.0 * 86400 * 1000, &at) ||
         !read_event(reader, &row, &event)) {
@@ -290,7 +291,7 @@
     return true;
 }
 
-/* Reads all lines after checking the header. */
+/* Checks the header and reads all lines. */
 static bool
 read_csv(struct ch_trace_reader *reader, char *text)
 {
@@ -333,7 +334,6 @@
     g_free(event->key);
 }
 
-/* Order by time. */
 static int
 compare_events(const void *a, const void *b)
 {
@@ -342,8 +342,8 @@
     return (left->at > right->at) - (left->at < right->at);
 }
 
-/* The trace of a text, in order of time (events of the same time as they
- * stand); NULL with BAD_TRACE. */
+/* Reads a trace from a text.  Events are sorted by time; those of the same
+ * time keep their order.  The caller frees the trace; NULL with BAD_TRACE. */
 struct ch_trace *
 ch_trace_parse(const char *text, const char *path,
                const struct ch_declaration *declaration,
@@ -373,7 +373,8 @@
     return trace;
 }
 
-/* The trace of a file: CSV, or the log of a node; NULL with an error. */
+/* Reads a trace from a file: CSV, or the log of a node.  The caller frees it;
+ * NULL with an error. */
 struct ch_trace *
 ch_trace_load(const char *path, const struct ch_declaration *declaration,
               const struct ch_site *site, struct ch_error *error)
@@ -389,7 +390,8 @@
     }
     struct ch_trace *trace = NULL;
     if (strlen(text) != length) {
-        ch_error_set(error, CH_BAD_TRACE, "%s:1:1: a NUL byte is in it", path);
+        ch_error_set(error, CH_BAD_TRACE,
+                     "%s:1:1: the file contains a NUL byte", path);
     }
     else {
         trace = ch_trace_parse(text, path, declaration, site, error);
--- a/libchestnuthitch/replay/trace_log.c
+++ b/libchestnuthitch/replay/trace_log.c
@@ -1,14 +1,15 @@
-/* Traces from a node's log: JSON lines, of which those of the event "request"
- * are taken.  The other lines tell nothing that replay can act on. */
+/* Reads traces from a node's log, which has one JSON object a line.  Only
+ * lines of the event "request" are used; replay needs nothing from other
+ * events. */
 
 #include "replay/trace_read.h"
 #include "base/json.h"
 
 #include <string.h>
 
-/* Where a member's name stands in the line; 1 when it does not. */
+/* Returns the column of a member's name, from 1; 1 if it is absent. */
 static size_t
-column_of(const char *line, const char *member)
+find_column(const char *line, const char *member)
 {
     char *quoted = g_strdup_printf("\"%s\"", member);
     const char *at = strstr(line, quoted);
@@ -16,73 +17,77 @@
     return at == NULL ? 1 : (size_t)(at - line) + 1;
 }
 
-/* A member that must be a string; NULL with an error. */
+/* Returns a member that must be a string, which the object owns; NULL with an
+ * error. */
 static const char *
-string_of(const struct ch_trace_reader *reader, const char *line,
-          JsonObject *object, const char *member)
+read_string(const struct ch_trace_reader *reader, const char *line,
+            JsonObject *object, const char *member)
 {
     const char *text = ch_json_text(object, member);
     if (text == NULL) {
-        ch_trace_fail(reader, column_of(line, member),
-                      "\"%s\" is not there as a string", member);
+        ch_trace_fail(reader, find_column(line, member),
+                      "there is no string \"%s\"", member);
     }
     return text;
 }
 
-/* A member that must be a whole number within a range. */
+/* Reads a member that must be a whole number from 0 to max. */
 static bool
-number_of(const struct ch_trace_reader *reader, const char *line,
-          JsonObject *object, const char *member, int64_t most, int64_t *out)
+read_number(const struct ch_trace_reader *reader, const char *line,
+            JsonObject *object, const char *member, int64_t max, int64_t *out)
 {
     JsonNode *node = json_object_get_member(object, member);
     if (node == NULL || !JSON_NODE_HOLDS_VALUE(node) ||
         json_node_get_value_type(node) != G_TYPE_INT64 ||
-        json_node_get_int(node) < 0 || json_node_get_int(node) > most) {
-        ch_trace_fail(reader, column_of(line, member),
+        json_node_get_int(node) < 0 || json_node_get_int(node) > max) {
+        ch_trace_fail(reader, find_column(line, member),
                       "\"%s\" is not a number from 0 to %" G_GINT64_FORMAT,
-                      member, most);
+                      member, max);
         return false;
     }
     *out = json_node_get_int(node);
     return true;
 }
 
-/* Takes one request's line over; the event owns its strings. */
+/* Reads the line of a request; the event owns its strings. */
 static bool
 read_request(const struct ch_trace_reader *reader, const char *line,
              JsonObject *object, struct ch_trace_event *event)
 {
-    const char *caller = string_of(reader, line, object, "caller");
+    const char *caller = read_string(reader, line, object, "caller");
     const char *class_name =
-        caller == NULL ? NULL : string_of(reader, line, object, "class");
+        caller == NULL ? NULL : read_string(reader, line, object, "class");
     const char *model =
-        class_name == NULL ? NULL : string_of(reader, line, object, "model");
+        class_name == NULL ? NULL : read_string(reader, line, object, "model");
     const char *adapter =
-        model == NULL ? NULL : string_of(reader, line, object, "adapter");
+        model == NULL ? NULL : read_string(reader, line, object, "adapter");
     const char *prefix =
-        adapter == NULL ? NULL : string_of(reader, line, object, "prefix");
+        adapter == NULL ? NULL : read_string(reader, line, object, "prefix");
     const char *key =
-        prefix == NULL ? NULL : string_of(reader, line, object, "key");
+        prefix == NULL ? NULL : read_string(reader, line, object, "key");
     if (key == NULL) {
         return false;
     }
     struct ch_trace_names names = {
         .class_name = class_name,
-        .class_column = column_of(line, "class"),
+        .class_column = find_column(line, "class"),
         .model = model,
-        .model_column = column_of(line, "model"),
+        .model_column = find_column(line, "model"),
         .adapter = adapter,
-        .adapter_column = column_of(line, "adapter"),
+        .adapter_column = find_column(line, "adapter"),
     };
     int64_t at;
     int64_t prompt;
     int64_t output;
-    int64_t made;
+    int64_t generated;
     if (!ch_trace_resolve(reader, &names, event) ||
-        !number_of(reader, line, object, "at_ms", G_MAXINT64 / 1000, &at) ||
-        !number_of(reader, line, object, "prompt_tokens", 10000000, &prompt) ||
-        !number_of(reader, line, object, "output_tokens", 1000000, &output) ||
-        !number_of(reader, line, object, "made_tokens", 1000000, &made)) {
+        !read_number(reader, line, object, "at_ms", G_MAXINT64 / 1000, &at) ||
+        !read_number(reader, line, object, "prompt_tokens", 10000000,
+                     &prompt) ||
+        !read_number(reader, line, object, "output_tokens", 1000000,
+                     &output) ||
+        !read_number(reader, line, object, "made_tokens", 1000000,
+                     &generated)) {
         return false;
     }
     event->at = at * 1000;
@@ -90,13 +95,14 @@
     event->prefix = prefix[0] == '\0' ? 0 : ch_hash_string(prefix);
     event->key = key[0] == '\0' ? NULL : g_strdup(key);
     event->prompt_tokens = (uint32_t)prompt;
-    /* What was made is what the request needed; the bound that its caller
-     * stated stands in where it was refused. */
-    event->output_tokens = (uint32_t)MAX(made > 0 ? made : output, 1);
+    /* The number of generated tokens is what the request needed.  A refused
+     * request generated none; the caller's maximum is used instead. */
+    event->output_tokens =
+        (uint32_t)MAX(generated > 0 ? generated : output, 1);
     return true;
 }
 
-/* Reads one line: an object, taken when it is a request's. */
+/* Reads one line and appends its event if it is a request. */
 static bool
 read_line(const struct ch_trace_reader *reader, const char *line)
 {
@@ -104,7 +110,7 @@
     JsonObject *object = ch_json_object(line, strlen(line), &parser);
     bool fine = true;
     if (object == NULL) {
-        ch_trace_fail(reader, 1, "not JSON, or not one object");
+        ch_trace_fail(reader, 1, "not a JSON object");
         fine = false;
     }
     else {
@@ -120,10 +126,10 @@
     return fine;
 }
 
-/* Shifts the times so that the first request comes at 0: a log has the time
- * of day. */
+/* Shifts the times so that the first request arrives at 0; the log has wall
+ * clock times. */
 static void
-begin_at_zero(GArray *events)
+shift_to_zero(GArray *events)
 {
     int64_t first = G_MAXINT64;
     for (guint i = 0; i < events->len; i++) {
@@ -134,7 +140,7 @@
     }
 }
 
-/* Reads all lines; a log without a request is an error. */
+/* Reads all lines.  A log without a request is an error. */
 bool
 ch_trace_read_log(struct ch_trace_reader *reader, char *text)
 {
@@ -150,9 +156,9 @@
         }
     }
     if (reader->events->len == 0) {
-        ch_trace_fail(reader, 1, "no line is of the event \"request\"");
+        ch_trace_fail(reader, 1, "no line has the event \"request\"");
         return false;
     }
-    begin_at_zero(reader->events);
+    shift_to_zero(reader->events);
     return true;
 }
--- a/tests/fuzz/fuzz_request.c
+++ b/tests/fuzz/fuzz_request.c
@@ -1,4 +1,5 @@
-/* Fuzzes the body of a model call; the first byte chooses its kind. */
+/* Fuzzes the parser of model call bodies; the first byte selects their kind.
+ */
 
 #include "node/request.h"
 
@@ -12,13 +13,13 @@
     if (length == 0) {
         return 0;
     }
-    bool good = ch_model_body_parse((const char *)bytes + 1, length - 1,
-                                    bytes[0] == 'c', &body, &fault);
-    /* A body that is taken has a model and counts in range; one that is not
-     * says why. */
-    if (good ? body.model == NULL || body.output_tokens == 0 ||
-                   body.output_tokens > CH_REQUEST_MOST_TOKENS
-             : fault.error.code == CH_OK || body.model != NULL) {
+    bool accepted = ch_model_body_parse((const char *)bytes + 1, length - 1,
+                                        bytes[0] == 'c', &body, &fault);
+    /* An accepted body has a model and a token count in range; a rejected body
+     * has an error and no model. */
+    if (accepted ? body.model == NULL || body.output_tokens == 0 ||
+                       body.output_tokens > CH_REQUEST_MOST_TOKENS
+                 : fault.error.code == CH_OK || body.model != NULL) {
         __builtin_trap();
     }
     g_free(body.model);
--- a/tests/fuzz/fuzz_state.c
+++ b/tests/fuzz/fuzz_state.c
@@ -1,6 +1,7 @@
-/* Any bytes as what the platform keeps for the system: a ledger, a host list,
- * a batch of at-most-once records, a configuration's record.  No fault, an
- * error or a result; a result written again reads back the same. */
+/* Fuzzes the readers of stored state: a ledger, a host list, a batch of
+ * at-most-once records, a configuration record.  Each must return either a
+ * result or an error.  A ledger and a batch, written and read again, must stay
+ * the same. */
 
 #include "decide/ledger.h"
 #include "decide/once.h"
@@ -12,7 +13,7 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *bytes, size_t length);
 
-/* Aborts unless a reader gave either a result or an error. */
+/* Aborts unless a reader returned either a result or an error. */
 static void
 check_either(bool result, const struct ch_error *error)
 {
@@ -32,9 +33,9 @@
     g_free(second);
 }
 
-/* A ledger, and a report of an engine that holds what the ledger holds. */
+/* Reads a ledger, writes it, and applies a report and a reservation to it. */
 static void
-try_ledger(const char *text, size_t length)
+check_ledger(const char *text, size_t length)
 {
     struct ch_error error = {0};
     struct ch_ledger *ledger = ch_ledger_parse(text, length, &error);
@@ -42,23 +43,23 @@
     if (ledger == NULL) {
         return;
     }
-    char *once = ch_ledger_print(ledger);
-    struct ch_ledger *back = ch_ledger_parse(once, strlen(once), NULL);
-    if (back == NULL) {
+    char *written = ch_ledger_print(ledger);
+    struct ch_ledger *reread = ch_ledger_parse(written, strlen(written), NULL);
+    if (reread == NULL) {
         abort();
     }
-    check_same(once, ch_ledger_print(back));
+    check_same(written, ch_ledger_print(reread));
     const struct ch_ledger_evidence evidence = {.boot = "b",
                                                 .after_ends = true};
-    (void)ch_ledger_observe(back, &evidence);
-    (void)ch_ledger_reserve(back, "m", 1, "o", "n#1", NULL);
-    ch_ledger_free(back);
+    (void)ch_ledger_observe(reread, &evidence);
+    (void)ch_ledger_reserve(reread, "m", 1, "o", "n#1", NULL);
+    ch_ledger_free(reread);
     ch_ledger_free(ledger);
 }
 
-/* A batch of at-most-once records. */
+/* Reads and writes a batch of at-most-once records. */
 static void
-try_batch(const char *text, size_t length)
+check_batch(const char *text, size_t length)
 {
     struct ch_error error = {0};
     struct ch_once_batch *batch = ch_once_batch_decode(text, length, &error);
@@ -66,20 +67,20 @@
     if (batch == NULL) {
         return;
     }
-    char *once = ch_once_batch_encode(batch);
-    struct ch_once_batch *back =
-        ch_once_batch_decode(once, strlen(once), NULL);
-    if (back == NULL) {
+    char *written = ch_once_batch_encode(batch);
+    struct ch_once_batch *reread =
+        ch_once_batch_decode(written, strlen(written), NULL);
+    if (reread == NULL) {
         abort();
     }
-    check_same(once, ch_once_batch_encode(back));
-    ch_once_batch_free(back);
+    check_same(written, ch_once_batch_encode(reread));
+    ch_once_batch_free(reread);
     ch_once_batch_free(batch);
 }
 
-/* A configuration's record. */
+/* Reads and writes a configuration record. */
 static void
-try_record(const char *text, size_t length)
+check_record(const char *text, size_t length)
 {
     struct ch_error error = {0};
     struct ch_revision_record *record =
@@ -91,16 +92,16 @@
     ch_revision_record_free(record);
 }
 
-/* One input, read in each of the four ways. */
+/* Passes one input to all four readers. */
 int
 LLVMFuzzerTestOneInput(const uint8_t *bytes, size_t length)
 {
     struct ch_error error = {0};
     char *text = g_strndup((const char *)bytes, length);
     size_t read = strlen(text);
-    try_ledger(text, read);
-    try_batch(text, read);
-    try_record(text, read);
+    check_ledger(text, read);
+    check_batch(text, read);
+    check_record(text, read);
     struct ch_host_list *list = ch_host_list_parse(text, read, &error);
     check_either(list != NULL, &error);
     ch_host_list_free(list);
--- a/tests/fuzz/fuzz_trace.c
+++ b/tests/fuzz/fuzz_trace.c
@@ -1,5 +1,5 @@
-/* Traces from anywhere: CSV or JSON lines are read, or refused with a place.
- */
+/* Fuzzes the reader of traces, CSV and JSON lines: an error must be BAD_TRACE
+ * and begin with the file name. */
 
 #include "replay/replay.h"
 
@@ -26,7 +26,7 @@
         ch_trace_parse(text, "t.csv", declaration, site, &error);
     if (trace == NULL && (error.code != CH_BAD_TRACE ||
                           !g_str_has_prefix(error.message, "t.csv:"))) {
-        g_error("refused without a place: %s", error.message);
+        g_error("refused without a position: %s", error.message);
     }
     ch_trace_free(trace);
     g_free(text);
--- a/tests/unit/test_replay.c
+++ b/tests/unit/test_replay.c
@@ -1,5 +1,5 @@
-/* Traces, sites and expectations: what is wrong is named by its place; what a
- * run gives depends on its input alone. */
+/* Tests of traces, sites and expectations: errors name the position of the
+ * fault, and the result of a run depends only on its input. */
 
 #include "replay/replay.h"
 
@@ -40,32 +40,32 @@
                            "[entry e1]\n"
                            "data-centre = d\n";
 
-/* A declaration and its site. */
-struct place {
+/* A declaration and its site, both parsed from SITE. */
+struct fixture {
     struct ch_declaration *declaration;
     struct ch_site *site;
 };
 
-static struct place
-place_new(void)
+static struct fixture
+fixture_new(void)
 {
     struct ch_error error = {0};
-    struct place place = {
+    struct fixture fixture = {
         .declaration = ch_declaration_parse(SITE, "s.ini", &error),
         .site = ch_site_parse(SITE, "s.ini", &error),
     };
     g_assert_cmpstr(error.message, ==, "");
-    return place;
+    return fixture;
 }
 
 static void
-place_free(struct place *place)
+fixture_free(struct fixture *fixture)
 {
-    ch_site_free(place->site);
-    ch_declaration_free(place->declaration);
+    ch_site_free(fixture->site);
+    ch_declaration_free(fixture->declaration);
 }
 
-/* Bad traces: file, line and column of the first fault. */
+/* An error in a trace names file, line and column of the first fault. */
 static void
 test_bad_traces(void)
 {
@@ -84,41 +84,43 @@
          "t.csv:2:1: not a number"},
         {HEADER "nan,request,,,c,advice,m01,,,1,1,\n",
          "t.csv:2:1: not a number"},
-        {HEADER "0,vanish,,,,,,,,,,\n", "t.csv:2:3: no such event"},
+        {HEADER "0,vanish,,,,,,,,,,\n", "t.csv:2:3: unknown event"},
         {HEADER "0,down,w99,,,,,,,,,\n", "t.csv:2:8: no upstream"},
         {HEADER "0,entry-down,w01,,,,,,,,,\n", "t.csv:2:14: no entry host"},
         {HEADER "0,slow,w01,,,,,,,,,\n", "t.csv:2:12: not a number"},
         {HEADER "0,slow,w01,0,,,,,,,,\n", "t.csv:2:12: not a factor"},
         {HEADER "\n0,request,,,c,nobody,m01,,,1,1,\n",
-         "t.csv:3:15: no such class"},
+         "t.csv:3:15: unknown class"},
         {HEADER "0,request,,,c,advice,m77,,,1,1,\n",
-         "t.csv:2:22: no such model"},
+         "t.csv:2:22: unknown model"},
         {HEADER "0,request,,,c,advice,m02,,,1,1,\n",
          "t.csv:2:22: the class may not"},
         {HEADER "0,request,,,c,advice,m01,m02-a1,,1,1,\n",
          "t.csv:2:26: not an adapter"},
-        {HEADER "0,request,,,,advice,m01,,,1,1,\n", "t.csv:2:13: no caller"},
+        {HEADER "0,request,,,,advice,m01,,,1,1,\n",
+         "t.csv:2:13: missing caller"},
         {HEADER "0,request,,,c,advice,m01,,,1,1e99,\n",
          "t.csv:2:30: not a number"},
-        {"{\"event\": \"request\"}\n", "t.csv:1:1: \"caller\" is not there"},
-        {"{\"event\": \"start\"}\n", "t.csv:1:1: no line is of the event"},
-        {"{\"event\"\n", "t.csv:1:1: not JSON"},
+        {"{\"event\": \"request\"}\n",
+         "t.csv:1:1: there is no string \"caller\""},
+        {"{\"event\": \"start\"}\n", "t.csv:1:1: no line has the event"},
+        {"{\"event\"\n", "t.csv:1:1: not a JSON object"},
     };
-    struct place place = place_new();
+    struct fixture fixture = fixture_new();
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         struct ch_error error = {0};
         struct ch_trace *trace = ch_trace_parse(
-            cases[i].text, "t.csv", place.declaration, place.site, &error);
+            cases[i].text, "t.csv", fixture.declaration, fixture.site, &error);
         g_assert_null(trace);
         g_assert_cmpint(error.code, ==, CH_BAD_TRACE);
         if (!g_str_has_prefix(error.message, cases[i].message)) {
             g_error("case %zu: %s", i, error.message);
         }
     }
-    place_free(&place);
+    fixture_free(&fixture);
 }
 
-/* Bad sites: the message names group and key. */
+/* An error in a site names the group and the key. */
 static void
 test_bad_sites(void)
 {
@@ -145,21 +147,24 @@
     }
 }
 
-/* Runs a trace by default and gives its object. */
+/* Runs a trace under the default policy and returns its JSON, which the caller
+ * frees.  With result_out the caller also receives and frees the result. */
 static char *
-run(const struct place *place, const char *text, struct ch_result **kept)
+run(const struct fixture *fixture, const char *text,
+    struct ch_result **result_out)
 {
     struct ch_error error = {0};
-    struct ch_trace *trace =
-        ch_trace_parse(text, "t.csv", place->declaration, place->site, &error);
+    struct ch_trace *trace = ch_trace_parse(
+        text, "t.csv", fixture->declaration, fixture->site, &error);
     g_assert_cmpstr(error.message, ==, "");
-    struct ch_result *result = ch_replay_run(
-        place->site, place->declaration, trace, ch_policy_find("default"), 1);
+    struct ch_result *result =
+        ch_replay_run(fixture->site, fixture->declaration, trace,
+                      ch_policy_find("default"), 1);
     GString *out = g_string_new(NULL);
     ch_result_print(result, out);
     ch_trace_free(trace);
-    if (kept != NULL) {
-        *kept = result;
+    if (result_out != NULL) {
+        *result_out = result;
     }
     else {
         ch_result_free(result);
@@ -176,15 +181,15 @@
            "4000,down,w01,,,,,,,,,\n"
            "5000,request,,,c,advice,m01,,,100,20,\n";
 
-/* The same input gives the same bytes; a key runs once; while the key-value
- * service is away a keyed request is refused, not run. */
+/* The same input gives the same bytes.  A request with a key runs once; while
+ * the key-value store is unavailable it is refused and not run. */
 static void
 test_run(void)
 {
-    struct place place = place_new();
+    struct fixture fixture = fixture_new();
     struct ch_result *result = NULL;
-    char *first = run(&place, SMALL, &result);
-    char *second = run(&place, SMALL, NULL);
+    char *first = run(&fixture, SMALL, &result);
+    char *second = run(&fixture, SMALL, NULL);
     g_assert_cmpstr(first, ==, second);
     g_assert_cmpuint(result->requests, ==, 5);
     g_assert_cmpuint(result->met, ==, 3);
@@ -194,10 +199,11 @@
     g_free(first);
     g_free(second);
     ch_result_free(result);
-    place_free(&place);
+    fixture_free(&fixture);
 }
 
-/* A node's log is a trace: times begin at 0, made tokens are what is run. */
+/* The log of a node is read as a trace: times start at 0, and a request has as
+ * many output tokens as it generated. */
 static void
 test_log(void)
 {
@@ -207,19 +213,20 @@
         "\"model\":\"m01\",\"adapter\":\"m01-a1\",\"prefix\":\"00ff\","
         "\"prompt_tokens\":9,\"output_tokens\":256,\"made_tokens\":5,"
         "\"key\":\"\",\"at_ms\":1764720000000}\n";
-    struct place place = place_new();
+    struct fixture fixture = fixture_new();
     struct ch_error error = {0};
-    struct ch_trace *trace =
-        ch_trace_parse(LOG, "t.log", place.declaration, place.site, &error);
+    struct ch_trace *trace = ch_trace_parse(LOG, "t.log", fixture.declaration,
+                                            fixture.site, &error);
     g_assert_cmpstr(error.message, ==, "");
     g_assert_cmpuint(trace->count, ==, 1);
     g_assert_cmpint(trace->events[0].at, ==, 0);
     g_assert_cmpuint(trace->events[0].output_tokens, ==, 5);
     ch_trace_free(trace);
-    place_free(&place);
+    fixture_free(&fixture);
 }
 
-/* Expectations: which hold, which fail with both figures, which are wrong. */
+/* Expectations that hold, that fail with the expected and the actual figure,
+ * and that are malformed. */
 static void
 test_expect(void)
 {
@@ -247,9 +254,9 @@
         {"[expect]\nattainment-at-least = x\n", CH_BAD_VALUE, "not a number"},
         {"[wish]\na = 1\n", CH_UNKNOWN_GROUP, "[wish]"},
     };
-    struct place place = place_new();
+    struct fixture fixture = fixture_new();
     struct ch_result *result = NULL;
-    g_free(run(&place, SMALL, &result));
+    g_free(run(&fixture, SMALL, &result));
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         struct ch_error error = {0};
         bool fine = ch_expect_check(cases[i].text, "e.ini", result, &error);
@@ -260,7 +267,7 @@
         }
     }
     ch_result_free(result);
-    place_free(&place);
+    fixture_free(&fixture);
 }
 
 int
