--- a/libchestnuthitch/replay/expect.c
+++ b/libchestnuthitch/replay/expect.c
@@ -7,9 +7,12 @@
  *   [class advice]              for one class
  *   attainment-at-least = 0.9
  *   p95-ms-at-most = 9000
- *   [window overload]           for requests that arrive from second 600 to
- * 1200 from-s = 600 to-s = 1200 met-per-s-at-least = 4 share-of = capacity
- * met-per-s relative to that of another window share-at-least = 0.9
+ *   [window overload]           for requests that arrive in a time window
+ *   from-s = 600
+ *   to-s = 1200
+ *   met-per-s-at-least = 4
+ *   share-of = capacity         share: met-per-s here / in the other window
+ *   share-at-least = 0.9
  *
  * Each figure can be bounded by -at-least or by -at-most.
  */
--- a/libchestnuthitch/replay/sim_homes.c
+++ b/libchestnuthitch/replay/sim_homes.c
@@ -11,8 +11,9 @@
     GOSSIP_PERIOD_US = 250 * 1000,
     /* Upstreams of an unreachable region count as down after this. */
     SILENCE_LIMIT_US = G_USEC_PER_SEC,
-    MAX_QUEUE_LENGTH = 64, /* in a longer queue the last request would miss any
-                              target of the examples */
+    /* In a longer queue, the last request would wait longer than any target of
+     * the examples. */
+    MAX_QUEUE_LENGTH = 64,
 };
 
 static const char SENDER[] = "replay#1";
@@ -218,8 +219,9 @@
         return;
     }
     GList *known = g_hash_table_get_keys(upstream_state->told);
-    for (GList *link = known; link != NULL; link = link->next) {
-        GQuark item = GPOINTER_TO_UINT(link->data);
+    for (GList *list_item = known; list_item != NULL;
+         list_item = list_item->next) {
+        GQuark item = GPOINTER_TO_UINT(list_item->data);
         if (ch_ledger_find(upstream_state->ledger, g_quark_to_string(item)) ==
             NULL) {
             notify_item(sim, upstream, item, CH_ITEM_ABSENT, 0);
