--- a/libchestnuthitch/replay/replay.h
+++ b/libchestnuthitch/replay/replay.h
@@ -160,8 +160,7 @@
     double worst_tenant;   /* lowest attainment among the callers */
     double bound;          /* upper bound of the attainment (bound.c) */
     GArray *refusal_times; /* int64_t: time from arrival to refusal */
-    GArray
-        *goodput; /* uint32_t: requests within target, by second of arrival */
+    GArray *goodput; /* uint32_t: requests in time, by second of arrival */
     GArray *offered; /* uint32_t: requests, by second of arrival */
     struct ch_result_class *classes;
     size_t class_count;
