--- a/tests/harness/call.c
+++ b/tests/harness/call.c
@@ -1,4 +1,4 @@
-/* One caller's request, by libcurl, and what it was told. */
+/* Sends a caller's request by libcurl and records the response. */
 
 #include "harness/harness.h"
 #include "standin/answer.h"
@@ -7,23 +7,22 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A piece of the answer: its time counts. */
 static size_t
-on_bytes(char *bytes, size_t size, size_t count, void *data)
+on_body_data(char *bytes, size_t size, size_t count, void *data)
 {
     struct harness_answer *answer = data;
     int64_t now = harness_now();
-    int64_t last = answer->first == 0 ? now : answer->ended;
+    int64_t previous = answer->first == 0 ? now : answer->ended;
     if (answer->first == 0) {
         answer->first = now;
     }
-    answer->longest = MAX(answer->longest, now - last);
+    answer->longest = MAX(answer->longest, now - previous);
     answer->ended = now;
     g_string_append_len(answer->text, bytes, (gssize)(size * count));
     return size * count;
 }
 
-/* A header's value when the line is of that name; else NULL. */
+/* The value of a header line that has this name, else NULL; g_free. */
 static char *
 header_value(const char *line, size_t length, const char *name)
 {
@@ -35,7 +34,6 @@
     return g_strstrip(g_strndup(line + start + 1, length - start - 1));
 }
 
-/* A header line of the answer. */
 static size_t
 on_header(char *line, size_t size, size_t count, void *data)
 {
@@ -61,7 +59,6 @@
     return length;
 }
 
-/* Adds "NAME: VALUE" when there is a value. */
 static struct curl_slist *
 add_header(struct curl_slist *list, const char *name, const char *value)
 {
@@ -74,10 +71,10 @@
     return list;
 }
 
-/* The easy handle of a call, on a fresh connection. */
+/* Each request has its own curl handle, so its connection is a new one. */
 static CURL *
-prepare(const struct harness_call *call, struct harness_answer *answer,
-        struct curl_slist *headers)
+new_curl_handle(const struct harness_call *call, struct harness_answer *answer,
+                struct curl_slist *headers)
 {
     CURL *curl = curl_easy_init();
     char *url = g_strdup_printf("http://%s%s", call->address, call->path);
@@ -85,7 +82,7 @@
     curl_easy_setopt(curl, CURLOPT_NOSIGNAL, 1L);
     curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, (long)call->limit_ms);
     curl_easy_setopt(curl, CURLOPT_HTTPHEADER, headers);
-    curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, on_bytes);
+    curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, on_body_data);
     curl_easy_setopt(curl, CURLOPT_WRITEDATA, answer);
     curl_easy_setopt(curl, CURLOPT_HEADERFUNCTION, on_header);
     curl_easy_setopt(curl, CURLOPT_HEADERDATA, answer);
@@ -97,7 +94,6 @@
     return curl;
 }
 
-/* Sends one request and waits for its end; harness_answer_free. */
 struct harness_answer *
 harness_call(const struct harness_call *call)
 {
@@ -116,7 +112,7 @@
     answer->class_name = g_strdup(call->class_name);
     answer->node = g_strdup(call->address);
     answer->text = g_string_new(NULL);
-    CURL *curl = prepare(call, answer, headers);
+    CURL *curl = new_curl_handle(call, answer, headers);
     answer->sent = harness_now();
     answer->curl = (int)curl_easy_perform(curl);
     answer->ended = harness_now();
@@ -127,7 +123,6 @@
     return answer;
 }
 
-/* Frees an answer. */
 void
 harness_answer_free(struct harness_answer *answer)
 {
@@ -143,7 +138,6 @@
     g_free(answer);
 }
 
-/* The body of a model call; g_free. */
 char *
 harness_model_body(const char *model, unsigned tokens, bool stream,
                    unsigned serial)
@@ -153,7 +147,6 @@
                            model, serial, tokens, stream ? "true" : "false");
 }
 
-/* The body of a chat call; g_free. */
 char *
 harness_chat_body(const char *model, unsigned tokens, bool stream,
                   unsigned serial)
@@ -164,9 +157,10 @@
         model, serial, tokens, stream ? "true" : "false");
 }
 
-/* What the stand-in makes for a model call, with the request id given. */
+/* Appends what the stand-in generates for a model request, with the request id
+ * of the response. */
 static void
-expected_model(GString *out, const struct harness_answer *answer)
+append_expected_model(GString *out, const struct harness_answer *answer)
 {
     JsonNode *root = json_from_string(answer->body, NULL);
     JsonObject *call = json_node_get_object(root);
@@ -185,7 +179,6 @@
     json_node_unref(root);
 }
 
-/* True when the whole answer came and is, byte for byte, the request's own. */
 bool
 harness_answer_good(const struct harness_answer *answer)
 {
@@ -195,11 +188,11 @@
         answer->request_id != NULL) {
         const char *service = strstr(answer->path, "/services/");
         if (service == NULL) {
-            expected_model(expected, answer);
+            append_expected_model(expected, answer);
         }
         else {
-            const char *rest = strchr(service + strlen("/services/"), '/');
-            answer_service(expected, answer->method, rest ? rest : "/",
+            const char *subpath = strchr(service + strlen("/services/"), '/');
+            answer_service(expected, answer->method, subpath ? subpath : "/",
                            ch_hash_string(answer->body ? answer->body : ""));
         }
         good = g_string_equal(expected, answer->text);
@@ -208,7 +201,6 @@
     return good;
 }
 
-/* A plain GET; the status, 0 without an answer. */
 int
 harness_get(const char *address, const char *path, char **body)
 {
--- a/tests/harness/check.c
+++ b/tests/harness/check.c
@@ -1,4 +1,4 @@
-/* Holds what callers were told against what the upstreams ran. */
+/* Compares the responses that callers received with what the upstreams ran. */
 
 #include "harness/harness.h"
 
@@ -6,67 +6,69 @@
 #include <string.h>
 
 enum {
-    LEFT_LIMIT_MS = 5000,
-    SETTLED_MS = 500, /* of good service at the end, to count as recovered */
+    /* An upstream may still begin requests this long after it is listed as
+       leaving. */
+    DRAINING_GRACE_MS = 5000,
+    /* Counts as recovered if the load's last part, this long, has no missed
+       target. */
+    RECOVERY_WINDOW_MS = 500,
 };
 
-/* What the upstreams ran, by request id, key and body. */
+/* How often upstreams ran each request id, key and body. */
 struct runs {
     GHashTable *ids;
-    GHashTable *bodies; /* hash text to count */
+    GHashTable *bodies; /* by the body's hash as text */
     GHashTable *keys;
 };
 
-/* Adds one to a name's count; the new count. */
 static unsigned
-count_up(GHashTable *table, const char *name)
+increment(GHashTable *table, const char *name)
 {
     unsigned count = GPOINTER_TO_UINT(g_hash_table_lookup(table, name)) + 1;
     g_hash_table_replace(table, g_strdup(name), GUINT_TO_POINTER(count));
     return count;
 }
 
-/* A table of counts. */
 static GHashTable *
-counts_new(void)
+new_counts(void)
 {
     return g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 }
 
-/* Takes in one run. */
 static void
-take_run(const struct harness_upstream *upstream, JsonObject *run,
-         struct runs *runs, struct harness_verdict *verdict)
+check_run(const struct harness_upstream *upstream, JsonObject *run,
+          struct runs *runs, struct harness_verdict *verdict)
 {
     const char *key = json_object_get_string_member(run, "key");
     const char *body = json_object_get_string_member(run, "body_hash");
-    bool again = count_up(runs->bodies, body) > 1;
-    bool key_again = key[0] != '\0' && count_up(runs->keys, key) > 1;
-    (void)count_up(runs->ids,
-                   json_object_get_string_member(run, "request_id"));
-    /* Each order has a body of its own: the same body again is a repeat. */
-    if (upstream->service != NULL && (again || key_again)) {
+    bool body_again = increment(runs->bodies, body) > 1;
+    bool key_again = key[0] != '\0' && increment(runs->keys, key) > 1;
+    (void)increment(runs->ids,
+                    json_object_get_string_member(run, "request_id"));
+    /* Every request to a plain service has a different body, so the same body
+       again means that a request ran twice. */
+    if (upstream->service != NULL && (body_again || key_again)) {
         verdict->ran_twice++;
-        g_printerr("ran twice at %s: %s %s\n", upstream->name, key,
+        g_printerr("request ran twice at %s: key %s, request id %s\n",
+                   upstream->name, key,
                    json_object_get_string_member(run, "request_id"));
     }
     if (upstream->left_at != 0 && json_object_get_int_member(run, "at_ms") >
-                                      upstream->left_at + LEFT_LIMIT_MS) {
+                                      upstream->left_at + DRAINING_GRACE_MS) {
         verdict->after_left++;
     }
 }
 
-/* Takes in an upstream's record. */
 static void
-take_record(const struct harness_upstream *upstream, struct runs *runs,
-            struct harness_verdict *verdict)
+check_record(const struct harness_upstream *upstream, struct runs *runs,
+             struct harness_verdict *verdict)
 {
     JsonNode *node = harness_record(&upstream->standin);
     JsonObject *record = json_node_get_object(node);
     JsonArray *list = json_object_get_array_member(record, "runs");
     for (guint i = 0; i < json_array_get_length(list); i++) {
-        take_run(upstream, json_array_get_object_element(list, i), runs,
-                 verdict);
+        check_run(upstream, json_array_get_object_element(list, i), runs,
+                  verdict);
     }
     if (upstream->service == NULL) {
         verdict->overcommit +=
@@ -75,47 +77,51 @@
     json_node_unref(node);
 }
 
-/* True when the stream tells its caller how it ended. */
+/* Whether a stream ends with an error event. */
 static bool
-stream_told(const struct harness_answer *answer)
+has_stream_error(const struct harness_answer *answer)
 {
     return strstr(answer->text->str, "data: {\"error\"") != NULL;
 }
 
-/* True when the caller takes the answer for whole. */
+/* Whether a caller would take the response for complete: a stream is complete
+ * with its [DONE] event, any other response by its framing. */
 static bool
-looks_whole(const struct harness_answer *answer)
+looks_complete(const struct harness_answer *answer)
 {
     bool stream = answer->body != NULL &&
                   strstr(answer->body, "\"stream\":true") != NULL;
     return !stream || g_str_has_suffix(answer->text->str, "data: [DONE]\n\n");
 }
 
-/* An answer with status 200. */
+/* Counts a response with status 200. */
 static void
-judge_accepted(const struct harness_answer *answer,
-               struct harness_verdict *verdict)
+count_success(const struct harness_answer *answer,
+              struct harness_verdict *verdict)
 {
     if (harness_answer_good(answer)) {
         verdict->good++;
     }
-    else if (looks_whole(answer)) {
+    else if (looks_complete(answer)) {
         verdict->wrong++;
-        g_printerr("wrong answer to %s: %s\n", answer->body,
+        g_printerr("incorrect response to %s: %s\n", answer->body,
                    answer->text->str);
     }
-    else if (stream_told(answer)) {
+    else if (has_stream_error(answer)) {
         verdict->failed++;
     }
     else {
         verdict->untold++;
-        g_printerr("cut without telling: %s\n", answer->body);
+        g_printerr("stream ended without [DONE] or an error: %s\n",
+                   answer->body);
     }
 }
 
-/* An error; bodies: how often each was sent. */
+/* Counts a response with another status. bodies: how often each body was sent.
+ * Only a body that was sent once shows which request an upstream ran, if the
+ * request id is not known. */
 static void
-judge_error(const struct harness_answer *answer, const struct runs *runs,
+count_error(const struct harness_answer *answer, const struct runs *runs,
             GHashTable *bodies, struct harness_verdict *verdict)
 {
     char hash[20];
@@ -123,7 +129,7 @@
     (void)g_snprintf(hash, sizeof hash, "%016" PRIx64, ch_hash_string(body));
     if (answer->outcome == NULL || answer->code == 0) {
         verdict->untold++;
-        g_printerr("status %d without outcome: %s\n", answer->status,
+        g_printerr("status %d without outcome or code: %s\n", answer->status,
                    answer->text->str);
     }
     if (g_strcmp0(answer->outcome, "not-run") != 0) {
@@ -131,43 +137,43 @@
         return;
     }
     verdict->refused++;
-    bool once = GPOINTER_TO_UINT(g_hash_table_lookup(bodies, body)) == 1;
+    bool sent_once = GPOINTER_TO_UINT(g_hash_table_lookup(bodies, body)) == 1;
     if ((answer->request_id != NULL &&
          g_hash_table_contains(runs->ids, answer->request_id)) ||
-        (once && g_hash_table_contains(runs->bodies, hash))) {
+        (sent_once && g_hash_table_contains(runs->bodies, hash))) {
         verdict->not_run_ran++;
-        g_printerr("not-run, but it ran: %s %s\n", body, answer->text->str);
+        g_printerr("outcome not-run, but the request ran: %s %s\n", body,
+                   answer->text->str);
     }
 }
 
-/* Counts one answer. */
 static void
-judge_answer(const struct harness_answer *answer, const struct runs *runs,
-             GHashTable *bodies, struct harness_verdict *verdict)
+count_response(const struct harness_answer *answer, const struct runs *runs,
+               GHashTable *bodies, struct harness_verdict *verdict)
 {
-    unsigned good = verdict->good;
+    unsigned correct = verdict->good;
     verdict->answers++;
     if (answer->curl != 0) {
         verdict->broken++;
     }
     else if (answer->status == 200) {
-        judge_accepted(answer, verdict);
+        count_success(answer, verdict);
     }
     else {
-        judge_error(answer, runs, bodies, verdict);
+        count_error(answer, runs, bodies, verdict);
     }
-    if (answer->key == NULL && verdict->good == good) {
+    if (answer->key == NULL && verdict->good == correct) {
         verdict->idempotent_bad++;
     }
 }
 
-/* The answer's error as "CODE MESSAGE"; g_free. */
+/* The error as "OUTCOME CODE MESSAGE"; g_free. */
 static char *
 error_text(const struct harness_answer *answer)
 {
     const char *found = strstr(answer->text->str, "\"message\":\"");
     if (answer->curl != 0) {
-        return g_strdup_printf("connection broken (%d)", answer->curl);
+        return g_strdup_printf("connection lost (curl code %d)", answer->curl);
     }
     found = found == NULL ? "" : found + strlen("\"message\":\"");
     return g_strdup_printf("%s %d %.*s",
@@ -175,11 +181,10 @@
                            answer->code, (int)strcspn(found, "\""), found);
 }
 
-/* Prints how often each error came. */
 static void
 print_errors(const GPtrArray *answers)
 {
-    GHashTable *errors = counts_new();
+    GHashTable *errors = new_counts();
     GHashTableIter iter;
     gpointer text;
     gpointer count;
@@ -190,7 +195,7 @@
             char *line = g_strdup_printf(
                 "%s: %s", answer->class_name ? answer->class_name : "-",
                 error);
-            (void)count_up(errors, line);
+            (void)increment(errors, line);
             g_free(line);
             g_free(error);
         }
@@ -202,23 +207,22 @@
     g_hash_table_unref(errors);
 }
 
-/* Compares every answer with every record. */
 void
 harness_check(struct harness_fleet *fleet, const GPtrArray *answers,
               struct harness_verdict *verdict)
 {
-    struct runs runs = {counts_new(), counts_new(), counts_new()};
-    GHashTable *bodies = counts_new();
+    struct runs runs = {new_counts(), new_counts(), new_counts()};
+    GHashTable *bodies = new_counts();
     memset(verdict, 0, sizeof *verdict);
     for (unsigned i = 0; i < fleet->upstream_count; i++) {
-        take_record(&fleet->upstreams[i], &runs, verdict);
+        check_record(&fleet->upstreams[i], &runs, verdict);
     }
     for (guint i = 0; i < answers->len; i++) {
         const struct harness_answer *answer = g_ptr_array_index(answers, i);
-        (void)count_up(bodies, answer->body == NULL ? "" : answer->body);
+        (void)increment(bodies, answer->body == NULL ? "" : answer->body);
     }
     for (guint i = 0; i < answers->len; i++) {
-        judge_answer(g_ptr_array_index(answers, i), &runs, bodies, verdict);
+        count_response(g_ptr_array_index(answers, i), &runs, bodies, verdict);
     }
     print_errors(answers);
     g_hash_table_unref(bodies);
@@ -227,7 +231,6 @@
     g_hash_table_unref(runs.keys);
 }
 
-/* Prints the verdict; the test fails when a promise was broken. */
 void
 harness_assert(const char *name, const struct harness_verdict *verdict)
 {
@@ -243,9 +246,10 @@
     g_assert_cmpuint(verdict->after_left, ==, 0);
 }
 
-/* True when the answer is good and came within its target. */
+/* Whether the response is correct and met its target: the first byte of a
+ * stream, the end of any other response. */
 static bool
-met(const struct harness_answer *answer)
+met_target(const struct harness_answer *answer)
 {
     bool stream = answer->body != NULL &&
                   strstr(answer->body, "\"stream\":true") != NULL;
@@ -259,24 +263,23 @@
     unsigned all;
 };
 
-/* A share in percent; 100 of nothing. */
+/* 100 if there were no requests. */
 static double
 percent(const struct share *share)
 {
     return share->all == 0 ? 100.0 : 100.0 * share->met / share->all;
 }
 
-/* Orders times. */
 static gint
-by_time(gconstpointer a, gconstpointer b)
+compare_times(gconstpointer a, gconstpointer b)
 {
-    const int64_t *one = a;
-    const int64_t *two = b;
-    return (*one > *two) - (*one < *two);
+    const int64_t *first = a;
+    const int64_t *second = b;
+    return (*first > *second) - (*first < *second);
 }
 
-/* The longest time between two good answers, of calls with a key or of those
- * without one. */
+/* The longest time until end between two correct responses to requests with a
+ * key, or to those without; the time from the last one to end counts. */
 static int64_t
 longest_gap(const GPtrArray *answers, bool keyed, int64_t end)
 {
@@ -292,7 +295,7 @@
     if (times->len > 0) {
         g_array_append_val(times, end);
     }
-    g_array_sort(times, by_time);
+    g_array_sort(times, compare_times);
     for (guint i = 1; i < times->len; i++) {
         longest = MAX(longest, g_array_index(times, int64_t, i) -
                                    g_array_index(times, int64_t, i - 1));
@@ -301,7 +304,6 @@
     return longest;
 }
 
-/* Measures what callers felt of a fault between begun and ended. */
 void
 harness_measure(const char *name, const GPtrArray *answers, int64_t begun,
                 int64_t ended, struct harness_figures *figures)
@@ -311,14 +313,14 @@
     int64_t end = begun;
     for (guint i = 0; i < answers->len; i++) {
         const struct harness_answer *answer = g_ptr_array_index(answers, i);
-        bool good = met(answer);
-        size_t when =
+        bool correct = met_target(answer);
+        size_t phase =
             answer->sent < begun ? 0 : (answer->sent < ended ? 1 : 2);
-        struct share *share = &shares[answer->key != NULL ? 1 : 0][when];
+        struct share *share = &shares[answer->key != NULL ? 1 : 0][phase];
         share->all++;
-        share->met += good ? 1 : 0;
+        share->met += correct ? 1 : 0;
         end = MAX(end, answer->sent);
-        if (!good && answer->sent >= begun) {
+        if (!correct && answer->sent >= begun) {
             last = MAX(last, answer->sent);
         }
     }
@@ -330,7 +332,7 @@
     figures->orders_after = percent(&shares[1][2]);
     figures->longest_gap = longest_gap(answers, false, end);
     figures->orders_gap = longest_gap(answers, true, end);
-    figures->recovered = last > end - SETTLED_MS ? -1 : last - begun;
+    figures->recovered = last > end - RECOVERY_WINDOW_MS ? -1 : last - begun;
     g_print("figure: %s: longest gap %" PRId64 " ms, of orders %" PRId64
             " ms; met target %.1f%% before, %.1f%% during, %.1f%% after, "
             "orders %.1f%%, %.1f%%, %.1f%%; recovered %" PRId64
--- a/tests/harness/harness.h
+++ b/tests/harness/harness.h
@@ -2,9 +2,10 @@
 #define HARNESS_H
 
 /*
- * Runs the whole path as processes on loopback: stand-ins, nodes, callers, and
- * a checker that holds what callers were told against what the stand-ins ran.
- * A test ends by g_error when it cannot go on: its children die with it.
+ * Runs a whole deployment as processes on loopback: stand-ins for the platform
+ * and the upstreams, nodes and callers. A checker compares the responses that
+ * callers received with what the stand-ins ran. A test that cannot continue
+ * ends by g_error; its child processes are killed when it ends.
  */
 
 #include "base/base.h"
@@ -13,23 +14,29 @@
 #include <sys/types.h>
 
 enum {
-    HARNESS_MOST = 128, /* of each kind of process */
+    HARNESS_MOST = 128, /* processes of each kind */
     HARNESS_READY_MS = 20 * 1000,
 };
 
 /* ---- processes (process.c) ---- */
 
-/* Milliseconds of CLOCK_MONOTONIC, as in the stand-ins' records. */
+/* Milliseconds of CLOCK_MONOTONIC, the clock of the stand-ins' records. */
 int64_t harness_now(void);
 void harness_sleep(int64_t milliseconds);
-/* Output goes to log (NULL: a pipe, whose reading end is *out). */
+/* Starts a program; call from the main thread only. Standard error is appended
+ * to the file log (NULL: discarded). Standard output goes to the same place,
+ * or, if out is not NULL, to a pipe whose reading end, *out, the caller
+ * closes. */
 pid_t harness_spawn(const char *const *argv, const char *log, int *out);
-/* Waits for the end; the exit status, 128 + signal, or -1 after limit. */
+/* Waits for a child to exit; returns its exit status, 128 + the signal that
+ * killed it, or -1 after limit_ms. */
 int harness_wait(pid_t pid, int64_t limit_ms);
-/* What a process has used: processor time in ms, resident memory in KB. */
+/* Processor time used by a process (ms) and its resident memory (KB); 0 when
+ * there is no such process. */
 double harness_cpu_ms(pid_t pid);
 double harness_memory_kb(pid_t pid);
-/* A port that stays this process's until it ends, for a child to listen on. */
+/* Reserves a loopback port until this process ends, for a child to listen
+ * on. */
 uint16_t harness_port(void);
 
 struct harness_standin {
@@ -40,17 +47,23 @@
     char address[32];
 };
 
-/* args: NAME=VALUE, ended by NULL; may be NULL. */
+/* Starts a stand-in and waits until it listens. args: NAME=VALUE strings,
+ * ended by NULL; may be NULL. */
 void harness_standin_start(struct harness_standin *standin, const char *build,
                            const char *mode, const char *const *args);
-/* SIGTERM, and waits; one that was not started is left alone. */
+/* Sends SIGTERM and waits for the exit; does nothing for a stand-in that was
+ * not started. */
 void harness_standin_stop(struct harness_standin *standin);
-/* A call under /control/; the answer's body, g_free. */
+/* Calls path below /control/: POST with a body, GET if body is NULL. Returns
+ * the response's body, to be freed with g_free. */
 char *harness_control(const struct harness_standin *standin, const char *path,
                       const char *body);
-void harness_set(const struct harness_standin *standin, const char *form, ...)
-    G_GNUC_PRINTF(2, 3);
+/* Sets faults of a stand-in, for example "drop_after=%d&slow_ms=20". */
+void harness_set(const struct harness_standin *standin, const char *format,
+                 ...) G_GNUC_PRINTF(2, 3);
+/* What a stand-in has recorded; to be freed with json_node_unref. */
 JsonNode *harness_record(const struct harness_standin *standin);
+/* One integer member of a stand-in's record. */
 int64_t harness_record_number(const struct harness_standin *standin,
                               const char *member);
 
@@ -62,12 +75,12 @@
     uint16_t callers;
     uint16_t admin;
     uint16_t peers;
-    char *settings; /* path */
-    char *log;      /* path */
+    char *settings;
+    char *log;
     char admin_address[32];
     char caller_address[32];
-    char peer_address[32];        /* as the host list gives it */
-    struct harness_standin relay; /* in front of its peers' listener */
+    char peer_address[32];        /* as published in the host list */
+    struct harness_standin relay; /* between other nodes and its peer port */
     const char *region;
     const char *data_centre;
 };
@@ -75,22 +88,22 @@
 struct harness_upstream {
     struct harness_standin standin;
     char name[16];
-    const char *service; /* NULL: an engine */
+    const char *service; /* NULL: a model engine */
     const char *region;
     const char *data_centre;
-    int64_t left_at; /* ms; 0: has not left */
+    int64_t left_at; /* when it was listed as leaving; 0: it was not */
 };
 
 struct harness_shape {
     unsigned nodes;
     unsigned engines;
     unsigned services;
-    bool relays;                /* between the nodes */
-    unsigned batch;             /* of an engine; 0: 64 */
-    unsigned memory_mb;         /* of an engine, as listed; 0: 40000 */
+    bool relays;                /* a relay in front of each node's peer port */
+    unsigned batch;             /* 0: 64 */
+    unsigned memory_mb;         /* in the host list; 0: 40000 */
     const char *declaration;    /* NULL: examples/small.ini */
-    const char *engine_args[8]; /* besides the usual; NAME=VALUE */
-    const char *settings[16];   /* "group.key=value", over the usual */
+    const char *engine_args[8]; /* NAME=VALUE, after the defaults */
+    const char *settings[16];   /* "group.key=value", override the defaults */
 };
 
 struct harness_fleet {
@@ -106,37 +119,52 @@
     unsigned node_count;
 };
 
-/* Everything up, the declaration applied, every node ready. */
+/* Starts all processes, applies the declaration and waits until every node is
+ * ready. */
 struct harness_fleet *harness_fleet_start(const char *build,
                                           const struct harness_shape *shape);
-/* The stand-ins and the list alone; nodes are prepared and not started. */
+/* Starts the stand-ins and publishes the host list; writes the nodes' settings
+ * files but starts no node. */
 struct harness_fleet *harness_fleet_prepare(const char *build,
                                             const struct harness_shape *shape);
-/* SIGTERM to what runs; the number of nodes that did not exit with 0. */
+/* Sends SIGTERM to all processes, waits and frees the fleet. Returns the
+ * number of nodes that did not exit with 0; if there are any, the log files
+ * stay. */
 unsigned harness_fleet_stop(struct harness_fleet *fleet);
+/* Sends the fleet's present host list to the stand-in that serves it. */
 void harness_fleet_list(struct harness_fleet *fleet);
+/* Starts a node's process, also again after it has ended. */
 void harness_node_start(struct harness_fleet *fleet,
                         struct harness_node *node);
-/* Readiness by /readyz; false after limit. */
+/* Waits until /readyz reports the given readiness; false after limit_ms. A
+ * node that doesn't respond counts as neither ready nor not ready. */
 bool harness_node_wait(const struct harness_node *node, bool ready,
                        int64_t limit_ms);
+/* Sends a signal; after SIGKILL, also waits for the exit. */
 void harness_node_kill(struct harness_node *node, int signal);
-/* Runs `chestnuthitch ARGS... --node ADMIN`; its exit status and output. */
+/* Runs `chestnuthitch ARGS... --node ADMIN`. Returns the exit status; *output
+ * (output may be NULL) is standard output and error, to be freed with g_free.
+ */
 int harness_cli(const struct harness_fleet *fleet,
                 const struct harness_node *node, char **output,
                 const char *const *args);
+/* Runs `chestnuthitch config apply PATH`; returns as harness_run_cli(). */
 int harness_apply(const struct harness_fleet *fleet,
                   const struct harness_node *node, const char *path,
                   char **output);
-/* The revision in force at a node; 0: none or no answer. */
+/* The configuration revision that a node uses; 0: none or no response. */
 uint64_t harness_revision(const struct harness_node *node);
+/* A node's status, to be freed with json_node_unref; NULL: no response. */
 JsonNode *harness_status(const struct harness_node *node);
-/* A counter of a node's metrics: chestnuthitch_NAME_total. */
+/* The metric chestnuthitch_NAME_total of a node; 0 if it has none. */
 double harness_counter(const struct harness_node *node, const char *name);
-/* The node's name that is home of an upstream by a node's status; g_free. */
+/* The name of an upstream's home node according to a node's status, to be
+ * freed with g_free; NULL if the status names none. */
 char *harness_home(const struct harness_node *node, const char *upstream);
+/* NULL if there is no upstream of this name. */
 struct harness_upstream *harness_find_upstream(struct harness_fleet *fleet,
                                                const char *name);
+/* NULL if there is no node of this name. */
 struct harness_node *harness_find_node(struct harness_fleet *fleet,
                                        const char *name);
 
@@ -154,74 +182,81 @@
 };
 
 struct harness_answer {
-    /* what was asked */
+    /* the request */
     char *method;
     char *path;
     char *key;
     char *body;
     char *class_name;
     char *node;
-    int64_t target_ms; /* of its kind; 0: none */
-    /* what the caller was told */
-    int curl; /* CURLcode: 0 when the answer ended as its framing says */
+    int64_t target_ms; /* from its call kind; 0: none */
+    /* the response */
+    int curl; /* CURLcode; 0: complete according to its framing */
     int status;
     char *request_id;
-    char *outcome; /* header */
-    int code;      /* Chestnuthitch-Code */
+    char *outcome; /* Chestnuthitch-Outcome header; NULL: none */
+    int code;      /* Chestnuthitch-Code header; 0: none */
     bool retry_after;
     GString *text;
-    int64_t sent; /* ms */
+    int64_t sent;
     int64_t first;
     int64_t ended;
-    int64_t longest; /* between two pieces of the answer */
+    int64_t longest; /* between two parts of the response */
 };
 
-/* Sends and waits; harness_answer_free. */
+/* Sends a request and waits for the end of the response, to be freed with
+ * harness_response_free(). */
 struct harness_answer *harness_call(const struct harness_call *call);
 void harness_answer_free(struct harness_answer *answer);
-/* A model call's body: unlike any other with another serial. */
+/* Bodies of completion and chat requests, different for each serial number; to
+ * be freed with g_free. */
 char *harness_model_body(const char *model, unsigned tokens, bool stream,
                          unsigned serial);
 char *harness_chat_body(const char *model, unsigned tokens, bool stream,
                         unsigned serial);
-/* Status 200, and the whole answer is what the stand-in makes for the body. */
+/* Whether the status is 200 and the response is complete and, byte for byte,
+ * what the stand-in generates for this request's body. */
 bool harness_answer_good(const struct harness_answer *answer);
-/* GET of a path; status (0: none) and the body, g_free. */
+/* Sends a GET. Returns the status, 0 without a complete response; *body (body
+ * may be NULL) is to be freed with g_free. */
 int harness_get(const char *address, const char *path, char **body);
 
 /*
- * ---- load (load.c): callers in a loop, through a balancer ----
+ * ---- load (load.c): callers in a loop behind a load balancer ----
  *
- * The balancer asks each node's /readyz four times a second, sends calls to
- * those that are ready in turn, and tries the next when a connection is
- * refused.
+ * The load balancer polls each node's /readyz four times a second, sends
+ * requests to the ready nodes by round robin, and tries the next node when a
+ * connection is refused.
  */
 
 struct harness_kind {
     const char *class_name;
     const char *model;   /* NULL: a plain service */
-    const char *service; /* path */
+    const char *service; /* URL path of a plain service */
     unsigned tokens;
     bool stream;
     bool keyed;
-    int64_t target_ms; /* for the first byte, or a service's answer */
+    int64_t target_ms; /* to the first byte if streamed, else the end */
 };
 
 struct harness_load {
     struct harness_fleet *fleet;
     const struct harness_kind *kinds;
     unsigned kind_count;
-    unsigned callers;  /* threads */
-    int64_t pause_ms;  /* of a caller between two calls */
-    int64_t limit_ms;  /* of a call */
-    bool repeat_keyed; /* after an unknown outcome, again by another node */
-    unsigned first_serial; /* of bodies and keys */
+    unsigned callers; /* threads */
+    int64_t pause_ms; /* of a caller between two requests */
+    int64_t limit_ms;
+    bool repeat_keyed;     /* by another node, if the outcome is unknown */
+    unsigned first_serial; /* in request bodies and keys */
 };
 
 struct harness_running;
 
+/* Starts the threads of the load balancer and the callers. */
 struct harness_running *harness_load_start(const struct harness_load *load);
-/* Every answer, in order of sending; struct harness_answer, owned. */
+/* Ends the load when the requests in flight have ended and frees running.
+ * Returns all struct harness_response, ordered by time of sending; the array
+ * owns them. */
 GPtrArray *harness_load_stop(struct harness_running *running);
 
 /* ---- checker (check.c) ---- */
@@ -229,56 +264,59 @@
 struct harness_verdict {
     unsigned answers;
     unsigned good;
-    unsigned refused;        /* not-run */
-    unsigned failed;         /* unknown, ran with an error */
-    unsigned broken;         /* the connection went, before or in the answer */
-    unsigned idempotent_bad; /* calls without a key that are not good */
-    /* each of these breaks a promise */
-    unsigned ran_twice;
-    unsigned not_run_ran;
-    unsigned wrong;      /* an answer given as whole is not its own */
-    unsigned untold;     /* an error without outcome or code, a stream cut
-                            without telling */
-    unsigned overcommit; /* orders above capacity */
-    unsigned after_left; /* begun over 5 s after the upstream left */
+    unsigned refused;        /* outcome not-run */
+    unsigned failed;         /* outcome unknown, or ran with an error */
+    unsigned broken;         /* connection lost before or in the response */
+    unsigned idempotent_bad; /* requests without a key, response not correct */
+    /* each of these violates a guarantee */
+    unsigned ran_twice;   /* requests to plain services */
+    unsigned not_run_ran; /* outcome not-run, but an upstream ran it */
+    unsigned wrong;       /* looks complete, but is not the expected one */
+    unsigned untold;      /* an error without outcome or code, or a stream
+                             that ends with neither [DONE] nor an error */
+    unsigned overcommit;  /* orders beyond an engine's memory */
+    unsigned after_left;  /* begun over 5 s after the upstream was
+                             listed as leaving */
 };
 
+/* Compares all responses with the records of all upstreams. */
 void harness_check(struct harness_fleet *fleet, const GPtrArray *answers,
                    struct harness_verdict *verdict);
-/* Prints the verdict, and fails the test when a promise is broken. */
+/* Prints the result, and fails the test when a guarantee is violated. */
 void harness_assert(const char *name, const struct harness_verdict *verdict);
-/*
- * Prints "figure: NAME ..." of the answers: the longest time without a good
- * one, the share meeting target before, during and after the fault (ms; the
- * fault from begun to ended), and the time from begun until service stayed
- * good again.
- */
+
+/* How a fault affected callers. Requests are counted as before, during or
+ * after the fault by the time of sending. Those without a key are of
+ * idempotent classes; shares are in percent. */
 struct harness_figures {
-    int64_t longest_gap; /* of calls that may be repeated */
-    int64_t orders_gap;  /* of those with a key; 0: there were none */
-    double before;       /* share of calls without a key that met the target */
+    int64_t longest_gap; /* between two correct responses without a key */
+    int64_t orders_gap;  /* the same with a key; 0: no correct ones */
+    double before;       /* requests without a key that met the target */
     double during;
     double after;
-    double orders_before; /* share of those with one */
+    double orders_before; /* requests with a key that met it */
     double orders_during;
     double orders_after;
-    int64_t recovered; /* of all, ms after begun; -1: never */
+    int64_t recovered; /* from the fault's begin until all requests
+                          met the target again; -1: never */
 };
+/* Prints "figure: NAME ..." with the impact of a fault that lasted from begun
+ * to ended (ms of harness_now_ms()). */
 void harness_measure(const char *name, const GPtrArray *answers, int64_t begun,
                      int64_t ended, struct harness_figures *figures);
 
-/* ---- scenarios (scenario.c): a fault under load, and what it cost ---- */
+/* ---- scenarios (scenario.c): a fault under load and its impact ---- */
 
 struct harness_scenario;
 
-/* A scenario as it runs. */
+/* State of a running scenario. */
 struct harness_scene {
     const struct harness_scenario *scenario;
     struct harness_fleet *fleet;
-    struct harness_node *victim; /* what begin chose, for end */
+    struct harness_node *victim; /* set by begin_fault, or NULL */
     int64_t begun;
     int64_t ended;
-    GPtrArray *answers; /* after the load */
+    GPtrArray *answers; /* NULL until the load has ended */
     struct harness_verdict verdict;
     struct harness_figures figures;
 };
@@ -287,7 +325,7 @@
     HARNESS_ANY = -1,
 };
 
-/* What a fault may cost at most; HARNESS_ANY: not bounded here. */
+/* The greatest impact that a fault may have; HARNESS_UNBOUNDED: no limit. */
 struct harness_cost {
     int64_t gap_ms;
     int64_t recovered_ms;
@@ -295,46 +333,53 @@
     int failed;
     int broken;
     int idempotent_bad;
-    /* Not good, though another node than the victim held the connection, and
-       no try of the same key was held by the victim. */
+    /* Incorrect responses to requests that the faulty node did not accept,
+       where it accepted no attempt with the same key either. */
     int collateral;
-    int during; /* least share meeting target, percent */
+    int during; /* least share without a key that met the target */
     int after;
 };
 
 struct harness_scenario {
     const char *name;
     struct harness_shape shape;
-    const struct harness_kind *kinds; /* NULL: harness_kinds */
+    const struct harness_kind *kinds; /* NULL: harness_default_kinds */
     unsigned kind_count;
     unsigned callers; /* 0: 12 */
     int64_t before_ms;
     int64_t during_ms;
     int64_t after_ms;
-    /* Before the first call, in place of warming up; may be NULL. */
+    /* Called before the load instead of harness_warm_up(); may be NULL. */
     void (*early)(struct harness_scene *scene);
     void (*begin)(struct harness_scene *scene); /* may be NULL */
     void (*end)(struct harness_scene *scene);   /* may be NULL */
-    void (*more)(struct harness_scene *scene);  /* further checks; or NULL */
+    void (*more)(
+        struct harness_scene *scene); /* further checks; may be NULL */
     struct harness_cost cost;
 };
 
-/* A streamed, a whole and a non-idempotent call. */
+/* A streamed and a non-streamed model call and a non-idempotent call. */
 enum {
     HARNESS_KINDS = 3,
 };
 extern const struct harness_kind harness_kinds[HARNESS_KINDS];
 
-/* For g_test_add_data_func: runs the scenario, prints figures, asserts. */
+/* For g_test_add_data_func(): runs a struct harness_scenario, prints its
+ * impact and fails the test when a guarantee is violated or a limit exceeded.
+ */
 void harness_scenario_run(gconstpointer scenario);
-/* Calls every kind through every node until each was answered well. */
+/* Sends every kind of call through every node until each response is correct.
+ * Models are in memory afterwards, so later failures come from the fault. */
 void harness_warm_up(struct harness_fleet *fleet,
                      const struct harness_kind *kinds, unsigned count);
+/* Counts failures as defined at harness_limits.unrelated_failures; 0 without a
+ * faulty node. */
 unsigned harness_collateral(const struct harness_scene *scene);
-/* The main of a failure test: adds each scenario under /failure/THEME/. */
+/* main() of a failure test: each scenario is the test /failure/THEME/NAME.
+ * Without arguments, scenarios run in parallel, each in its own process. */
 int harness_main(int argc, char **argv, const char *theme,
                  const struct harness_scenario *scenarios, size_t count);
-/* build/KIND, from the program's own path. */
+/* build/KIND, derived from the program's own path; not to be freed. */
 const char *harness_build(void);
 
 #endif
--- a/tests/harness/load.c
+++ b/tests/harness/load.c
@@ -1,4 +1,4 @@
-/* Callers in a loop, and the platform's balancer in front of the nodes. */
+/* Callers in a loop, and a load balancer in front of the nodes. */
 
 #include "harness/harness.h"
 
@@ -6,14 +6,14 @@
 #include <pthread.h>
 
 enum {
-    PROBE_MS = 250,
+    POLL_INTERVAL_MS = 250, /* also the timeout of a poll */
 };
 
 struct harness_running {
     struct harness_load load;
     GThread *balancer;
     GThread *callers[256];
-    pthread_mutex_t lock; /* over what follows */
+    pthread_mutex_t lock; /* protects the members below */
     GPtrArray *answers;
     bool ready[HARNESS_MOST];
     unsigned turn;
@@ -26,9 +26,8 @@
     unsigned number;
 };
 
-/* True once the load is to end. */
 static bool
-stopping(struct harness_running *running)
+is_stopping(struct harness_running *running)
 {
     pthread_mutex_lock(&running->lock);
     bool stop = running->stopping;
@@ -36,31 +35,32 @@
     return stop;
 }
 
-/* The balancer's thread: which nodes say that they are ready. */
+/* The load balancer's thread: polls the readiness of all nodes. */
 static gpointer
-probe(gpointer data)
+poll_readiness(gpointer data)
 {
     struct harness_running *running = data;
     const struct harness_fleet *fleet = running->load.fleet;
-    while (!stopping(running)) {
+    while (!is_stopping(running)) {
         for (unsigned i = 0; i < fleet->node_count; i++) {
             struct harness_call call = {.address =
                                             fleet->nodes[i].caller_address,
                                         .method = "GET",
                                         .path = "/readyz",
-                                        .limit_ms = PROBE_MS};
+                                        .limit_ms = POLL_INTERVAL_MS};
             struct harness_answer *answer = harness_call(&call);
             pthread_mutex_lock(&running->lock);
             running->ready[i] = answer->curl == 0 && answer->status == 200;
             pthread_mutex_unlock(&running->lock);
             harness_answer_free(answer);
         }
-        harness_sleep(PROBE_MS);
+        harness_sleep(POLL_INTERVAL_MS);
     }
     return NULL;
 }
 
-/* The next ready node in turn, the one after `last`; any when none is. */
+/* The next ready node by round robin, but not `last` if there are several
+ * nodes; any node if none qualifies. */
 static unsigned
 choose_node(struct harness_running *running, unsigned last)
 {
@@ -77,7 +77,8 @@
     return chosen;
 }
 
-/* Notes a refused connection: the node gets nothing until it is ready. */
+/* After a refused connection, the node gets no requests until it is polled as
+ * ready again. */
 static void
 mark_down(struct harness_running *running, unsigned node)
 {
@@ -86,7 +87,9 @@
     pthread_mutex_unlock(&running->lock);
 }
 
-/* Sends through the balancer: a refused connection is tried at the next. */
+/* Sends through the load balancer, which tries the next node when a connection
+ * is refused, up to twice as often as there are nodes. *last is the node tried
+ * last. */
 static struct harness_answer *
 send_balanced(struct harness_running *running, struct harness_call *call,
               unsigned *last)
@@ -106,18 +109,17 @@
     }
 }
 
-/* True when the same key is worth sending again: it may have run. */
+/* Whether the request may have run, so that the key should be sent again. */
 static bool
-uncertain(const struct harness_answer *answer)
+may_have_run(const struct harness_answer *answer)
 {
     return answer->curl != 0 || (answer->outcome != NULL &&
                                  g_strcmp0(answer->outcome, "unknown") == 0);
 }
 
-/* Keeps an answer. */
 static void
-keep(struct harness_running *running, struct harness_answer *answer,
-     const struct harness_kind *kind)
+store_response(struct harness_running *running, struct harness_answer *answer,
+               const struct harness_kind *kind)
 {
     answer->target_ms = kind->target_ms;
     pthread_mutex_lock(&running->lock);
@@ -125,9 +127,10 @@
     pthread_mutex_unlock(&running->lock);
 }
 
-/* One call of a kind; a keyed one whose outcome is unknown is repeated. */
+/* Sends one request. With repeat_keyed, a request with a key whose outcome is
+ * unknown is sent up to 4 times. */
 static void
-make_call(struct harness_running *running, const struct harness_kind *kind,
+send_call(struct harness_running *running, const struct harness_kind *kind,
           unsigned serial)
 {
     unsigned last = HARNESS_MOST;
@@ -143,20 +146,20 @@
         .key = key,
         .body = body,
         .limit_ms = running->load.limit_ms};
-    bool again;
-    unsigned tries = 0;
+    bool send_again;
+    unsigned attempts = 0;
     do {
         struct harness_answer *answer = send_balanced(running, &call, &last);
-        again = kind->keyed && running->load.repeat_keyed && ++tries < 4 &&
-                uncertain(answer);
-        keep(running, answer, kind);
-    } while (again && !stopping(running));
+        send_again = kind->keyed && running->load.repeat_keyed &&
+                     ++attempts < 4 && may_have_run(answer);
+        store_response(running, answer, kind);
+    } while (send_again && !is_stopping(running));
     g_free(key);
     g_free(body);
 }
 
-/* A caller's thread.  It sends one kind only, so that a kind whose answers are
- * slow keeps no caller of another kind waiting. */
+/* A caller's thread. It sends one kind of call only, so that slow responses to
+ * one kind don't delay the others. */
 static gpointer
 run_caller(gpointer data)
 {
@@ -164,18 +167,17 @@
     struct harness_running *running = caller->running;
     const struct harness_kind *kind =
         &running->load.kinds[caller->number % running->load.kind_count];
-    while (!stopping(running)) {
+    while (!is_stopping(running)) {
         pthread_mutex_lock(&running->lock);
         unsigned serial = running->serial++;
         pthread_mutex_unlock(&running->lock);
-        make_call(running, kind, serial);
+        send_call(running, kind, serial);
         harness_sleep(running->load.pause_ms);
     }
     g_free(caller);
     return NULL;
 }
 
-/* Starts the callers. */
 struct harness_running *
 harness_load_start(const struct harness_load *load)
 {
@@ -188,7 +190,7 @@
     for (unsigned i = 0; i < HARNESS_MOST; i++) {
         running->ready[i] = true;
     }
-    running->balancer = g_thread_new("balancer", probe, running);
+    running->balancer = g_thread_new("balancer", poll_readiness, running);
     for (unsigned i = 0; i < load->callers; i++) {
         struct caller *caller = g_new(struct caller, 1);
         caller->running = running;
@@ -198,16 +200,15 @@
     return running;
 }
 
-/* Orders answers by when they were sent. */
 static gint
-by_sent(gconstpointer a, gconstpointer b)
+compare_sent(gconstpointer a, gconstpointer b)
 {
-    const struct harness_answer *const *one = a;
-    const struct harness_answer *const *two = b;
-    return ((*one)->sent > (*two)->sent) - ((*one)->sent < (*two)->sent);
+    const struct harness_answer *const *first = a;
+    const struct harness_answer *const *second = b;
+    return ((*first)->sent > (*second)->sent) -
+           ((*first)->sent < (*second)->sent);
 }
 
-/* Ends the load after the calls under way; every answer. */
 GPtrArray *
 harness_load_stop(struct harness_running *running)
 {
@@ -219,7 +220,7 @@
     }
     (void)g_thread_join(running->balancer);
     GPtrArray *answers = running->answers;
-    g_ptr_array_sort(answers, by_sent);
+    g_ptr_array_sort(answers, compare_sent);
     pthread_mutex_destroy(&running->lock);
     g_free(running);
     return answers;
