--- a/tests/demo/demo.c
+++ b/tests/demo/demo.c
@@ -1,8 +1,8 @@
 /*
- * The whole path, shown: the platform's stand-ins, two model engines, a plain
- * service and three nodes as processes on loopback; real requests of each
- * class through different nodes; the status; a graceful stop.  Exits with 1
- * when anything is not as it should be.
+ * Demonstrates a small deployment: the platform's stand-ins, two model
+ * engines, a plain service and three nodes run as processes on loopback. Sends
+ * requests of each class through different nodes, shows the status and stops
+ * all nodes gracefully. Exits with 1 if any step fails.
  */
 
 #include "harness/harness.h"
@@ -20,16 +20,16 @@
     unsigned tokens;
     bool stream;
     const char *key;
-    const char *body; /* of a plain service */
+    const char *body; /* for a plain service */
 };
 
 static const struct request requests[] = {
-    {"a streamed answer; the model is loaded first", 0, "advice", "fitter",
+    {"a streamed response; the model is loaded first", 0, "advice", "fitter",
      "/v1/chat/completions", "m01", 8, true, NULL, NULL},
     {"the same model, now in memory, through another node", 1, "advice",
      "fitter", "/v1/chat/completions", "m01", 8, true, NULL, NULL},
-    {"a whole answer of a second model", 2, "lookup", "secretary",
-     "/v1/completions", "m02", 6, false, NULL, NULL},
+    {"a second model, with the whole response at once", 2, "lookup",
+     "secretary", "/v1/completions", "m02", 6, false, NULL, NULL},
     {"a third model, which fills most of an engine", 0, "advice", "fitter",
      "/v1/completions", "m03", 4, false, NULL, NULL},
     {"an adapter of the first model", 1, "advice", "fitter", "/v1/completions",
@@ -42,15 +42,14 @@
      "{\"hem\":\"Llanelli Silver\",\"jackets\":1}"},
 };
 
-/* Prints an answer as its caller got it. */
 static void
-print_answer(const struct harness_answer *answer)
+print_response(const struct harness_answer *answer)
 {
     printf("   status %d, request id %s, outcome %s\n", answer->status,
            answer->request_id == NULL ? "-" : answer->request_id,
            answer->outcome == NULL ? "-" : answer->outcome);
     printf("   first byte after %" G_GINT64_FORMAT
-           " ms, whole after %" G_GINT64_FORMAT " ms\n",
+           " ms, whole response after %" G_GINT64_FORMAT " ms\n",
            answer->first - answer->sent, answer->ended - answer->sent);
     char **lines = g_strsplit(answer->text->str, "\n", -1);
     for (size_t i = 0; lines[i] != NULL; i++) {
@@ -61,7 +60,7 @@
     g_strfreev(lines);
 }
 
-/* A request's body; g_free. */
+/* To be freed with g_free. */
 static char *
 request_body(const struct request *request, unsigned serial)
 {
@@ -75,7 +74,8 @@
                                     request->stream, serial);
 }
 
-/* Sends one request and prints what came. */
+/* Sends a request and prints the response, to be freed with
+ * harness_response_free(). */
 static struct harness_answer *
 send_request(struct harness_fleet *fleet, size_t i)
 {
@@ -95,15 +95,16 @@
            call.key == NULL ? "" : ", Idempotency-Key ",
            call.key == NULL ? "" : call.key, body);
     struct harness_answer *answer = harness_call(&call);
-    print_answer(answer);
+    print_response(answer);
     (void)fflush(stdout);
     g_free(body);
     return answer;
 }
 
-/* Runs the command line and prints what it says; true when it exits with 0. */
+/* Runs the command line tool and prints its output; whether it exited with
+ * 0. */
 static bool
-show_cli(const struct harness_fleet *fleet, const char *const *args)
+run_cli(const struct harness_fleet *fleet, const char *const *args)
 {
     char *output = NULL;
     int status = harness_cli(fleet, &fleet->nodes[2], &output, args);
@@ -116,17 +117,18 @@
     return status == 0;
 }
 
-/* One line of the summary; 1 when it is not as it should be. */
+/* Prints a line of the summary; returns the number of failures, 0 or 1. */
 static unsigned
-expect(const char *what, bool holds)
+report_check(const char *what, bool passed)
 {
-    printf("%s  %s\n", holds ? "ok  " : "FAIL", what);
-    return holds ? 0 : 1;
+    printf("%s  %s\n", passed ? "ok  " : "FAIL", what);
+    return passed ? 0 : 1;
 }
 
-/* Every request, and what was made of it. */
+/* Sends all requests and prints the summary; returns the number of failures.
+ */
 static unsigned
-show_requests(struct harness_fleet *fleet)
+run_requests(struct harness_fleet *fleet)
 {
     struct harness_verdict verdict;
     GPtrArray *answers =
@@ -135,17 +137,19 @@
         g_ptr_array_add(answers, send_request(fleet, i));
     }
     harness_check(fleet, answers, &verdict);
-    unsigned bad = show_cli(fleet, (const char *[]){"status", NULL}) ? 0 : 1;
+    unsigned failures =
+        run_cli(fleet, (const char *[]){"status", NULL}) ? 0 : 1;
     printf("\n");
     for (size_t i = 0; i < G_N_ELEMENTS(requests); i++) {
-        bad += expect(requests[i].what,
-                      harness_answer_good(g_ptr_array_index(answers, i)));
+        failures +=
+            report_check(requests[i].what,
+                         harness_answer_good(g_ptr_array_index(answers, i)));
     }
-    bad += expect("the order ran once", verdict.ran_twice == 0);
-    bad += expect("no engine was asked for more than its memory",
-                  verdict.overcommit == 0);
+    failures += report_check("the order ran once", verdict.ran_twice == 0);
+    failures += report_check("no engine was asked for more than its memory",
+                             verdict.overcommit == 0);
     g_ptr_array_unref(answers);
-    return bad;
+    return failures;
 }
 
 int
@@ -166,11 +170,14 @@
                fleet->nodes[i].name, fleet->nodes[i].caller_address,
                fleet->nodes[i].admin_address);
     }
-    bool shown = show_cli(fleet, (const char *[]){"config", "show", NULL});
-    unsigned bad = expect("the declaration is in force", shown);
-    bad += show_requests(fleet);
-    bad += expect("every node stopped gracefully",
-                  harness_fleet_stop(fleet) == 0);
-    printf("%s\n", bad == 0 ? "the whole path works" : "SOMETHING IS WRONG");
-    return bad == 0 ? 0 : 1;
+    bool config_shown =
+        run_cli(fleet, (const char *[]){"config", "show", NULL});
+    unsigned failures =
+        report_check("the declaration is in force", config_shown);
+    failures += run_requests(fleet);
+    failures += report_check("every node stopped gracefully",
+                             harness_fleet_stop(fleet) == 0);
+    printf("%s\n",
+           failures == 0 ? "the whole path works" : "some checks FAILED");
+    return failures == 0 ? 0 : 1;
 }
--- a/tests/harness/fleet.c
+++ b/tests/harness/fleet.c
@@ -1,4 +1,4 @@
-/* A fleet: settings files, the host list, nodes and the command line. */
+/* A fleet: settings files, the host list, nodes and the command line tool. */
 
 #include "harness/harness.h"
 
@@ -7,8 +7,8 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Settings of a node in a test: small waits, so that a test is short. */
-static const char *const usual_settings[] = {
+/* Default settings of a node, with short timeouts so that tests are fast. */
+static const char *const default_settings[] = {
     "node.workers=2",
     "node.log-level=info",
     "upstreams.fencing=ignore",
@@ -35,9 +35,9 @@
     "timeouts.drain-ms=600",
 };
 
-/* Puts "group.key=value" into a settings file's text. */
+/* Sets "group.key=value" in a settings file. */
 static void
-put_setting(GKeyFile *file, const char *setting)
+set_setting(GKeyFile *file, const char *setting)
 {
     const char *dot = strchr(setting, '.');
     const char *equals = strchr(setting, '=');
@@ -48,18 +48,17 @@
     g_free(key);
 }
 
-/* Writes a node's settings file. */
 static void
 write_settings(struct harness_fleet *fleet, struct harness_node *node)
 {
     GKeyFile *file = g_key_file_new();
-    for (size_t i = 0; i < G_N_ELEMENTS(usual_settings); i++) {
-        put_setting(file, usual_settings[i]);
+    for (size_t i = 0; i < G_N_ELEMENTS(default_settings); i++) {
+        set_setting(file, default_settings[i]);
     }
     for (size_t i = 0; i < G_N_ELEMENTS(fleet->shape.settings) &&
                        fleet->shape.settings[i] != NULL;
          i++) {
-        put_setting(file, fleet->shape.settings[i]);
+        set_setting(file, fleet->shape.settings[i]);
     }
     char *listen = g_strdup_printf("127.0.0.1:%u", node->peers);
     g_key_file_set_value(file, "node", "name", node->name);
@@ -77,7 +76,7 @@
     g_key_file_unref(file);
 }
 
-/* Gives a node its ports and files. */
+/* Reserves a node's ports, writes its settings file and starts its relay. */
 static void
 prepare_node(struct harness_fleet *fleet, unsigned i)
 {
@@ -104,7 +103,8 @@
     }
 }
 
-/* Starts an upstream's stand-in. */
+/* Starts the stand-in of a plain service, or of an engine if service is
+ * NULL. */
 static void
 start_upstream(struct harness_fleet *fleet, const char *service, unsigned i)
 {
@@ -130,10 +130,11 @@
     g_free(weights);
 }
 
-/* Adds one host to the list. */
+/* Adds a host to the host list. texts: values of the names below; NULL: left
+ * out. */
 static void
-list_host(const struct harness_shape *shape, JsonBuilder *out,
-          const char *const *texts, bool engine, bool leaving)
+add_host(const struct harness_shape *shape, JsonBuilder *out,
+         const char *const *texts, bool engine, bool draining)
 {
     static const char *const names[] = {"name",   "kind",        "address",
                                         "region", "data_centre", "service"};
@@ -154,11 +155,10 @@
         json_builder_add_int_value(out, shape->batch == 0 ? 64 : shape->batch);
     }
     json_builder_set_member_name(out, "state");
-    json_builder_add_string_value(out, leaving ? "leaving" : "live");
+    json_builder_add_string_value(out, draining ? "leaving" : "live");
     json_builder_end_object(out);
 }
 
-/* Gives the stand-in of the host list the fleet as it is meant to be. */
 void
 harness_fleet_list(struct harness_fleet *fleet)
 {
@@ -171,7 +171,7 @@
         const char *texts[] = {node->name,         "entry",
                                node->peer_address, node->region,
                                node->data_centre,  NULL};
-        list_host(&fleet->shape, out, texts, false, false);
+        add_host(&fleet->shape, out, texts, false, false);
     }
     for (unsigned i = 0; i < fleet->upstream_count; i++) {
         const struct harness_upstream *upstream = &fleet->upstreams[i];
@@ -181,8 +181,8 @@
                                upstream->region,
                                upstream->data_centre,
                                upstream->service};
-        list_host(&fleet->shape, out, texts, upstream->service == NULL,
-                  upstream->left_at != 0);
+        add_host(&fleet->shape, out, texts, upstream->service == NULL,
+                 upstream->left_at != 0);
     }
     json_builder_end_array(out);
     json_builder_end_object(out);
@@ -194,12 +194,11 @@
     g_object_unref(out);
 }
 
-/* Stand-ins, settings files and the list; no node runs yet. */
 struct harness_fleet *
 harness_fleet_prepare(const char *build, const struct harness_shape *shape)
 {
-    static const char *const store[] = {"transfer_ms=100", "parallel=10",
-                                        NULL};
+    static const char *const weight_store_args[] = {"transfer_ms=100",
+                                                    "parallel=10", NULL};
     struct harness_fleet *fleet = g_new0(struct harness_fleet, 1);
     fleet->build = build;
     fleet->shape = *shape;
@@ -209,7 +208,8 @@
     fleet->directory = g_dir_make_tmp("chestnuthitch-XXXXXX", NULL);
     harness_standin_start(&fleet->kv, build, "kv", NULL);
     harness_standin_start(&fleet->hosts, build, "hosts", NULL);
-    harness_standin_start(&fleet->weights, build, "weights", store);
+    harness_standin_start(&fleet->weights, build, "weights",
+                          weight_store_args);
     for (unsigned i = 0; i < shape->engines; i++) {
         start_upstream(fleet, NULL, i);
     }
@@ -224,7 +224,6 @@
     return fleet;
 }
 
-/* Starts a node's process; it may have run before. */
 void
 harness_node_start(struct harness_fleet *fleet, struct harness_node *node)
 {
@@ -234,23 +233,21 @@
     g_free(program);
 }
 
-/* Waits until /readyz says ready or not ready. */
 bool
 harness_node_wait(const struct harness_node *node, bool ready,
                   int64_t limit_ms)
 {
-    int64_t limit = harness_now() + limit_ms;
+    int64_t deadline = harness_now() + limit_ms;
     do {
         int status = harness_get(node->caller_address, "/readyz", NULL);
         if (status == 200 ? ready : (status != 0 && !ready)) {
             return true;
         }
         harness_sleep(20);
-    } while (harness_now() < limit);
+    } while (harness_now() < deadline);
     return false;
 }
 
-/* Sends a signal; after SIGKILL the process is reaped. */
 void
 harness_node_kill(struct harness_node *node, int signal)
 {
@@ -261,17 +258,18 @@
     }
 }
 
-/* Applies the declaration, with patience: a node that has just started has
- * its listener, but perhaps no way to the key-value service yet. */
+/* Applies the declaration, with retries for HARNESS_READY_TIMEOUT_MS: a node
+ * that has just started listens, but may not have reached the key-value store
+ * yet. */
 static void
-apply_first(struct harness_fleet *fleet)
+apply_declaration(struct harness_fleet *fleet)
 {
     char *output = NULL;
-    int64_t limit = harness_now() + HARNESS_READY_MS;
+    int64_t deadline = harness_now() + HARNESS_READY_MS;
     while (harness_apply(fleet, &fleet->nodes[0], fleet->shape.declaration,
                          &output) != 0) {
-        if (harness_now() > limit) {
-            g_error("harness: config apply: %s", output);
+        if (harness_now() > deadline) {
+            g_error("harness: config apply failed: %s", output);
         }
         g_clear_pointer(&output, g_free);
         harness_sleep(100);
@@ -279,7 +277,6 @@
     g_free(output);
 }
 
-/* The whole path, up and configured. */
 struct harness_fleet *
 harness_fleet_start(const char *build, const struct harness_shape *shape)
 {
@@ -287,7 +284,7 @@
     for (unsigned i = 0; i < fleet->node_count; i++) {
         harness_node_start(fleet, &fleet->nodes[i]);
     }
-    apply_first(fleet);
+    apply_declaration(fleet);
     for (unsigned i = 0; i < fleet->node_count; i++) {
         if (!harness_node_wait(&fleet->nodes[i], true, HARNESS_READY_MS)) {
             g_error("harness: %s is not ready, see %s", fleet->nodes[i].name,
@@ -297,7 +294,6 @@
     return fleet;
 }
 
-/* Removes the fleet's files. */
 static void
 remove_files(struct harness_fleet *fleet)
 {
@@ -311,7 +307,6 @@
     g_free(fleet->directory);
 }
 
-/* Ends a stand-in that was started. */
 void
 harness_standin_stop(struct harness_standin *standin)
 {
@@ -322,13 +317,13 @@
 }
 
 /*
- * Stops the nodes gracefully, then the stand-ins, and frees the fleet.  The
- * logs are kept when a node did not end with 0.
+ * Nodes stop before the stand-ins, so that they can drain. The files also stay
+ * if the environment variable HARNESS_KEEP is set.
  */
 unsigned
 harness_fleet_stop(struct harness_fleet *fleet)
 {
-    unsigned bad = 0;
+    unsigned failed = 0;
     for (unsigned i = 0; i < fleet->node_count; i++) {
         if (fleet->nodes[i].pid != 0) {
             (void)kill(fleet->nodes[i].pid, SIGTERM);
@@ -338,9 +333,9 @@
         struct harness_node *node = &fleet->nodes[i];
         int status = node->pid == 0 ? 0 : harness_wait(node->pid, 15000);
         if (status != 0) {
-            g_printerr("%s ended with %d, see %s\n", node->name, status,
-                       node->log);
-            bad++;
+            g_printerr("%s exited with status %d, see %s\n", node->name,
+                       status, node->log);
+            failed++;
         }
         if (status == -1) {
             harness_node_kill(node, SIGKILL);
@@ -355,14 +350,13 @@
     for (unsigned i = 0; i < fleet->node_count; i++) {
         harness_standin_stop(&fleet->nodes[i].relay);
     }
-    if (bad == 0 && g_getenv("HARNESS_KEEP") == NULL) {
+    if (failed == 0 && g_getenv("HARNESS_KEEP") == NULL) {
         remove_files(fleet);
     }
     g_free(fleet);
-    return bad;
+    return failed;
 }
 
-/* Runs the program's command line against a node. */
 int
 harness_cli(const struct harness_fleet *fleet, const struct harness_node *node,
             char **output, const char *const *args)
@@ -381,28 +375,27 @@
     argv[count] = node->admin_address;
     (void)g_unlink(log);
     pid_t pid = harness_spawn(argv, log, &out);
-    GString *all = g_string_new(NULL);
+    GString *combined = g_string_new(NULL);
     for (ssize_t length; (length = read(out, text, sizeof text)) > 0;) {
-        g_string_append_len(all, text, length);
+        g_string_append_len(combined, text, length);
     }
     (void)close(out);
     int status = harness_wait(pid, 30000);
     char *errors = NULL;
     if (g_file_get_contents(log, &errors, NULL, NULL)) {
-        g_string_append(all, errors);
+        g_string_append(combined, errors);
         g_free(errors);
     }
     (void)g_unlink(log);
     g_free(log);
     g_free(program);
     if (output != NULL) {
-        *output = all->str;
+        *output = combined->str;
     }
-    (void)g_string_free(all, output == NULL);
+    (void)g_string_free(combined, output == NULL);
     return status;
 }
 
-/* `chestnuthitch config apply FILE`. */
 int
 harness_apply(const struct harness_fleet *fleet,
               const struct harness_node *node, const char *path, char **output)
@@ -411,7 +404,7 @@
     return harness_cli(fleet, node, output, args);
 }
 
-/* A node's answer to an admin GET as JSON; NULL when there is none. */
+/* A node's response to an admin GET as JSON; NULL unless the status is 200. */
 static JsonNode *
 admin_get(const struct harness_node *node, const char *path)
 {
@@ -424,7 +417,6 @@
     return root;
 }
 
-/* The revision in force at a node; 0: none, or no answer. */
 uint64_t
 harness_revision(const struct harness_node *node)
 {
@@ -438,14 +430,12 @@
     return revision;
 }
 
-/* A node's status; NULL when it does not answer. */
 JsonNode *
 harness_status(const struct harness_node *node)
 {
     return admin_get(node, "/admin/v1/status");
 }
 
-/* An upstream of the fleet by name. */
 struct harness_upstream *
 harness_find_upstream(struct harness_fleet *fleet, const char *name)
 {
@@ -457,7 +447,6 @@
     return NULL;
 }
 
-/* A node of the fleet by name. */
 struct harness_node *
 harness_find_node(struct harness_fleet *fleet, const char *name)
 {
@@ -469,7 +458,6 @@
     return NULL;
 }
 
-/* The home of an upstream, as a node's status has it; NULL: it says none. */
 char *
 harness_home(const struct harness_node *node, const char *upstream)
 {
@@ -481,25 +469,25 @@
     JsonArray *list = json_object_get_array_member(
         json_node_get_object(status), "upstreams");
     for (guint i = 0; list != NULL && i < json_array_get_length(list); i++) {
-        JsonObject *one = json_array_get_object_element(list, i);
-        if (strcmp(json_object_get_string_member(one, "name"), upstream) ==
+        JsonObject *entry = json_array_get_object_element(list, i);
+        if (strcmp(json_object_get_string_member(entry, "name"), upstream) ==
             0) {
-            home = g_strdup(json_object_get_string_member(one, "home"));
+            home = g_strdup(json_object_get_string_member(entry, "home"));
         }
     }
     json_node_unref(status);
     return home;
 }
 
-/* A counter of a node's text exposition; 0 when there is none. */
 double
 harness_counter(const struct harness_node *node, const char *name)
 {
     char *text = NULL;
     char *key = g_strdup_printf("\nchestnuthitch_%s_total ", name);
     (void)harness_get(node->admin_address, "/metrics", &text);
-    const char *at = text == NULL ? NULL : strstr(text, key);
-    double value = at != NULL ? g_ascii_strtod(at + strlen(key), NULL) : 0;
+    const char *found = text == NULL ? NULL : strstr(text, key);
+    double value =
+        found != NULL ? g_ascii_strtod(found + strlen(key), NULL) : 0;
     g_free(key);
     g_free(text);
     return value;
--- a/tests/harness/harness.h
+++ b/tests/harness/harness.h
@@ -22,6 +22,7 @@
 
 /* Milliseconds of CLOCK_MONOTONIC, the clock of the stand-ins' records. */
 int64_t harness_now(void);
+/* Tests wait in a loop of short sleeps, up to a deadline. */
 void harness_sleep(int64_t milliseconds);
 /* Starts a program; call from the main thread only. Standard error is appended
  * to the file log (NULL: discarded). Standard output goes to the same place,
--- a/tests/harness/scenario.c
+++ b/tests/harness/scenario.c
@@ -1,4 +1,4 @@
-/* A fault under load: begun, ended, and what callers felt of it. */
+/* Runs scenarios: a fault under load, and its impact on callers. */
 
 #include "harness/harness.h"
 
@@ -8,7 +8,7 @@
 #include <unistd.h>
 
 enum {
-    SIDE_BY_SIDE = 3,
+    MAX_PARALLEL_JOBS = 3,
 };
 
 const struct harness_kind harness_kinds[HARNESS_KINDS] = {
@@ -17,7 +17,6 @@
     {"order", NULL, "/services/orders/jackets", 0, false, true, 3000},
 };
 
-/* The directory of this program's kind of build: build/KIND; never freed. */
 const char *
 harness_build(void)
 {
@@ -25,16 +24,16 @@
     ssize_t length = readlink("/proc/self/exe", path, sizeof path - 1);
     char *tests = length <= 0 ? NULL : g_strrstr(path, "/tests/");
     if (tests == NULL) {
-        g_error("harness: this program is not below build/KIND/tests");
+        g_error("harness: this program is not in build/KIND/tests");
     }
     *tests = '\0';
     return path;
 }
 
-/* One call of a kind at a node. */
+/* Sends a request to a node; whether the response was correct. */
 static bool
-warm_call(const struct harness_node *node, const struct harness_kind *kind,
-          unsigned serial)
+send_warm_up_call(const struct harness_node *node,
+                  const struct harness_kind *kind, unsigned serial)
 {
     char *key = kind->keyed ? g_strdup_printf("warm-%u", serial) : NULL;
     char *body = kind->model == NULL
@@ -52,9 +51,10 @@
     struct harness_answer *answer = harness_call(&call);
     bool good = harness_answer_good(answer);
     if (!good) {
-        g_test_message("warming up: %s at %s: curl %d status %d %s",
-                       kind->class_name, node->name, answer->curl,
-                       answer->status, answer->text->str);
+        g_test_message(
+            "warming up: class %s at node %s: curl code %d, status %d, %s",
+            kind->class_name, node->name, answer->curl, answer->status,
+            answer->text->str);
     }
     harness_answer_free(answer);
     g_free(key);
@@ -62,21 +62,20 @@
     return good;
 }
 
-/* Calls every kind through every node until each was answered well: models
- * are in memory then, and what comes later is the fault's doing. */
 void
 harness_warm_up(struct harness_fleet *fleet, const struct harness_kind *kinds,
                 unsigned count)
 {
-    int64_t limit = harness_now() + HARNESS_READY_MS;
-    static unsigned serial; /* no body or key of a process comes twice */
+    int64_t deadline = harness_now() + HARNESS_READY_MS;
+    static unsigned serial; /* no body or key is used twice in a process */
     for (unsigned i = 0; i < fleet->node_count; i++) {
         for (unsigned k = 0; k < count; k++) {
-            while (!warm_call(&fleet->nodes[i], &kinds[k], serial++)) {
-                if (harness_now() > limit) {
-                    g_error("harness: %s is not served by %s, see %s",
-                            kinds[k].class_name, fleet->nodes[i].name,
-                            fleet->nodes[i].log);
+            while (!send_warm_up_call(&fleet->nodes[i], &kinds[k], serial++)) {
+                if (harness_now() > deadline) {
+                    g_error(
+                        "harness: class %s is not served by node %s, see %s",
+                        kinds[k].class_name, fleet->nodes[i].name,
+                        fleet->nodes[i].log);
                 }
                 harness_sleep(50);
             }
@@ -84,27 +83,27 @@
     }
 }
 
-/* True when the victim held this call's connection, or of its key's. */
+/* Whether the faulty node accepted this request or another attempt with the
+ * same key. */
 static bool
-held_by_victim(const struct harness_scene *scene,
-               const struct harness_answer *answer)
+accepted_by_faulty_node(const struct harness_scene *scene,
+                        const struct harness_answer *answer)
 {
-    const char *victim = scene->victim->caller_address;
-    if (strcmp(answer->node, victim) == 0) {
+    const char *faulty_address = scene->victim->caller_address;
+    if (strcmp(answer->node, faulty_address) == 0) {
         return true;
     }
     for (guint i = 0; answer->key != NULL && i < scene->answers->len; i++) {
         const struct harness_answer *other =
             g_ptr_array_index(scene->answers, i);
         if (g_strcmp0(other->key, answer->key) == 0 &&
-            strcmp(other->node, victim) == 0) {
+            strcmp(other->node, faulty_address) == 0) {
             return true;
         }
     }
     return false;
 }
 
-/* How many calls were not answered well that the victim did not hold. */
 unsigned
 harness_collateral(const struct harness_scene *scene)
 {
@@ -112,19 +111,21 @@
     for (guint i = 0; scene->victim != NULL && i < scene->answers->len; i++) {
         const struct harness_answer *answer =
             g_ptr_array_index(scene->answers, i);
-        if (!harness_answer_good(answer) && !held_by_victim(scene, answer)) {
+        if (!harness_answer_good(answer) &&
+            !accepted_by_faulty_node(scene, answer)) {
             count++;
-            g_print("# not good at %s: curl %d status %d %s %s\n",
-                    answer->node, answer->curl, answer->status, answer->body,
-                    answer->text->str);
+            g_print(
+                "# incorrect response at %s: curl code %d, status %d, %s %s\n",
+                answer->node, answer->curl, answer->status, answer->body,
+                answer->text->str);
         }
     }
     return count;
 }
 
-/* Fails the test when a fault cost callers more than it may. */
+/* Fails the test when the impact exceeds a limit. */
 static void
-assert_cost(const struct harness_scene *scene)
+assert_limits(const struct harness_scene *scene)
 {
     const struct harness_cost *cost = &scene->scenario->cost;
     const struct harness_figures *figures = &scene->figures;
@@ -160,7 +161,7 @@
     }
 }
 
-/* Load before, during and after the fault. */
+/* Runs the load before, during and after the fault. */
 static void
 run_load(struct harness_scene *scene, const struct harness_kind *kinds,
          unsigned kind_count)
@@ -189,7 +190,6 @@
     scene->answers = harness_load_stop(running);
 }
 
-/* Runs a scenario whole; ends the test when a promise or bound is broken. */
 void
 harness_scenario_run(gconstpointer data)
 {
@@ -212,7 +212,7 @@
     harness_measure(scenario->name, scene.answers, scene.begun, scene.ended,
                     &scene.figures);
     harness_assert(scenario->name, &scene.verdict);
-    assert_cost(&scene);
+    assert_limits(&scene);
     if (scenario->more != NULL) {
         scenario->more(&scene);
     }
@@ -220,15 +220,15 @@
     g_assert_cmpuint(harness_fleet_stop(scene.fleet), ==, 0);
 }
 
-/* A scenario that runs in a process of its own. */
+/* A scenario in its own process. */
 struct job {
-    pid_t pid; /* 0: not begun, or over */
+    pid_t pid; /* 0: not started, or ended */
     int status;
-    bool over;
+    bool ended;
     char *log;
 };
 
-/* Starts this program anew for one scenario alone. */
+/* Starts this program again to run one scenario. */
 static void
 job_start(struct job *job, const char *program, const char *theme,
           const struct harness_scenario *scenario)
@@ -241,7 +241,7 @@
     g_free(path);
 }
 
-/* Takes the end of a job that is over, and prints what it said. */
+/* Prints the output of a job that has ended. */
 static void
 job_poll(struct job *job)
 {
@@ -250,7 +250,7 @@
         return;
     }
     job->pid = 0;
-    job->over = true;
+    job->ended = true;
     if (g_file_get_contents(job->log, &text, NULL, NULL)) {
         g_print("%s", text);
         g_free(text);
@@ -260,30 +260,30 @@
 }
 
 /*
- * Runs the scenarios side by side, each in a process of its own and on ports
- * of its own: most of their time is spent waiting for the fault to last.  Few
- * at once, so that the machine's own load is not what callers feel.
+ * Runs the scenarios in parallel, each in its own process and on its own
+ * ports, since they wait most of the time while the fault lasts. Only a few
+ * run at once, so that the load of the machine itself doesn't affect callers.
  */
 static int
-run_side_by_side(const char *program, const char *theme,
-                 const struct harness_scenario *scenarios, size_t count)
+run_parallel(const char *program, const char *theme,
+             const struct harness_scenario *scenarios, size_t count)
 {
     struct job *jobs = g_new0(struct job, count);
-    size_t begun = 0;
-    size_t over = 0;
+    size_t started = 0;
+    size_t ended_count = 0;
     int failed = 0;
-    while (over < count) {
-        while (begun < count && begun - over < SIDE_BY_SIDE) {
-            job_start(&jobs[begun], program, theme, &scenarios[begun]);
-            begun++;
+    while (ended_count < count) {
+        while (started < count && started - ended_count < MAX_PARALLEL_JOBS) {
+            job_start(&jobs[started], program, theme, &scenarios[started]);
+            started++;
         }
         harness_sleep(20);
-        over = 0;
+        ended_count = 0;
         failed = 0;
-        for (size_t i = 0; i < begun; i++) {
+        for (size_t i = 0; i < started; i++) {
             job_poll(&jobs[i]);
-            over += jobs[i].over ? 1 : 0;
-            failed += jobs[i].over && jobs[i].status != 0 ? 1 : 0;
+            ended_count += jobs[i].ended ? 1 : 0;
+            failed += jobs[i].ended && jobs[i].status != 0 ? 1 : 0;
         }
     }
     g_free(jobs);
@@ -291,14 +291,14 @@
     return failed == 0 ? 0 : 1;
 }
 
-/* The main of a failure test: every scenario, or with arguments as GTest
- * takes them the ones that these name. */
+/* With arguments, they are those of g_test_init(), which selects scenarios by
+ * path. */
 int
 harness_main(int argc, char **argv, const char *theme,
              const struct harness_scenario *scenarios, size_t count)
 {
     if (argc == 1) {
-        return run_side_by_side(argv[0], theme, scenarios, count);
+        return run_parallel(argv[0], theme, scenarios, count);
     }
     g_test_init(&argc, &argv, NULL);
     for (size_t i = 0; i < count; i++) {
--- a/tests/threaded/test_switches.c
+++ b/tests/threaded/test_switches.c
@@ -1,7 +1,8 @@
 /*
- * Mechanisms of decision that a node does without, by its settings: the router
- * by the node's own view, and adapters ahead of requests.  The roster, the
- * rights and the configuration are small fakes.
+ * Tests features that a node's settings disable: those of the balancer, which
+ * routes by the node's own view of the engines, and the loading of adapters
+ * before requests need them. The roster, the leases and the configuration are
+ * faked.
  */
 
 #include "node/balancer.h"
@@ -27,12 +28,12 @@
     void *data;
 };
 
-/* What the router has handed over. */
+/* The callbacks that the balancer has registered. */
 static struct {
     struct ch_roster roster;
     const struct ch_controller_handlers *handlers;
     void *data;
-} world;
+} registered;
 
 /* Fake: one model with adapters, one service. */
 struct ch_config *
@@ -50,11 +51,11 @@
 ch_roster_new(struct ch_node *node, void (*changed)(void *data), void *data)
 {
     (void)node;
-    world.roster = (struct ch_roster){changed, data};
-    return &world.roster;
+    registered.roster = (struct ch_roster){changed, data};
+    return &registered.roster;
 }
 
-/* Fake: two engines, which hold nothing by the list. */
+/* Fake: two engines; the host list doesn't say what they hold. */
 void
 ch_roster_each(struct ch_roster *roster,
                void (*each)(void *data, const struct ch_host *host),
@@ -113,8 +114,8 @@
                   const struct ch_controller_handlers *handlers, void *data)
 {
     (void)node, (void)roster;
-    world.handlers = handlers;
-    world.data = data;
+    registered.handlers = handlers;
+    registered.data = data;
     return NULL;
 }
 
@@ -203,7 +204,7 @@
     return 1;
 }
 
-/* Fake: the right is not held, so that no order is sent. */
+/* Fake: the lease is not held, so no order is sent. */
 bool
 ch_claim_held(struct ch_claim *claim, uint64_t *fence)
 {
@@ -235,7 +236,7 @@
 }
 
 static void
-drop_line(void *data, const char *line, size_t length)
+discard_line(void *data, const char *line, size_t length)
 {
     (void)data, (void)line, (void)length;
 }
@@ -246,9 +247,9 @@
     struct ch_node node;
 };
 
-/* A node without these mechanisms. */
+/* A node with these features disabled. */
 static struct fixture *
-fixture_new(const struct ch_without *without)
+fixture_new(const struct ch_without *disabled)
 {
     static const struct ch_dialect dialect = {.upstream_new = new_upstream};
     struct fixture *fixture = g_new0(struct fixture, 1);
@@ -256,10 +257,10 @@
         .name = "n1",
         .region = "r1",
         .data_centre = "d1",
-        .without = *without,
+        .without = *disabled,
     };
     ch_client_init(&fixture->client, "n1");
-    fixture->client.log_write = drop_line;
+    fixture->client.log_write = discard_line;
     fixture->node = (struct ch_node){
         .client = &fixture->client,
         .settings = &fixture->settings,
@@ -270,7 +271,6 @@
     return fixture;
 }
 
-/* Ends its threads. */
 static void
 fixture_stop(struct fixture *fixture)
 {
@@ -281,105 +281,104 @@
 
 /* ---- requests ---- */
 
-#define WITHOUT(member) offsetof(struct ch_without, member)
+#define FEATURE(member) offsetof(struct ch_without, member)
 
-/* What becomes of a request for m1, which e1 has or not, and e2 is loading or
- * not. */
+/* Requests for m1, with the expected outcome while a feature is enabled and
+ * while it is disabled. e1 may hold m1, and e2 may be loading it. */
 static const struct {
-    const char *what;
-    size_t mechanism;
-    unsigned unread_ms; /* at e1 */
-    unsigned age_ms;
-    const char *with;
-    const char *without;
-    bool second; /* after another one */
-    bool there;
-    bool coming;
-    unsigned target_ms; /* 0: a second */
-} rows[] = {
-    {"the model is coming, for longer than one waits for somebody to begin",
-     WITHOUT(wait_for_model), 0, 2000, "waits", "refused", false, false, true,
+    const char *description;
+    size_t feature;
+    unsigned prefill_backlog_ms; /* of e1 */
+    unsigned age_ms;             /* since the arrival of the request */
+    const char *when_enabled;
+    const char *when_disabled;
+    bool follows_another; /* sent after another request */
+    bool resident;        /* m1 is in the memory of e1 */
+    bool loading;         /* e2 is loading m1 */
+    unsigned target_ms;   /* for the first token; 0: 1000 */
+} cases[] = {
+    {"a load is coming; the request waited longer than for a load to begin",
+     FEATURE(wait_for_model), 0, 2000, "waits", "refused", false, false, true,
      0},
-    {"it is coming, and somebody might just have begun",
-     WITHOUT(wait_for_model), 0, 1000, "waits", "waits", false, false, true,
-     0},
-    {"nobody is loading it", WITHOUT(wait_for_model), 0, 2000, "refused",
-     "refused", false, false, false, 0},
-    {"its engine is full, another will have it within the target",
-     WITHOUT(wait_for_model), 15000, 0, "waits", "refused", false, true, true,
+    {"a load is coming; it might just have begun", FEATURE(wait_for_model), 0,
+     1000, "waits", "waits", false, false, true, 0},
+    {"no engine is loading the model", FEATURE(wait_for_model), 0, 2000,
+     "refused", "refused", false, false, false, 0},
+    {"its engine is full; another one will have loaded it within the target",
+     FEATURE(wait_for_model), 15000, 0, "waits", "refused", false, true, true,
      4000},
-    {"its engine is full, another will have it after the target",
-     WITHOUT(wait_for_model), 5000, 0, "refused", "refused", false, true, true,
+    {"its engine is full; another one will have loaded it after the target",
+     FEATURE(wait_for_model), 5000, 0, "refused", "refused", false, true, true,
      0},
-    {"its engine is full", WITHOUT(refuse_late), 5000, 0, "refused", "granted",
+    {"its engine is full", FEATURE(refuse_late), 5000, 0, "refused", "granted",
      false, true, false, 0},
-    {"its engine has time", WITHOUT(refuse_late), 0, 0, "granted", "granted",
+    {"its engine has time for the request", FEATURE(refuse_late), 0, 0,
+     "granted", "granted", false, true, false, 0},
+    {"a second long prompt directly after the first", FEATURE(pace_prompts), 0,
+     0, "waits", "granted", true, true, false, 0},
+    {"a single long prompt", FEATURE(pace_prompts), 0, 0, "granted", "granted",
      false, true, false, 0},
-    {"a second long prompt at once", WITHOUT(pace_prompts), 0, 0, "waits",
-     "granted", true, true, false, 0},
-    {"a single one", WITHOUT(pace_prompts), 0, 0, "granted", "granted", false,
-     true, false, 0},
 };
 
-/* What became of a request. */
-struct fate {
-    const char *is;
+struct outcome {
+    const char *name;
 };
 
 static void
-take_grant(void *data, const struct ch_grant *grant)
+handle_grant(void *data, const struct ch_grant *grant)
 {
     (void)grant;
-    ((struct fate *)data)->is = "granted";
+    ((struct outcome *)data)->name = "granted";
 }
 
 static void
-take_refusal(void *data, enum ch_code code, int64_t retry_after,
-             const char *message)
+handle_refusal(void *data, enum ch_code code, int64_t retry_after,
+               const char *message)
 {
     (void)code, (void)retry_after, (void)message;
-    ((struct fate *)data)->is = "refused";
+    ((struct outcome *)data)->name = "refused";
 }
 
-/* Tells the router what the two engines hold. */
 static void
-tell_engines(size_t row)
+publish_engines(size_t case_index)
 {
     GQuark model = g_quark_from_string("m1");
     const struct ch_engine_told first = {
         .upstream = g_quark_from_string("e1"),
         .boot = 1,
         .models = &model,
-        .model_count = rows[row].there ? 1 : 0,
-        .running = rows[row].unread_ms > 0 ? 1 : 0,
-        .unread = (int64_t)rows[row].unread_ms * 1000,
+        .model_count = cases[case_index].resident ? 1 : 0,
+        .running = cases[case_index].prefill_backlog_ms > 0 ? 1 : 0,
+        .unread = (int64_t)cases[case_index].prefill_backlog_ms * 1000,
     };
     const struct ch_engine_told second = {
         .upstream = g_quark_from_string("e2"),
         .boot = 1,
         .coming = &model,
-        .coming_count = rows[row].coming ? 1 : 0,
+        .coming_count = cases[case_index].loading ? 1 : 0,
     };
-    world.handlers->told(world.data, &first);
-    world.handlers->told(world.data, &second);
-    world.handlers->told_all(world.data);
+    registered.handlers->told(registered.data, &first);
+    registered.handlers->told(registered.data, &second);
+    registered.handlers->told_all(registered.data);
 }
 
-/* Sends the row's request, or two; what became of the last at once. */
+/* Sends the request of a case, after another one if the case says so. Returns
+ * the outcome of the last, "waits" unless it was decided at once. */
 static const char *
-send_requests(struct fixture *fixture, struct ch_router *router, size_t row)
+send_requests(struct fixture *fixture, struct ch_router *router,
+              size_t case_index)
 {
-    static const struct ch_router_handlers handlers = {take_grant,
-                                                       take_refusal};
+    static const struct ch_router_handlers handlers = {handle_grant,
+                                                       handle_refusal};
     const struct ch_sample sample = {.code = CH_OK};
     uint64_t handles[2] = {0};
-    struct fate fates[2] = {{"waits"}, {"waits"}};
-    unsigned last = rows[row].second ? 1 : 0;
+    struct outcome outcomes[2] = {{"waits"}, {"waits"}};
+    unsigned last = cases[case_index].follows_another ? 1 : 0;
     int64_t now = ch_client_now(&fixture->client);
-    int64_t arrived = now - (int64_t)rows[row].age_ms * 1000;
-    int64_t target = rows[row].target_ms == 0
+    int64_t arrived = now - (int64_t)cases[case_index].age_ms * 1000;
+    int64_t target = cases[case_index].target_ms == 0
                          ? SECOND
-                         : (int64_t)rows[row].target_ms * 1000;
+                         : (int64_t)cases[case_index].target_ms * 1000;
     for (unsigned i = 0; i <= last; i++) {
         const struct ch_work work = {
             .id = i,
@@ -393,36 +392,37 @@
             .idempotent = true,
         };
         handles[i] =
-            router->ops->request(router, &work, NULL, &handlers, &fates[i]);
+            router->ops->request(router, &work, NULL, &handlers, &outcomes[i]);
     }
     for (unsigned i = 0; i <= last; i++) {
-        if (strcmp(fates[i].is, "waits") != 0) {
+        if (strcmp(outcomes[i].name, "waits") != 0) {
             router->ops->release(router, handles[i], &sample);
         }
         else {
             g_assert_true(router->ops->withdraw(router, handles[i]));
         }
     }
-    return fates[last].is;
+    return outcomes[last].name;
 }
 
-/* With each mechanism, and without it. */
+/* Runs each case with its feature enabled and disabled. */
 static void
 test_requests(void)
 {
-    for (size_t i = 0; i < 2 * G_N_ELEMENTS(rows); i++) {
-        bool off = i % 2 == 1;
-        struct ch_without without = {0};
-        ((bool *)&without)[rows[i / 2].mechanism] = off;
-        struct fixture *fixture = fixture_new(&without);
+    for (size_t i = 0; i < 2 * G_N_ELEMENTS(cases); i++) {
+        bool is_disabled = i % 2 == 1;
+        struct ch_without disabled = {0};
+        ((bool *)&disabled)[cases[i / 2].feature] = is_disabled;
+        struct fixture *fixture = fixture_new(&disabled);
         struct ch_router *router = ch_balancer_new(&fixture->node);
-        world.roster.changed(world.roster.data);
-        tell_engines(i / 2);
-        const char *fate = send_requests(fixture, router, i / 2);
-        g_test_message("%s, %s: %s", rows[i / 2].what, off ? "off" : "on",
-                       fate);
-        g_assert_cmpstr(fate, ==,
-                        off ? rows[i / 2].without : rows[i / 2].with);
+        registered.roster.changed(registered.roster.data);
+        publish_engines(i / 2);
+        const char *outcome = send_requests(fixture, router, i / 2);
+        g_test_message("%s, %s: %s", cases[i / 2].description,
+                       is_disabled ? "off" : "on", outcome);
+        g_assert_cmpstr(outcome, ==,
+                        is_disabled ? cases[i / 2].when_disabled
+                                    : cases[i / 2].when_enabled);
         fixture_stop(fixture);
         router->ops->free(router);
         g_free(fixture);
@@ -431,11 +431,12 @@
 
 /* ---- adapters ---- */
 
-/* How many items an engine with m1 has after a round of adapters ahead. */
+/* The number of items of an engine that holds m1, after adapters were loaded
+ * before requests. */
 static guint
-items_after(const struct ch_without *without)
+count_items_after_preload(const struct ch_without *disabled)
 {
-    struct fixture *fixture = fixture_new(without);
+    struct fixture *fixture = fixture_new(disabled);
     const struct ch_host host = {.name = "e1", .address = "127.0.0.1:9"};
     struct ch_controller controller = {
         .node = &fixture->node,
@@ -459,14 +460,15 @@
     return count;
 }
 
-/* An adapter that stands nowhere takes a free place, or does not. */
+/* An adapter that no engine holds is loaded into a free slot, unless the
+ * feature is disabled. */
 static void
 test_adapters(void)
 {
-    const struct ch_without none = {0};
-    const struct ch_without off = {.adapters_ahead = true};
-    g_assert_cmpuint(items_after(&none), ==, 2);
-    g_assert_cmpuint(items_after(&off), ==, 1);
+    const struct ch_without nothing = {0};
+    const struct ch_without preloading = {.adapters_ahead = true};
+    g_assert_cmpuint(count_items_after_preload(&nothing), ==, 2);
+    g_assert_cmpuint(count_items_after_preload(&preloading), ==, 1);
 }
 
 int
