--- a/tests/harness/check.c
+++ b/tests/harness/check.c
@@ -234,8 +234,8 @@
 void
 harness_assert(const char *name, const struct harness_verdict *verdict)
 {
-    g_print("figure: %s: %u answers, %u good, %u refused not-run, %u failed "
-            "and told, %u connections broken; %u of them without a key\n",
+    g_print("figure: %s: %u responses, %u correct, %u refused (not-run), "
+            "%u failed, %u connections lost; %u incorrect without a key\n",
             name, verdict->answers, verdict->good, verdict->refused,
             verdict->failed, verdict->broken, verdict->idempotent_bad);
     g_assert_cmpuint(verdict->ran_twice, ==, 0);
--- a/tests/harness/process.c
+++ b/tests/harness/process.c
@@ -29,7 +29,7 @@
 }
 
 /* In the child: executes the program. The kernel kills it when the thread that
- * started it ends; a parent that ended before prctl() shows in getppid(). */
+ * started it ends; getppid() shows whether the parent ended before prctl(). */
 static void
 execute(const char *const *argv, int out, int err, pid_t parent)
 {
