--- a/tests/failure/test_command.c
+++ b/tests/failure/test_command.c
@@ -1,10 +1,11 @@
 /*
- * The operators' commands against a node that answers by a script: accepted,
- * refused, overtaken, cut off before its answer, not there.  What an operator
- * sees is the exit status and what is written.  Order: the command reads what
- * is in force, posts, and reads again when the answer to that was lost.  Why:
- * a lost answer says nothing, what is in force says it, and a second post
- * could undo somebody else's change.
+ * Guards against an operator's command that reports a wrong result.  The node
+ * is scripted: it accepts, refuses, has a newer revision, closes the
+ * connection before its response, or is unreachable.  The operator sees the
+ * exit status and the output.  The command reads the configuration in force,
+ * posts, and reads again if the response to the post was lost.  A lost
+ * response does not say whether the post took effect, only the configuration
+ * in force does; a second post could undo somebody else's change.
  */
 
 #include "harness/harness.h"
@@ -15,9 +16,9 @@
 #include <string.h>
 #include <unistd.h>
 
-#define IN_FILE                                                               \
+#define FILE_DECLARATION                                                      \
     "[class c]\\nanswer-ms = 1\\nidempotent = true\\nmodels = *\\n\\n"
-#define OTHER                                                                 \
+#define OTHER_DECLARATION                                                     \
     "[class c]\\nanswer-ms = 2\\nidempotent = true\\nmodels = *\\n\\n"
 #define CONFIG(revision, author, text)                                        \
     "{\"revision\":" #revision ",\"token\":\"t\",\"author\":\"" author        \
@@ -25,34 +26,38 @@
 #define ERROR(code) "{\"error\":{\"code\":" #code ",\"message\":\"why\"}"
 
 enum {
-    CUT = -1, /* the node reads the request and closes without an answer */
-    LIMIT_MS = 30000,
+    CLOSE_CONNECTION = -1, /* close the connection without a response */
+    RUN_TIMEOUT_MS = 30000,
 };
 
-struct answer {
+struct scripted_response {
     int status;
     const char *body;
 };
 
-static const struct answer NONE = {404, ERROR(404) "}"};
-static const struct answer OTHER_7 = {200, CONFIG(7, "ann", OTHER)};
-static const struct answer FILE_7 = {200, CONFIG(7, "ann", IN_FILE)};
-static const struct answer FILE_8 = {200, CONFIG(8, "bob", IN_FILE)};
-static const struct answer OTHER_9 = {200, CONFIG(9, "cai", OTHER)};
-static const struct answer CONFLICT = {
-    409, ERROR(402) ",\"config\":" CONFIG(9, "cai", OTHER) "}"};
-static const struct answer BAD = {400, ERROR(505) "}"};
-static const struct answer AWAY = {503, ERROR(401) "}"};
-static const struct answer AMBIGUOUS = {503, ERROR(403) "}"};
-static const struct answer LOST = {CUT, NULL};
+static const struct scripted_response NO_CONFIG = {404, ERROR(404) "}"};
+static const struct scripted_response OTHER_7 = {
+    200, CONFIG(7, "ann", OTHER_DECLARATION)};
+static const struct scripted_response FILE_7 = {
+    200, CONFIG(7, "ann", FILE_DECLARATION)};
+static const struct scripted_response FILE_8 = {
+    200, CONFIG(8, "bob", FILE_DECLARATION)};
+static const struct scripted_response OTHER_9 = {
+    200, CONFIG(9, "cai", OTHER_DECLARATION)};
+static const struct scripted_response CONFLICT = {
+    409, ERROR(402) ",\"config\":" CONFIG(9, "cai", OTHER_DECLARATION) "}"};
+static const struct scripted_response BAD_INPUT = {400, ERROR(505) "}"};
+static const struct scripted_response KV_UNAVAILABLE = {503, ERROR(401) "}"};
+static const struct scripted_response AMBIGUOUS = {503, ERROR(403) "}"};
+static const struct scripted_response LOST = {CLOSE_CONNECTION, NULL};
 
 struct command_case {
     const char *name;
     const char *verb;
-    const struct answer *before; /* to each GET up to the post */
-    const struct answer *post;
-    const struct answer *after; /* to each GET after it */
-    const char *written;        /* a part of it */
+    const struct scripted_response *before; /* to each GET before the post */
+    const struct scripted_response *post;
+    const struct scripted_response *after; /* to each GET after the post */
+    const char *output;                    /* a part of the expected output */
     int exit;
     unsigned posts;
 };
@@ -60,18 +65,20 @@
 static const struct command_case cases[] = {
     {"shown", "show", &FILE_7, NULL, NULL,
      "# revision 7 by ann\n[class c]\nanswer-ms = 1\n", 0, 0},
-    {"nothing-to-show", "show", &NONE, NULL, NULL, "no configuration", 1, 0},
+    {"nothing-to-show", "show", &NO_CONFIG, NULL, NULL, "no configuration", 1,
+     0},
     {"difference", "diff", &OTHER_7, NULL, NULL,
      " [class c]\n-answer-ms = 2\n+answer-ms = 1\n", 0, 0},
     {"accepted", "apply", &OTHER_7, &FILE_8, NULL,
      "in force: revision 8 by bob", 0, 1},
-    {"first-one", "apply", &NONE, &FILE_8, NULL, "in force: revision 8", 0, 1},
+    {"first-one", "apply", &NO_CONFIG, &FILE_8, NULL, "in force: revision 8",
+     0, 1},
     {"already-in-force", "apply", &FILE_7, NULL, NULL,
      "already in force: revision 7 by ann", 0, 0},
     {"conflict", "apply", &OTHER_7, &CONFLICT, NULL,
      "conflict, nothing applied: revision 9 by cai", 3, 1},
-    {"refused-input", "apply", &OTHER_7, &BAD, NULL, "why", 2, 1},
-    {"kv-away", "apply", &OTHER_7, &AWAY, NULL, "why", 4, 1},
+    {"refused-input", "apply", &OTHER_7, &BAD_INPUT, NULL, "why", 2, 1},
+    {"kv-away", "apply", &OTHER_7, &KV_UNAVAILABLE, NULL, "why", 4, 1},
     {"lost-and-accepted", "apply", &OTHER_7, &LOST, &FILE_8,
      "in force: revision 8 by bob", 0, 1},
     {"ambiguous-and-accepted", "apply", &OTHER_7, &AMBIGUOUS, &FILE_8,
@@ -82,67 +89,69 @@
      "run `config show`", 4, 1},
 };
 
-struct node {
+struct scripted_node {
     struct MHD_Daemon *daemon;
     const struct command_case *row;
     pthread_mutex_t lock;
     unsigned posts;
 };
 
-/* The script's answer to a request; counts posts. */
-static const struct answer *
-next_answer(struct node *node, bool post)
+/* Chooses the scripted response to a request, and counts posts. */
+static const struct scripted_response *
+choose_response(struct scripted_node *node, bool post)
 {
     pthread_mutex_lock(&node->lock);
-    const struct answer *answer = post              ? node->row->post
-                                  : node->posts > 0 ? node->row->after
-                                                    : node->row->before;
+    const struct scripted_response *scripted = post ? node->row->post
+                                               : node->posts > 0
+                                                   ? node->row->after
+                                                   : node->row->before;
     node->posts += post ? 1 : 0;
     pthread_mutex_unlock(&node->lock);
-    return answer;
+    return scripted;
 }
 
-/* The scripted node. */
+/* Request handler of the scripted node (MHD_AccessHandlerCallback). */
 static enum MHD_Result
-handle(void *data, struct MHD_Connection *connection, const char *path,
-       const char *method, const char *version, const char *bytes,
-       size_t *length, void **state)
+handle_request(void *data, struct MHD_Connection *connection, const char *path,
+               const char *method, const char *version, const char *bytes,
+               size_t *length, void **state)
 {
-    static int begun;
+    static int request_started;
     (void)path;
     (void)version;
     (void)bytes;
     if (*state == NULL || *length > 0) {
-        *state = &begun;
+        *state = &request_started;
         *length = 0;
         return MHD_YES;
     }
-    const struct answer *answer =
-        next_answer(data, strcmp(method, "POST") == 0);
-    if (answer->status == CUT) {
+    const struct scripted_response *scripted =
+        choose_response(data, strcmp(method, "POST") == 0);
+    if (scripted->status == CLOSE_CONNECTION) {
         return MHD_NO;
     }
     struct MHD_Response *response = MHD_create_response_from_buffer(
-        strlen(answer->body), (void *)answer->body, MHD_RESPMEM_PERSISTENT);
+        strlen(scripted->body), (void *)scripted->body,
+        MHD_RESPMEM_PERSISTENT);
     enum MHD_Result result =
-        MHD_queue_response(connection, (unsigned)answer->status, response);
+        MHD_queue_response(connection, (unsigned)scripted->status, response);
     MHD_destroy_response(response);
     return result;
 }
 
-/* Starts the scripted node; its address in `address`. */
+/* Starts the scripted node and writes its IP:PORT to address. */
 static void
-node_start(struct node *node, const struct command_case *row, char *address,
-           size_t size)
+start_scripted_node(struct scripted_node *node, const struct command_case *row,
+                    char *address, size_t size)
 {
     struct sockaddr_in local = {.sin_family = AF_INET};
     local.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     node->row = row;
     node->posts = 0;
     pthread_mutex_init(&node->lock, NULL);
-    node->daemon =
-        MHD_start_daemon(MHD_USE_AUTO_INTERNAL_THREAD, 0, NULL, NULL, handle,
-                         node, MHD_OPTION_SOCK_ADDR, &local, MHD_OPTION_END);
+    node->daemon = MHD_start_daemon(
+        MHD_USE_AUTO_INTERNAL_THREAD, 0, NULL, NULL, handle_request, node,
+        MHD_OPTION_SOCK_ADDR, &local, MHD_OPTION_END);
     g_assert_nonnull(node->daemon);
     const union MHD_DaemonInfo *info =
         MHD_get_daemon_info(node->daemon, MHD_DAEMON_INFO_BIND_PORT);
@@ -150,18 +159,19 @@
                      (unsigned)info->port);
 }
 
-/* Stops the scripted node; how many posts it saw. */
+/* Stops the scripted node; returns the number of posts that it received. */
 static unsigned
-node_stop(struct node *node)
+stop_scripted_node(struct scripted_node *node)
 {
     MHD_stop_daemon(node->daemon);
     pthread_mutex_destroy(&node->lock);
     return node->posts;
 }
 
-/* Runs the program; its exit status, and all that it wrote in *written. */
+/* Runs chestnuthitch; returns its exit status.  *output receives its
+ * standard output and standard error; the caller frees it. */
 static int
-run_program(const char *const *arguments, char **written)
+run_program(const char *const *arguments, char **output)
 {
     char *program = g_build_filename(harness_build(), "chestnuthitch", NULL);
     char *errors_path = NULL;
@@ -179,7 +189,7 @@
         g_string_append_len(all, text, length);
     }
     (void)close(out);
-    int status = harness_wait(pid, LIMIT_MS);
+    int status = harness_wait(pid, RUN_TIMEOUT_MS);
     char *errors = NULL;
     if (g_file_get_contents(errors_path, &errors, NULL, NULL)) {
         g_string_append(all, errors);
@@ -188,55 +198,55 @@
     g_free(errors);
     g_free(errors_path);
     g_free(program);
-    *written = g_string_free(all, FALSE);
+    *output = g_string_free(all, FALSE);
     return status;
 }
 
-/* The declaration that the cases apply, in a file; its path is new. */
+/* Writes the declaration that the cases apply to a temporary file; the caller
+ * frees the path and removes the file. */
 static char *
-write_file(void)
+write_declaration(void)
 {
     char *path = NULL;
     int file = g_file_open_tmp("declaration-XXXXXX", &path, NULL);
     (void)close(file);
-    char *text = g_strcompress(IN_FILE);
+    char *text = g_strcompress(FILE_DECLARATION);
     g_assert_true(g_file_set_contents(path, text, -1, NULL));
     g_free(text);
     return path;
 }
 
-/* One scripted case. */
 static void
-test_script(const void *data)
+test_scripted_node(const void *data)
 {
     const struct command_case *row = data;
-    struct node node;
+    struct scripted_node node;
     char address[32];
-    char *written = NULL;
-    char *path = write_file();
+    char *output = NULL;
+    char *path = write_declaration();
     bool file = strcmp(row->verb, "show") != 0;
-    node_start(&node, row, address, sizeof(address));
+    start_scripted_node(&node, row, address, sizeof(address));
     const char *const arguments[] = {
         "config",  "--node",           address, "--author", "bob",
         row->verb, file ? path : NULL, NULL,
     };
-    int status = run_program(arguments, &written);
-    g_test_message("%d: %s", status, written);
+    int status = run_program(arguments, &output);
+    g_test_message("%d: %s", status, output);
     g_assert_cmpint(status, ==, row->exit);
-    g_assert_nonnull(strstr(written, row->written));
-    g_assert_cmpuint(node_stop(&node), ==, row->posts);
+    g_assert_nonnull(strstr(output, row->output));
+    g_assert_cmpuint(stop_scripted_node(&node), ==, row->posts);
     (void)unlink(path);
     g_free(path);
-    g_free(written);
+    g_free(output);
 }
 
-struct line_case {
+struct command_line_case {
     const char *arguments[8];
     int exit;
-    const char *written;
+    const char *output;
 };
 
-static const struct line_case line_cases[] = {
+static const struct command_line_case command_line_cases[] = {
     {{NULL}, 2, "Usage: chestnuthitch COMMAND"},
     {{"--help"}, 0, "Usage: chestnuthitch COMMAND"},
     {{"sing"}, 2, "no command 'sing'"},
@@ -279,17 +289,17 @@
      "127.0.0.1:1"},
 };
 
-/* Command lines that need no node, or find none. */
+/* Command lines that need no node, or cannot connect to one. */
 static void
-test_lines(void)
+test_command_lines(void)
 {
-    for (size_t i = 0; i < G_N_ELEMENTS(line_cases); i++) {
-        char *written = NULL;
-        int status = run_program(line_cases[i].arguments, &written);
-        g_test_message("case %zu: %d: %s", i, status, written);
-        g_assert_cmpint(status, ==, line_cases[i].exit);
-        g_assert_nonnull(strstr(written, line_cases[i].written));
-        g_free(written);
+    for (size_t i = 0; i < G_N_ELEMENTS(command_line_cases); i++) {
+        char *output = NULL;
+        int status = run_program(command_line_cases[i].arguments, &output);
+        g_test_message("case %zu: %d: %s", i, status, output);
+        g_assert_cmpint(status, ==, command_line_cases[i].exit);
+        g_assert_nonnull(strstr(output, command_line_cases[i].output));
+        g_free(output);
     }
 }
 
@@ -297,10 +307,10 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/command/lines", test_lines);
+    g_test_add_func("/command/lines", test_command_lines);
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         char *path = g_strconcat("/command/config/", cases[i].name, NULL);
-        g_test_add_data_func(path, &cases[i], test_script);
+        g_test_add_data_func(path, &cases[i], test_scripted_node);
         g_free(path);
     }
     return g_test_run();
--- a/tests/failure/test_config.c
+++ b/tests/failure/test_config.c
@@ -1,11 +1,12 @@
 /*
- * Two operators who apply at once, in a loop, from two nodes.  What an
- * operator sees: accepted, or a conflict with a diff; what is accepted is in
- * force at every node within five seconds and never goes back.  Order: both
- * apply on the same base; meanwhile answers to writes are lost, the service is
- * slow, a node dies and comes back.  Why: accepted means that the
- * compare-and-swap succeeded, a lost answer is settled by reading back the
- * writer's token, and a node takes only a higher revision.
+ * Guards against lost or reverted changes when two operators apply at the same
+ * time, in a loop, from two nodes.  An operator sees either acceptance or a
+ * conflict with a diff; an accepted change is in force at every node within
+ * five seconds and no node returns to an older revision.  Both apply on the
+ * same base while responses to writes are lost, the key-value store is slow,
+ * or a node is killed and restarted.  A change is accepted only if its
+ * compare-and-swap succeeded, a lost response is settled by reading back the
+ * write ID, and a node takes only a higher revision.
  */
 
 #include "harness/harness.h"
@@ -18,24 +19,25 @@
 
 enum {
     ROUNDS = 8,
-    IN_FORCE_MS = 5000,
+    IN_FORCE_LIMIT_MS = 5000,
     EXIT_OK = 0,
     EXIT_CONFLICT = 3,
 };
 
-/* A thread that looks at every node's revision all the time. */
+/* A thread that polls the revision of every node. */
 struct watcher {
     struct harness_fleet *fleet;
     pthread_mutex_t lock;
-    bool stopping;
-    unsigned looks;
-    unsigned went_back;
+    bool stop_requested;
+    unsigned polls;
+    unsigned revision_decreases;
     GThread *thread;
 };
 
-/* Looks until it is stopped; a node that was started anew may know none. */
+/* Polls until stopped.  A restarted node may have no revision (0) at
+ * first; that does not count as a return to an older one. */
 static gpointer
-watch(gpointer data)
+run_watcher(gpointer data)
 {
     struct watcher *watcher = data;
     uint64_t last[HARNESS_MOST] = {0};
@@ -44,9 +46,9 @@
         for (unsigned i = 0; i < watcher->fleet->node_count; i++) {
             uint64_t now = harness_revision(&watcher->fleet->nodes[i]);
             pthread_mutex_lock(&watcher->lock);
-            watcher->looks++;
-            watcher->went_back += now != 0 && now < last[i] ? 1 : 0;
-            stop = watcher->stopping;
+            watcher->polls++;
+            watcher->revision_decreases += now != 0 && now < last[i] ? 1 : 0;
+            stop = watcher->stop_requested;
             pthread_mutex_unlock(&watcher->lock);
             last[i] = now == 0 ? last[i] : now;
         }
@@ -55,7 +57,8 @@
     return NULL;
 }
 
-/* Writes an operator's declaration: its own target in it. */
+/* Writes a declaration whose first-token target identifies the operator and
+ * the round; returns its path, which the caller frees. */
 static char *
 write_declaration(const struct harness_fleet *fleet, unsigned operator,
                   unsigned round)
@@ -72,7 +75,7 @@
     return path;
 }
 
-/* Starts `config apply` on a base. */
+/* Starts `config apply` on a base revision; returns the process ID. */
 static pid_t
 start_apply(const struct harness_fleet *fleet, const struct harness_node *node,
             const char *path, uint64_t base, unsigned operator)
@@ -90,35 +93,39 @@
     return pid;
 }
 
-/* True when every node has this target in force within the limit. */
+/* Waits until every node has this first-token target in force; false after
+ * IN_FORCE_LIMIT_MS.  *elapsed_ms: the time waited in ms. */
 static bool
-in_force(const struct harness_fleet *fleet, unsigned target, int64_t *took)
+wait_until_in_force(const struct harness_fleet *fleet, unsigned target,
+                    int64_t *elapsed_ms)
 {
     char *line = g_strdup_printf("first-token-ms = %u", target);
-    char *tight = g_strdup_printf("first-token-ms=%u", target);
-    int64_t begun = harness_now();
-    unsigned have = 0;
-    while (have < fleet->node_count && harness_now() - begun < IN_FORCE_MS) {
+    char *compact_line = g_strdup_printf("first-token-ms=%u", target);
+    int64_t started_at = harness_now();
+    unsigned nodes_in_force = 0;
+    while (nodes_in_force < fleet->node_count &&
+           harness_now() - started_at < IN_FORCE_LIMIT_MS) {
         char *body = NULL;
-        if (harness_get(fleet->nodes[have].admin_address, "/admin/v1/config",
-                        &body) == 200 &&
-            (strstr(body, line) != NULL || strstr(body, tight) != NULL)) {
-            have++;
+        if (harness_get(fleet->nodes[nodes_in_force].admin_address,
+                        "/admin/v1/config", &body) == 200 &&
+            (strstr(body, line) != NULL ||
+             strstr(body, compact_line) != NULL)) {
+            nodes_in_force++;
         }
         else {
             harness_sleep(10);
         }
         g_free(body);
     }
-    *took = harness_now() - begun;
+    *elapsed_ms = harness_now() - started_at;
     g_free(line);
-    g_free(tight);
-    return have == fleet->node_count;
+    g_free(compact_line);
+    return nodes_in_force == fleet->node_count;
 }
 
-/* The revision that most is known of. */
+/* The highest revision at any node. */
 static uint64_t
-newest(const struct harness_fleet *fleet)
+find_newest_revision(const struct harness_fleet *fleet)
 {
     uint64_t most = 0;
     for (unsigned i = 0; i < fleet->node_count; i++) {
@@ -127,9 +134,9 @@
     return most;
 }
 
-/* Brings about a round's fault. */
+/* Injects the fault of a round. */
 static void
-disturb(struct harness_fleet *fleet, unsigned round)
+inject_fault(struct harness_fleet *fleet, unsigned round)
 {
     struct harness_node *last = &fleet->nodes[fleet->node_count - 1];
     if (round % 4 == 1) {
@@ -143,9 +150,9 @@
     }
 }
 
-/* Takes it away again. */
+/* Removes the fault of a round. */
 static void
-settle(struct harness_fleet *fleet, unsigned round)
+remove_fault(struct harness_fleet *fleet, unsigned round)
 {
     struct harness_node *last = &fleet->nodes[fleet->node_count - 1];
     harness_set(&fleet->kv, "slow_ms=0&drop_after=0");
@@ -155,15 +162,15 @@
     }
 }
 
-/* One round: both on the same base. */
+/* One round: both operators apply on the same base. */
 static void
-run_round(struct harness_fleet *fleet, unsigned round, int64_t *slowest)
+run_round(struct harness_fleet *fleet, unsigned round, int64_t *slowest_ms)
 {
-    uint64_t base = newest(fleet);
+    uint64_t base = find_newest_revision(fleet);
     pid_t pids[2];
     int status[2];
-    int64_t took = 0;
-    disturb(fleet, round);
+    int64_t elapsed_ms = 0;
+    inject_fault(fleet, round);
     for (unsigned i = 0; i < 2; i++) {
         char *path = write_declaration(fleet, i, round);
         pids[i] = start_apply(fleet, &fleet->nodes[i], path, base, i);
@@ -172,7 +179,7 @@
     for (unsigned i = 0; i < 2; i++) {
         status[i] = harness_wait(pids[i], 30000);
     }
-    settle(fleet, round);
+    remove_fault(fleet, round);
     g_print("# round %u: base %" PRIu64 ", exits %d and %d\n", round, base,
             status[0], status[1]);
     unsigned accepted =
@@ -180,11 +187,11 @@
     g_assert_cmpuint(accepted, ==, 1);
     g_assert_true(status[0] == EXIT_CONFLICT || status[1] == EXIT_CONFLICT);
     unsigned winner = status[0] == EXIT_OK ? 0 : 1;
-    g_assert_true(in_force(fleet, 1000 + 100 * winner + round, &took));
-    *slowest = MAX(*slowest, took);
+    g_assert_true(
+        wait_until_in_force(fleet, 1000 + 100 * winner + round, &elapsed_ms));
+    *slowest_ms = MAX(*slowest_ms, elapsed_ms);
 }
 
-/* Rounds of two operators, with every node's revision watched. */
 static void
 test_operators(void)
 {
@@ -192,20 +199,20 @@
         .nodes = 5, .engines = 1, .services = 1};
     struct harness_fleet *fleet = harness_fleet_start(harness_build(), &shape);
     struct watcher watcher = {.fleet = fleet};
-    int64_t slowest = 0;
+    int64_t slowest_ms = 0;
     pthread_mutex_init(&watcher.lock, NULL);
-    watcher.thread = g_thread_new("watcher", watch, &watcher);
+    watcher.thread = g_thread_new("watcher", run_watcher, &watcher);
     for (unsigned round = 0; round < ROUNDS; round++) {
-        run_round(fleet, round, &slowest);
+        run_round(fleet, round, &slowest_ms);
     }
     pthread_mutex_lock(&watcher.lock);
-    watcher.stopping = true;
+    watcher.stop_requested = true;
     pthread_mutex_unlock(&watcher.lock);
     (void)g_thread_join(watcher.thread);
     g_print("figure: two-operators: %d rounds, %u looks, slowest to be in "
             "force everywhere %" PRId64 " ms\n",
-            ROUNDS, watcher.looks, slowest);
-    g_assert_cmpuint(watcher.went_back, ==, 0);
+            ROUNDS, watcher.polls, slowest_ms);
+    g_assert_cmpuint(watcher.revision_decreases, ==, 0);
     pthread_mutex_destroy(&watcher.lock);
     g_assert_cmpuint(harness_fleet_stop(fleet), ==, 0);
 }
