--- a/tests/failure/test_crash.c
+++ b/tests/failure/test_crash.c
@@ -1,11 +1,12 @@
 /*
- * Guards against a request that ends upstream after upstream: each one that
- * runs it crashes, takes what others run there with it, and its callers send
- * it again by any node.  What others see: nothing once three have crashed.
- * Order: the same body comes to three nodes in turn; the crashes are seen by
- * different nodes; then all nodes are killed.  Why: the nodes tell one another
- * which request was on an upstream that ended, send none that ended three any
- * more, and find it in the key-value service when they start.
+ * Guards against a request that crashes one upstream after another: each crash
+ * interrupts the other requests running there, and callers send the request
+ * again through any node.  Other callers are no longer affected once three
+ * upstreams have crashed.  The same body is sent to three nodes in turn, so
+ * that different nodes observe the crashes; after that all nodes are killed.
+ * The nodes share which requests were on a crashed upstream, no longer send a
+ * request that crashed three, and read that from the key-value store when they
+ * start.
  */
 
 #include "harness/harness.h"
@@ -19,19 +20,20 @@
     NODES = 3,
     SERVICES = 6,
     REPEATS = 40,
-    REPEAT_MS = 200,
+    REPEAT_PERIOD_MS = 200,
     CRASH_MS = 700,
-    /* What the nodes together may send after the third crash. */
-    MOST_AFTER = 3,
+    /* Runs later than SETTLED_MS after the third, by all nodes together. */
+    MAX_LATE_RUNS = 3,
     SETTLED_MS = 4000,
-    LIMIT_MS = 5000,
+    CALL_TIMEOUT_MS = 5000,
 };
 
 #define PATH "/services/orders/jackets"
 
-/* When the marked body began to run, over all upstreams; int64_t, ms. */
+/* Start times (int64_t, ms) of the marked body at all upstreams; the caller
+ * frees the array. */
 static GArray *
-marked_runs(const struct harness_fleet *fleet, const char *body)
+find_marked_runs(const struct harness_fleet *fleet, const char *body)
 {
     GArray *times = g_array_new(FALSE, FALSE, sizeof(int64_t));
     char *hash =
@@ -54,17 +56,17 @@
     return times;
 }
 
-/* How often it began to run. */
+/* Counts how often the marked body began to run. */
 static unsigned
 count_marked(const struct harness_fleet *fleet, const char *body)
 {
-    GArray *times = marked_runs(fleet, body);
+    GArray *times = find_marked_runs(fleet, body);
     unsigned count = times->len;
     g_array_free(times, TRUE);
     return count;
 }
 
-/* All nodes are killed at once, and start again. */
+/* Kills all nodes, and starts them again. */
 static void
 restart_all(struct harness_fleet *fleet)
 {
@@ -80,7 +82,6 @@
     }
 }
 
-/* Orders times. */
 static gint
 compare_times(gconstpointer a, gconstpointer b)
 {
@@ -89,9 +90,10 @@
     return (one > two) - (one < two);
 }
 
-/* Runs that began later than SETTLED_MS after the third. */
+/* Counts runs that began later than SETTLED_MS after the third; sorts
+ * times. */
 static unsigned
-late_runs(GArray *times)
+count_late_runs(GArray *times)
 {
     unsigned late = 0;
     g_array_sort(times, compare_times);
@@ -102,8 +104,8 @@
     return late;
 }
 
-/* Sends the marked body again and again, by one node after the other; the
- * number of answers that were not told as a failure. */
+/* Sends the marked body REPEATS times, through the nodes in turn; returns the
+ * number of responses with status 200. */
 static unsigned
 repeat_marked(const struct harness_fleet *fleet, const char *body)
 {
@@ -115,19 +117,20 @@
                                     .path = PATH,
                                     .class_name = "lookup",
                                     .body = body,
-                                    .limit_ms = LIMIT_MS};
+                                    .limit_ms = CALL_TIMEOUT_MS};
         struct harness_answer *answer = harness_call(&call);
         answered += answer->status == 200;
         harness_answer_free(answer);
-        harness_sleep(REPEAT_MS);
+        harness_sleep(REPEAT_PERIOD_MS);
     }
     return answered;
 }
 
-/* What other callers were told is true, and none was taken for the cause.
- * Their calls may be repeated, so that some ran at two upstreams. */
+/* Checks that the responses to other callers are correct and that none of
+ * their requests was held responsible for a crash.  Their calls are
+ * idempotent, so some may have run at two upstreams. */
 static void
-check_sound(struct harness_fleet *fleet, const GPtrArray *answers)
+check_harmless(struct harness_fleet *fleet, const GPtrArray *answers)
 {
     struct harness_verdict verdict;
     harness_check(fleet, answers, &verdict);
@@ -142,7 +145,7 @@
     }
 }
 
-/* Writes the declaration; its path, g_free. */
+/* Writes the declaration to a temporary file; the caller frees the path. */
 static char *
 write_declaration(void)
 {
@@ -161,13 +164,12 @@
     return path;
 }
 
-/* Callers of three nodes send one request that crashes what runs it. */
 static void
-test_repeated(void)
+test_repeated_crash_request(void)
 {
     static const char body[] = "{\"note\":\"" CRASH_MARK "\"}";
-    static const struct harness_kind sound = {"lookup", NULL,  PATH, 0,
-                                              false,    false, 3000};
+    static const struct harness_kind harmless = {"lookup", NULL,  PATH, 0,
+                                                 false,    false, 3000};
     char *declaration = write_declaration();
     const struct harness_shape shape = {.nodes = NODES,
                                         .engines = 1,
@@ -175,25 +177,25 @@
                                         .declaration = declaration};
     struct harness_fleet *fleet = harness_fleet_start(harness_build(), &shape);
     g_print("# logs in %s\n", fleet->directory);
-    harness_warm_up(fleet, &sound, 1);
+    harness_warm_up(fleet, &harmless, 1);
     for (unsigned i = 0; i < fleet->upstream_count; i++) {
         harness_set(&fleet->upstreams[i].standin, "crash_ms=%d", CRASH_MS);
     }
     struct harness_load load = {.fleet = fleet,
-                                .kinds = &sound,
+                                .kinds = &harmless,
                                 .kind_count = 1,
                                 .callers = 6,
                                 .pause_ms = 20,
-                                .limit_ms = LIMIT_MS};
+                                .limit_ms = CALL_TIMEOUT_MS};
     struct harness_running *running = harness_load_start(&load);
     unsigned answered = repeat_marked(fleet, body);
     GPtrArray *answers = harness_load_stop(running);
-    GArray *times = marked_runs(fleet, body);
-    unsigned late = late_runs(times);
+    GArray *times = find_marked_runs(fleet, body);
+    unsigned late = count_late_runs(times);
     g_print("# %u runs, %u of them late\n", times->len, late);
     g_assert_cmpuint(times->len, >=, 3);
-    g_assert_cmpuint(late, <=, MOST_AFTER);
-    check_sound(fleet, answers);
+    g_assert_cmpuint(late, <=, MAX_LATE_RUNS);
+    check_harmless(fleet, answers);
     restart_all(fleet);
     answered += repeat_marked(fleet, body);
     g_assert_cmpuint(answered, ==, 0);
@@ -209,6 +211,6 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/failure/crash/repeated", test_repeated);
+    g_test_add_func("/failure/crash/repeated", test_repeated_crash_request);
     return g_test_run();
 }
--- a/tests/failure/test_engine.c
+++ b/tests/failure/test_engine.c
@@ -1,28 +1,31 @@
 /*
- * An upstream that answers late, crossed, cut, twice or not at all, that lies
- * about its load, or starts anew with empty memory.  What the caller sees: its
- * own whole answer all the same, when the call may be repeated; an order is
- * told as unknown when it may have run.  Order: a few answers of each kind go
- * wrong under load.  Why: ids are checked at each hop, an answer is whole only
- * with its end mark, and a stream goes on from the tokens that its caller has.
+ * Guards against an upstream that responds late, with another request's
+ * response, with an interrupted one, twice or not at all, that misreports its
+ * load, or restarts with empty memory.  A call that may be repeated still gets
+ * its own complete response; an order that may have run is reported with an
+ * unknown outcome.  A few responses of each kind are faulty, under load.
+ * Request IDs are checked at each hop, a response is complete only with its
+ * end marker, and a stream continues after the tokens that its caller already
+ * has.
  */
 
 #include "harness/harness.h"
 
 #include <string.h>
 
-struct row {
+struct fault_case {
     const char *name;
-    const char *mode;  /* of the upstreams that are hit */
-    const char *fault; /* set on each */
+    const char *mode;  /* of the affected upstreams */
+    const char *fault; /* setting that injects the fault */
     const char *clear;
-    const char *control; /* in place of fault: a call */
-    int idempotent_bad;  /* at most; HARNESS_ANY */
+    const char *control; /* control call, in place of fault */
+    int idempotent_bad;  /* at most, or HARNESS_ANY */
     int failed;
 };
 
-/* Two each: all may hit one call, which is sent three times at most. */
-static const struct row rows[] = {
+/* Two faults at each upstream: all may affect one call, which is sent three
+ * times at most. */
+static const struct fault_case fault_cases[] = {
     {"late", "engine", "slow_ms=600&slow_next=2", "slow_ms=0", NULL, 0, 0},
     {"crossed", "engine", "crossed=2", "crossed=0", NULL, 0, 0},
     {"cut", "engine", "cut=2", "cut=0", NULL, 0, 0},
@@ -47,9 +50,10 @@
     {"service-refuses", "service", "refuse=2", "refuse=0", NULL, 0, 0},
 };
 
-/* Sets a row's fault, or clears it. */
+/* Applies a setting to each upstream of the case's mode; NULL: none. */
 static void
-set_fault(struct harness_fleet *fleet, const struct row *row, const char *what)
+apply_setting(struct harness_fleet *fleet, const struct fault_case *row,
+              const char *what)
 {
     for (unsigned i = 0; i < fleet->upstream_count && what != NULL; i++) {
         if (strcmp(fleet->upstreams[i].standin.mode, row->mode) == 0) {
@@ -58,9 +62,9 @@
     }
 }
 
-/* Makes a row's control call at each upstream of its mode. */
+/* Makes the case's control call, if any, at each upstream of its mode. */
 static void
-call_control(const struct harness_fleet *fleet, const struct row *row)
+call_control(const struct harness_fleet *fleet, const struct fault_case *row)
 {
     for (unsigned i = 0; i < fleet->upstream_count && row->control != NULL;
          i++) {
@@ -71,11 +75,11 @@
     }
 }
 
-/* One row on the fleet that all rows share. */
+/* Runs one case, on the fleet that all cases share. */
 static void
-run_row(struct harness_fleet *fleet, size_t i)
+run_fault_case(struct harness_fleet *fleet, size_t i)
 {
-    const struct row *row = &rows[i];
+    const struct fault_case *row = &fault_cases[i];
     struct harness_verdict verdict;
     struct harness_figures figures;
     struct harness_load load = {.fleet = fleet,
@@ -89,10 +93,10 @@
     struct harness_running *running = harness_load_start(&load);
     harness_sleep(300);
     int64_t begun = harness_now();
-    set_fault(fleet, row, row->fault);
+    apply_setting(fleet, row, row->fault);
     call_control(fleet, row);
     harness_sleep(900);
-    set_fault(fleet, row, row->clear);
+    apply_setting(fleet, row, row->clear);
     int64_t ended = harness_now();
     harness_sleep(600);
     GPtrArray *answers = harness_load_stop(running);
@@ -109,7 +113,6 @@
     g_ptr_array_unref(answers);
 }
 
-/* Every row. */
 static void
 test_faults(void)
 {
@@ -117,9 +120,9 @@
         .nodes = 3, .engines = 2, .services = 2};
     struct harness_fleet *fleet = harness_fleet_start(harness_build(), &shape);
     g_print("# logs in %s\n", fleet->directory);
-    for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
+    for (size_t i = 0; i < G_N_ELEMENTS(fault_cases); i++) {
         harness_warm_up(fleet, harness_kinds, HARNESS_KINDS);
-        run_row(fleet, i);
+        run_fault_case(fleet, i);
     }
     g_assert_cmpuint(harness_fleet_stop(fleet), ==, 0);
 }
--- a/tests/failure/test_leaving.c
+++ b/tests/failure/test_leaving.c
@@ -1,9 +1,10 @@
 /*
- * An upstream that leaves.  What the caller sees: nothing; what runs there
- * ends there, what comes later runs elsewhere.  Order: long streams run, the
- * list or the engine itself says that it leaves, and five seconds later it
- * must get no new work.  Why: the list and the engine's own word each stop new
- * grants at once, and the other engine loads what only the leaving one had.
+ * Guards against work sent to an upstream that is draining.  The caller sees
+ * nothing: what runs there ends there, what comes later runs elsewhere.  While
+ * long streams run, the host list or the engine's own report says that it
+ * drains; five seconds later it must get no new request.  The host list and
+ * the engine's report each stop new grants at once, and the other engine loads
+ * the models that only the draining one had.
  */
 
 #include "harness/harness.h"
@@ -14,34 +15,35 @@
     {"order", NULL, "/services/orders/jackets", 0, false, true, 3000},
 };
 
-/* By the list alone, half a second late. */
+/* Only the host list reports the draining, 500 ms late. */
 static void
-leave_by_list(struct harness_scene *scene)
+drain_by_host_list(struct harness_scene *scene)
 {
     harness_set(&scene->fleet->hosts, "lag_ms=500");
     scene->fleet->upstreams[0].left_at = harness_now();
     harness_fleet_list(scene->fleet);
 }
 
-/* By the engine's own report alone. */
+/* Only the engine's own report says that it is draining. */
 static void
-leave_by_report(struct harness_scene *scene)
+drain_by_report(struct harness_scene *scene)
 {
     scene->fleet->upstreams[0].left_at = harness_now();
     harness_set(&scene->fleet->upstreams[0].standin, "leaving=1");
 }
 
-/* By its report, while the list and the key-value service are away. */
+/* The engine's report says that it is draining while the host list is
+ * unavailable. */
 static void
-leave_alone(struct harness_scene *scene)
+drain_without_host_list(struct harness_scene *scene)
 {
     harness_set(&scene->fleet->hosts, "down=1");
-    leave_by_report(scene);
+    drain_by_report(scene);
 }
 
-/* A plain service, by the list. */
+/* The host list reports that a plain service is draining. */
 static void
-leave_service(struct harness_scene *scene)
+drain_service(struct harness_scene *scene)
 {
     scene->fleet->upstreams[2].left_at = harness_now();
     harness_fleet_list(scene->fleet);
@@ -66,10 +68,10 @@
     }
 
 static const struct harness_scenario scenarios[] = {
-    ROW("engine-by-list", leave_by_list),
-    ROW("engine-by-report", leave_by_report),
-    ROW("engine-list-away", leave_alone),
-    ROW("service-by-list", leave_service),
+    ROW("engine-by-list", drain_by_host_list),
+    ROW("engine-by-report", drain_by_report),
+    ROW("engine-list-away", drain_without_host_list),
+    ROW("service-by-list", drain_service),
 };
 
 int
--- a/tests/failure/test_orders.c
+++ b/tests/failure/test_orders.c
@@ -1,11 +1,12 @@
 /*
- * Orders to engines that are lost, late or repeated.  What the caller sees:
- * every model is served, some later than they should be.  Order: nothing is in
- * memory, three models are called for, orders go astray, an engine starts
- * anew, the home is paused, the key-value service loses answers; once, models
- * must change places.  Why: memory is reserved before an order goes out and
- * given back on evidence alone, so it is never overcommitted, and an order is
- * sent again under the same id until it is seen done.
+ * Guards against overcommitted engine memory and models that are never loaded
+ * when load and unload orders are lost, late or repeated.  Every model is
+ * served, some of them later than their targets.  No model is loaded and three
+ * are requested, while orders fail to arrive, an engine restarts, the home
+ * node is paused, or the key-value store loses responses; in some cases one
+ * model must replace another.  Memory is reserved before an order is sent and
+ * freed only on evidence, so it is never overcommitted, and an order is
+ * retried under the same ID until it is reported as done.
  */
 
 #include "harness/harness.h"
@@ -18,7 +19,7 @@
     {"advice", "m03", NULL, 5, false, false, 2000},
 };
 
-/* Sets faults at both engines. */
+/* Applies a setting to both engines. */
 static void
 set_engines(struct harness_scene *scene, const char *what)
 {
@@ -27,44 +28,44 @@
     }
 }
 
-/* The first orders are closed on, and never arrive. */
+/* The connections of the first orders are closed; the orders are lost. */
 static void
-drop(struct harness_scene *scene)
+drop_orders(struct harness_scene *scene)
 {
     set_engines(scene, "drop_orders=2");
 }
 
-/* The first orders are accepted, and never done. */
+/* The first order at each engine is accepted, but never carried out. */
 static void
-lose(struct harness_scene *scene)
+lose_orders(struct harness_scene *scene)
 {
     set_engines(scene, "lose_orders=1");
 }
 
-/* The first orders arrive long after their connection was closed. */
+/* The first orders take effect long after their connection was closed. */
 static void
-delay(struct harness_scene *scene)
+delay_orders(struct harness_scene *scene)
 {
     set_engines(scene, "delay_orders=2&delay_ms=1500");
 }
 
-/* The first orders arrive again, later. */
+/* The first orders arrive a second time, later. */
 static void
-repeat(struct harness_scene *scene)
+repeat_orders(struct harness_scene *scene)
 {
     set_engines(scene, "repeat_orders=4&delay_ms=900");
 }
 
-/* Writes to the ledger take effect and are not answered. */
+/* Writes to the ledger take effect, but their responses are lost. */
 static void
 lose_writes(struct harness_scene *scene)
 {
     harness_set(&scene->fleet->kv, "drop_after=4");
 }
 
-/* The engines lose their memory, while orders may be late. */
+/* The engines restart with empty memory, while orders may be late. */
 static void
-boot(struct harness_scene *scene)
+restart_engines(struct harness_scene *scene)
 {
     for (unsigned i = 0; i < scene->fleet->upstream_count; i++) {
         g_free(harness_control(&scene->fleet->upstreams[i].standin, "boot",
@@ -72,8 +73,8 @@
     }
 }
 
-/* The home of both engines' orders is paused while they are late, and another
- * takes over; then it goes on. */
+/* Pauses the home node of the first engine while orders are late, so that
+ * another node takes over; resumes it after 1500 ms. */
 static void
 pause_home(struct harness_scene *scene)
 {
@@ -86,7 +87,8 @@
     g_free(home);
 }
 
-/* The home dies with its orders on their way. */
+/* Kills the home node of the first engine while its orders are in flight, and
+ * restarts it. */
 static void
 kill_home(struct harness_scene *scene)
 {
@@ -98,29 +100,29 @@
     g_free(home);
 }
 
-/* Orders dropped, lost, late and repeated, and writes unanswered. */
+/* Orders are dropped, lost, late and repeated, and writes get no response. */
 static void
-astray(struct harness_scene *scene)
+disturb_orders(struct harness_scene *scene)
 {
     set_engines(scene, "drop_orders=1&lose_orders=1&repeat_orders=1"
                        "&delay_orders=1&delay_ms=1200");
     lose_writes(scene);
 }
 
-/* All that can happen to a home and to the engines. */
+/* The home node is paused and killed, and the engines restart twice. */
 static void
-upheaval(struct harness_scene *scene)
+disturb_nodes_and_engines(struct harness_scene *scene)
 {
     pause_home(scene);
-    boot(scene);
+    restart_engines(scene);
     harness_sleep(200);
     kill_home(scene);
-    boot(scene);
+    restart_engines(scene);
 }
 
-/* Nothing is left wrong. */
+/* Removes all faults, and waits for a restarted node. */
 static void
-heal(struct harness_scene *scene)
+remove_faults(struct harness_scene *scene)
 {
     set_engines(scene, "drop_orders=0&lose_orders=0&delay_orders=0"
                        "&repeat_orders=0");
@@ -131,20 +133,21 @@
     }
 }
 
-/* Every model can be reached, and no order ever asked for too much. */
+/* Checks that every model is served through every node and that no order ever
+ * exceeded the memory of its engine. */
 static void
 check_models(struct harness_scene *scene)
 {
-    int64_t begun = harness_now();
+    int64_t started_at = harness_now();
     harness_warm_up(scene->fleet, kinds, G_N_ELEMENTS(kinds));
-    int64_t took = harness_now() - begun;
+    int64_t elapsed_ms = harness_now() - started_at;
     for (unsigned i = 0; i < scene->fleet->upstream_count; i++) {
         const struct harness_standin *engine =
             &scene->fleet->upstreams[i].standin;
         g_print("figure: %s: every model through every node within "
                 "%" G_GINT64_FORMAT " ms; most memory %" G_GINT64_FORMAT
                 " of %" G_GINT64_FORMAT " MB at %s\n",
-                scene->scenario->name, took,
+                scene->scenario->name, elapsed_ms,
                 harness_record_number(engine, "most_mb"),
                 harness_record_number(engine, "capacity_mb"),
                 scene->fleet->upstreams[i].name);
@@ -169,26 +172,29 @@
         HARNESS_ANY, HARNESS_ANY, HARNESS_ANY, HARNESS_ANY, HARNESS_ANY,      \
             HARNESS_ANY, HARNESS_ANY, HARNESS_ANY, HARNESS_ANY                \
     }
-/* All of a row but its shape. */
+/* All members of a scenario except its shape. */
 #define ROW(row_name, row_early, row_begin)                                   \
     .name = (row_name), .kinds = kinds, .kind_count = G_N_ELEMENTS(kinds),    \
     .callers = 6, .before_ms = 700, .during_ms = 1800, .after_ms = 500,       \
-    .early = (row_early), .begin = (row_begin), .end = heal,                  \
+    .early = (row_early), .begin = (row_begin), .end = remove_faults,         \
     .more = check_models, .cost = ANY_COST
 
 static const struct harness_scenario scenarios[] = {
-    {.shape = SHAPE, ROW("dropped", drop, NULL)},
-    {.shape = SHAPE, ROW("lost-after-acceptance", lose, NULL)},
-    {.shape = SHAPE, ROW("late", delay, NULL)},
-    {.shape = FENCED, ROW("late-fenced", delay, NULL)},
-    {.shape = SHAPE, ROW("repeated", repeat, NULL)},
-    {.shape = SHAPE, ROW("late-and-new-boot", delay, boot)},
+    {.shape = SHAPE, ROW("dropped", drop_orders, NULL)},
+    {.shape = SHAPE, ROW("lost-after-acceptance", lose_orders, NULL)},
+    {.shape = SHAPE, ROW("late", delay_orders, NULL)},
+    {.shape = FENCED, ROW("late-fenced", delay_orders, NULL)},
+    {.shape = SHAPE, ROW("repeated", repeat_orders, NULL)},
+    {.shape = SHAPE, ROW("late-and-new-boot", delay_orders, restart_engines)},
     {.shape = SHAPE, ROW("writes-unanswered", lose_writes, NULL)},
-    {.shape = SHAPE, ROW("late-and-home-paused", delay, pause_home)},
-    {.shape = FENCED, ROW("late-and-home-paused-fenced", delay, pause_home)},
-    {.shape = SHAPE, ROW("late-and-home-killed", delay, kill_home)},
-    {.shape = SHAPE, ROW("all-together", astray, upheaval)},
-    {.shape = FENCED, ROW("all-together-fenced", astray, upheaval)},
+    {.shape = SHAPE, ROW("late-and-home-paused", delay_orders, pause_home)},
+    {.shape = FENCED,
+     ROW("late-and-home-paused-fenced", delay_orders, pause_home)},
+    {.shape = SHAPE, ROW("late-and-home-killed", delay_orders, kill_home)},
+    {.shape = SHAPE,
+     ROW("all-together", disturb_orders, disturb_nodes_and_engines)},
+    {.shape = FENCED,
+     ROW("all-together-fenced", disturb_orders, disturb_nodes_and_engines)},
 };
 
 int
