--- a/tests/failure/test_caller.c
+++ b/tests/failure/test_caller.c
@@ -1,33 +1,33 @@
 /*
- * A caller's connection that goes silent for good while new ones work.  What
- * the caller sees: nothing more on it, so it asks again by a new connection.
- * Order: a keyed order and a stream are on their way, something between caller
- * and node loses track of both, the order's answer comes, the caller repeats
- * the order at another node.  Why: the first answer is kept with the key, so
- * the repeat gets it and nothing runs twice; and neither call holds its place
- * at the upstream for longer than it runs.
+ * Guards against a lost response when a caller's open connections stall for
+ * good while new ones work.  The caller sees its calls time out and repeats
+ * the order over a new connection, at another node.  A keyed order and a
+ * stream are in flight when a relay between caller and node stalls both
+ * connections; the order's response comes after that.  The response is stored
+ * with the key, so the repeat gets it and nothing runs twice; neither call may
+ * occupy its upstream for longer than it runs.
  */
 
 #include "harness/harness.h"
 
 enum {
-    CALL_LIMIT_MS = 1500,
-    ORDER_MS = 400,
-    SILENT_AT_MS = 150,
-    GIVEN_BACK_MS = 5000,
+    CALL_TIMEOUT_MS = 1500,
+    ORDER_DURATION_MS = 400,
+    STALL_AFTER_MS = 150,
+    RELEASE_LIMIT_MS = 5000,
     STREAM_TOKENS = 200,
 };
 
-/* Sends one call, for a thread. */
+/* Thread function: sends one call; returns its struct harness_answer. */
 static gpointer
 run_call(gpointer data)
 {
     return harness_call(data);
 }
 
-/* Requests that run at the upstreams, by a node's status. */
+/* Requests running at all upstreams, according to a node's status. */
 static int64_t
-running_at(const struct harness_node *node)
+count_running(const struct harness_node *node)
 {
     JsonNode *status = harness_status(node);
     g_assert_nonnull(status);
@@ -42,15 +42,17 @@
     return running;
 }
 
-/* Milliseconds until nothing is counted as running any more. */
+/* Waits until no request is counted as running, at most RELEASE_LIMIT_MS;
+ * returns the time waited in ms. */
 static int64_t
-time_to_give_back(const struct harness_node *node)
+wait_for_release(const struct harness_node *node)
 {
-    int64_t begun = harness_now();
-    while (running_at(node) > 0 && harness_now() - begun < GIVEN_BACK_MS) {
+    int64_t started_at = harness_now();
+    while (count_running(node) > 0 &&
+           harness_now() - started_at < RELEASE_LIMIT_MS) {
         harness_sleep(20);
     }
-    return harness_now() - begun;
+    return harness_now() - started_at;
 }
 
 static void
@@ -68,7 +70,7 @@
     struct harness_standin relay = {0};
     harness_standin_start(&relay, fleet->build, "relay", args);
     harness_set(&harness_find_upstream(fleet, "o01")->standin,
-                "slow_ms=%d&slow_next=1", ORDER_MS);
+                "slow_ms=%d&slow_next=1", ORDER_DURATION_MS);
 
     char *body = harness_model_body("m01", STREAM_TOKENS, true, 1);
     struct harness_call order = {.address = relay.address,
@@ -78,17 +80,17 @@
                                  .caller = "workshop",
                                  .key = "llanelli-9",
                                  .body = "{\"jackets\":9}",
-                                 .limit_ms = CALL_LIMIT_MS};
+                                 .limit_ms = CALL_TIMEOUT_MS};
     struct harness_call stream = {.address = relay.address,
                                   .method = "POST",
                                   .path = "/v1/completions",
                                   .class_name = "advice",
                                   .caller = "fitter",
                                   .body = body,
-                                  .limit_ms = CALL_LIMIT_MS};
+                                  .limit_ms = CALL_TIMEOUT_MS};
     GThread *threads[] = {g_thread_new("order", run_call, &order),
                           g_thread_new("stream", run_call, &stream)};
-    harness_sleep(SILENT_AT_MS);
+    harness_sleep(STALL_AFTER_MS);
     g_free(harness_control(&relay, "silence", NULL));
 
     GPtrArray *answers = g_ptr_array_new();
@@ -97,15 +99,15 @@
         g_assert_cmpint(answer->curl, !=, 0);
         g_ptr_array_add(answers, answer);
     }
-    int64_t given_back = time_to_give_back(&fleet->nodes[1]);
+    int64_t release_ms = wait_for_release(&fleet->nodes[1]);
     order.address = fleet->nodes[1].caller_address;
-    struct harness_answer *again = harness_call(&order);
-    g_ptr_array_add(answers, again);
+    struct harness_answer *repeated = harness_call(&order);
+    g_ptr_array_add(answers, repeated);
     g_print("figure: silent-caller: places given back %" G_GINT64_FORMAT
             " ms after the caller left, repeat answered with %d\n",
-            given_back, again->status);
-    g_assert_cmpint(given_back, <, GIVEN_BACK_MS);
-    g_assert_true(harness_answer_good(again));
+            release_ms, repeated->status);
+    g_assert_cmpint(release_ms, <, RELEASE_LIMIT_MS);
+    g_assert_true(harness_answer_good(repeated));
 
     struct harness_verdict verdict = {0};
     harness_check(fleet, answers, &verdict);
--- a/tests/failure/test_fleet.c
+++ b/tests/failure/test_fleet.c
@@ -1,10 +1,11 @@
 /*
- * All nodes die at once, as when a site loses power.  What the caller sees:
- * refused connections, then "not ready", then service within seconds; with the
- * key-value service down too, "not ready" until it is back.  Order: SIGKILL of
- * every node, new processes that know nothing, the service comes back.  Why:
- * no node keeps anything, the configuration is in the key-value service alone,
- * and a node that has none says so and serves nobody.
+ * Guards against nodes that cannot restart when all of them die at once, as
+ * when a site loses power.  The caller sees refused connections, then "not
+ * ready", then service within seconds; if the key-value store is down too,
+ * "not ready" until it is back.  Every node gets SIGKILL, new processes
+ * without any state start, and the store comes back.  No node stores anything,
+ * the configuration is in the key-value store alone, and a node without one
+ * says so and serves nobody.
  */
 
 #include "harness/harness.h"
@@ -14,7 +15,7 @@
 static const struct harness_shape shape = {
     .nodes = 5, .engines = 2, .services = 1};
 
-/* Kills every node and starts as many new ones. */
+/* Kills every node, then starts each as a new process. */
 static void
 replace_all(struct harness_fleet *fleet)
 {
@@ -26,24 +27,26 @@
     }
 }
 
-/* Waits until every node is ready and serves; the time since begun. */
+/* Waits until every node is ready and serves every class; prints the times
+ * since started_at and checks that all nodes were ready within 5000 ms. */
 static void
-wait_served(struct harness_fleet *fleet, const char *name, int64_t begun)
+wait_until_served(struct harness_fleet *fleet, const char *name,
+                  int64_t started_at)
 {
     for (unsigned i = 0; i < fleet->node_count; i++) {
         g_assert_true(
             harness_node_wait(&fleet->nodes[i], true, HARNESS_READY_MS));
     }
-    int64_t ready = harness_now() - begun;
+    int64_t ready = harness_now() - started_at;
     harness_warm_up(fleet, harness_kinds, HARNESS_KINDS);
     g_print("figure: %s: all ready after %" G_GINT64_FORMAT
             " ms, every class served by every node after %" G_GINT64_FORMAT
             " ms\n",
-            name, ready, harness_now() - begun);
+            name, ready, harness_now() - started_at);
     g_assert_cmpint(ready, <=, 5000);
 }
 
-/* With the service up. */
+/* The key-value store is up. */
 static void
 test_all_at_once(void)
 {
@@ -51,12 +54,13 @@
     harness_warm_up(fleet, harness_kinds, HARNESS_KINDS);
     uint64_t revision = harness_revision(&fleet->nodes[0]);
     replace_all(fleet);
-    wait_served(fleet, "all-at-once", harness_now());
+    wait_until_served(fleet, "all-at-once", harness_now());
     g_assert_cmpuint(harness_revision(&fleet->nodes[4]), ==, revision);
     g_assert_cmpuint(harness_fleet_stop(fleet), ==, 0);
 }
 
-/* With the service down: not ready, said clearly, until it is back. */
+/* The key-value store is down: each call is refused as not ready, with
+ * Retry-After, until the store is back. */
 static void
 test_all_at_once_kv_down(void)
 {
@@ -86,7 +90,7 @@
     harness_sleep(1500);
     g_assert_false(harness_node_wait(&fleet->nodes[0], true, 100));
     harness_set(&fleet->kv, "down=0");
-    wait_served(fleet, "all-at-once-kv-down", harness_now());
+    wait_until_served(fleet, "all-at-once-kv-down", harness_now());
     g_assert_cmpuint(harness_revision(&fleet->nodes[4]), ==, revision);
     g_assert_cmpuint(harness_fleet_stop(fleet), ==, 0);
 }
--- a/tests/failure/test_kill.c
+++ b/tests/failure/test_kill.c
@@ -1,21 +1,22 @@
 /*
- * The death of a node.  What the caller sees: a request whose connection the
- * dead node held breaks off; any other is answered as ever.  Order: SIGKILL
- * while streams, whole answers and orders run through all seven nodes; later
- * the node starts anew.  Why: a home holds only the queue of an upstream, and
- * each entry node asks another home when that one is gone.
+ * Guards against the death of a node.  A request whose connection the dead
+ * node held is interrupted; any other is answered as usual.  SIGKILL comes
+ * while streams, whole responses and orders run through all seven nodes; later
+ * the node restarts.  A home node holds only the queue of an upstream, and
+ * each entry node asks another home node when the first is gone.
  */
 
 #include "harness/harness.h"
 
 #include <signal.h>
 
-#define SEVEN                                                                 \
+#define SEVEN_NODES                                                           \
     {                                                                         \
         .nodes = 7, .engines = 2, .services = 2                               \
     }
 
-/* A node that holds callers' connections, whatever it is home of. */
+/* Kills a node that holds callers' connections, whichever upstreams it is the
+ * home node of. */
 static void
 kill_entry(struct harness_scene *scene)
 {
@@ -23,7 +24,7 @@
     harness_node_kill(scene->victim, SIGKILL);
 }
 
-/* The home of the first engine. */
+/* Kills the home node of the first engine. */
 static void
 kill_home(struct harness_scene *scene)
 {
@@ -34,7 +35,7 @@
     g_free(home);
 }
 
-/* The home of the first plain service. */
+/* Kills the home node of the first plain service. */
 static void
 kill_service_home(struct harness_scene *scene)
 {
@@ -45,9 +46,9 @@
     g_free(home);
 }
 
-/* The same host is back, knowing nothing. */
+/* Restarts the killed node, which has no state. */
 static void
-start_again(struct harness_scene *scene)
+restart_victim(struct harness_scene *scene)
 {
     harness_node_start(scene->fleet, scene->victim);
     g_assert_true(harness_node_wait(scene->victim, true, HARNESS_READY_MS));
@@ -55,30 +56,30 @@
 
 static const struct harness_scenario scenarios[] = {
     {.name = "entry",
-     .shape = SEVEN,
+     .shape = SEVEN_NODES,
      .before_ms = 1000,
      .during_ms = 1500,
      .after_ms = 1000,
      .begin = kill_entry,
-     .end = start_again,
+     .end = restart_victim,
      .cost = {500, 1500, 0, HARNESS_ANY, HARNESS_ANY, HARNESS_ANY, 0, 95,
               100}},
     {.name = "home-of-engine",
-     .shape = SEVEN,
+     .shape = SEVEN_NODES,
      .before_ms = 1000,
      .during_ms = 1500,
      .after_ms = 1000,
      .begin = kill_home,
-     .end = start_again,
+     .end = restart_victim,
      .cost = {1000, 1500, 0, HARNESS_ANY, HARNESS_ANY, HARNESS_ANY, 0, 95,
               100}},
     {.name = "home-of-service",
-     .shape = SEVEN,
+     .shape = SEVEN_NODES,
      .before_ms = 1000,
      .during_ms = 1500,
      .after_ms = 1000,
      .begin = kill_service_home,
-     .end = start_again,
+     .end = restart_victim,
      .cost = {1000, 1500, 0, HARNESS_ANY, HARNESS_ANY, HARNESS_ANY, 0, 95,
               100}},
 };
--- a/tests/failure/test_kv.c
+++ b/tests/failure/test_kv.c
@@ -1,75 +1,73 @@
 /*
- * The key-value service is away, slow, deaf or forgetful.  What the caller
- * sees: model calls as ever; an order is refused at once as not-run with
- * Retry-After, or served.  Order: the fault comes under load, lasts, and ends.
- * Why: nothing but the creation of a once record and a change of a ledger
- * needs the service, and an answer that was lost is read back before anything
- * is said.
+ * Guards against a key-value store that is unavailable, slow, stalled, or
+ * loses its responses.  Model calls are answered as usual; an order is served,
+ * or refused at once as not-run with Retry-After.  The fault begins under
+ * load, lasts a while and ends.  Only the creation of an at-most-once record
+ * and a change of a ledger need the store, and after a lost response the value
+ * is read back before the caller gets a response.
  */
 
 #include "harness/harness.h"
 
 #include <string.h>
 
-/* Refused connections. */
+/* The store refuses connections. */
 static void
-go_down(struct harness_scene *scene)
+stop_store(struct harness_scene *scene)
 {
     harness_set(&scene->fleet->kv, "down=1");
 }
 
-/* Back, with all that it held. */
+/* The store is back, with all its data. */
 static void
-come_up(struct harness_scene *scene)
+restore_store(struct harness_scene *scene)
 {
     harness_set(&scene->fleet->kv, "down=0");
 }
 
-/* Each answer takes longer than the time-out. */
+/* Each response takes longer than the timeout. */
 static void
-go_slow(struct harness_scene *scene)
+slow_store(struct harness_scene *scene)
 {
     harness_set(&scene->fleet->kv, "slow_ms=2500");
 }
 
-/* As fast as ever. */
 static void
-go_fast(struct harness_scene *scene)
+restore_speed(struct harness_scene *scene)
 {
     harness_set(&scene->fleet->kv, "slow_ms=0");
 }
 
-/* Writes take effect; their answers do not come. */
+/* Writes take effect, but their responses are lost. */
 static void
-lose_answers(struct harness_scene *scene)
+lose_responses(struct harness_scene *scene)
 {
     harness_set(&scene->fleet->kv, "drop_after=1000000");
 }
 
-/* Writes are answered again. */
 static void
-give_answers(struct harness_scene *scene)
+restore_responses(struct harness_scene *scene)
 {
     harness_set(&scene->fleet->kv, "drop_after=0");
 }
 
-/* Open connections are lost track of; new ones work. */
+/* Open connections stall; new ones work. */
 static void
-go_silent(struct harness_scene *scene)
+stall_connections(struct harness_scene *scene)
 {
     g_free(harness_control(&scene->fleet->kv, "silent", NULL));
 }
 
-/* The next writes take effect and are never answered. */
+/* The next five writes take effect and get no response. */
 static void
-go_silent_after(struct harness_scene *scene)
+stall_after_writes(struct harness_scene *scene)
 {
     harness_set(&scene->fleet->kv, "silent_after=5");
 }
 
-/* A lost answer, then away, then slow: together and twice. */
+/* Lost responses, then an outage, then slow responses, then stalls; twice. */
 static void
-go_wild(struct harness_scene *scene)
+combine_faults(struct harness_scene *scene)
 {
     for (unsigned i = 0; i < 2; i++) {
         harness_set(&scene->fleet->kv, "drop_after=3");
@@ -83,29 +81,29 @@
     }
 }
 
-/* Every refusal says when to come back, and came at once. */
+/* Every refusal has Retry-After and came within 1500 ms. */
 static void
 check_refusals(struct harness_scene *scene)
 {
-    int64_t slowest = 0;
+    int64_t slowest_ms = 0;
     for (guint i = 0; i < scene->answers->len; i++) {
         const struct harness_answer *answer =
             g_ptr_array_index(scene->answers, i);
         if (g_strcmp0(answer->outcome, "not-run") == 0) {
             g_assert_true(answer->retry_after);
-            slowest = MAX(slowest, answer->ended - answer->sent);
+            slowest_ms = MAX(slowest_ms, answer->ended - answer->sent);
         }
     }
     g_print("figure: %s: slowest refusal %" G_GINT64_FORMAT " ms\n",
-            scene->scenario->name, slowest);
-    g_assert_cmpint(slowest, <=, 1500);
+            scene->scenario->name, slowest_ms);
+    g_assert_cmpint(slowest_ms, <=, 1500);
 }
 
 #define SHAPE                                                                 \
     {                                                                         \
         .nodes = 3, .engines = 2, .services = 2                               \
     }
-/* Whole loss of orders while it lasts; nothing else. */
+/* All orders may be lost during the fault, but nothing else. */
 #define KV_COST                                                               \
     {                                                                         \
         500, 4500, HARNESS_ANY, HARNESS_ANY, 0, 0, HARNESS_ANY, 60, 95        \
@@ -117,8 +115,8 @@
      .before_ms = 800,
      .during_ms = 3000,
      .after_ms = 1500,
-     .begin = go_down,
-     .end = come_up,
+     .begin = stop_store,
+     .end = restore_store,
      .more = check_refusals,
      .cost = KV_COST},
     {.name = "slow",
@@ -126,8 +124,8 @@
      .before_ms = 800,
      .during_ms = 3000,
      .after_ms = 3500,
-     .begin = go_slow,
-     .end = go_fast,
+     .begin = slow_store,
+     .end = restore_speed,
      .more = check_refusals,
      .cost = {500, 6000, HARNESS_ANY, HARNESS_ANY, 0, 0, HARNESS_ANY, 98, 98}},
     {.name = "answers-lost",
@@ -135,8 +133,8 @@
      .before_ms = 800,
      .during_ms = 2000,
      .after_ms = 1500,
-     .begin = lose_answers,
-     .end = give_answers,
+     .begin = lose_responses,
+     .end = restore_responses,
      .more = check_refusals,
      .cost = KV_COST},
     {.name = "silent",
@@ -144,7 +142,7 @@
      .before_ms = 800,
      .during_ms = 2000,
      .after_ms = 1000,
-     .begin = go_silent,
+     .begin = stall_connections,
      .more = check_refusals,
      .cost = KV_COST},
     {.name = "silent-after-write",
@@ -152,7 +150,7 @@
      .before_ms = 800,
      .during_ms = 2000,
      .after_ms = 1000,
-     .begin = go_silent_after,
+     .begin = stall_after_writes,
      .more = check_refusals,
      .cost = KV_COST},
     {.name = "all-at-once",
@@ -160,7 +158,7 @@
      .before_ms = 800,
      .during_ms = 500,
      .after_ms = 3000,
-     .begin = go_wild,
+     .begin = combine_faults,
      .more = check_refusals,
      .cost = {500, HARNESS_ANY, HARNESS_ANY, HARNESS_ANY, 0, 0, HARNESS_ANY,
               98, 98}},
--- a/tests/failure/test_pause.c
+++ b/tests/failure/test_pause.c
@@ -1,17 +1,17 @@
 /*
- * A node that is paused past every time-out, and wakes up believing that
- * nothing happened.  What the caller sees: answers that the paused node held
- * come late, all others within a second.  Order: SIGSTOP of a home under load,
- * another node takes its upstreams over, SIGCONT.  Why: what it still wants to
- * do is bound by the ledger's and the once record's compare-and-swap, and not
- * by a lease.
+ * Guards against a node that is paused for longer than every timeout and
+ * resumes with stale state.  Responses that the paused node held come late,
+ * all others within a second.  The home node of an upstream gets SIGSTOP under
+ * load, another node takes over its upstreams, then it gets SIGCONT.  What the
+ * resumed node still tries to do is limited by the compare-and-swap of the
+ * ledger and of the at-most-once record, not by a lease.
  */
 
 #include "harness/harness.h"
 
 #include <signal.h>
 
-/* Stops the home of an upstream. */
+/* Pauses the home node of an upstream. */
 static void
 pause_home(struct harness_scene *scene, const char *upstream)
 {
@@ -22,36 +22,35 @@
     g_free(home);
 }
 
-/* The home of an engine. */
 static void
 pause_engine_home(struct harness_scene *scene)
 {
     pause_home(scene, "w01");
 }
 
-/* The home of a plain service: orders wait in its queue. */
+/* Pauses the home node of a plain service, in whose queue orders wait. */
 static void
 pause_service_home(struct harness_scene *scene)
 {
     pause_home(scene, "o01");
 }
 
-/* It goes on where it was. */
 static void
-wake(struct harness_scene *scene)
+resume_victim(struct harness_scene *scene)
 {
     harness_node_kill(scene->victim, SIGCONT);
 }
 
-/* Two pauses, so that what woke up is home again and then is not. */
+/* Resumes the node for 300 ms, in which it becomes home node again, and pauses
+ * it once more, so that it loses that role again. */
 static void
-wake_pause_wake(struct harness_scene *scene)
+resume_pause_resume(struct harness_scene *scene)
 {
-    wake(scene);
+    resume_victim(scene);
     harness_sleep(300);
     harness_node_kill(scene->victim, SIGSTOP);
     harness_sleep(1200);
-    wake(scene);
+    resume_victim(scene);
 }
 
 #define PAUSE_COST                                                            \
@@ -66,7 +65,7 @@
      .during_ms = 3000,
      .after_ms = 1500,
      .begin = pause_engine_home,
-     .end = wake,
+     .end = resume_victim,
      .cost = PAUSE_COST},
     {.name = "home-of-service",
      .shape = {.nodes = 4, .engines = 2, .services = 2},
@@ -74,7 +73,7 @@
      .during_ms = 3000,
      .after_ms = 1500,
      .begin = pause_service_home,
-     .end = wake,
+     .end = resume_victim,
      .cost = PAUSE_COST},
     {.name = "home-twice",
      .shape = {.nodes = 4, .engines = 2, .services = 2},
@@ -82,7 +81,7 @@
      .during_ms = 1500,
      .after_ms = 1500,
      .begin = pause_engine_home,
-     .end = wake_pause_wake,
+     .end = resume_pause_resume,
      .cost = PAUSE_COST},
 };
 
--- a/tests/failure/test_stop.c
+++ b/tests/failure/test_stop.c
@@ -1,10 +1,11 @@
 /*
- * Planned stops and replacement.  What the caller sees: nothing, also when
- * every node is replaced in turn and the key-value service is away.  Order:
- * SIGTERM, the balancer sees /readyz turn, the listener closes, what was
- * accepted is answered, exit with 0; a new process takes the place.  Why: only
- * a node that is not ready gets nothing new, and a new one is ready only with
- * the configuration, which it may have from a peer.
+ * Guards against calls lost in a planned stop or replacement of nodes.  The
+ * caller sees nothing, even if every node is replaced in turn and the
+ * key-value store is unavailable.  After SIGTERM the load balancer sees
+ * /readyz change, the listener closes, accepted requests are answered and the
+ * node exits with 0; a new process replaces it.  Only a node that is not ready
+ * gets no new calls, and a new node is ready only with a configuration, which
+ * it may get from a peer.
  */
 
 #include "harness/harness.h"
@@ -17,50 +18,52 @@
     {"order", NULL, "/services/orders/jackets", 0, false, true, 3000},
 };
 
-/* Stops a node gracefully and starts it anew; twice signalled if so wished. */
+/* Stops a node gracefully and restarts it; with signal_twice, a second SIGTERM
+ * follows 100 ms after the first. */
 static void
-replace(struct harness_scene *scene, struct harness_node *node, bool twice)
+replace_node(struct harness_scene *scene, struct harness_node *node,
+             bool signal_twice)
 {
-    int64_t begun = harness_now();
+    int64_t started_at = harness_now();
     harness_node_kill(node, SIGTERM);
-    if (twice) {
+    if (signal_twice) {
         harness_sleep(100);
         harness_node_kill(node, SIGTERM);
     }
     int status = harness_wait(node->pid, 15000);
     g_print("figure: %s: %s stopped with status %d after %" G_GINT64_FORMAT
             " ms\n",
-            scene->scenario->name, node->name, status, harness_now() - begun);
+            scene->scenario->name, node->name, status,
+            harness_now() - started_at);
     g_assert_cmpint(status, ==, 0);
-    begun = harness_now();
+    started_at = harness_now();
     harness_node_start(scene->fleet, node);
     g_assert_true(harness_node_wait(node, true, HARNESS_READY_MS));
     g_print("figure: %s: %s ready again after %" G_GINT64_FORMAT " ms\n",
-            scene->scenario->name, node->name, harness_now() - begun);
+            scene->scenario->name, node->name, harness_now() - started_at);
 }
 
-/* Every node in turn. */
 static void
-replace_each(struct harness_scene *scene)
+replace_each_node(struct harness_scene *scene)
 {
     for (unsigned i = 0; i < scene->fleet->node_count; i++) {
-        replace(scene, &scene->fleet->nodes[i], false);
+        replace_node(scene, &scene->fleet->nodes[i], false);
     }
 }
 
-/* A second SIGTERM does not cut the stop short. */
+/* A second SIGTERM must not interrupt the graceful stop. */
 static void
-replace_twice_told(struct harness_scene *scene)
+replace_node_signalled_twice(struct harness_scene *scene)
 {
-    replace(scene, &scene->fleet->nodes[1], true);
+    replace_node(scene, &scene->fleet->nodes[1], true);
 }
 
-/* Every node in turn while the key-value service is down. */
+/* Replaces every node in turn while the key-value store is down. */
 static void
-replace_each_kv_down(struct harness_scene *scene)
+replace_each_node_kv_down(struct harness_scene *scene)
 {
     harness_set(&scene->fleet->kv, "down=1");
-    replace_each(scene);
+    replace_each_node(scene);
     harness_set(&scene->fleet->kv, "down=0");
 }
 
@@ -77,7 +80,7 @@
      .before_ms = 500,
      .during_ms = 100,
      .after_ms = 700,
-     .begin = replace_each,
+     .begin = replace_each_node,
      .cost = {700, HARNESS_ANY, 0, 0, 0, 0, HARNESS_ANY, 95, 95}},
     {.name = "told-twice",
      .shape = SHAPE,
@@ -86,7 +89,7 @@
      .before_ms = 500,
      .during_ms = 100,
      .after_ms = 500,
-     .begin = replace_twice_told,
+     .begin = replace_node_signalled_twice,
      .cost = {700, HARNESS_ANY, 0, 0, 0, 0, HARNESS_ANY, 95, 95}},
     {.name = "each-in-turn-kv-down",
      .shape = SHAPE,
@@ -95,7 +98,7 @@
      .before_ms = 500,
      .during_ms = 100,
      .after_ms = 1500,
-     .begin = replace_each_kv_down,
+     .begin = replace_each_node_kv_down,
      .cost = {700, HARNESS_ANY, HARNESS_ANY, HARNESS_ANY, 0, 0, HARNESS_ANY,
               98, 98}},
 };
