--- a/cli/admin_client.c
+++ b/cli/admin_client.c
@@ -55,10 +55,10 @@
  * response arrives, its status is 0 and its error message says why.  Free the
  * response with cli_response_clear(). */
 void
-cli_call(const char *node, const char *method, const char *path,
-         const char *body, struct cli_answer *response)
+cli_call_node(const char *node, const char *method, const char *path,
+              const char *body, struct cli_response *response)
 {
-    *response = (struct cli_answer){0};
+    *response = (struct cli_response){0};
     GString *response_body = g_string_new(NULL);
     CURL *curl = curl_easy_init();
     char *url = g_strdup_printf("http://%s%s", node, path);
@@ -72,13 +72,14 @@
     curl_off_t connect_time = 0;
     curl_easy_getinfo(curl, CURLINFO_RESPONSE_CODE, &status);
     curl_easy_getinfo(curl, CURLINFO_CONNECT_TIME_T, &connect_time);
-    response->sent = connect_time > 0;
+    response->may_have_been_sent = connect_time > 0;
     if (result == CURLE_OK) {
         response->status = (int)status;
     }
     else {
-        (void)snprintf(response->message, sizeof(response->message), "%s: %s",
-                       node, curl_easy_strerror(result));
+        (void)snprintf(response->error_message,
+                       sizeof(response->error_message), "%s: %s", node,
+                       curl_easy_strerror(result));
     }
     response->body = g_string_free(response_body, FALSE);
     curl_slist_free_all(headers);
@@ -90,22 +91,23 @@
  * state, so that it is tried at the next node only if nothing was sent to the
  * previous one.  Free the response with cli_response_clear(). */
 void
-cli_call_any(char **nodes, const char *method, const char *path,
-             const char *body, struct cli_answer *response)
+cli_call_any_node(char **nodes, const char *method, const char *path,
+                  const char *body, struct cli_response *response)
 {
     for (size_t i = 0; nodes[i] != NULL; i++) {
-        cli_call(nodes[i], method, path, body, response);
-        bool done = response->status != 0 || (body != NULL && response->sent);
+        cli_call_node(nodes[i], method, path, body, response);
+        bool done = response->status != 0 ||
+                    (body != NULL && response->may_have_been_sent);
         if (done || nodes[i + 1] == NULL) {
             return;
         }
-        cli_answer_clear(response);
+        cli_response_clear(response);
     }
 }
 
 /* Frees the body, but not the structure itself. */
 void
-cli_answer_clear(struct cli_answer *response)
+cli_response_clear(struct cli_response *response)
 {
     g_free(response->body);
     response->body = NULL;
--- a/cli/admin_client.h
+++ b/cli/admin_client.h
@@ -5,11 +5,11 @@
 
 #include "cli.h"
 
-struct cli_answer {
-    int status;        /* HTTP status; 0: no complete response was received */
-    bool sent;         /* a part of the request may have been sent */
-    char *body;        /* NUL-terminated; "" for an empty body */
-    char message[160]; /* why there is no response, when status is 0 */
+struct cli_response {
+    int status; /* HTTP status; 0: no complete response was received */
+    bool may_have_been_sent; /* a part of the request may have been sent */
+    char *body;              /* NUL-terminated; "" for an empty body */
+    char error_message[160]; /* why there is no response, when status is 0 */
 };
 
 /* A configuration in a node's response.  The strings are never NULL after
@@ -21,11 +21,11 @@
     char *text;
 };
 
-void cli_call(const char *node, const char *method, const char *path,
-              const char *body, struct cli_answer *response);
-void cli_call_any(char **nodes, const char *method, const char *path,
-                  const char *body, struct cli_answer *response);
-void cli_answer_clear(struct cli_answer *response);
+void cli_call_node(const char *node, const char *method, const char *path,
+                   const char *body, struct cli_response *response);
+void cli_call_any_node(char **nodes, const char *method, const char *path,
+                       const char *body, struct cli_response *response);
+void cli_response_clear(struct cli_response *response);
 bool cli_nodes_check(char **nodes);
 void cli_config_parse(const char *json, const char *member,
                       struct cli_config *config);
--- a/cli/cli.h
+++ b/cli/cli.h
@@ -13,7 +13,7 @@
     CLI_CONFLICT = 3,  /* another author changed the configuration first */
     /* The node or the platform could not be reached, or the outcome of a
        change is unknown. */
-    CLI_AWAY = 4,
+    CLI_UNREACHABLE = 4,
 };
 
 int cli_node(int argc, char **argv);
--- a/cli/config.c
+++ b/cli/config.c
@@ -37,17 +37,19 @@
 static bool
 fetch_config(const struct options *options, struct cli_config *config)
 {
-    struct cli_answer response;
-    cli_call_any(options->nodes, "GET", "/admin/v1/config", NULL, &response);
+    struct cli_response response;
+    cli_call_any_node(options->nodes, "GET", "/admin/v1/config", NULL,
+                      &response);
     bool found = response.status == 200 || response.status == 404;
     if (found) {
         cli_config_parse(response.status == 200 ? response.body : "", NULL,
                          config);
     }
     else {
-        print_error(response.status == 0 ? response.message : response.body);
+        print_error(response.status == 0 ? response.error_message
+                                         : response.body);
     }
-    cli_answer_clear(&response);
+    cli_response_clear(&response);
     return found;
 }
 
@@ -87,7 +89,7 @@
     (void)declaration;
     struct cli_config config;
     if (!fetch_config(options, &config)) {
-        return CLI_AWAY;
+        return CLI_UNREACHABLE;
     }
     int status = CLI_OK;
     if (config.revision == 0) {
@@ -110,9 +112,9 @@
 {
     struct cli_config config;
     if (!fetch_config(options, &config)) {
-        return CLI_AWAY;
+        return CLI_UNREACHABLE;
     }
-    print_diff(config.text, declaration->text);
+    print_diff(config.text, declaration->canonical_text);
     cli_config_clear(&config);
     return CLI_OK;
 }
@@ -126,7 +128,7 @@
     print_revision(stderr,
                    "chestnuthitch: conflict, nothing applied: ", config);
     (void)fprintf(stderr, "From that revision to your file:\n");
-    print_diff(config->text, declaration->text);
+    print_diff(config->text, declaration->canonical_text);
     return CLI_CONFLICT;
 }
 
@@ -141,7 +143,7 @@
     if (config->revision <= base) {
         return -1;
     }
-    if (strcmp(config->text, declaration->text) == 0) {
+    if (strcmp(config->text, declaration->canonical_text) == 0) {
         print_revision(stdout, "in force: ", config);
         return CLI_OK;
     }
@@ -150,8 +152,8 @@
                    config);
     (void)fprintf(stderr, "The file may have been in force before it.  From "
                           "that revision to your file:\n");
-    print_diff(config->text, declaration->text);
-    return CLI_AWAY;
+    print_diff(config->text, declaration->canonical_text);
+    return CLI_UNREACHABLE;
 }
 
 /* Finds the outcome of an apply whose response was lost by reading back the
@@ -174,16 +176,16 @@
     print_error(
         "the response was lost and the file is not in force; it may still "
         "come into force: run `config show` before applying again");
-    return CLI_AWAY;
+    return CLI_UNREACHABLE;
 }
 
 /* Maps an error in a node's response to an exit status. */
 static int
 error_exit_status(const struct ch_error *error)
 {
-    int http_status = ch_code_http(error->code);
+    int http_status = ch_code_get_http_status(error->code);
     if (http_status >= 500) {
-        return CLI_AWAY;
+        return CLI_UNREACHABLE;
     }
     return http_status == 400 || http_status == 413 ? CLI_BAD_INPUT
                                                     : CLI_FAILED;
@@ -193,7 +195,7 @@
 static int
 report_apply(const struct options *options,
              const struct ch_declaration *declaration, uint64_t base,
-             const struct cli_answer *response)
+             const struct cli_response *response)
 {
     struct cli_config config;
     struct ch_error error;
@@ -204,9 +206,10 @@
         return CLI_OK;
     }
     if (response->status == 0) {
-        print_error(response->message);
-        return response->sent ? resolve_lost_apply(options, declaration, base)
-                              : CLI_AWAY;
+        print_error(response->error_message);
+        return response->may_have_been_sent
+                   ? resolve_lost_apply(options, declaration, base)
+                   : CLI_UNREACHABLE;
     }
     cli_error_parse(response->body, &error);
     if (error.code == CH_KV_CONFLICT) {
@@ -216,7 +219,7 @@
         return status;
     }
     print_error(error.message);
-    if (ch_code_outcome(error.code) == CH_UNKNOWN) {
+    if (ch_code_get_outcome(error.code) == CH_UNKNOWN) {
         return resolve_lost_apply(options, declaration, base);
     }
     return error_exit_status(&error);
@@ -230,12 +233,12 @@
 {
     struct cli_config config;
     if (!fetch_config(options, &config)) {
-        return CLI_AWAY;
+        return CLI_UNREACHABLE;
     }
     uint64_t base = options->base == BASE_IN_FORCE ? config.revision
                                                    : (uint64_t)options->base;
-    bool unchanged =
-        config.revision != 0 && strcmp(config.text, declaration->text) == 0;
+    bool unchanged = config.revision != 0 &&
+                     strcmp(config.text, declaration->canonical_text) == 0;
     if (unchanged) {
         print_revision(stdout, "already in force: ", &config);
     }
@@ -245,10 +248,11 @@
     }
     char *path = g_strdup_printf("/admin/v1/config?base=%" PRIu64 "&author=%s",
                                  base, options->author);
-    struct cli_answer response;
-    cli_call_any(options->nodes, "POST", path, declaration->text, &response);
+    struct cli_response response;
+    cli_call_any_node(options->nodes, "POST", path,
+                      declaration->canonical_text, &response);
     int status = report_apply(options, declaration, base, &response);
-    cli_answer_clear(&response);
+    cli_response_clear(&response);
     g_free(path);
     return status;
 }
--- a/cli/explain.c
+++ b/cli/explain.c
@@ -62,7 +62,8 @@
     size_t size = 0;
     while (getline(&line, &size, in) >= 0) {
         line_counts->total++;
-        line_counts->unrecognized += ch_explain_line(explain, line) ? 0 : 1;
+        line_counts->unrecognized +=
+            ch_explain_add_line(explain, line) ? 0 : 1;
     }
     free(line);
 }
--- a/cli/node.c
+++ b/cli/node.c
@@ -51,16 +51,17 @@
     block_signals(&signals);
     struct ch_client client;
     ch_client_init(&client, settings->name);
-    client.log_level = (enum ch_level)settings->log_level;
+    client.log_level = (enum ch_log_level)settings->log_level;
     client.metrics = ch_metrics_new();
     struct ch_error error = {0};
     struct ch_node *node = ch_node_start(
         &client, settings,
-        settings->platform == CH_PLATFORM_USERS ? platform_dialect() : NULL,
+        settings->platform == CH_PLATFORM_USERS ? platform_get_dialect()
+                                                : NULL,
         &error);
     if (node == NULL) {
         ch_log(&client, CH_LOG_ERR, "start-failed",
-               CH_F_STR("code", ch_code_name(error.code)),
+               CH_F_STR("code", ch_code_get_name(error.code)),
                CH_F_STR("message", error.message), CH_F_END);
         ch_metrics_free(client.metrics);
         return CLI_FAILED;
--- a/cli/release.c
+++ b/cli/release.c
@@ -19,14 +19,14 @@
     if (!cli_nodes_check(nodes)) {
         return CLI_BAD_INPUT;
     }
-    struct cli_answer response;
+    struct cli_response response;
     char *path = g_strconcat("/admin/v1/release?digest=", digest, NULL);
-    cli_call_any(nodes, "POST", path, "", &response);
+    cli_call_any_node(nodes, "POST", path, "", &response);
     g_free(path);
     int status = CLI_OK;
     if (response.status == 0) {
-        (void)fprintf(stderr, "chestnuthitch: %s\n", response.message);
-        status = CLI_AWAY;
+        (void)fprintf(stderr, "chestnuthitch: %s\n", response.error_message);
+        status = CLI_UNREACHABLE;
     }
     else if (response.status != 200) {
         struct ch_error error = {0};
@@ -37,7 +37,7 @@
     else {
         (void)printf("released\n");
     }
-    cli_answer_clear(&response);
+    cli_response_clear(&response);
     return status;
 }
 
--- a/cli/replay.c
+++ b/cli/replay.c
@@ -110,7 +110,7 @@
         success = input->trace != NULL;
     }
     if (success && options->expect != NULL) {
-        input->expect = ch_ini_file_text(options->expect, &error);
+        input->expect = ch_ini_read_file(options->expect, &error);
         success = input->expect != NULL;
     }
     if (!success) {
--- a/cli/status.c
+++ b/cli/status.c
@@ -240,12 +240,12 @@
     if (!cli_nodes_check(nodes)) {
         return CLI_BAD_INPUT;
     }
-    struct cli_answer response;
-    cli_call_any(nodes, "GET", "/admin/v1/status", NULL, &response);
+    struct cli_response response;
+    cli_call_any_node(nodes, "GET", "/admin/v1/status", NULL, &response);
     int status = CLI_OK;
     if (response.status == 0) {
-        (void)fprintf(stderr, "chestnuthitch: %s\n", response.message);
-        status = CLI_AWAY;
+        (void)fprintf(stderr, "chestnuthitch: %s\n", response.error_message);
+        status = CLI_UNREACHABLE;
     }
     else if (response.status != 200 ||
              !print_response(response.body, as_json)) {
@@ -254,7 +254,7 @@
                       response.status, response.body);
         status = CLI_FAILED;
     }
-    cli_answer_clear(&response);
+    cli_response_clear(&response);
     return status;
 }
 
--- a/libchestnuthitch/base/annotate.h
+++ b/libchestnuthitch/base/annotate.h
@@ -11,14 +11,14 @@
 #if defined(__has_feature)
 #if __has_feature(thread_sanitizer)
 #include <sanitizer/tsan_interface.h>
-#define CH_RELEASE(address) __tsan_release((void *)(address))
-#define CH_ACQUIRE(address) __tsan_acquire((void *)(address))
+#define CH_TSAN_RELEASE(address) __tsan_release((void *)(address))
+#define CH_TSAN_ACQUIRE(address) __tsan_acquire((void *)(address))
 #endif
 #endif
 
-#ifndef CH_RELEASE
-#define CH_RELEASE(address) ((void)(address))
-#define CH_ACQUIRE(address) ((void)(address))
+#ifndef CH_TSAN_RELEASE
+#define CH_TSAN_RELEASE(address) ((void)(address))
+#define CH_TSAN_ACQUIRE(address) ((void)(address))
 #endif
 
 #endif
--- a/libchestnuthitch/base/base.h
+++ b/libchestnuthitch/base/base.h
@@ -34,17 +34,17 @@
 void ch_error_set(struct ch_error *error, enum ch_code code,
                   const char *format, ...) G_GNUC_PRINTF(3, 4);
 void ch_error_clear(struct ch_error *error);
-const char *ch_code_name(enum ch_code code);
-const char *ch_code_meaning(enum ch_code code);
-int ch_code_http(enum ch_code code);
-enum ch_outcome ch_code_outcome(enum ch_code code);
-const char *ch_outcome_name(enum ch_outcome outcome);
+const char *ch_code_get_name(enum ch_code code);
+const char *ch_code_get_meaning(enum ch_code code);
+int ch_code_get_http_status(enum ch_code code);
+enum ch_outcome ch_code_get_outcome(enum ch_code code);
+const char *ch_outcome_get_name(enum ch_outcome outcome);
 
 /* ---- client struct, in place of globals (client.c) ---- */
 
 struct ch_metrics;
 
-enum ch_level {
+enum ch_log_level {
     CH_LOG_ERR = 3,
     CH_LOG_WARNING = 4,
     CH_LOG_NOTICE = 5,
@@ -55,7 +55,7 @@
 struct ch_client {
     void (*log_write)(void *data, const char *line, size_t length);
     void *log_data;
-    enum ch_level log_level;
+    enum ch_log_level log_level;
     int64_t (*now)(void *data); /* monotonic, microseconds */
     void *now_data;
     struct ch_metrics *metrics;
@@ -63,13 +63,13 @@
 };
 
 void ch_client_init(struct ch_client *client, const char *name);
-int64_t ch_client_now(const struct ch_client *client);
+int64_t ch_client_get_time(const struct ch_client *client);
 
 /* ---- logs: one JSON object per line (log.c) ---- */
 
 /* ch_log() takes a list of fields that ends with CH_F_END:
    CH_F_STR("class", name), ..., CH_F_END. */
-enum ch_field_kind {
+enum ch_log_field_kind {
     CH_FIELD_END,
     CH_FIELD_STRING,
     CH_FIELD_INT,
@@ -82,7 +82,7 @@
 #define CH_F_BOOL(key, value) (int)CH_FIELD_BOOL, (key), (int)(value)
 #define CH_F_END (int)CH_FIELD_END
 
-void ch_log(const struct ch_client *client, enum ch_level level,
+void ch_log(const struct ch_client *client, enum ch_log_level level,
             const char *event, ...);
 
 /* ---- counters and histograms, updated without locks (metrics.c) ---- */
@@ -96,25 +96,26 @@
 
 enum ch_histogram {
     CH_HIST_FIRST_TOKEN,
-    CH_HIST_BETWEEN_TOKENS,
-    CH_HIST_WHOLE_ANSWER,
-    CH_HIST_QUEUED,
+    CH_HIST_TOKEN_INTERVAL,
+    CH_HIST_RESPONSE_TIME,
+    CH_HIST_QUEUE_TIME,
     CH_HISTOGRAMS
 };
 
 struct ch_metrics *ch_metrics_new(void);
 void ch_metrics_free(struct ch_metrics *metrics);
-void ch_metrics_count(struct ch_metrics *metrics, enum ch_counter counter,
-                      uint64_t by);
-uint64_t ch_metrics_read(const struct ch_metrics *metrics,
-                         enum ch_counter counter);
+void ch_metrics_add_count(struct ch_metrics *metrics, enum ch_counter counter,
+                          uint64_t by);
+uint64_t ch_metrics_get_count(const struct ch_metrics *metrics,
+                              enum ch_counter counter);
 void ch_metrics_observe(struct ch_metrics *metrics, enum ch_histogram which,
                         const char *class_name, const char *tenant,
                         int64_t microseconds);
 /* Counts a request that ended, by class, tenant, outcome and whether its
    target was met, and by class and result code. */
-void ch_metrics_outcome(struct ch_metrics *metrics, const char *class_name,
-                        const char *tenant, enum ch_code code, bool met);
+void ch_metrics_count_outcome(struct ch_metrics *metrics,
+                              const char *class_name, const char *tenant,
+                              enum ch_code code, bool met);
 void ch_metrics_render(const struct ch_metrics *metrics, GString *out);
 
 /* Requests of one class that ended, by outcome and by target: [0] missed,
@@ -124,10 +125,11 @@
 };
 
 /* Calls each(data, class name, outcomes) for every class that has a count. */
-void ch_metrics_each_class(const struct ch_metrics *metrics,
-                           void (*each)(void *data, const char *class_name,
-                                        const struct ch_class_outcomes *all),
-                           void *data);
+void
+ch_metrics_foreach_class(const struct ch_metrics *metrics,
+                         void (*each)(void *data, const char *class_name,
+                                      const struct ch_class_outcomes *all),
+                         void *data);
 
 /* ---- handle tables: a handle is a slot and its generation (table.c) ---- */
 
@@ -138,12 +140,12 @@
 uint64_t ch_table_add(struct ch_table *table, void *item);
 void *ch_table_get(const struct ch_table *table, uint64_t handle);
 void *ch_table_remove(struct ch_table *table, uint64_t handle);
-size_t ch_table_count(const struct ch_table *table);
+size_t ch_table_get_count(const struct ch_table *table);
 /* Calls each(item, handle, data) for every item; the table must not change
    during the calls. */
-void ch_table_each(const struct ch_table *table,
-                   void (*each)(void *item, uint64_t handle, void *data),
-                   void *data);
+void ch_table_foreach(const struct ch_table *table,
+                      void (*each)(void *item, uint64_t handle, void *data),
+                      void *data);
 
 /* ---- worker pool (pool.c) ---- */
 
@@ -152,7 +154,7 @@
 struct ch_pool *ch_pool_new(unsigned workers);
 /* Yields the processor after every 32 steps of long work; step: the number of
    the present step. */
-void ch_pool_give_way(size_t step);
+void ch_pool_yield(size_t step);
 void ch_pool_submit(struct ch_pool *pool, void (*run)(void *data), void *data);
 /* Runs the queued jobs, joins the workers and frees the pool. */
 void ch_pool_free(struct ch_pool *pool);
@@ -166,8 +168,8 @@
 void ch_timers_stop(struct ch_timers *timers);
 void ch_timers_free(struct ch_timers *timers);
 /* Calls run(data) once after delay; no handle is used twice. */
-uint64_t ch_timers_after(struct ch_timers *timers, int64_t delay,
-                         void (*run)(void *data), void *data);
+uint64_t ch_timers_add(struct ch_timers *timers, int64_t delay,
+                       void (*run)(void *data), void *data);
 /* True if the timer was pending: its callback is never called. */
 bool ch_timers_cancel(struct ch_timers *timers, uint64_t handle);
 
@@ -180,7 +182,7 @@
 uint64_t ch_hash_string(const char *text);
 uint64_t ch_hash_pair(uint64_t a, uint64_t b);
 /* The index of the name with the highest weight for key; -1 without names. */
-int ch_rendezvous(uint64_t key, const char *const *names, size_t count);
+int ch_rendezvous_select(uint64_t key, const char *const *names, size_t count);
 
 /* ---- addresses (address.c) ---- */
 
@@ -205,67 +207,67 @@
  * Features of placement and balancing that are disabled, for experiments: true
  * disables the feature.  Each has a key in [policy].
  */
-struct ch_without {
-    bool whole_fleet;     /* search the whole fleet for an engine */
-    bool several_victims; /* evict several models to load one */
-    bool move_apart;      /* spread last replicas that fill an engine */
-    bool near_copies;     /* load local copies first, into free memory */
-    bool pledges;         /* reserve freed memory for its model */
-    bool adapters_ahead;  /* load adapters that no engine holds into
-                             free adapter slots */
-    bool wait_for_model;  /* let requests wait longer for a pending load */
-    bool refuse_late;     /* refuse requests that would start too late */
-    bool pace_prompts;    /* space the prompts sent to an engine */
-    bool learnt_speeds;   /* measure service times of requests */
+struct ch_disabled_features {
+    bool fleet_wide_search;    /* search the whole fleet for an engine */
+    bool several_evictions;    /* evict several models to load one */
+    bool spread_last_replicas; /* spread last replicas that fill an engine */
+    bool local_copies_first;   /* load local copies first, into free memory */
+    bool reservations;         /* reserve freed memory for its model */
+    bool preload_adapters;     /* load adapters that no engine holds into
+                                free adapter slots */
+    bool wait_for_model; /* let requests wait longer for a pending load */
+    bool refuse_late;    /* refuse requests that would start too late */
+    bool defer_prompts;  /* space the prompts sent to an engine */
+    bool measured_service_times; /* measure service times of requests */
 };
 
 struct ch_settings {
-    char *name;               /* [node] name */
-    char *region;             /* [node] region */
-    char *data_centre;        /* [node] data-centre */
-    char *data_centres;       /* [node] data-centres = NAME:REGION, ... */
-    unsigned workers;         /* [node] workers */
-    int log_level;            /* [node] log-level: err..debug */
-    char *callers;            /* [listen] callers = ip:port */
-    char *admin;              /* [listen] admin */
-    char *peers;              /* [listen] peers */
-    char *ready_path;         /* [listen] ready-path, in addition to /readyz */
-    int platform;             /* [platform] kind, enum ch_platform_kind */
-    char *kv;                 /* [platform] kv = ip:port */
-    char *hosts;              /* [platform] hosts = ip:port */
-    bool fencing;             /* [upstreams] fencing = refuse | ignore */
-    unsigned report_ms;       /* [upstreams] report-ms */
-    unsigned list_ms;         /* [platform] list-ms */
-    unsigned kv_timeout_ms;   /* [platform] kv-timeout-ms */
-    unsigned once_slots;      /* [once] slots */
-    unsigned once_gather_ms;  /* [once] gather-ms */
-    unsigned once_keep_s;     /* [once] keep-s */
-    size_t max_body;          /* [limits] body-bytes */
-    size_t max_headers;       /* [limits] header-bytes */
-    unsigned max_queue;       /* [limits] queue, per upstream */
-    unsigned max_connections; /* [limits] connections */
-    double cores;       /* [node] cores of the host that this node may use */
-    double host_mbit;   /* [node] link-mbit */
-    double retry_share; /* [limits] retry-share */
-    double retry_slack; /* [limits] retry-slack, for the whole fleet */
-    unsigned crashes;   /* [limits] crashes of upstreams */
-    unsigned crash_requests; /* [limits] crash-requests */
-    unsigned crash_keep_s;   /* [limits] crash-keep-s */
-    unsigned lease_ms;       /* [upstreams] lease-ms: lease to order engines */
-    double load_window_s;    /* [weight-store] window-s */
-    double load_overshoot;   /* [weight-store] overshoot */
-    double loads_per_s;      /* [weight-store] loads-per-s */
-    unsigned loads_parallel; /* [weight-store] parallel */
-    unsigned adapters_parallel;  /* [weight-store] adapters-parallel */
-    double link_mbit;            /* [link] mbit-per-s */
-    unsigned connect_ms;         /* [timeouts] connect-ms */
-    unsigned first_byte_ms;      /* [timeouts] first-byte-ms */
+    char *name;         /* [node] name */
+    char *region;       /* [node] region */
+    char *data_centre;  /* [node] data-centre */
+    char *data_centres; /* [node] data-centres = NAME:REGION, ... */
+    unsigned workers;   /* [node] workers */
+    int log_level;      /* [node] log-level: err..debug */
+    char *callers;      /* [listen] callers = ip:port */
+    char *admin;        /* [listen] admin */
+    char *peers;        /* [listen] peers */
+    char *ready_path;   /* [listen] ready-path, in addition to /readyz */
+    int platform;       /* [platform] kind, enum ch_platform_kind */
+    char *kv;           /* [platform] kv = ip:port */
+    char *hosts;        /* [platform] hosts = ip:port */
+    bool fencing;       /* [upstreams] fencing = refuse | ignore */
+    unsigned report_period_ms;    /* [upstreams] report-ms */
+    unsigned host_list_period_ms; /* [platform] list-ms */
+    unsigned kv_timeout_ms;       /* [platform] kv-timeout-ms */
+    unsigned once_slots;          /* [once] slots */
+    unsigned once_batch_delay_ms; /* [once] gather-ms */
+    unsigned once_retention_s;    /* [once] keep-s */
+    size_t max_body_bytes;        /* [limits] body-bytes */
+    size_t max_header_bytes;      /* [limits] header-bytes */
+    unsigned max_queue_length;    /* [limits] queue, per upstream */
+    unsigned max_connections;     /* [limits] connections */
+    double cores; /* [node] cores of the host that this node may use */
+    double host_link_mbit_per_s; /* [node] link-mbit */
+    double retry_share;          /* [limits] retry-share */
+    double retry_slack;   /* [limits] retry-slack, for the whole fleet */
+    unsigned crash_limit; /* [limits] crashes of upstreams */
+    unsigned max_crash_requests; /* [limits] crash-requests */
+    unsigned crash_retention_s;  /* [limits] crash-keep-s */
+    unsigned lease_ms;     /* [upstreams] lease-ms: lease to order engines */
+    double load_window_s;  /* [weight-store] window-s */
+    double load_overshoot; /* [weight-store] overshoot */
+    double loads_per_s;    /* [weight-store] loads-per-s */
+    unsigned max_parallel_loads;         /* [weight-store] parallel */
+    unsigned max_parallel_adapter_loads; /* [weight-store] adapters-parallel */
+    double region_link_mbit_per_s;       /* [link] mbit-per-s */
+    unsigned connect_ms;                 /* [timeouts] connect-ms */
+    unsigned first_byte_ms;              /* [timeouts] first-byte-ms */
     unsigned stall_ms;           /* [timeouts] stall-ms, between tokens */
-    unsigned peer_silent_ms;     /* [timeouts] peer-silent-ms */
+    unsigned peer_timeout_ms;    /* [timeouts] peer-silent-ms */
     unsigned idle_connection_ms; /* [timeouts] idle-connection-ms */
     unsigned drain_ms;           /* [timeouts] drain-ms: listener stays open */
-    unsigned grace_ms;         /* [timeouts] grace-ms of a shutdown; 0: none */
-    struct ch_without without; /* [policy] */
+    unsigned grace_ms; /* [timeouts] grace-ms of a shutdown; 0: none */
+    struct ch_disabled_features disabled_features; /* [policy] */
 };
 
 struct ch_settings *ch_settings_load(const char *path, struct ch_error *error);
@@ -273,47 +275,47 @@
                                       struct ch_error *error);
 /* The region of a data centre by [node] data-centres, or the data centre's own
    name if it isn't listed there; a new string. */
-char *ch_settings_region(const struct ch_settings *settings,
-                         const char *data_centre);
+char *ch_settings_get_region(const struct ch_settings *settings,
+                             const char *data_centre);
 /* The capacity that this host offers to the other nodes, from its cores and
    its link. */
-uint32_t ch_settings_capacity(const struct ch_settings *settings);
+uint32_t ch_settings_get_capacity(const struct ch_settings *settings);
 void ch_settings_free(struct ch_settings *settings);
 /* Calls each(data, key, on) for every key of [policy]. */
-void ch_settings_each_policy(const struct ch_settings *settings,
-                             void (*each)(void *data, const char *key,
-                                          bool on),
-                             void *data);
+void ch_settings_foreach_policy(const struct ch_settings *settings,
+                                void (*each)(void *data, const char *key,
+                                             bool on),
+                                void *data);
 
 /* ---- operators' declaration (declaration.c) ---- */
 
 struct ch_class {
     char *name;
-    int64_t first_token;    /* target; 0: none stated */
-    int64_t between_tokens; /* target; 0: none stated */
-    int64_t whole_answer;   /* target; 0: none stated */
+    int64_t first_token_target; /* target; 0: none stated */
+    int64_t token_target;       /* target; 0: none stated */
+    int64_t response_target;    /* target; 0: none stated */
     bool idempotent;
-    bool every_model; /* models = * */
-    uint8_t *models;  /* by model index: 1 when the class may use it */
-    uint8_t *services;
+    bool allows_every_model; /* models = * */
+    uint8_t *allowed_models; /* by model index: 1 when the class may use it */
+    uint8_t *allowed_services;
     /* For a class that is selected by host and path; in others host is NULL.
      */
     char *host;
-    char *path;         /* prefix that begins and ends with a slash */
-    int64_t gap;        /* target: max pause between events; 0: none */
-    int64_t time_limit; /* max time that a caller waits; 0: none */
+    char *path_prefix;        /* prefix that begins and ends with a slash */
+    int64_t event_gap_target; /* target: max pause between events; 0: none */
+    int64_t time_limit;       /* max time that a caller waits; 0: none */
     bool stream;
-    bool resumable;          /* a stream may resume after its last event on
-                                another upstream */
-    unsigned priority;       /* 0 is the highest */
-    unsigned tries;          /* max upstreams that one request is sent to */
-    struct ch_share *shares; /* by service */
+    bool resumable;        /* a stream may resume after its last event on
+                              another upstream */
+    unsigned priority;     /* 0 is the highest */
+    unsigned max_attempts; /* max upstreams that one request is sent to */
+    struct ch_service_share *shares; /* by service */
     size_t share_count;
 };
 
 /* A service's share of a class's requests. */
-struct ch_share {
-    int service; /* index */
+struct ch_service_share {
+    int service_index; /* index */
     unsigned weight;
 };
 
@@ -323,21 +325,21 @@
     uint32_t adapter_memory_mb;
     char **adapters;
     size_t adapter_count;
-    unsigned numbered_adapters; /* named MODEL/a1, MODEL/a2, ... */
-    int64_t load;               /* time to load from the weight store; 0: not
-                                   stated */
-    uint8_t *services; /* by service index: 1 when its engines may hold
+    unsigned numbered_adapter_count; /* named MODEL/a1, MODEL/a2, ... */
+    int64_t load_time;         /* time to load from the weight store; 0: not
+                             stated */
+    uint8_t *allowed_services; /* by service index: 1 when its engines may hold
                           the model */
 };
 
 struct ch_service {
     char *name;
     /* For each of its upstreams; 0: not stated. */
-    unsigned connections; /* max from all nodes together */
-    unsigned batch;       /* max concurrent requests */
-    unsigned memory_mb;   /* for weights and adapters; 0: a plain service */
+    unsigned max_connections; /* max from all nodes together */
+    unsigned max_batch;       /* max concurrent requests */
+    unsigned memory_mb; /* for weights and adapters; 0: a plain service */
     unsigned context_tokens;
-    unsigned adapter_places;
+    unsigned adapter_slots;
     double loads_per_s; /* from the weight store, all upstreams together */
 };
 
@@ -358,8 +360,8 @@
 /* An adapter's name and where it is declared. */
 struct ch_adapter {
     const char *name; /* owned by the model */
-    int model;
-    int index; /* in the model's adapters */
+    int model_index;
+    int adapter_index; /* in the model's adapters */
 };
 
 /* Classes, models, services and callers are each sorted by name. */
@@ -372,7 +374,8 @@
     size_t service_count;
     struct ch_caller *callers;
     size_t caller_count;
-    char *text; /* canonical INI: equal declarations give equal bytes */
+    char *canonical_text; /* canonical INI: equal declarations give equal bytes
+                           */
     struct ch_adapter *adapters; /* of all models, sorted by name */
     size_t adapter_count;
     struct ch_caller_limits limits;
@@ -394,24 +397,26 @@
 struct ch_declaration *ch_declaration_load(const char *path,
                                            struct ch_error *error);
 void ch_declaration_free(struct ch_declaration *declaration);
-int ch_declaration_class(const struct ch_declaration *declaration,
-                         const char *name);
-int ch_declaration_model(const struct ch_declaration *declaration,
-                         const char *name);
-int ch_declaration_service(const struct ch_declaration *declaration,
-                           const char *name);
+int ch_declaration_find_class(const struct ch_declaration *declaration,
+                              const char *name);
+int ch_declaration_find_model(const struct ch_declaration *declaration,
+                              const char *name);
+int ch_declaration_find_service(const struct ch_declaration *declaration,
+                                const char *name);
 /* Returns the index of the adapter's model and sets *adapter to its index in
    the model; -1 when no adapter has that name. */
-int ch_declaration_adapter(const struct ch_declaration *declaration,
-                           const char *name, int *adapter);
-int ch_declaration_caller_class(const struct ch_declaration *declaration,
-                                const char *caller);
+int ch_declaration_find_adapter(const struct ch_declaration *declaration,
+                                const char *name, int *adapter);
+int ch_declaration_find_caller_class(const struct ch_declaration *declaration,
+                                     const char *caller);
 /* The class of the host with the longest path prefix that matches path; -1
    when none matches.  path: without its query, not NUL-terminated. */
-int ch_declaration_route(const struct ch_declaration *declaration,
-                         const char *host, const char *path, size_t length);
+int ch_declaration_find_route(const struct ch_declaration *declaration,
+                              const char *host, const char *path,
+                              size_t length);
 /* Whether name is one of the model's numbered adapters, such as MODEL/a3. */
-bool ch_declaration_numbered(const struct ch_model *model, const char *name);
+bool ch_model_has_numbered_adapter(const struct ch_model *model,
+                                   const char *name);
 /* Line diff of two canonical texts: "-old" and "+new" lines below the names of
    their groups; a new string. */
 char *ch_declaration_diff(const char *from, const char *to);
@@ -419,10 +424,10 @@
 /* ---- configuration: a declaration with its revision (config.c) ---- */
 
 struct ch_config {
-    int references; /* changed only by ch_config_ref, ch_config_unref */
+    int reference_count; /* changed only by ch_config_ref, ch_config_unref */
     uint64_t revision;
-    char *token; /* write ID: shows a writer whose reply was lost whether its
-                    write took effect */
+    char *write_id; /* write ID: shows a writer whose reply was lost whether
+                    its write took effect */
     char *author;
     struct ch_declaration *declaration;
 };
--- a/libchestnuthitch/base/client.c
+++ b/libchestnuthitch/base/client.c
@@ -40,7 +40,7 @@
 
 /* Microseconds on the client's clock; only differences are meaningful. */
 int64_t
-ch_client_now(const struct ch_client *client)
+ch_client_get_time(const struct ch_client *client)
 {
     return client->now(client->now_data);
 }
--- a/libchestnuthitch/base/config.c
+++ b/libchestnuthitch/base/config.c
@@ -12,9 +12,9 @@
               struct ch_declaration *declaration)
 {
     struct ch_config *config = g_new0(struct ch_config, 1);
-    config->references = 1;
+    config->reference_count = 1;
     config->revision = revision;
-    config->token = g_strdup(write_id);
+    config->write_id = g_strdup(write_id);
     config->author = g_strdup(author);
     config->declaration = declaration;
     return config;
@@ -24,7 +24,7 @@
 struct ch_config *
 ch_config_ref(struct ch_config *config)
 {
-    ck_pr_inc_int(&config->references);
+    ck_pr_inc_int(&config->reference_count);
     return config;
 }
 
@@ -36,15 +36,15 @@
     if (config == NULL) {
         return;
     }
-    CH_RELEASE(&config->references);
+    CH_TSAN_RELEASE(&config->reference_count);
     ck_pr_fence_release();
-    if (!ck_pr_dec_int_is_zero(&config->references)) {
+    if (!ck_pr_dec_int_is_zero(&config->reference_count)) {
         return;
     }
     ck_pr_fence_acquire();
-    CH_ACQUIRE(&config->references);
+    CH_TSAN_ACQUIRE(&config->reference_count);
     ch_declaration_free(config->declaration);
-    g_free(config->token);
+    g_free(config->write_id);
     g_free(config->author);
     g_free(config);
 }
--- a/libchestnuthitch/base/declaration.c
+++ b/libchestnuthitch/base/declaration.c
@@ -94,16 +94,16 @@
      "0", 0, 100000, NULL},
     {"model", "load-ms", CH_INI_MILLISECONDS, MODEL(load), "", 0, 3600000,
      NULL},
-    {"service", "connections", CH_INI_UNSIGNED, SERVICE(connections), "0", 0,
-     1000000, NULL},
-    {"service", "batch", CH_INI_UNSIGNED, SERVICE(batch), "0", 0, 100000,
+    {"service", "connections", CH_INI_UNSIGNED, SERVICE(max_connections), "0",
+     0, 1000000, NULL},
+    {"service", "batch", CH_INI_UNSIGNED, SERVICE(max_batch), "0", 0, 100000,
      NULL},
     {"service", "memory-mb", CH_INI_UNSIGNED, SERVICE(memory_mb), "0", 0, 1e9,
      NULL},
     {"service", "context-tokens", CH_INI_UNSIGNED, SERVICE(context_tokens),
      "0", 0, 1e9, NULL},
-    {"service", "adapter-places", CH_INI_UNSIGNED, SERVICE(adapter_places),
-     "0", 0, 100000, NULL},
+    {"service", "adapter-places", CH_INI_UNSIGNED, SERVICE(adapter_slots), "0",
+     0, 100000, NULL},
     {"service", "loads-per-s", CH_INI_DOUBLE, SERVICE(loads_per_s), "0", 0,
      1e6, NULL},
     {"limits", "header-bytes", CH_INI_SIZE, LIMIT(header_bytes), "0", 0, 1e9,
@@ -200,10 +200,10 @@
     while (*name == ' ') {
         name++;
     }
-    if (!ch_ini_name_check(name)) {
-        ch_ini_fail(ini, group, NULL, CH_BAD_VALUE, error,
-                    "not [%s NAME] with 1 to %d of A-Z a-z 0-9 . _ -", section,
-                    (int)CH_INI_NAME_BYTES);
+    if (!ch_ini_check_name(name)) {
+        ch_ini_set_error(ini, group, NULL, CH_BAD_VALUE, error,
+                         "not [%s NAME] with 1 to %d of A-Z a-z 0-9 . _ -",
+                         section, (int)CH_INI_MAX_NAME_BYTES);
         return NULL;
     }
     return g_strdup(name);
@@ -220,8 +220,8 @@
         return false;
     }
     if (entries->len >= max) {
-        ch_ini_fail(ini, group, NULL, CH_BAD_VALUE, error,
-                    "more than %u groups of this kind", max);
+        ch_ini_set_error(ini, group, NULL, CH_BAD_VALUE, error,
+                         "more than %u groups of this kind", max);
         g_free(name);
         return false;
     }
@@ -229,10 +229,10 @@
     char *entry = entries->data + (size_t)(entries->len - 1) *
                                       g_array_get_element_size(entries);
     *(char **)entry = name;
-    return ch_ini_known_keys(ini, group, section, rows, G_N_ELEMENTS(rows),
+    return ch_ini_check_keys(ini, group, section, rows, G_N_ELEMENTS(rows),
                              error) &&
-           ch_ini_fill(ini, group, section, rows, G_N_ELEMENTS(rows), entry,
-                       error);
+           ch_ini_read_group(ini, group, section, rows, G_N_ELEMENTS(rows),
+                             entry, error);
 }
 
 /* Reads one group; its first word gives the kind. */
@@ -255,14 +255,14 @@
                         error);
     }
     else if (strcmp(group, "limits") == 0) {
-        ok = ch_ini_known_keys(ini, group, section, rows, G_N_ELEMENTS(rows),
+        ok = ch_ini_check_keys(ini, group, section, rows, G_N_ELEMENTS(rows),
                                error) &&
-             ch_ini_fill(ini, group, section, rows, G_N_ELEMENTS(rows),
-                         &parsed->limits, error);
+             ch_ini_read_group(ini, group, section, rows, G_N_ELEMENTS(rows),
+                               &parsed->limits, error);
     }
     else if (!g_strv_contains(platform_sections, section)) {
-        ch_ini_fail(ini, group, NULL, CH_UNKNOWN_GROUP, error,
-                    "no such group");
+        ch_ini_set_error(ini, group, NULL, CH_UNKNOWN_GROUP, error,
+                         "no such group");
         ok = false;
     }
     g_free(section);
@@ -278,12 +278,12 @@
     bool ok = true;
     for (size_t i = 0; ok && groups[i] != NULL; i++) {
         ok = read_group(ini, groups[i], parsed, error);
-        ch_pool_give_way(i);
+        ch_pool_yield(i);
     }
     g_strfreev(groups);
     if (ok && parsed->classes->len == 0) {
-        ch_ini_fail(ini, "class NAME", NULL, CH_MISSING, error,
-                    "there is no class");
+        ch_ini_set_error(ini, "class NAME", NULL, CH_MISSING, error,
+                         "there is no class");
         ok = false;
     }
     g_array_sort(parsed->classes, compare_by_name);
@@ -305,9 +305,9 @@
     char *group = g_strdup_printf("%s %s", section, name);
     const char *other_group = g_hash_table_lookup(known_names, name);
     if (other_group != NULL) {
-        ch_ini_fail(ini, group, key, CH_DUPLICATE, error,
-                    "the name '%s' is already used by [%s]", name,
-                    other_group);
+        ch_ini_set_error(ini, group, key, CH_DUPLICATE, error,
+                         "the name '%s' is already used by [%s]", name,
+                         other_group);
         g_free(group);
         return false;
     }
@@ -326,15 +326,15 @@
     for (size_t i = 0; ok && model->adapters[i] != NULL; i++) {
         const char *name = model->adapters[i];
         const char *other_group = g_hash_table_lookup(known_names, name);
-        if (!ch_ini_name_check(name)) {
-            ch_ini_fail(ini, group, "adapters", CH_BAD_VALUE, error,
-                        "'%s' is not a name", name);
+        if (!ch_ini_check_name(name)) {
+            ch_ini_set_error(ini, group, "adapters", CH_BAD_VALUE, error,
+                             "'%s' is not a name", name);
             ok = false;
         }
         else if (other_group != NULL) {
-            ch_ini_fail(ini, group, "adapters", CH_DUPLICATE, error,
-                        "the name '%s' is already used by [%s]", name,
-                        other_group);
+            ch_ini_set_error(ini, group, "adapters", CH_DUPLICATE, error,
+                             "the name '%s' is already used by [%s]", name,
+                             other_group);
             ok = false;
         }
         else {
@@ -342,7 +342,7 @@
         }
     }
     if (ok && model->adapters[0] != NULL && model->adapter_memory_mb == 0) {
-        ch_ini_fail(
+        ch_ini_set_error(
             ini, group, "adapter-memory-mb", CH_MISSING, error,
             "the key is missing; a model with adapters needs this key");
         ok = false;
@@ -417,8 +417,8 @@
     for (size_t i = 0; names[i] != NULL; i++) {
         int index = find_name(entries->data, entries->len, size, names[i]);
         if (index < 0) {
-            ch_ini_fail(ini, group, key, CH_BAD_VALUE, error,
-                        "'%s' is not declared", names[i]);
+            ch_ini_set_error(ini, group, key, CH_BAD_VALUE, error,
+                             "'%s' is not declared", names[i]);
             return false;
         }
         marks[index] = 1;
@@ -434,13 +434,14 @@
 {
     if (class->path == NULL || class->path[0] != '/' ||
         !g_str_has_suffix(class->path, "/")) {
-        ch_ini_fail(ini, group, "path", CH_BAD_VALUE, error,
-                    "a path must begin and end with a slash");
+        ch_ini_set_error(ini, group, "path", CH_BAD_VALUE, error,
+                         "a path must begin and end with a slash");
         return false;
     }
     if (class->shares == NULL || class->shares[0] == '\0') {
-        ch_ini_fail(ini, group, "shares", CH_MISSING, error,
-                    "a class with a host needs the shares of its services");
+        ch_ini_set_error(
+            ini, group, "shares", CH_MISSING, error,
+            "a class with a host needs the shares of its services");
         return false;
     }
     return true;
@@ -455,22 +456,22 @@
 {
     if (class->first_token == 0 && class->between_tokens == 0 &&
         class->whole_answer == 0) {
-        ch_ini_fail(ini, group, "answer-ms", CH_MISSING, error,
-                    "a class needs a target: first-token-ms, "
-                    "between-tokens-ms or answer-ms");
+        ch_ini_set_error(ini, group, "answer-ms", CH_MISSING, error,
+                         "a class needs a target: first-token-ms, "
+                         "between-tokens-ms or answer-ms");
         return false;
     }
     if (class->host != NULL) {
         return check_route(ini, class, group, error);
     }
     if (class->models[0] == NULL && class->services[0] == NULL) {
-        ch_ini_fail(ini, group, "models", CH_MISSING, error,
-                    "a class needs models or services that it may use");
+        ch_ini_set_error(ini, group, "models", CH_MISSING, error,
+                         "a class needs models or services that it may use");
         return false;
     }
     if (is_wildcard(class->callers)) {
-        ch_ini_fail(ini, group, "callers", CH_BAD_VALUE, error,
-                    "callers must be named one by one");
+        ch_ini_set_error(ini, group, "callers", CH_BAD_VALUE, error,
+                         "callers must be named one by one");
         return false;
     }
     return true;
@@ -494,11 +495,11 @@
         model->adapter_count = g_strv_length(from->adapters);
         model->adapter_memory_mb =
             model->adapter_count == 0 ? 0 : from->adapter_memory_mb;
-        model->numbered_adapters = from->numbered_adapters;
+        model->numbered_adapter_count = from->numbered_adapters;
         if (from->numbered_adapters > 0) {
             model->adapter_memory_mb = from->adapter_memory_mb;
         }
-        model->load = from->load;
+        model->load_time = from->load;
         declaration->adapter_count += model->adapter_count;
     }
     declaration->service_count = parsed->services->len;
@@ -525,9 +526,10 @@
             &g_array_index(parsed->models, struct parsed_model, i);
         struct ch_model *model = &declaration->models[i];
         char *group = g_strdup_printf("model %s", from->name);
-        model->services = g_new0(uint8_t, MAX(parsed->services->len, 1));
+        model->allowed_services =
+            g_new0(uint8_t, MAX(parsed->services->len, 1));
         ok = mark_named(ini, group, "services", from->services,
-                        parsed->services, model->services, error);
+                        parsed->services, model->allowed_services, error);
         g_free(group);
     }
     return ok;
@@ -536,27 +538,28 @@
 /* Parses one SERVICE:WEIGHT of a class's shares. */
 static bool
 build_share(const struct ch_ini *ini, const char *group, const char *text,
-            const struct parsed *parsed, struct ch_share *share,
+            const struct parsed *parsed, struct ch_service_share *share,
             struct ch_error *error)
 {
     const char *colon = strrchr(text, ':');
     guint64 weight = 0;
     if (colon == NULL || !g_ascii_string_to_unsigned(colon + 1, 10, 0, 1000000,
                                                      &weight, NULL)) {
-        ch_ini_fail(ini, group, "shares", CH_BAD_VALUE, error,
-                    "'%s' is not SERVICE:WEIGHT", text);
+        ch_ini_set_error(ini, group, "shares", CH_BAD_VALUE, error,
+                         "'%s' is not SERVICE:WEIGHT", text);
         return false;
     }
     char *name = g_strndup(text, (size_t)(colon - text));
     share->weight = (unsigned)weight;
-    share->service = find_name(parsed->services->data, parsed->services->len,
-                               sizeof(struct ch_service), name);
-    if (share->service < 0) {
-        ch_ini_fail(ini, group, "shares", CH_BAD_VALUE, error,
-                    "'%s' is not declared", name);
+    share->service_index =
+        find_name(parsed->services->data, parsed->services->len,
+                  sizeof(struct ch_service), name);
+    if (share->service_index < 0) {
+        ch_ini_set_error(ini, group, "shares", CH_BAD_VALUE, error,
+                         "'%s' is not declared", name);
     }
     g_free(name);
-    return share->service >= 0;
+    return share->service_index >= 0;
 }
 
 /* Sets the members of a class that is selected by host and path; does nothing
@@ -570,24 +573,24 @@
         return true;
     }
     class->host = g_strdup(from->host);
-    class->path = g_strdup(from->path);
-    class->gap = from->gap;
+    class->path_prefix = g_strdup(from->path);
+    class->event_gap_target = from->gap;
     class->time_limit = from->time_limit;
     class->stream = from->stream;
     class->resumable = from->resumable;
     class->priority = from->priority;
-    class->tries = from->tries;
+    class->max_attempts = from->tries;
     char **parts = g_strsplit_set(from->shares, ",; ", -1);
-    class->shares = g_new0(struct ch_share, g_strv_length(parts));
+    class->shares = g_new0(struct ch_service_share, g_strv_length(parts));
     bool ok = true;
     for (size_t i = 0; ok && parts[i] != NULL; i++) {
         if (parts[i][0] == '\0') {
             continue;
         }
-        struct ch_share *share = &class->shares[class->share_count];
+        struct ch_service_share *share = &class->shares[class->share_count];
         ok = build_share(ini, group, parts[i], parsed, share, error);
         if (ok) {
-            class->services[share->service] = 1;
+            class->allowed_services[share->service_index] = 1;
             class->share_count++;
         }
     }
@@ -607,8 +610,8 @@
         for (size_t j = 0; j < model->adapter_count; j++) {
             declaration->adapters[index++] = (struct ch_adapter){
                 .name = model->adapters[j],
-                .model = (int)i,
-                .index = (int)j,
+                .model_index = (int)i,
+                .adapter_index = (int)j,
             };
         }
     }
@@ -626,18 +629,18 @@
 {
     char *group = g_strdup_printf("class %s", from->name);
     class->name = g_strdup(from->name);
-    class->first_token = from->first_token;
-    class->between_tokens = from->between_tokens;
-    class->whole_answer = from->whole_answer;
+    class->first_token_target = from->first_token;
+    class->token_target = from->between_tokens;
+    class->response_target = from->whole_answer;
     class->idempotent = from->idempotent;
-    class->every_model = is_wildcard(from->models);
-    class->models = g_new0(uint8_t, MAX(parsed->models->len, 1));
-    class->services = g_new0(uint8_t, MAX(parsed->services->len, 1));
+    class->allows_every_model = is_wildcard(from->models);
+    class->allowed_models = g_new0(uint8_t, MAX(parsed->models->len, 1));
+    class->allowed_services = g_new0(uint8_t, MAX(parsed->services->len, 1));
     bool ok = check_class(ini, from, group, error) &&
               mark_named(ini, group, "models", from->models, parsed->models,
-                         class->models, error) &&
+                         class->allowed_models, error) &&
               mark_named(ini, group, "services", from->services,
-                         parsed->services, class->services, error) &&
+                         parsed->services, class->allowed_services, error) &&
               build_route(ini, group, class, from, parsed, error);
     g_free(group);
     return ok;
@@ -653,11 +656,11 @@
     for (guint i = 0; i < parsed->classes->len; i++) {
         const struct parsed_class *from =
             &g_array_index(parsed->classes, struct parsed_class, i);
-        ch_pool_give_way(i);
+        ch_pool_yield(i);
         if (i > 0 && strcmp(from->name, from[-1].name) == 0) {
             char *group = g_strdup_printf("class %s", from->name);
-            ch_ini_fail(ini, group, NULL, CH_DUPLICATE, error,
-                        "duplicate group");
+            ch_ini_set_error(ini, group, NULL, CH_DUPLICATE, error,
+                             "duplicate group");
             g_free(group);
             return false;
         }
@@ -692,9 +695,10 @@
         if (strcmp(caller->name, caller[-1].name) == 0) {
             char *group = g_strdup_printf(
                 "class %s", declaration->classes[caller->class_index].name);
-            ch_ini_fail(ini, group, "callers", CH_DUPLICATE, error,
-                        "'%s' is also a caller of class %s", caller->name,
-                        declaration->classes[caller[-1].class_index].name);
+            ch_ini_set_error(
+                ini, group, "callers", CH_DUPLICATE, error,
+                "'%s' is also a caller of class %s", caller->name,
+                declaration->classes[caller[-1].class_index].name);
             g_free(group);
             return false;
         }
@@ -719,7 +723,7 @@
 append_milliseconds(GString *out, const char *key, int64_t duration)
 {
     if (duration != 0) {
-        ch_ini_put_count(out, key, (uint64_t)duration / 1000);
+        ch_ini_append_count(out, key, (uint64_t)duration / 1000);
     }
 }
 
@@ -731,7 +735,7 @@
         return;
     }
     char *joined = g_strjoinv(", ", names);
-    ch_ini_put_text(out, key, joined);
+    ch_ini_append_text(out, key, joined);
     g_free(joined);
 }
 
@@ -744,17 +748,17 @@
         return;
     }
     if (number < 1e9 && number == floor(number)) {
-        ch_ini_put_count(out, key, (uint64_t)number);
+        ch_ini_append_count(out, key, (uint64_t)number);
         return;
     }
-    ch_ini_put_text(out, key,
-                    g_ascii_formatd(text, sizeof(text), "%.10g", number));
+    ch_ini_append_text(out, key,
+                       g_ascii_formatd(text, sizeof(text), "%.10g", number));
 }
 
 static void
 append_flag(GString *out, const char *key, bool flag)
 {
-    ch_ini_put_text(out, key, flag_names[flag ? 1 : 0]);
+    ch_ini_append_text(out, key, flag_names[flag ? 1 : 0]);
 }
 
 /* Appends the keys that only a class selected by host and path has. */
@@ -764,9 +768,9 @@
     if (class->host == NULL) {
         return;
     }
-    ch_ini_put_text(out, "host", class->host);
-    ch_ini_put_text(out, "path", class->path);
-    ch_ini_put_text(out, "shares", class->shares);
+    ch_ini_append_text(out, "host", class->host);
+    ch_ini_append_text(out, "path", class->path);
+    ch_ini_append_text(out, "shares", class->shares);
     append_flag(out, "stream", class->stream);
     append_flag(out, "resumable", class->resumable);
     append_number(out, "priority", class->priority);
@@ -779,11 +783,11 @@
 append_service(GString *out, const struct ch_service *service)
 {
     append_group(out, "service", service->name);
-    append_number(out, "connections", service->connections);
-    append_number(out, "batch", service->batch);
+    append_number(out, "connections", service->max_connections);
+    append_number(out, "batch", service->max_batch);
     append_number(out, "memory-mb", service->memory_mb);
     append_number(out, "context-tokens", service->context_tokens);
-    append_number(out, "adapter-places", service->adapter_places);
+    append_number(out, "adapter-places", service->adapter_slots);
     append_number(out, "loads-per-s", service->loads_per_s);
     g_string_append_c(out, '\n');
 }
@@ -815,7 +819,7 @@
     for (guint i = 0; i < parsed->classes->len; i++) {
         const struct parsed_class *class =
             &g_array_index(parsed->classes, struct parsed_class, i);
-        ch_pool_give_way(i);
+        ch_pool_yield(i);
         append_group(out, "class", class->name);
         append_milliseconds(out, "first-token-ms", class->first_token);
         append_milliseconds(out, "between-tokens-ms", class->between_tokens);
@@ -830,16 +834,16 @@
     for (size_t i = 0; i < declaration->model_count; i++) {
         const struct ch_model *model = &declaration->models[i];
         append_group(out, "model", model->name);
-        ch_ini_put_count(out, "memory-mb", model->memory_mb);
+        ch_ini_append_count(out, "memory-mb", model->memory_mb);
         append_list(out, "adapters", model->adapters);
         append_list(
             out, "services",
             g_array_index(parsed->models, struct parsed_model, i).services);
-        append_number(out, "numbered-adapters", model->numbered_adapters);
-        append_milliseconds(out, "load-ms", model->load);
-        if (model->adapter_count > 0 || model->numbered_adapters > 0) {
-            ch_ini_put_count(out, "adapter-memory-mb",
-                             model->adapter_memory_mb);
+        append_number(out, "numbered-adapters", model->numbered_adapter_count);
+        append_milliseconds(out, "load-ms", model->load_time);
+        if (model->adapter_count > 0 || model->numbered_adapter_count > 0) {
+            ch_ini_append_count(out, "adapter-memory-mb",
+                                model->adapter_memory_mb);
         }
         g_string_append_c(out, '\n');
     }
@@ -876,7 +880,7 @@
              build_callers(&ini, declaration, &parsed, error);
     }
     if (ok) {
-        declaration->text = format_declaration(declaration, &parsed);
+        declaration->canonical_text = format_declaration(declaration, &parsed);
     }
     parsed_clear(&parsed);
     ch_ini_close(&ini);
@@ -891,7 +895,7 @@
 struct ch_declaration *
 ch_declaration_load(const char *path, struct ch_error *error)
 {
-    char *text = ch_ini_file_text(path, error);
+    char *text = ch_ini_read_file(path, error);
     if (text == NULL) {
         return NULL;
     }
@@ -910,16 +914,16 @@
     }
     for (size_t i = 0; i < declaration->class_count; i++) {
         g_free(declaration->classes[i].name);
-        g_free(declaration->classes[i].models);
-        g_free(declaration->classes[i].services);
+        g_free(declaration->classes[i].allowed_models);
+        g_free(declaration->classes[i].allowed_services);
         g_free(declaration->classes[i].host);
-        g_free(declaration->classes[i].path);
+        g_free(declaration->classes[i].path_prefix);
         g_free(declaration->classes[i].shares);
     }
     for (size_t i = 0; i < declaration->model_count; i++) {
         g_free(declaration->models[i].name);
         g_strfreev(declaration->models[i].adapters);
-        g_free(declaration->models[i].services);
+        g_free(declaration->models[i].allowed_services);
     }
     for (size_t i = 0; i < declaration->service_count; i++) {
         g_free(declaration->services[i].name);
@@ -932,14 +936,14 @@
     g_free(declaration->services);
     g_free(declaration->callers);
     g_free(declaration->adapters);
-    g_free(declaration->text);
+    g_free(declaration->canonical_text);
     g_free(declaration);
 }
 
 /* Index of a class, or -1. */
 int
-ch_declaration_class(const struct ch_declaration *declaration,
-                     const char *name)
+ch_declaration_find_class(const struct ch_declaration *declaration,
+                          const char *name)
 {
     return find_name(declaration->classes, declaration->class_count,
                      sizeof(struct ch_class), name);
@@ -947,8 +951,8 @@
 
 /* Index of a model, or -1; the name of an adapter gives -1. */
 int
-ch_declaration_model(const struct ch_declaration *declaration,
-                     const char *name)
+ch_declaration_find_model(const struct ch_declaration *declaration,
+                          const char *name)
 {
     return find_name(declaration->models, declaration->model_count,
                      sizeof(struct ch_model), name);
@@ -956,8 +960,8 @@
 
 /* Index of a service, or -1. */
 int
-ch_declaration_service(const struct ch_declaration *declaration,
-                       const char *name)
+ch_declaration_find_service(const struct ch_declaration *declaration,
+                            const char *name)
 {
     return find_name(declaration->services, declaration->service_count,
                      sizeof(struct ch_service), name);
@@ -966,8 +970,8 @@
 /* Index of the model that an adapter belongs to, or -1.  *adapter (unless
  * adapter is NULL) becomes the index among the adapters of that model. */
 int
-ch_declaration_adapter(const struct ch_declaration *declaration,
-                       const char *name, int *adapter)
+ch_declaration_find_adapter(const struct ch_declaration *declaration,
+                            const char *name, int *adapter)
 {
     int index = find_name(declaration->adapters, declaration->adapter_count,
                           sizeof(struct ch_adapter), name);
@@ -975,15 +979,15 @@
         return -1;
     }
     if (adapter != NULL) {
-        *adapter = declaration->adapters[index].index;
+        *adapter = declaration->adapters[index].adapter_index;
     }
-    return declaration->adapters[index].model;
+    return declaration->adapters[index].model_index;
 }
 
 /* Index of the class declared for a caller, or -1. */
 int
-ch_declaration_caller_class(const struct ch_declaration *declaration,
-                            const char *caller)
+ch_declaration_find_caller_class(const struct ch_declaration *declaration,
+                                 const char *caller)
 {
     int index = find_name(declaration->callers, declaration->caller_count,
                           sizeof(struct ch_caller), caller);
@@ -993,8 +997,8 @@
 /* See base.h.  A linear search is fast enough, as the search
  * compares hundreds of short strings, for about ten requests a second. */
 int
-ch_declaration_route(const struct ch_declaration *declaration,
-                     const char *host, const char *path, size_t length)
+ch_declaration_find_route(const struct ch_declaration *declaration,
+                          const char *host, const char *path, size_t length)
 {
     int best = -1;
     size_t best_length = 0;
@@ -1004,9 +1008,9 @@
             g_ascii_strcasecmp(class->host, host) != 0) {
             continue;
         }
-        size_t prefix = strlen(class->path);
+        size_t prefix = strlen(class->path_prefix);
         if (prefix > best_length && prefix <= length &&
-            memcmp(class->path, path, prefix) == 0) {
+            memcmp(class->path_prefix, path, prefix) == 0) {
             best = (int)i;
             best_length = prefix;
         }
@@ -1016,10 +1020,10 @@
 
 /* See base.h. */
 bool
-ch_declaration_numbered(const struct ch_model *model, const char *name)
+ch_model_has_numbered_adapter(const struct ch_model *model, const char *name)
 {
     guint64 number = 0;
     return name[0] == 'a' &&
-           g_ascii_string_to_unsigned(name + 1, 10, 1,
-                                      model->numbered_adapters, &number, NULL);
+           g_ascii_string_to_unsigned(
+               name + 1, 10, 1, model->numbered_adapter_count, &number, NULL);
 }
--- a/libchestnuthitch/base/error.c
+++ b/libchestnuthitch/base/error.c
@@ -63,21 +63,21 @@
 
 /* The code's name without CH_, as in docs/RESULT-CODES.md. */
 const char *
-ch_code_name(enum ch_code code)
+ch_code_get_name(enum ch_code code)
 {
     return code_row(code)->name;
 }
 
 /* A short description in English for operators and callers. */
 const char *
-ch_code_meaning(enum ch_code code)
+ch_code_get_meaning(enum ch_code code)
 {
     return code_row(code)->meaning;
 }
 
 /* The HTTP status that a caller gets with this code. */
 int
-ch_code_http(enum ch_code code)
+ch_code_get_http_status(enum ch_code code)
 {
     return code_row(code)->http;
 }
@@ -86,14 +86,14 @@
  * tells.  If it is known that no byte of the request was sent, NOT_RUN may be
  * reported instead. */
 enum ch_outcome
-ch_code_outcome(enum ch_code code)
+ch_code_get_outcome(enum ch_code code)
 {
     return code_row(code)->outcome;
 }
 
 /* The outcome's value in the Chestnuthitch-Outcome header. */
 const char *
-ch_outcome_name(enum ch_outcome outcome)
+ch_outcome_get_name(enum ch_outcome outcome)
 {
     static const char *const names[] = {"not-run", "ran", "unknown"};
     return names[outcome];
--- a/libchestnuthitch/base/hash.c
+++ b/libchestnuthitch/base/hash.c
@@ -49,7 +49,7 @@
  * with the highest weight for key, -1 when there are no names.  When a name is
  * added or removed, only the keys that it gains or loses move. */
 int
-ch_rendezvous(uint64_t key, const char *const *names, size_t count)
+ch_rendezvous_select(uint64_t key, const char *const *names, size_t count)
 {
     int best = -1;
     uint64_t best_weight = 0;
--- a/libchestnuthitch/base/ini.c
+++ b/libchestnuthitch/base/ini.c
@@ -22,8 +22,9 @@
 
 /* See ini.h. */
 void
-ch_ini_fail(const struct ch_ini *ini, const char *group, const char *key,
-            enum ch_code code, struct ch_error *error, const char *format, ...)
+ch_ini_set_error(const struct ch_ini *ini, const char *group, const char *key,
+                 enum ch_code code, struct ch_error *error, const char *format,
+                 ...)
 {
     char reason[256];
     va_list arguments;
@@ -49,7 +50,7 @@
 
 /* See ini.h. */
 char *
-ch_ini_file_text(const char *path, struct ch_error *error)
+ch_ini_read_file(const char *path, struct ch_error *error)
 {
     char *text = NULL;
     size_t length = 0;
@@ -97,11 +98,11 @@
     if (end != NULL) {
         *end = '\0';
         seen->group = line + 1;
-        ch_pool_give_way(g_hash_table_size(seen->groups));
+        ch_pool_yield(g_hash_table_size(seen->groups));
         g_hash_table_remove_all(seen->keys);
         if (!g_hash_table_add(seen->groups, line + 1)) {
-            ch_ini_fail(ini, seen->group, NULL, CH_DUPLICATE, error,
-                        "duplicate group");
+            ch_ini_set_error(ini, seen->group, NULL, CH_DUPLICATE, error,
+                             "duplicate group");
             return false;
         }
         return true;
@@ -113,8 +114,8 @@
     }
     *equals = '\0';
     if (!g_hash_table_add(seen->keys, g_strchomp(line))) {
-        ch_ini_fail(ini, seen->group, line, CH_DUPLICATE, error,
-                    "duplicate key");
+        ch_ini_set_error(ini, seen->group, line, CH_DUPLICATE, error,
+                         "duplicate key");
         return false;
     }
     return true;
@@ -155,18 +156,18 @@
     ini->file = g_key_file_new();
     size_t length = strlen(text);
     GError *reason = NULL;
-    if (length > CH_INI_MOST_BYTES) {
-        ch_ini_fail(ini, NULL, NULL, CH_INI_SYNTAX, error,
-                    "%zu bytes exceed the limit of %d", length,
-                    (int)CH_INI_MOST_BYTES);
+    if (length > CH_INI_MAX_BYTES) {
+        ch_ini_set_error(ini, NULL, NULL, CH_INI_SYNTAX, error,
+                         "%zu bytes exceed the limit of %d", length,
+                         (int)CH_INI_MAX_BYTES);
     }
     else if (!g_utf8_validate(text, (gssize)length, NULL)) {
-        ch_ini_fail(ini, NULL, NULL, CH_INI_SYNTAX, error, "not UTF-8");
+        ch_ini_set_error(ini, NULL, NULL, CH_INI_SYNTAX, error, "not UTF-8");
     }
     else if (!g_key_file_load_from_data(ini->file, text, length,
                                         G_KEY_FILE_NONE, &reason)) {
         char *escaped = escape_excerpt(reason->message);
-        ch_ini_fail(ini, NULL, NULL, CH_INI_SYNTAX, error, "%s", escaped);
+        ch_ini_set_error(ini, NULL, NULL, CH_INI_SYNTAX, error, "%s", escaped);
         g_free(escaped);
         g_error_free(reason);
     }
@@ -189,10 +190,10 @@
  * lines.  Letters, digits, '.', '_' and '-' need no escaping in any of these,
  * and the limit of 64 bytes bounds the length of each. */
 bool
-ch_ini_name_check(const char *name)
+ch_ini_check_name(const char *name)
 {
     size_t length = strlen(name);
-    if (length == 0 || length > CH_INI_NAME_BYTES) {
+    if (length == 0 || length > CH_INI_MAX_NAME_BYTES) {
         return false;
     }
     for (size_t i = 0; i < length; i++) {
@@ -218,7 +219,7 @@
 
 /* See ini.h. */
 bool
-ch_ini_known_keys(const struct ch_ini *ini, const char *group,
+ch_ini_check_keys(const struct ch_ini *ini, const char *group,
                   const char *section, const struct ch_ini_row *rows,
                   size_t count, struct ch_error *error)
 {
@@ -227,8 +228,8 @@
     for (size_t i = 0; known && keys[i] != NULL; i++) {
         known = find_row(rows, count, section, keys[i]) != NULL;
         if (!known) {
-            ch_ini_fail(ini, group, keys[i], CH_UNKNOWN_SETTING, error,
-                        "no such key in this group");
+            ch_ini_set_error(ini, group, keys[i], CH_UNKNOWN_SETTING, error,
+                             "no such key in this group");
         }
     }
     g_strfreev(keys);
@@ -252,9 +253,9 @@
                                                       : "not a whole number");
         return false;
     }
-    if (*number < row->least || *number > row->most) {
-        *reason = g_strdup_printf("must be from %.10g to %.10g", row->least,
-                                  row->most);
+    if (*number < row->min || *number > row->max) {
+        *reason =
+            g_strdup_printf("must be from %.10g to %.10g", row->min, row->max);
         return false;
     }
     return true;
@@ -293,7 +294,7 @@
             *(bool *)destination = i == 1;
         }
         else {
-            *(int *)destination = i + (int)row->least;
+            *(int *)destination = i + (int)row->min;
         }
         return true;
     }
@@ -327,7 +328,7 @@
         names->len == 1 && strcmp(g_ptr_array_index(names, 0), "*") == 0;
     for (guint i = 0; *reason == NULL && !wildcard && i < names->len; i++) {
         const char *name = g_ptr_array_index(names, i);
-        if (!ch_ini_name_check(name)) {
+        if (!ch_ini_check_name(name)) {
             *reason = g_strdup_printf("'%.64s' is not a name", name);
         }
         else if (i > 0 && strcmp(name, g_ptr_array_index(names, i - 1)) == 0) {
@@ -350,7 +351,7 @@
         return false;
     }
     double port = g_ascii_strtod(strrchr(text, ':') + 1, NULL);
-    if (port < row->least) {
+    if (port < row->min) {
         *reason = g_strdup("port 0 is only allowed for listeners");
         return false;
     }
@@ -383,7 +384,7 @@
     double number = 0;
     switch (row->type) {
     case CH_INI_NAME:
-        if (!ch_ini_name_check(text)) {
+        if (!ch_ini_check_name(text)) {
             *reason = g_strdup("not a name: use 1 to 64 of A-Z a-z 0-9 . _ -");
             return false;
         }
@@ -418,16 +419,17 @@
          struct ch_error *error)
 {
     char *text = g_key_file_get_value(ini->file, group, row->key, NULL);
-    if (text == NULL && row->fallback == NULL) {
-        ch_ini_fail(ini, group, row->key, CH_MISSING, error,
-                    "the key is missing");
+    if (text == NULL && row->default_text == NULL) {
+        ch_ini_set_error(ini, group, row->key, CH_MISSING, error,
+                         "the key is missing");
         return false;
     }
-    if (text == NULL && row->fallback[0] == '\0' && row->type != CH_INI_LIST) {
+    if (text == NULL && row->default_text[0] == '\0' &&
+        row->type != CH_INI_LIST) {
         return true;
     }
     if (text == NULL) {
-        text = g_strdup(row->fallback);
+        text = g_strdup(row->default_text);
     }
     g_strstrip(text);
     char *reason = NULL;
@@ -435,8 +437,8 @@
         store_value(row, text, (char *)destination + row->offset, &reason);
     if (!ok) {
         char *value = escape_excerpt(text);
-        ch_ini_fail(ini, group, row->key, CH_BAD_VALUE, error, "'%s': %s",
-                    value, reason);
+        ch_ini_set_error(ini, group, row->key, CH_BAD_VALUE, error, "'%s': %s",
+                         value, reason);
         g_free(value);
     }
     g_free(reason);
@@ -446,9 +448,9 @@
 
 /* See ini.h. */
 bool
-ch_ini_fill(const struct ch_ini *ini, const char *group, const char *section,
-            const struct ch_ini_row *rows, size_t count, void *destination,
-            struct ch_error *error)
+ch_ini_read_group(const struct ch_ini *ini, const char *group,
+                  const char *section, const struct ch_ini_row *rows,
+                  size_t count, void *destination, struct ch_error *error)
 {
     for (size_t i = 0; i < count; i++) {
         if (strcmp(rows[i].section, section) == 0 &&
@@ -461,7 +463,7 @@
 
 /* See ini.h. */
 void
-ch_ini_put_text(GString *out, const char *key, const char *text)
+ch_ini_append_text(GString *out, const char *key, const char *text)
 {
     g_string_append(out, key);
     g_string_append(out, " = ");
@@ -472,7 +474,7 @@
 /* See ini.h.  Doesn't use printf, which is slower: a configuration has tens of
  * thousands of these lines. */
 void
-ch_ini_put_count(GString *out, const char *key, uint64_t number)
+ch_ini_append_count(GString *out, const char *key, uint64_t number)
 {
     char digits[24];
     char *first_digit = &digits[sizeof(digits) - 1];
@@ -481,5 +483,5 @@
         *--first_digit = (char)('0' + number % 10);
         number /= 10;
     } while (number > 0);
-    ch_ini_put_text(out, key, first_digit);
+    ch_ini_append_text(out, key, first_digit);
 }
--- a/libchestnuthitch/base/ini.h
+++ b/libchestnuthitch/base/ini.h
@@ -30,10 +30,10 @@
     const char *key;
     enum ch_ini_type type;
     size_t offset;
-    const char *fallback; /* NULL: the key is required; "": the member stays 0,
-                             a list empty */
-    double least;         /* for an address: the lowest port */
-    double most;
+    const char *default_text; /* NULL: the key is required; "": the member
+                             stays 0, a list empty */
+    double min;               /* for an address: the lowest port */
+    double max;
     const char *const *choices;
 };
 
@@ -43,46 +43,48 @@
 };
 
 enum {
-    CH_INI_NAME_BYTES = 64,
+    CH_INI_MAX_NAME_BYTES = 64,
     /* Limit on text that is parsed.  A platform's configuration value has
        up to 1 MB.  The INI text made of this value is at most twice as long,
        as the text states for each class what the value leaves out. */
-    CH_INI_MOST_BYTES = 2 * 1024 * 1024,
+    CH_INI_MAX_BYTES = 2 * 1024 * 1024,
     /* Limit on text that an operator submits: the whole text, its envelope
        and the bytes added by escaping must fit in one value of the key-value
        store. */
-    CH_INI_MOST_WRITTEN = 900 * 1024,
+    CH_INI_MAX_INPUT_BYTES = 900 * 1024,
 };
 
 /* Returns a new string, or NULL with FILE_UNREADABLE, or with INI_SYNTAX for a
    file that has a NUL byte. */
-char *ch_ini_file_text(const char *path, struct ch_error *error);
+char *ch_ini_read_file(const char *path, struct ch_error *error);
 /* Parses text; path names its source in error messages.  If this fails, ini
    needs no ch_ini_close. */
 bool ch_ini_open(struct ch_ini *ini, const char *text, const char *path,
                  struct ch_error *error);
 void ch_ini_close(struct ch_ini *ini);
 /* True for 1 to 64 characters of A-Z a-z 0-9 . _ - */
-bool ch_ini_name_check(const char *name);
+bool ch_ini_check_name(const char *name);
 /* Fails with UNKNOWN_SETTING if the group has a key without a row in the
    section. */
-bool ch_ini_known_keys(const struct ch_ini *ini, const char *group,
+bool ch_ini_check_keys(const struct ch_ini *ini, const char *group,
                        const char *section, const struct ch_ini_row *rows,
                        size_t count, struct ch_error *error);
 /* Stores the group's values in *destination by the rows of the section.
    Members stored before an error stay set; the owner of *destination frees
    them. */
-bool ch_ini_fill(const struct ch_ini *ini, const char *group,
-                 const char *section, const struct ch_ini_row *rows,
-                 size_t count, void *destination, struct ch_error *error);
+bool ch_ini_read_group(const struct ch_ini *ini, const char *group,
+                       const char *section, const struct ch_ini_row *rows,
+                       size_t count, void *destination,
+                       struct ch_error *error);
 /* Sets an error that names the file, the group and the key.  With key NULL the
    error is about the whole group, with group NULL about the whole file. */
-void ch_ini_fail(const struct ch_ini *ini, const char *group, const char *key,
-                 enum ch_code code, struct ch_error *error, const char *format,
-                 ...) G_GNUC_PRINTF(6, 7);
+void ch_ini_set_error(const struct ch_ini *ini, const char *group,
+                      const char *key, enum ch_code code,
+                      struct ch_error *error, const char *format, ...)
+    G_GNUC_PRINTF(6, 7);
 
 /* Append the line "key = text" or "key = number". */
-void ch_ini_put_text(GString *out, const char *key, const char *text);
-void ch_ini_put_count(GString *out, const char *key, uint64_t number);
+void ch_ini_append_text(GString *out, const char *key, const char *text);
+void ch_ini_append_count(GString *out, const char *key, uint64_t number);
 
 #endif
--- a/libchestnuthitch/base/json.c
+++ b/libchestnuthitch/base/json.c
@@ -108,8 +108,8 @@
 }
 
 bool
-ch_json_shape(const char *text, size_t length, unsigned max_depth,
-              size_t *members)
+ch_json_check_shape(const char *text, size_t length, unsigned max_depth,
+                    size_t *members)
 {
     struct shape shape = {.max_depth = max_depth};
     for (size_t i = 0; i < length; i++) {
@@ -130,11 +130,11 @@
 }
 
 JsonObject *
-ch_json_object(const char *text, size_t length, JsonParser **parser)
+ch_json_parse_object(const char *text, size_t length, JsonParser **parser)
 {
     size_t members = 0;
     *parser = json_parser_new();
-    if (!ch_json_shape(text, length, MAX_DEPTH, &members) ||
+    if (!ch_json_check_shape(text, length, MAX_DEPTH, &members) ||
         !json_parser_load_from_data(*parser, text, (gssize)length, NULL)) {
         return NULL;
     }
@@ -145,7 +145,7 @@
 }
 
 const char *
-ch_json_text(JsonObject *object, const char *name)
+ch_json_get_string(JsonObject *object, const char *name)
 {
     JsonNode *node = json_object_get_member(object, name);
     return node != NULL && JSON_NODE_HOLDS_VALUE(node) &&
@@ -155,7 +155,7 @@
 }
 
 int64_t
-ch_json_integer(JsonObject *object, const char *name, int64_t fallback)
+ch_json_get_integer(JsonObject *object, const char *name, int64_t fallback)
 {
     JsonNode *node = json_object_get_member(object, name);
     return node != NULL && JSON_NODE_HOLDS_VALUE(node) &&
@@ -165,7 +165,7 @@
 }
 
 char *
-ch_json_print(JsonBuilder *builder)
+ch_json_to_string(JsonBuilder *builder)
 {
     JsonNode *root = json_builder_get_root(builder);
     char *text = json_to_string(root, FALSE);
--- a/libchestnuthitch/base/json.h
+++ b/libchestnuthitch/base/json.h
@@ -12,23 +12,23 @@
  * max_depth levels deep; sets *members to the number of its own members.
  * Checks only the structure: the parser may still refuse the text.
  */
-bool ch_json_shape(const char *text, size_t length, unsigned max_depth,
-                   size_t *members);
+bool ch_json_check_shape(const char *text, size_t length, unsigned max_depth,
+                         size_t *members);
 
 /* Parses a text that is a single JSON object; NULL if it is anything else.
  *parser is always set and owns the object; unreference it after use. */
-JsonObject *ch_json_object(const char *text, size_t length,
-                           JsonParser **parser);
+JsonObject *ch_json_parse_object(const char *text, size_t length,
+                                 JsonParser **parser);
 
 /* A string member, valid as long as the object; NULL if the member is missing
    or not a string. */
-const char *ch_json_text(JsonObject *object, const char *name);
+const char *ch_json_get_string(JsonObject *object, const char *name);
 
 /* An integer member; the fallback if it is missing or not an integer. */
-int64_t ch_json_integer(JsonObject *object, const char *name,
-                        int64_t fallback);
+int64_t ch_json_get_integer(JsonObject *object, const char *name,
+                            int64_t fallback);
 
 /* The builder's JSON as a new string; takes over the builder's reference. */
-char *ch_json_print(JsonBuilder *builder);
+char *ch_json_to_string(JsonBuilder *builder);
 
 #endif
--- a/libchestnuthitch/base/log.c
+++ b/libchestnuthitch/base/log.c
@@ -107,7 +107,8 @@
 append_fields(GString *line, va_list fields)
 {
     for (;;) {
-        enum ch_field_kind kind = (enum ch_field_kind)va_arg(fields, int);
+        enum ch_log_field_kind kind =
+            (enum ch_log_field_kind)va_arg(fields, int);
         if (kind == CH_FIELD_END) {
             return;
         }
@@ -132,8 +133,8 @@
 /* Writes a line: time, severity, node, event, then the given fields, which end
  * with CH_F_END.  Lines above the client's log level are not written. */
 void
-ch_log(const struct ch_client *client, enum ch_level level, const char *event,
-       ...)
+ch_log(const struct ch_client *client, enum ch_log_level level,
+       const char *event, ...)
 {
     if (level > client->log_level || client->log_write == NULL) {
         return;
--- a/libchestnuthitch/base/metrics.c
+++ b/libchestnuthitch/base/metrics.c
@@ -79,11 +79,12 @@
 } histogram_rows[CH_HISTOGRAMS] = {
     [CH_HIST_FIRST_TOKEN] = {"first_token_seconds",
                              "from arrival to the first token"},
-    [CH_HIST_BETWEEN_TOKENS] = {"between_tokens_seconds",
+    [CH_HIST_TOKEN_INTERVAL] = {"between_tokens_seconds",
                                 "mean time between tokens of an answer"},
-    [CH_HIST_WHOLE_ANSWER] = {"answer_seconds",
-                              "from arrival to the end of the answer"},
-    [CH_HIST_QUEUED] = {"queued_seconds", "from arrival to leave to dispatch"},
+    [CH_HIST_RESPONSE_TIME] = {"answer_seconds",
+                               "from arrival to the end of the answer"},
+    [CH_HIST_QUEUE_TIME] = {"queued_seconds",
+                            "from arrival to leave to dispatch"},
 };
 
 /* ---- names ---- */
@@ -112,7 +113,7 @@
 {
     char *name = ck_pr_load_ptr(&names->entries[index]);
     ck_pr_fence_acquire();
-    CH_ACQUIRE(&names->entries[index]);
+    CH_TSAN_ACQUIRE(&names->entries[index]);
     return name;
 }
 
@@ -133,7 +134,7 @@
         char *entry = names_get(names, index);
         if (entry == NULL) {
             copy = copy == NULL ? g_strdup(name) : copy;
-            CH_RELEASE(&names->entries[index]);
+            CH_TSAN_RELEASE(&names->entries[index]);
             ck_pr_fence_release();
             if (ck_pr_cas_ptr(&names->entries[index], NULL, copy)) {
                 return index;
@@ -182,8 +183,8 @@
 
 /* Adds to a counter; does nothing if metrics is NULL. */
 void
-ch_metrics_count(struct ch_metrics *metrics, enum ch_counter counter,
-                 uint64_t by)
+ch_metrics_add_count(struct ch_metrics *metrics, enum ch_counter counter,
+                     uint64_t by)
 {
     if (metrics != NULL) {
         ck_pr_add_64(&metrics->counters[counter], by);
@@ -192,7 +193,7 @@
 
 /* A counter's value; 0 if metrics is NULL. */
 uint64_t
-ch_metrics_read(const struct ch_metrics *metrics, enum ch_counter counter)
+ch_metrics_get_count(const struct ch_metrics *metrics, enum ch_counter counter)
 {
     return metrics == NULL ? 0 : ck_pr_load_64(&metrics->counters[counter]);
 }
@@ -205,7 +206,7 @@
     size_t index = class_index * (MAX_TENANTS + 1) + tenant_index;
     struct series *series = ck_pr_load_ptr(&metrics->series[index]);
     ck_pr_fence_acquire();
-    CH_ACQUIRE(&metrics->series[index]);
+    CH_TSAN_ACQUIRE(&metrics->series[index]);
     return series;
 }
 
@@ -220,7 +221,7 @@
     }
     size_t index = class_index * (MAX_TENANTS + 1) + tenant_index;
     series = g_new0(struct series, 1);
-    CH_RELEASE(&metrics->series[index]);
+    CH_TSAN_RELEASE(&metrics->series[index]);
     ck_pr_fence_release();
     if (ck_pr_cas_ptr(&metrics->series[index], NULL, series)) {
         return series;
@@ -256,8 +257,8 @@
 /* Counts a request that ended: by class, tenant, outcome and whether its
  * target was met, and by class and result code. */
 void
-ch_metrics_outcome(struct ch_metrics *metrics, const char *class_name,
-                   const char *tenant, enum ch_code code, bool met)
+ch_metrics_count_outcome(struct ch_metrics *metrics, const char *class_name,
+                         const char *tenant, enum ch_code code, bool met)
 {
     if (metrics == NULL) {
         return;
@@ -266,7 +267,7 @@
     size_t tenant_index = names_find_or_add(&metrics->tenants, tenant);
     struct series *series =
         find_or_create_series(metrics, class_index, tenant_index);
-    enum ch_outcome outcome = ch_code_outcome(code);
+    enum ch_outcome outcome = ch_code_get_outcome(code);
     ck_pr_add_64(&series->outcomes.counts[outcome][met ? 1 : 0], 1);
     if ((size_t)code < G_N_ELEMENTS(metrics->codes[0])) {
         ck_pr_add_64(&metrics->codes[class_index][code], 1);
@@ -289,10 +290,10 @@
 /* Calls each for every class that has a count, with the sums of its tenants.
  */
 void
-ch_metrics_each_class(const struct ch_metrics *metrics,
-                      void (*each)(void *data, const char *class_name,
-                                   const struct ch_class_outcomes *all),
-                      void *data)
+ch_metrics_foreach_class(const struct ch_metrics *metrics,
+                         void (*each)(void *data, const char *class_name,
+                                      const struct ch_class_outcomes *all),
+                         void *data)
 {
     for (size_t i = 0; metrics != NULL && i <= MAX_CLASSES; i++) {
         struct ch_class_outcomes all = {0};
@@ -362,8 +363,9 @@
         char *lower = g_ascii_strdown(counter_rows[i].name, -1);
         char *name = g_strconcat(lower, "_total", NULL);
         append_type(out, name, counter_rows[i].text, "counter");
-        g_string_append_printf(out, "chestnuthitch_%s %" PRIu64 "\n", name,
-                               ch_metrics_read(metrics, (enum ch_counter)i));
+        g_string_append_printf(
+            out, "chestnuthitch_%s %" PRIu64 "\n", name,
+            ch_metrics_get_count(metrics, (enum ch_counter)i));
         g_free(name);
         g_free(lower);
     }
@@ -413,7 +415,7 @@
                                    tenant);
             g_string_append_printf(
                 out, ",outcome=\"%s\",target=\"%s\"} %" PRIu64 "\n",
-                ch_outcome_name((enum ch_outcome)i), met_names[j], count);
+                ch_outcome_get_name((enum ch_outcome)i), met_names[j], count);
         }
     }
 }
@@ -457,7 +459,7 @@
             append_name_and_labels(out, "results_total", "",
                                    names_get(&metrics->classes, i), NULL);
             g_string_append_printf(out, ",code=\"%s\"} %" PRIu64 "\n",
-                                   ch_code_name((enum ch_code)j), count);
+                                   ch_code_get_name((enum ch_code)j), count);
         }
     }
 }
--- a/libchestnuthitch/base/pool.c
+++ b/libchestnuthitch/base/pool.c
@@ -51,7 +51,7 @@
     struct job *job = NULL;
     pthread_mutex_lock(&pool->take_lock);
     (void)ck_ring_dequeue_spsc(&pool->ring, pool->buffer, &job);
-    CH_RELEASE(&pool->ring);
+    CH_TSAN_RELEASE(&pool->ring);
     pthread_mutex_unlock(&pool->take_lock);
     return job;
 }
@@ -61,7 +61,7 @@
 put_job(struct ch_pool *pool, struct job *job)
 {
     pthread_mutex_lock(&pool->put_lock);
-    CH_ACQUIRE(&pool->ring);
+    CH_TSAN_ACQUIRE(&pool->ring);
     bool fits = ck_ring_enqueue_spsc(&pool->ring, pool->buffer, job);
     if (fits) {
         sem_post(&pool->jobs);
@@ -129,7 +129,7 @@
  * example, are parsed in less than half a millisecond of a whole core.
  */
 void
-ch_pool_give_way(size_t step)
+ch_pool_yield(size_t step)
 {
     enum {
         STEPS_PER_YIELD = 32
--- a/libchestnuthitch/base/settings.c
+++ b/libchestnuthitch/base/settings.c
@@ -14,8 +14,8 @@
 #define SETTING(member) offsetof(struct ch_settings, member)
 #define POLICY_SWITCH(key, member)                                            \
     {                                                                         \
-        "policy", key, CH_INI_FLAG, SETTING(without.member), "on", 0, 0,      \
-            switch_names                                                      \
+        "policy", key, CH_INI_FLAG, SETTING(disabled_features.member), "on",  \
+            0, 0, switch_names                                                \
     }
 
 /*
@@ -35,8 +35,8 @@
     {"node", "log-level", CH_INI_CHOICE, SETTING(log_level), "info",
      CH_LOG_ERR, 0, level_names},
     {"node", "cores", CH_INI_DOUBLE, SETTING(cores), "1", 0.001, 1024, NULL},
-    {"node", "link-mbit", CH_INI_DOUBLE, SETTING(host_mbit), "1000", 0.1,
-     1000000, NULL},
+    {"node", "link-mbit", CH_INI_DOUBLE, SETTING(host_link_mbit_per_s), "1000",
+     0.1, 1000000, NULL},
     {"listen", "callers", CH_INI_ADDRESS, SETTING(callers), NULL, 0, 0, NULL},
     {"listen", "admin", CH_INI_ADDRESS, SETTING(admin), NULL, 0, 0, NULL},
     {"listen", "peers", CH_INI_ADDRESS, SETTING(peers), NULL, 0, 0, NULL},
@@ -46,59 +46,59 @@
      CH_PLATFORM_OWN, 0, platform_names},
     {"platform", "kv", CH_INI_ADDRESS, SETTING(kv), NULL, 1, 0, NULL},
     {"platform", "hosts", CH_INI_ADDRESS, SETTING(hosts), NULL, 1, 0, NULL},
-    {"platform", "list-ms", CH_INI_UNSIGNED, SETTING(list_ms), "1000", 50,
-     60000, NULL},
+    {"platform", "list-ms", CH_INI_UNSIGNED, SETTING(host_list_period_ms),
+     "1000", 50, 60000, NULL},
     {"platform", "kv-timeout-ms", CH_INI_UNSIGNED, SETTING(kv_timeout_ms),
      "1000", 50, 60000, NULL},
     {"upstreams", "fencing", CH_INI_FLAG, SETTING(fencing), "ignore", 0, 0,
      fencing_names},
     {"upstreams", "lease-ms", CH_INI_UNSIGNED, SETTING(lease_ms), "3000", 500,
      600000, NULL},
-    {"upstreams", "report-ms", CH_INI_UNSIGNED, SETTING(report_ms), "500", 50,
-     60000, NULL},
+    {"upstreams", "report-ms", CH_INI_UNSIGNED, SETTING(report_period_ms),
+     "500", 50, 60000, NULL},
     {"once", "slots", CH_INI_UNSIGNED, SETTING(once_slots), "64", 1, 65536,
      NULL},
-    {"once", "gather-ms", CH_INI_UNSIGNED, SETTING(once_gather_ms), "5", 0,
-     1000, NULL},
-    {"once", "keep-s", CH_INI_UNSIGNED, SETTING(once_keep_s), "86400", 60,
+    {"once", "gather-ms", CH_INI_UNSIGNED, SETTING(once_batch_delay_ms), "5",
+     0, 1000, NULL},
+    {"once", "keep-s", CH_INI_UNSIGNED, SETTING(once_retention_s), "86400", 60,
      2592000, NULL},
-    {"limits", "body-bytes", CH_INI_SIZE, SETTING(max_body), "1048576", 1024,
-     67108864, NULL},
-    {"limits", "header-bytes", CH_INI_SIZE, SETTING(max_headers), "16384",
+    {"limits", "body-bytes", CH_INI_SIZE, SETTING(max_body_bytes), "1048576",
+     1024, 67108864, NULL},
+    {"limits", "header-bytes", CH_INI_SIZE, SETTING(max_header_bytes), "16384",
      1024, 1048576, NULL},
-    {"limits", "queue", CH_INI_UNSIGNED, SETTING(max_queue), "1000", 1, 100000,
-     NULL},
+    {"limits", "queue", CH_INI_UNSIGNED, SETTING(max_queue_length), "1000", 1,
+     100000, NULL},
     {"limits", "connections", CH_INI_UNSIGNED, SETTING(max_connections),
      "4096", 8, 16384, NULL},
     {"limits", "retry-share", CH_INI_DOUBLE, SETTING(retry_share), "0.1", 0, 1,
      NULL},
     {"limits", "retry-slack", CH_INI_DOUBLE, SETTING(retry_slack), "20", 0,
      100000, NULL},
-    {"limits", "crashes", CH_INI_UNSIGNED, SETTING(crashes), "3", 1, 100,
+    {"limits", "crashes", CH_INI_UNSIGNED, SETTING(crash_limit), "3", 1, 100,
      NULL},
-    {"limits", "crash-requests", CH_INI_UNSIGNED, SETTING(crash_requests),
+    {"limits", "crash-requests", CH_INI_UNSIGNED, SETTING(max_crash_requests),
      "1024", 16, 65536, NULL},
-    {"limits", "crash-keep-s", CH_INI_UNSIGNED, SETTING(crash_keep_s), "3600",
-     60, 2592000, NULL},
+    {"limits", "crash-keep-s", CH_INI_UNSIGNED, SETTING(crash_retention_s),
+     "3600", 60, 2592000, NULL},
     {"weight-store", "loads-per-s", CH_INI_DOUBLE, SETTING(loads_per_s), "1.5",
      0.001, 10000, NULL},
-    {"weight-store", "parallel", CH_INI_UNSIGNED, SETTING(loads_parallel),
+    {"weight-store", "parallel", CH_INI_UNSIGNED, SETTING(max_parallel_loads),
      "10", 1, 10000, NULL},
     {"weight-store", "window-s", CH_INI_DOUBLE, SETTING(load_window_s), "5", 1,
      3600, NULL},
     {"weight-store", "overshoot", CH_INI_DOUBLE, SETTING(load_overshoot), "1",
      0.1, 100, NULL},
     {"weight-store", "adapters-parallel", CH_INI_UNSIGNED,
-     SETTING(adapters_parallel), "80", 1, 100000, NULL},
-    {"link", "mbit-per-s", CH_INI_DOUBLE, SETTING(link_mbit), "30", 0, 1000000,
-     NULL},
+     SETTING(max_parallel_adapter_loads), "80", 1, 100000, NULL},
+    {"link", "mbit-per-s", CH_INI_DOUBLE, SETTING(region_link_mbit_per_s),
+     "30", 0, 1000000, NULL},
     {"timeouts", "connect-ms", CH_INI_UNSIGNED, SETTING(connect_ms), "500", 10,
      60000, NULL},
     {"timeouts", "first-byte-ms", CH_INI_UNSIGNED, SETTING(first_byte_ms),
      "1500", 10, 600000, NULL},
     {"timeouts", "stall-ms", CH_INI_UNSIGNED, SETTING(stall_ms), "1500", 10,
      600000, NULL},
-    {"timeouts", "peer-silent-ms", CH_INI_UNSIGNED, SETTING(peer_silent_ms),
+    {"timeouts", "peer-silent-ms", CH_INI_UNSIGNED, SETTING(peer_timeout_ms),
      "800", 50, 60000, NULL},
     {"timeouts", "idle-connection-ms", CH_INI_UNSIGNED,
      SETTING(idle_connection_ms), "10000", 100, 3600000, NULL},
@@ -106,16 +106,16 @@
      3600000, NULL},
     {"timeouts", "drain-ms", CH_INI_UNSIGNED, SETTING(drain_ms), "3000", 0,
      600000, NULL},
-    POLICY_SWITCH("whole-fleet", whole_fleet),
-    POLICY_SWITCH("several-victims", several_victims),
-    POLICY_SWITCH("move-apart", move_apart),
-    POLICY_SWITCH("near-copies", near_copies),
-    POLICY_SWITCH("pledges", pledges),
-    POLICY_SWITCH("adapters-ahead", adapters_ahead),
+    POLICY_SWITCH("whole-fleet", fleet_wide_search),
+    POLICY_SWITCH("several-victims", several_evictions),
+    POLICY_SWITCH("move-apart", spread_last_replicas),
+    POLICY_SWITCH("near-copies", local_copies_first),
+    POLICY_SWITCH("pledges", reservations),
+    POLICY_SWITCH("adapters-ahead", preload_adapters),
     POLICY_SWITCH("wait-for-model", wait_for_model),
     POLICY_SWITCH("refuse-late", refuse_late),
-    POLICY_SWITCH("pace-prompts", pace_prompts),
-    POLICY_SWITCH("learnt-speeds", learnt_speeds),
+    POLICY_SWITCH("pace-prompts", defer_prompts),
+    POLICY_SWITCH("learnt-speeds", measured_service_times),
 };
 
 static bool
@@ -138,11 +138,11 @@
     for (size_t i = 0; ok && groups[i] != NULL; i++) {
         ok = is_known_group(groups[i]);
         if (!ok) {
-            ch_ini_fail(ini, groups[i], NULL, CH_UNKNOWN_GROUP, error,
-                        "no such group");
+            ch_ini_set_error(ini, groups[i], NULL, CH_UNKNOWN_GROUP, error,
+                             "no such group");
             break;
         }
-        ok = ch_ini_known_keys(ini, groups[i], groups[i], rows,
+        ok = ch_ini_check_keys(ini, groups[i], groups[i], rows,
                                G_N_ELEMENTS(rows), error);
     }
     g_strfreev(groups);
@@ -154,11 +154,11 @@
 check_required_groups(const struct ch_ini *ini, struct ch_error *error)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-        if (rows[i].fallback == NULL &&
+        if (rows[i].default_text == NULL &&
             !g_key_file_has_group(ini->file, rows[i].section)) {
-            ch_ini_fail(ini, rows[i].section, NULL, CH_MISSING, error,
-                        "the group is missing; its key '%s' is required",
-                        rows[i].key);
+            ch_ini_set_error(ini, rows[i].section, NULL, CH_MISSING, error,
+                             "the group is missing; its key '%s' is required",
+                             rows[i].key);
             return false;
         }
     }
@@ -177,8 +177,8 @@
             continue;
         }
         section = rows[i].section;
-        if (!ch_ini_fill(ini, section, section, rows, G_N_ELEMENTS(rows),
-                         settings, error)) {
+        if (!ch_ini_read_group(ini, section, section, rows, G_N_ELEMENTS(rows),
+                               settings, error)) {
             return false;
         }
     }
@@ -216,9 +216,9 @@
     for (size_t i = 0; i < G_N_ELEMENTS(keys); i++) {
         for (size_t j = 0; j < i; j++) {
             if (addresses_clash(values[i], values[j])) {
-                ch_ini_fail(ini, "listen", keys[i], CH_DUPLICATE, error,
-                            "'%s' is also the address of %s", values[i],
-                            keys[j]);
+                ch_ini_set_error(ini, "listen", keys[i], CH_DUPLICATE, error,
+                                 "'%s' is also the address of %s", values[i],
+                                 keys[j]);
                 return false;
             }
         }
@@ -253,7 +253,7 @@
 struct ch_settings *
 ch_settings_load(const char *path, struct ch_error *error)
 {
-    char *text = ch_ini_file_text(path, error);
+    char *text = ch_ini_read_file(path, error);
     if (text == NULL) {
         return NULL;
     }
@@ -266,7 +266,8 @@
  * data-centres ("NAME:REGION, ...").  A data centre that isn't listed there is
  * a region of its own name. */
 char *
-ch_settings_region(const struct ch_settings *settings, const char *data_centre)
+ch_settings_get_region(const struct ch_settings *settings,
+                       const char *data_centre)
 {
     char **pairs = g_strsplit_set(
         settings->data_centres == NULL ? "" : settings->data_centres, ", ;",
@@ -285,9 +286,9 @@
 
 /* See base.h. */
 uint32_t
-ch_settings_capacity(const struct ch_settings *settings)
+ch_settings_get_capacity(const struct ch_settings *settings)
 {
-    return (uint32_t)MAX(settings->cores * settings->host_mbit, 1);
+    return (uint32_t)MAX(settings->cores * settings->host_link_mbit_per_s, 1);
 }
 
 /* Frees settings, which may be NULL. */
@@ -312,9 +313,9 @@
 
 /* See base.h. */
 void
-ch_settings_each_policy(const struct ch_settings *settings,
-                        void (*each)(void *data, const char *key, bool on),
-                        void *data)
+ch_settings_foreach_policy(const struct ch_settings *settings,
+                           void (*each)(void *data, const char *key, bool on),
+                           void *data)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         if (strcmp(rows[i].section, "policy") == 0) {
--- a/libchestnuthitch/base/table.c
+++ b/libchestnuthitch/base/table.c
@@ -103,7 +103,7 @@
 
 /* The number of items. */
 size_t
-ch_table_count(const struct ch_table *table)
+ch_table_get_count(const struct ch_table *table)
 {
     return table->count;
 }
@@ -111,9 +111,9 @@
 /* Calls each for every item, in order of slots; the table must not change
  * during the calls. */
 void
-ch_table_each(const struct ch_table *table,
-              void (*each)(void *item, uint64_t handle, void *data),
-              void *data)
+ch_table_foreach(const struct ch_table *table,
+                 void (*each)(void *item, uint64_t handle, void *data),
+                 void *data)
 {
     for (uint32_t i = 0; i < table->slots->len; i++) {
         const struct slot *slot = &g_array_index(table->slots, struct slot, i);
--- a/libchestnuthitch/base/timer.c
+++ b/libchestnuthitch/base/timer.c
@@ -156,8 +156,8 @@
 /* Adds a timer that calls run(data) on the pool after `delay` microseconds and
  * returns its handle. */
 uint64_t
-ch_timers_after(struct ch_timers *timers, int64_t delay,
-                void (*run)(void *data), void *data)
+ch_timers_add(struct ch_timers *timers, int64_t delay, void (*run)(void *data),
+              void *data)
 {
     struct timer *timer = g_new(struct timer, 1);
     timer->due = clock_now() + MAX(delay, 0);
--- a/libchestnuthitch/decide/balance.c
+++ b/libchestnuthitch/decide/balance.c
@@ -155,7 +155,7 @@
     GHashTable *models;    /* model to struct model_stats */
     /* Service to the slots of each of its engines. */
     GHashTable *slots_by_service;
-    struct ch_without without;
+    struct ch_disabled_features without;
 };
 
 /* ---- upstreams ---- */
@@ -199,7 +199,7 @@
 /* See balance.h. */
 void
 ch_balance_disable_features(struct ch_balance *balance,
-                            const struct ch_without *without)
+                            const struct ch_disabled_features *without)
 {
     balance->without = *without;
 }
@@ -594,7 +594,8 @@
 is_measurement_used(const struct ch_balance *balance,
                     const struct measured_time *measured)
 {
-    return !balance->without.learnt_speeds && has_enough_samples(measured);
+    return !balance->without.measured_service_times &&
+           has_enough_samples(measured);
 }
 
 /* Microseconds of prefill per prompt token for the model. */
@@ -904,7 +905,7 @@
         .prefill_tokens = candidate->tokens,
         .prefill_time = candidate->prefill_time,
         .should_defer = !request->is_service &&
-                        !balance->without.pace_prompts &&
+                        !balance->without.defer_prompts &&
                         is_burst_too_long(state, candidate->prefill_time, now),
         .expected_latency = candidate->expected_latency,
     };
--- a/libchestnuthitch/decide/balance.h
+++ b/libchestnuthitch/decide/balance.h
@@ -54,7 +54,7 @@
 /* Switches off parts of the policy from now on; at first nothing is disabled.
  */
 void ch_balance_disable_features(struct ch_balance *balance,
-                                 const struct ch_without *without);
+                                 const struct ch_disabled_features *without);
 
 /* Replaces the list of upstreams: call begin, then
  * ch_balance_update_upstream() for each upstream, then end. An upstream that
--- a/libchestnuthitch/decide/ledger_json.c
+++ b/libchestnuthitch/decide/ledger_json.c
@@ -81,14 +81,14 @@
     }
     json_builder_end_array(builder);
     json_builder_end_object(builder);
-    return ch_json_print(builder);
+    return ch_json_to_string(builder);
 }
 
 /* Returns NULL with an error when the member is not a string. */
 static const char *
 read_string(JsonObject *object, const char *name, struct ch_error *error)
 {
-    const char *text = ch_json_text(object, name);
+    const char *text = ch_json_get_string(object, name);
     if (text == NULL) {
         ch_error_set(error, CH_BAD_JSON, "ledger: '%s' is not a string", name);
     }
@@ -292,7 +292,7 @@
     struct ch_error ignored = {0};
     struct ch_error *parse_error = error == NULL ? &ignored : error;
     g_autoptr(JsonParser) parser = NULL;
-    JsonObject *object = ch_json_object(json, length, &parser);
+    JsonObject *object = ch_json_parse_object(json, length, &parser);
     if (object == NULL) {
         ch_error_set(parse_error, CH_BAD_JSON,
                      "ledger: not a single JSON object");
--- a/libchestnuthitch/decide/once_batch.c
+++ b/libchestnuthitch/decide/once_batch.c
@@ -113,14 +113,14 @@
     }
     json_builder_end_array(builder);
     json_builder_end_object(builder);
-    return ch_json_print(builder);
+    return ch_json_to_string(builder);
 }
 
 /* Reads a string member, valid as long as the object; NULL: error is set. */
 static const char *
 read_text(JsonObject *object, const char *name, struct ch_error *error)
 {
-    const char *text = ch_json_text(object, name);
+    const char *text = ch_json_get_string(object, name);
     if (text == NULL) {
         ch_error_set(error, CH_BAD_JSON, "once: '%s' is not a string", name);
     }
@@ -249,7 +249,7 @@
 ch_once_batch_decode(const char *bytes, size_t length, struct ch_error *error)
 {
     g_autoptr(JsonParser) parser = NULL;
-    JsonObject *object = ch_json_object(bytes, length, &parser);
+    JsonObject *object = ch_json_parse_object(bytes, length, &parser);
     if (object == NULL) {
         ch_error_set(error, CH_BAD_JSON, "once: not a JSON object");
         return NULL;
--- a/libchestnuthitch/decide/placement.c
+++ b/libchestnuthitch/decide/placement.c
@@ -57,7 +57,7 @@
     if (!engine->controlled) {
         return;
     }
-    bool reserves = victim != 0 && !round->state->disabled.pledges;
+    bool reserves = victim != 0 && !round->state->disabled.reservations;
     const struct ch_placement_action action = {
         .kind = victim == 0 ? CH_ACTION_LOAD : CH_ACTION_UNLOAD,
         .engine = engine->name,
@@ -108,7 +108,7 @@
                   const struct ch_placement_engine *engine, GQuark model,
                   double store_cost)
 {
-    bool is_local = round->state->disabled.near_copies ||
+    bool is_local = round->state->disabled.local_copies_first ||
                     ch_placement_has_local_copy(engine, model);
     return is_local ? 0 : store_cost;
 }
@@ -235,7 +235,8 @@
         struct ch_eviction eviction;
         if (!can_take_load(round, engine, model) ||
             engine->reserved_for != 0 ||
-            (round->state->disabled.whole_fleet && !engine->controlled) ||
+            (round->state->disabled.fleet_wide_search &&
+             !engine->controlled) ||
             !ch_placement_find_evictions(
                 round, engine, model->memory_mb,
                 load_per_replica / CH_MIN_EVICTION_GAIN, &eviction)) {
@@ -525,10 +526,10 @@
     }
     for_each_available(&round, fulfil_reservation, true);
     scale_up(&round);
-    if (!state->disabled.near_copies) {
+    if (!state->disabled.local_copies_first) {
         for_each_available(&round, fill_free_memory, false);
     }
-    if (!state->disabled.move_apart &&
+    if (!state->disabled.spread_last_replicas &&
         round.changing_engines < state->max_changing_engines) {
         move_last_replica(&round);
     }
--- a/libchestnuthitch/decide/placement.h
+++ b/libchestnuthitch/decide/placement.h
@@ -53,7 +53,7 @@
         store_loads_left; /* loads from the weight store that may start now */
     uint32_t max_changing_engines; /* limit on engines of this data centre that
                               change their models at a time */
-    struct ch_without disabled;
+    struct ch_disabled_features disabled;
 };
 
 struct ch_placement_action {
--- a/libchestnuthitch/decide/placement_view.c
+++ b/libchestnuthitch/decide/placement_view.c
@@ -445,7 +445,7 @@
         return true;
     }
     GArray *victims = list_candidates(round, engine, max_load);
-    if (round->state->disabled.several_victims) {
+    if (round->state->disabled.several_evictions) {
         drop_insufficient(victims, free_mb, memory_mb);
     }
     guint victim_count = 0;
--- a/libchestnuthitch/decide/revision_record.c
+++ b/libchestnuthitch/decide/revision_record.c
@@ -73,7 +73,7 @@
     }
     json_builder_end_array(builder);
     json_builder_end_object(builder);
-    return ch_json_print(builder);
+    return ch_json_to_string(builder);
 }
 
 /* A copy of a string member, to be freed with g_free, or NULL with an error.
@@ -81,7 +81,7 @@
 static char *
 read_string(JsonObject *object, const char *name, struct ch_error *error)
 {
-    const char *text = ch_json_text(object, name);
+    const char *text = ch_json_get_string(object, name);
     if (text == NULL) {
         ch_error_set(error, CH_BAD_JSON, "configuration: '%s' is not a text",
                      name);
@@ -151,7 +151,7 @@
                          struct ch_error *error)
 {
     g_autoptr(JsonParser) parser = NULL;
-    JsonObject *object = ch_json_object(json, length, &parser);
+    JsonObject *object = ch_json_parse_object(json, length, &parser);
     if (object == NULL) {
         ch_error_set(error, CH_BAD_JSON,
                      "configuration: not a single JSON object");
--- a/libchestnuthitch/explain/explain.c
+++ b/libchestnuthitch/explain/explain.c
@@ -13,7 +13,7 @@
 free_row(void *data)
 {
     struct ch_explain_row *row = data;
-    g_array_free(row->firsts, TRUE);
+    g_array_free(row->first_data_times, TRUE);
     g_free(row->model);
     g_free(row);
 }
@@ -30,7 +30,7 @@
 static void
 free_shortage(void *data)
 {
-    struct ch_explain_short *entry = data;
+    struct ch_explain_shortage *entry = data;
     g_free(entry->model);
     g_free(entry);
 }
@@ -40,13 +40,13 @@
 ch_explain_new(unsigned interval)
 {
     struct ch_explain *explain = g_new0(struct ch_explain, 1);
-    explain->interval = MAX(interval, 1);
+    explain->interval_s = MAX(interval, 1);
     explain->rows =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_row);
-    explain->changing =
+    explain->pending_changes =
         g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_change);
-    explain->changes = g_ptr_array_new_with_free_func(free_change);
-    explain->shorts =
+    explain->finished_changes = g_ptr_array_new_with_free_func(free_change);
+    explain->shortages =
         g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_shortage);
     return explain;
 }
@@ -59,9 +59,9 @@
         return;
     }
     g_hash_table_destroy(explain->rows);
-    g_hash_table_destroy(explain->changing);
-    g_ptr_array_free(explain->changes, TRUE);
-    g_hash_table_destroy(explain->shorts);
+    g_hash_table_destroy(explain->pending_changes);
+    g_ptr_array_free(explain->finished_changes, TRUE);
+    g_hash_table_destroy(explain->shortages);
     g_free(explain);
 }
 
@@ -92,7 +92,7 @@
 static int64_t
 get_time(JsonObject *object)
 {
-    const char *text = ch_json_text(object, "time");
+    const char *text = ch_json_get_string(object, "time");
     GDateTime *time =
         text == NULL ? NULL : g_date_time_new_from_iso8601(text, NULL);
     if (time == NULL) {
@@ -106,36 +106,36 @@
 
 /* ---- requests ---- */
 
-static enum ch_ending
+static enum ch_explain_outcome
 outcome_of_code(int64_t code)
 {
     switch (code) {
     case CH_OK:
-        return CH_ENDING_SERVED;
+        return CH_EXPLAIN_SERVED;
     case CH_LATE:
     case CH_SHARE_FULL:
     case CH_QUEUE_FULL:
-        return CH_ENDING_FULL;
+        return CH_EXPLAIN_FULL;
     case CH_NO_UPSTREAM:
-        return CH_ENDING_ABSENT;
+        return CH_EXPLAIN_NO_REPLICA;
     case CH_STOPPING:
     case CH_NOT_READY:
     case CH_ONCE_UNAVAILABLE:
     case CH_UPSTREAM_REFUSED:
     case CH_CRASHES_UPSTREAMS:
-        return CH_ENDING_REFUSED;
+        return CH_EXPLAIN_REFUSED;
     case CH_UPSTREAM_CONNECT:
     case CH_UPSTREAM_STALLED:
     case CH_UPSTREAM_CUT:
     case CH_UPSTREAM_CROSSED:
     case CH_UPSTREAM_ANSWER:
-        return CH_ENDING_ENGINE;
+        return CH_EXPLAIN_ENGINE_FAILED;
     case CH_DEADLINE:
-        return CH_ENDING_TIME;
+        return CH_EXPLAIN_TIMED_OUT;
     case CH_CANCELLED:
-        return CH_ENDING_GONE;
+        return CH_EXPLAIN_DISCONNECTED;
     default:
-        return CH_ENDING_OTHER;
+        return CH_EXPLAIN_OTHER;
     }
 }
 
@@ -144,7 +144,7 @@
 static struct ch_explain_row *
 get_row(struct ch_explain *explain, const char *model, int64_t time)
 {
-    int64_t interval_index = time / G_USEC_PER_SEC / explain->interval;
+    int64_t interval_index = time / G_USEC_PER_SEC / explain->interval_s;
     char *key =
         g_strdup_printf("%" G_GINT64_FORMAT " %s", interval_index, model);
     struct ch_explain_row *row = g_hash_table_lookup(explain->rows, key);
@@ -155,7 +155,7 @@
     row = g_new0(struct ch_explain_row, 1);
     row->interval = interval_index;
     row->model = g_strdup(model);
-    row->firsts = g_array_new(FALSE, FALSE, sizeof(int64_t));
+    row->first_data_times = g_array_new(FALSE, FALSE, sizeof(int64_t));
     g_hash_table_insert(explain->rows, key, row);
     return row;
 }
@@ -165,21 +165,23 @@
 static void
 add_request(struct ch_explain *explain, JsonObject *line, int64_t time)
 {
-    const char *model = ch_json_text(line, "model");
+    const char *model = ch_json_get_string(line, "model");
     int64_t first_data_time = get_integer(line, "first_us");
     if (model == NULL || model[0] == '\0') {
         return;
     }
     struct ch_explain_row *row =
         get_row(explain, model, time - get_integer(line, "total_us"));
-    enum ch_ending outcome = outcome_of_code(get_integer(line, "code"));
-    row->endings[outcome]++;
-    row->in_time += outcome == CH_ENDING_SERVED && first_data_time > 0 &&
-                            first_data_time <= get_integer(line, "target_us")
-                        ? 1
-                        : 0;
+    enum ch_explain_outcome outcome =
+        outcome_of_code(get_integer(line, "code"));
+    row->outcomes[outcome]++;
+    row->within_target +=
+        outcome == CH_EXPLAIN_SERVED && first_data_time > 0 &&
+                first_data_time <= get_integer(line, "target_us")
+            ? 1
+            : 0;
     if (first_data_time > 0) {
-        g_array_append_val(row->firsts, first_data_time);
+        g_array_append_val(row->first_data_times, first_data_time);
     }
 }
 
@@ -191,25 +193,26 @@
 static void
 add_model_move(struct ch_explain *explain, JsonObject *line, int64_t time)
 {
-    const char *upstream = ch_json_text(line, "upstream");
-    const char *model = ch_json_text(line, "model");
-    const char *reserved_for = ch_json_text(line, "pledged");
-    bool is_load = g_strcmp0(ch_json_text(line, "action"), "load") == 0;
+    const char *upstream = ch_json_get_string(line, "upstream");
+    const char *model = ch_json_get_string(line, "model");
+    const char *reserved_for = ch_json_get_string(line, "pledged");
+    bool is_load = g_strcmp0(ch_json_get_string(line, "action"), "load") == 0;
     const char *incoming_model = is_load ? model : reserved_for;
     if (upstream == NULL || incoming_model == NULL ||
         incoming_model[0] == '\0') {
         return;
     }
     struct ch_explain_change *change =
-        g_hash_table_lookup(explain->changing, upstream);
+        g_hash_table_lookup(explain->pending_changes, upstream);
     if (change == NULL || strcmp(change->model, incoming_model) != 0) {
         change = g_new0(struct ch_explain_change, 1);
         change->upstream = g_strdup(upstream);
         change->model = g_strdup(incoming_model);
-        change->decided = time;
-        g_hash_table_replace(explain->changing, change->upstream, change);
+        change->decided_at = time;
+        g_hash_table_replace(explain->pending_changes, change->upstream,
+                             change);
     }
-    change->load = is_load ? time : change->load;
+    change->load_ordered_at = is_load ? time : change->load_ordered_at;
     change->from_store = change->from_store || get_flag(line, "from_store");
 }
 
@@ -218,12 +221,13 @@
 static void
 add_model_unloaded(struct ch_explain *explain, JsonObject *line, int64_t time)
 {
-    const char *upstream = ch_json_text(line, "upstream");
+    const char *upstream = ch_json_get_string(line, "upstream");
     struct ch_explain_change *change =
-        upstream == NULL ? NULL
-                         : g_hash_table_lookup(explain->changing, upstream);
-    if (change != NULL && change->load == 0) {
-        change->room = time;
+        upstream == NULL
+            ? NULL
+            : g_hash_table_lookup(explain->pending_changes, upstream);
+    if (change != NULL && change->load_ordered_at == 0) {
+        change->memory_freed_at = time;
     }
 }
 
@@ -231,17 +235,18 @@
 static void
 add_model_loaded(struct ch_explain *explain, JsonObject *line, int64_t time)
 {
-    const char *upstream = ch_json_text(line, "upstream");
-    const char *model = ch_json_text(line, "model");
+    const char *upstream = ch_json_get_string(line, "upstream");
+    const char *model = ch_json_get_string(line, "model");
     struct ch_explain_change *change =
-        upstream == NULL ? NULL
-                         : g_hash_table_lookup(explain->changing, upstream);
+        upstream == NULL
+            ? NULL
+            : g_hash_table_lookup(explain->pending_changes, upstream);
     if (change == NULL || g_strcmp0(change->model, model) != 0) {
         return;
     }
-    g_hash_table_steal(explain->changing, upstream);
-    change->loaded = time;
-    g_ptr_array_add(explain->changes, change);
+    g_hash_table_steal(explain->pending_changes, upstream);
+    change->loaded_at = time;
+    g_ptr_array_add(explain->finished_changes, change);
 }
 
 /* ---- models with a shortage ---- */
@@ -252,26 +257,26 @@
 add_model_shortage(struct ch_explain *explain, JsonObject *line, int64_t time)
 {
     (void)time;
-    const char *model = ch_json_text(line, "model");
+    const char *model = ch_json_get_string(line, "model");
     if (model == NULL) {
         return;
     }
     unsigned replicas = (unsigned)get_integer(line, "replicas");
-    struct ch_explain_short *entry =
-        g_hash_table_lookup(explain->shorts, model);
+    struct ch_explain_shortage *entry =
+        g_hash_table_lookup(explain->shortages, model);
     if (entry == NULL) {
-        entry = g_new0(struct ch_explain_short, 1);
+        entry = g_new0(struct ch_explain_shortage, 1);
         entry->model = g_strdup(model);
-        entry->least_replicas = replicas;
-        g_hash_table_insert(explain->shorts, entry->model, entry);
+        entry->min_replicas = replicas;
+        g_hash_table_insert(explain->shortages, entry->model, entry);
     }
-    entry->lines++;
-    entry->most_asked =
-        MAX(entry->most_asked, get_integer(line, "asked_thousandths"));
-    entry->least_replicas = MIN(entry->least_replicas, replicas);
-    entry->changing += get_integer(line, "changing");
-    entry->no_room += get_integer(line, "no_room");
-    entry->no_load += get_integer(line, "no_load");
+    entry->line_count++;
+    entry->max_demand_thousandths = MAX(
+        entry->max_demand_thousandths, get_integer(line, "asked_thousandths"));
+    entry->min_replicas = MIN(entry->min_replicas, replicas);
+    entry->engines_changing += get_integer(line, "changing");
+    entry->engines_without_memory += get_integer(line, "no_room");
+    entry->engines_without_load += get_integer(line, "no_load");
 }
 
 /* ---- log lines ---- */
@@ -292,7 +297,7 @@
 static bool
 add_event(struct ch_explain *explain, JsonObject *object)
 {
-    const char *event = ch_json_text(object, "event");
+    const char *event = ch_json_get_string(object, "event");
     int64_t time = get_time(object);
     if (event == NULL || time == 0) {
         return false;
@@ -307,7 +312,7 @@
 
 /* See explain.h. */
 bool
-ch_explain_line(struct ch_explain *explain, const char *line)
+ch_explain_add_line(struct ch_explain *explain, const char *line)
 {
     const char *json = strchr(line, '{');
     if (json == NULL) {
@@ -318,7 +323,7 @@
         length--;
     }
     JsonParser *parser = NULL;
-    JsonObject *object = ch_json_object(json, length, &parser);
+    JsonObject *object = ch_json_parse_object(json, length, &parser);
     bool ok = object != NULL && add_event(explain, object);
     g_object_unref(parser);
     return ok;
--- a/libchestnuthitch/explain/explain.h
+++ b/libchestnuthitch/explain/explain.h
@@ -21,7 +21,7 @@
 /* Adds one log line.  Lines of different nodes may come in any order.  Text
    before the JSON object is skipped.  Returns false if the line isn't a log
    line of a node. */
-bool ch_explain_line(struct ch_explain *explain, const char *line);
+bool ch_explain_add_line(struct ch_explain *explain, const char *line);
 
 /* Returns the report as a new string. */
 char *ch_explain_report(struct ch_explain *explain);
--- a/libchestnuthitch/explain/explain_report.c
+++ b/libchestnuthitch/explain/explain_report.c
@@ -11,7 +11,7 @@
     LONGEST_CHANGES_SHOWN = 5,
 };
 
-static const char *const outcome_names[CH_ENDING_COUNT] = {
+static const char *const outcome_names[CH_EXPLAIN_OUTCOME_COUNT] = {
     "served", "full", "absent", "refused", "engine", "time", "gone", "other",
 };
 
@@ -60,18 +60,18 @@
            const struct ch_explain_row *row)
 {
     unsigned request_count = 0;
-    for (int i = 0; i < CH_ENDING_COUNT; i++) {
-        request_count += row->endings[i];
+    for (int i = 0; i < CH_EXPLAIN_OUTCOME_COUNT; i++) {
+        request_count += row->outcomes[i];
     }
-    append_time_of_day(out, row->interval * explain->interval);
+    append_time_of_day(out, row->interval * explain->interval_s);
     g_string_append_printf(out, "  %-16s %7u %7u", row->model, request_count,
-                           row->in_time);
-    for (int i = 0; i < CH_ENDING_COUNT; i++) {
-        g_string_append_printf(out, " %7u", row->endings[i]);
+                           row->within_target);
+    for (int i = 0; i < CH_EXPLAIN_OUTCOME_COUNT; i++) {
+        g_string_append_printf(out, " %7u", row->outcomes[i]);
     }
     g_string_append_printf(out, " %8.0f %8.0f\n",
-                           percentile_ms(row->firsts, 0.5),
-                           percentile_ms(row->firsts, 0.95));
+                           percentile_ms(row->first_data_times, 0.5),
+                           percentile_ms(row->first_data_times, 0.95));
 }
 
 /* Appends the header and the rows of all intervals and models. */
@@ -88,7 +88,7 @@
     g_ptr_array_sort(rows, compare_rows);
     g_string_append_printf(out, "%-8s  %-16s %7s %7s", "from", "model",
                            "asked", "in time");
-    for (int i = 0; i < CH_ENDING_COUNT; i++) {
+    for (int i = 0; i < CH_EXPLAIN_OUTCOME_COUNT; i++) {
         g_string_append_printf(out, " %7s", outcome_names[i]);
     }
     g_string_append_printf(out, " %8s %8s\n", "p50 ms", "p95 ms");
@@ -108,8 +108,8 @@
         *(struct ch_explain_change *const *)a;
     const struct ch_explain_change *second =
         *(struct ch_explain_change *const *)b;
-    int64_t x = first->loaded - first->decided;
-    int64_t y = second->loaded - second->decided;
+    int64_t x = first->loaded_at - first->decided_at;
+    int64_t y = second->loaded_at - second->decided_at;
     return (x < y) - (x > y);
 }
 
@@ -131,14 +131,14 @@
     GArray *unloads = g_array_new(FALSE, FALSE, sizeof(int64_t));
     GArray *store_loads = g_array_new(FALSE, FALSE, sizeof(int64_t));
     GArray *copy_loads = g_array_new(FALSE, FALSE, sizeof(int64_t));
-    for (guint i = 0; i < explain->changes->len; i++) {
+    for (guint i = 0; i < explain->finished_changes->len; i++) {
         const struct ch_explain_change *change =
-            g_ptr_array_index(explain->changes, i);
-        int64_t total = change->loaded - change->decided;
-        int64_t unload = change->room - change->decided;
-        int64_t load = change->loaded - change->load;
+            g_ptr_array_index(explain->finished_changes, i);
+        int64_t total = change->loaded_at - change->decided_at;
+        int64_t unload = change->memory_freed_at - change->decided_at;
+        int64_t load = change->loaded_at - change->load_ordered_at;
         g_array_append_val(totals, total);
-        if (change->room != 0) {
+        if (change->memory_freed_at != 0) {
             g_array_append_val(unloads, unload);
         }
         g_array_append_val(change->from_store ? store_loads : copy_loads,
@@ -154,15 +154,16 @@
 static void
 append_longest(GString *out, const struct ch_explain *explain)
 {
-    g_ptr_array_sort(explain->changes, compare_durations);
-    for (guint i = 0; i < explain->changes->len && i < LONGEST_CHANGES_SHOWN;
+    g_ptr_array_sort(explain->finished_changes, compare_durations);
+    for (guint i = 0;
+         i < explain->finished_changes->len && i < LONGEST_CHANGES_SHOWN;
          i++) {
         const struct ch_explain_change *change =
-            g_ptr_array_index(explain->changes, i);
-        append_time_of_day(out, change->decided / G_USEC_PER_SEC);
-        g_string_append_printf(out, "  %s on %s: %" G_GINT64_FORMAT " ms\n",
-                               change->model, change->upstream,
-                               (change->loaded - change->decided) / 1000);
+            g_ptr_array_index(explain->finished_changes, i);
+        append_time_of_day(out, change->decided_at / G_USEC_PER_SEC);
+        g_string_append_printf(
+            out, "  %s on %s: %" G_GINT64_FORMAT " ms\n", change->model,
+            change->upstream, (change->loaded_at - change->decided_at) / 1000);
     }
 }
 
@@ -172,10 +173,10 @@
 static gint
 compare_shortages(gconstpointer a, gconstpointer b)
 {
-    const struct ch_explain_short *first = a;
-    const struct ch_explain_short *second = b;
-    if (first->lines != second->lines) {
-        return first->lines > second->lines ? -1 : 1;
+    const struct ch_explain_shortage *first = a;
+    const struct ch_explain_shortage *second = b;
+    if (first->line_count != second->line_count) {
+        return first->line_count > second->line_count ? -1 : 1;
     }
     return strcmp(first->model, second->model);
 }
@@ -185,19 +186,20 @@
 static void
 append_shortages(GString *out, const struct ch_explain *explain)
 {
-    GList *entries = g_list_sort(g_hash_table_get_values(explain->shorts),
+    GList *entries = g_list_sort(g_hash_table_get_values(explain->shortages),
                                  compare_shortages);
     g_string_append_printf(out, "%-16s %6s %9s %8s %9s %8s %8s\n", "model",
                            "lines", "asked", "replicas", "changing", "no room",
                            "no load");
     for (const GList *node = entries; node != NULL; node = node->next) {
-        const struct ch_explain_short *entry = node->data;
-        double lines = entry->lines;
+        const struct ch_explain_shortage *entry = node->data;
+        double lines = entry->line_count;
         g_string_append_printf(
             out, "%-16s %6u %9.1f %8u %9.1f %8.1f %8.1f\n", entry->model,
-            entry->lines, (double)entry->most_asked / 1000,
-            entry->least_replicas, (double)entry->changing / lines,
-            (double)entry->no_room / lines, (double)entry->no_load / lines);
+            entry->line_count, (double)entry->max_demand_thousandths / 1000,
+            entry->min_replicas, (double)entry->engines_changing / lines,
+            (double)entry->engines_without_memory / lines,
+            (double)entry->engines_without_load / lines);
     }
     g_list_free(entries);
 }
@@ -210,7 +212,7 @@
     append_rows(out, explain);
     g_string_append(out, "\nChanges of models\n");
     append_durations(out, explain);
-    if (explain->changes->len > 0) {
+    if (explain->finished_changes->len > 0) {
         g_string_append(out, "the longest:\n");
         append_longest(out, explain);
     }
--- a/libchestnuthitch/net/http.c
+++ b/libchestnuthitch/net/http.c
@@ -114,9 +114,9 @@
 static void
 set_phase_timeout(struct transfer *transfer, int64_t timeout)
 {
-    int64_t deadline = timeout > 0
-                           ? ch_client_now(transfer->http->client) + timeout
-                           : INT64_MAX;
+    int64_t deadline =
+        timeout > 0 ? ch_client_get_time(transfer->http->client) + timeout
+                    : INT64_MAX;
     if (transfer->total_deadline != 0) {
         deadline = MIN(deadline, transfer->total_deadline);
     }
@@ -140,11 +140,11 @@
     pthread_mutex_lock(&http->lock);
     ch_table_remove(http->transfers, transfer->handle);
     pthread_mutex_unlock(&http->lock);
-    struct ch_http_end end = {
+    struct ch_http_result end = {
         .code = code,
         .status = transfer->status,
         .sent = transfer->sent,
-        .refused = transfer->connection_refused,
+        .connection_refused = transfer->connection_refused,
     };
     (void)snprintf(end.message, sizeof(end.message), "%s", message);
     if (transfer->handlers.on_end != NULL) {
@@ -178,7 +178,7 @@
     transfer->reused = connects == 0;
     transfer->sent = true;
     transfer->phase = PHASE_FIRST_BYTE;
-    transfer->last_received_at = ch_client_now(transfer->http->client);
+    transfer->last_received_at = ch_client_get_time(transfer->http->client);
     set_phase_timeout(transfer, transfer->first_byte_timeout);
     return CURL_PREREQFUNC_OK;
 }
@@ -188,7 +188,7 @@
 record_received(struct transfer *transfer)
 {
     transfer->phase = PHASE_BODY;
-    transfer->last_received_at = ch_client_now(transfer->http->client);
+    transfer->last_received_at = ch_client_get_time(transfer->http->client);
     transfer->http->last_received_at = transfer->last_received_at;
     set_phase_timeout(transfer, transfer->stall_timeout);
 }
@@ -203,8 +203,8 @@
         status = (int)g_ascii_strtoll(space + 1, NULL, 10);
     }
     transfer->status = status >= 200 ? status : 0;
-    if (transfer->status != 0 && transfer->handlers.on_head != NULL) {
-        transfer->handlers.on_head(transfer->data, status);
+    if (transfer->status != 0 && transfer->handlers.on_status != NULL) {
+        transfer->handlers.on_status(transfer->data, status);
     }
 }
 
@@ -326,7 +326,7 @@
     if (found == NULL) {
         return false;
     }
-    if (ch_client_now(http->client) < found->ends_at) {
+    if (ch_client_get_time(http->client) < found->ends_at) {
         return true;
     }
     g_hash_table_remove(http->suspect_origins, origin);
@@ -365,7 +365,7 @@
 {
     struct ch_http *http = transfer->http;
     if (transfer->total_deadline != 0 &&
-        ch_client_now(http->client) >= transfer->total_deadline) {
+        ch_client_get_time(http->client) >= transfer->total_deadline) {
         transfer_end(transfer, CH_UPSTREAM_CONNECT, "not started in time");
         return;
     }
@@ -444,7 +444,7 @@
 {
     struct origin_suspicion *found = g_new(struct origin_suspicion, 1);
     pthread_mutex_lock(&http->lock);
-    found->ends_at = ch_client_now(http->client) + http->idle_timeout;
+    found->ends_at = ch_client_get_time(http->client) + http->idle_timeout;
     pthread_mutex_unlock(&http->lock);
     g_hash_table_replace(http->suspect_origins, g_strdup(transfer->origin),
                          found);
@@ -531,8 +531,8 @@
     bool total_passed =
         transfer->total_deadline != 0 && transfer->total_deadline <= now;
     if (total_passed || transfer->phase == PHASE_CONNECT ||
-        transfer->handlers.on_silent == NULL ||
-        !transfer->handlers.on_silent(transfer->data)) {
+        transfer->handlers.on_stall == NULL ||
+        !transfer->handlers.on_stall(transfer->data)) {
         return false;
     }
     set_phase_timeout(transfer, get_silence_timeout(transfer));
@@ -646,7 +646,7 @@
     if (http->next_check_at == INT64_MAX) {
         return MAX_POLL_MS;
     }
-    int64_t left = http->next_check_at - ch_client_now(http->client);
+    int64_t left = http->next_check_at - ch_client_get_time(http->client);
     return (int)CLAMP((left + 999) / 1000, 0, MAX_POLL_MS);
 }
 
@@ -681,7 +681,7 @@
         int running = 0;
         start_submitted(http);
         end_cancelled(http);
-        int64_t now = ch_client_now(http->client);
+        int64_t now = ch_client_get_time(http->client);
         curl_multi_perform(http->multi, &running);
         handle_results(http);
         end_all_timed_out(http, now);
@@ -814,17 +814,17 @@
     }
     transfer->body[request->body_length] = '\0';
     transfer->body_length = request->body_length;
-    transfer->connect_timeout = request->connect_limit;
-    transfer->first_byte_timeout = request->first_byte_limit;
-    transfer->stall_timeout = request->stall_limit;
+    transfer->connect_timeout = request->connect_timeout;
+    transfer->first_byte_timeout = request->first_byte_timeout;
+    transfer->stall_timeout = request->stall_timeout;
     transfer->fresh_connection =
         request->fresh_connection || request->connect_only;
     transfer->connect_only = request->connect_only;
-    transfer->no_resend = request->sent_once;
+    transfer->no_resend = request->no_resend;
     transfer->phase_deadline = INT64_MAX;
-    if (request->total_limit > 0) {
+    if (request->total_timeout > 0) {
         transfer->total_deadline =
-            ch_client_now(http->client) + request->total_limit;
+            ch_client_get_time(http->client) + request->total_timeout;
     }
     copy_headers(transfer, request);
     return transfer;
@@ -875,7 +875,7 @@
  * down; under one second, connections are not reused.
  */
 void
-ch_http_idle_limit(struct ch_http *http, int64_t timeout)
+ch_http_set_idle_timeout(struct ch_http *http, int64_t timeout)
 {
     pthread_mutex_lock(&http->lock);
     http->idle_timeout = timeout;
--- a/libchestnuthitch/net/http_fetch.c
+++ b/libchestnuthitch/net/http_fetch.c
@@ -10,7 +10,7 @@
     char *etag;
     size_t max_bytes;
     bool too_large;
-    void (*done)(void *data, const struct ch_http_answer *answer);
+    void (*done)(void *data, const struct ch_http_response *answer);
     void *data;
 };
 
@@ -42,18 +42,19 @@
 
 /* Reports the response and frees the fetch. */
 static void
-fetch_end(void *data, const struct ch_http_end *result)
+fetch_end(void *data, const struct ch_http_result *result)
 {
     struct fetch *fetch = data;
-    struct ch_http_answer response = {
-        .end = *result,
+    struct ch_http_response response = {
+        .result = *result,
         .body = fetch->body->str,
-        .length = fetch->body->len,
+        .body_length = fetch->body->len,
         .etag = fetch->etag,
     };
     if (fetch->too_large && result->code == CH_OK) {
-        response.end.code = CH_UPSTREAM_ANSWER;
-        (void)snprintf(response.end.message, sizeof(response.end.message),
+        response.result.code = CH_UPSTREAM_ANSWER;
+        (void)snprintf(response.result.message,
+                       sizeof(response.result.message),
                        "the response is over %zu bytes", fetch->max_bytes);
     }
     fetch->done(fetch->data, &response);
@@ -65,7 +66,8 @@
 uint64_t
 ch_http_fetch(struct ch_http *http, const struct ch_http_request *request,
               size_t max_bytes,
-              void (*done)(void *data, const struct ch_http_answer *response),
+              void (*done)(void *data,
+                           const struct ch_http_response *response),
               void *data)
 {
     static const struct ch_http_handlers handlers = {
--- a/libchestnuthitch/net/net.h
+++ b/libchestnuthitch/net/net.h
@@ -22,11 +22,12 @@
     size_t header_count;
     const void *body;
     size_t body_length;
-    int64_t connect_limit;    /* until the connection is established */
-    int64_t first_byte_limit; /* from sending the request to the first byte of
-                                 the response */
-    int64_t stall_limit; /* between two received bytes, after the first one */
-    int64_t total_limit; /* 0: none; caps the whole call */
+    int64_t connect_timeout;    /* until the connection is established */
+    int64_t first_byte_timeout; /* from sending the request to the first byte
+                                 of the response */
+    int64_t
+        stall_timeout; /* between two received bytes, after the first one */
+    int64_t total_timeout; /* 0: none; caps the whole call */
     /*
      * Opens a new connection. Needed for a request that must not be repeated:
      * libcurl sends a POST again on its own when a kept-alive connection is
@@ -38,7 +39,7 @@
      * allowing a reused connection. For callers that keep track of what may
      * have run.
      */
-    bool sent_once;
+    bool no_resend;
     /*
      * Sends nothing: the call ends with OK once a new connection is
      * established, and that connection is closed.
@@ -46,11 +47,11 @@
     bool connect_only;
 };
 
-struct ch_http_end {
-    enum ch_code code; /* OK: the response was complete by its framing */
-    int status;        /* 0: no status line was received */
-    bool sent;         /* some byte of the request may have been sent */
-    bool refused;      /* nothing accepts connections at that address */
+struct ch_http_result {
+    enum ch_code code;       /* OK: the response was complete by its framing */
+    int status;              /* 0: no status line was received */
+    bool sent;               /* some byte of the request may have been sent */
+    bool connection_refused; /* nothing accepts connections at that address */
     char message[160];
 };
 
@@ -59,7 +60,7 @@
  * once, also after a cancel, and no handler runs after it.
  */
 struct ch_http_handlers {
-    void (*on_head)(void *data, int status);
+    void (*on_status)(void *data, int status);
     void (*on_header)(void *data, const char *name, const char *value);
     void (*on_data)(void *data, const char *bytes, size_t length);
     /*
@@ -68,8 +69,8 @@
      * again each time the same timeout passes once more, until the total
      * timeout. NULL: the call ends.
      */
-    bool (*on_silent)(void *data);
-    void (*on_end)(void *data, const struct ch_http_end *result);
+    bool (*on_stall)(void *data);
+    void (*on_end)(void *data, const struct ch_http_result *result);
 };
 
 struct ch_http *ch_http_new(struct ch_client *client);
@@ -84,13 +85,13 @@
                         const struct ch_http_handlers *handlers, void *data);
 void ch_http_cancel(struct ch_http *http, uint64_t handle);
 /* Connections idle for longer than this are not reused. */
-void ch_http_idle_limit(struct ch_http *http, int64_t timeout);
+void ch_http_set_idle_timeout(struct ch_http *http, int64_t timeout);
 
 /* A complete response collected in memory, for calls to the platform. */
-struct ch_http_answer {
-    struct ch_http_end end;
+struct ch_http_response {
+    struct ch_http_result result;
     char *body; /* NUL-terminated */
-    size_t length;
+    size_t body_length;
     char *etag; /* NULL if the response had no ETag */
 };
 
@@ -101,7 +102,7 @@
 uint64_t ch_http_fetch(struct ch_http *http,
                        const struct ch_http_request *request, size_t max_bytes,
                        void (*done)(void *data,
-                                    const struct ch_http_answer *response),
+                                    const struct ch_http_response *response),
                        void *data);
 
 #endif
--- a/libchestnuthitch/node/admin.c
+++ b/libchestnuthitch/node/admin.c
@@ -64,9 +64,9 @@
 add_config(JsonBuilder *builder, const struct ch_config *config)
 {
     add_int(builder, "revision", (int64_t)config->revision);
-    add_string(builder, "token", config->token);
+    add_string(builder, "token", config->write_id);
     add_string(builder, "author", config->author);
-    add_string(builder, "text", config->declaration->text);
+    add_string(builder, "text", config->declaration->canonical_text);
 }
 
 /* {"error": {...}} as a new string, with the configuration in force if config
@@ -80,10 +80,10 @@
     json_builder_set_member_name(builder, "error");
     json_builder_begin_object(builder);
     add_int(builder, "code", error->code);
-    add_string(builder, "name", ch_code_name(error->code));
+    add_string(builder, "name", ch_code_get_name(error->code));
     add_string(builder, "message", message);
     add_string(builder, "outcome",
-               ch_outcome_name(ch_code_outcome(error->code)));
+               ch_outcome_get_name(ch_code_get_outcome(error->code)));
     json_builder_end_object(builder);
     if (config != NULL) {
         json_builder_set_member_name(builder, "config");
@@ -93,7 +93,7 @@
     }
     json_builder_end_object(builder);
     g_free(message);
-    return ch_json_print(builder);
+    return ch_json_to_string(builder);
 }
 
 /* Queues a response; takes ownership of body. */
@@ -129,8 +129,9 @@
 {
     struct ch_error error = {0};
     ch_error_set(&error, code, "%s",
-                 message == NULL ? ch_code_meaning(code) : message);
-    return send_json(connection, ch_code_http(code), error_json(&error, NULL));
+                 message == NULL ? ch_code_get_meaning(code) : message);
+    return send_json(connection, ch_code_get_http_status(code),
+                     error_json(&error, NULL));
 }
 
 /* ---- GET requests ---- */
@@ -148,13 +149,13 @@
 get_ready(struct request *request)
 {
     struct ch_node *node = request->admin->node;
-    if (ch_node_ready(node)) {
+    if (ch_node_is_ready(node)) {
         return send_json(request->connection, MHD_HTTP_OK,
                          g_strdup("{\"status\":\"ready\"}"));
     }
-    struct ch_config *config = ch_config_keeper_current(node->config);
+    struct ch_config *config = ch_config_manager_get_current(node->config);
     bool is_initialized =
-        config != NULL && node->router->ops->ready(node->router);
+        config != NULL && node->router->ops->is_ready(node->router);
     enum ch_code code = is_initialized ? CH_STOPPING : CH_NOT_READY;
     ch_config_unref(config);
     return send_error(request->connection, code, NULL);
@@ -166,7 +167,7 @@
 {
     GString *text = g_string_new(NULL);
     ch_metrics_render(request->admin->node->client->metrics, text);
-    ch_peers_render(request->admin->node->peers, text);
+    ch_peers_render_metrics(request->admin->node->peers, text);
     return send_response(request->connection, MHD_HTTP_OK,
                          "text/plain; version=0.0.4; charset=utf-8",
                          g_string_free(text, FALSE));
@@ -186,7 +187,8 @@
     json_builder_begin_object(builder);
     for (int i = 0; i <= CH_UNKNOWN; i++) {
         uint64_t count = all->counts[i][0] + all->counts[i][1];
-        add_int(builder, ch_outcome_name((enum ch_outcome)i), (int64_t)count);
+        add_int(builder, ch_outcome_get_name((enum ch_outcome)i),
+                (int64_t)count);
         requests += count;
         met += all->counts[i][1];
     }
@@ -206,7 +208,7 @@
     for (int i = 0; i < CH_COUNTERS; i++) {
         char *name = g_ascii_strdown(names[i], -1);
         add_int(builder, name,
-                (int64_t)ch_metrics_read(metrics, (enum ch_counter)i));
+                (int64_t)ch_metrics_get_count(metrics, (enum ch_counter)i));
         g_free(name);
     }
 }
@@ -219,8 +221,8 @@
     add_string(builder, "region", node->settings->region);
     add_string(builder, "data_centre", node->settings->data_centre);
     json_builder_set_member_name(builder, "ready");
-    json_builder_add_boolean_value(builder, ch_node_ready(node));
-    struct ch_config *config = ch_config_keeper_current(node->config);
+    json_builder_add_boolean_value(builder, ch_node_is_ready(node));
+    struct ch_config *config = ch_config_manager_get_current(node->config);
     add_int(builder, "revision",
             config == NULL ? 0 : (int64_t)config->revision);
     add_string(builder, "author", config == NULL ? "" : config->author);
@@ -242,23 +244,24 @@
     JsonBuilder *builder = json_builder_new();
     json_builder_begin_object(builder);
     add_node(builder, node);
-    ch_peers_status(node->peers, builder);
-    node->router->ops->status(node->router, builder);
-    ch_crash_keeper_status(node->crashes, builder);
+    ch_peers_write_status(node->peers, builder);
+    node->router->ops->write_status(node->router, builder);
+    ch_crash_guard_write_status(node->crash_guard, builder);
     json_builder_set_member_name(builder, "policy");
     json_builder_begin_object(builder);
-    ch_settings_each_policy(node->settings, add_mechanism, builder);
+    ch_settings_foreach_policy(node->settings, add_mechanism, builder);
     json_builder_end_object(builder);
     json_builder_set_member_name(builder, "outcomes");
     json_builder_begin_object(builder);
-    ch_metrics_each_class(node->client->metrics, add_outcomes, builder);
+    ch_metrics_foreach_class(node->client->metrics, add_outcomes, builder);
     json_builder_end_object(builder);
     json_builder_set_member_name(builder, "counters");
     json_builder_begin_object(builder);
     add_counters(builder, node->client->metrics);
     json_builder_end_object(builder);
     json_builder_end_object(builder);
-    return send_json(request->connection, MHD_HTTP_OK, ch_json_print(builder));
+    return send_json(request->connection, MHD_HTTP_OK,
+                     ch_json_to_string(builder));
 }
 
 /* A configuration as JSON, in a new string. */
@@ -269,14 +272,14 @@
     json_builder_begin_object(builder);
     add_config(builder, config);
     json_builder_end_object(builder);
-    return ch_json_print(builder);
+    return ch_json_to_string(builder);
 }
 
 static enum MHD_Result
 get_config(struct request *request)
 {
     struct ch_config *config =
-        ch_config_keeper_current(request->admin->node->config);
+        ch_config_manager_get_current(request->admin->node->config);
     if (config == NULL) {
         return send_error(request->connection, CH_KV_MISSING,
                           "no configuration is known yet");
@@ -323,15 +326,16 @@
     struct request *request = data;
     struct ch_admin *admin = request->admin;
     bool accepted = error == NULL || error->code == CH_OK;
-    ch_log(admin->node->client, accepted ? CH_LOG_NOTICE : CH_LOG_WARNING,
-           "config-apply",
-           CH_F_STR("result", ch_code_name(accepted ? CH_OK : error->code)),
-           CH_F_INT("revision", config == NULL ? 0 : config->revision),
-           CH_F_STR("author",
-                    MHD_lookup_connection_value(
-                        request->connection, MHD_GET_ARGUMENT_KIND, "author")),
-           CH_F_STR("message", accepted ? "" : error->message), CH_F_END);
-    int status = accepted ? MHD_HTTP_OK : ch_code_http(error->code);
+    ch_log(
+        admin->node->client, accepted ? CH_LOG_NOTICE : CH_LOG_WARNING,
+        "config-apply",
+        CH_F_STR("result", ch_code_get_name(accepted ? CH_OK : error->code)),
+        CH_F_INT("revision", config == NULL ? 0 : config->revision),
+        CH_F_STR("author",
+                 MHD_lookup_connection_value(request->connection,
+                                             MHD_GET_ARGUMENT_KIND, "author")),
+        CH_F_STR("message", accepted ? "" : error->message), CH_F_END);
+    int status = accepted ? MHD_HTTP_OK : ch_code_get_http_status(error->code);
     char *response =
         accepted ? config_json(config) : error_json(error, config);
     pthread_mutex_lock(&admin->lock);
@@ -374,7 +378,7 @@
         return send_error(connection, CH_BAD_FIELD,
                           "base: not a revision (0 for none)");
     }
-    if (author == NULL || !ch_ini_name_check(author)) {
+    if (author == NULL || !ch_ini_check_name(author)) {
         return send_error(connection, CH_BAD_FIELD,
                           "author: not 1 to 64 of A-Z a-z 0-9 . _ -");
     }
@@ -387,8 +391,8 @@
     }
     request->suspended = true;
     MHD_suspend_connection(connection);
-    ch_config_keeper_apply(request->admin->node->config, request->body->str,
-                           author, base, handle_applied, request);
+    ch_config_manager_apply(request->admin->node->config, request->body->str,
+                            author, base, handle_applied, request);
     return MHD_YES;
 }
 
@@ -404,7 +408,7 @@
         return send_error(connection, CH_BAD_FIELD,
                           "digest: not 32 hexadecimal digits");
     }
-    if (!ch_crash_keeper_release(request->admin->node->crashes, &digest)) {
+    if (!ch_crash_guard_release(request->admin->node->crash_guard, &digest)) {
         return send_error(connection, CH_UNKNOWN_REQUEST, NULL);
     }
     return send_json(connection, MHD_HTTP_OK,
@@ -458,7 +462,7 @@
 static void
 store_body(struct request *request, const char *bytes, size_t length)
 {
-    if (request->body->len + length > CH_INI_MOST_WRITTEN) {
+    if (request->body->len + length > CH_INI_MAX_INPUT_BYTES) {
         request->too_large = true;
         return;
     }
--- a/libchestnuthitch/node/balancer.c
+++ b/libchestnuthitch/node/balancer.c
@@ -165,7 +165,7 @@
     if (config == NULL) {
         return NULL;
     }
-    int index = ch_declaration_service(config->declaration, name);
+    int index = ch_declaration_find_service(config->declaration, name);
     return index < 0 ? NULL : &config->declaration->services[index];
 }
 
@@ -175,12 +175,12 @@
 static const struct received_status *
 find_fresh_status(const struct balancer *balancer, const struct ch_host *host)
 {
-    int64_t now = ch_client_now(balancer->node->client);
+    int64_t now = ch_client_get_time(balancer->node->client);
     const struct received_status *status = g_hash_table_lookup(
         balancer->statuses, GUINT_TO_POINTER(g_quark_try_string(host->name)));
-    return status != NULL && status->engine_boot_id == host->boot &&
+    return status != NULL && status->engine_boot_id == host->boot_id &&
                    (now - status->received_time < STATUS_FRESH_US ||
-                    status->received_time > host->read_at)
+                    status->received_time > host->received_at)
                ? status
                : NULL;
 }
@@ -195,7 +195,7 @@
         find_service(update->config, host->service);
     GArray *models = g_array_new(FALSE, FALSE, sizeof(GQuark));
     GArray *adapters = g_array_new(FALSE, FALSE, sizeof(GQuark));
-    split_resident(host->resident, models, adapters);
+    split_resident(host->resident_items, models, adapters);
     const struct received_status *status = find_fresh_status(balancer, host);
     if (status != NULL) {
         g_array_set_size(models, 0);
@@ -207,11 +207,11 @@
         .region = g_quark_from_string(host->region),
         .data_centre = g_quark_from_string(host->data_centre),
         .engine = host->kind == CH_HOST_ENGINE,
-        .draining = host->leaving,
-        .boot_id = host->boot,
-        .slots = host->batch,
+        .draining = host->draining,
+        .boot_id = host->boot_id,
+        .slots = host->max_batch,
         .context_tokens = service == NULL ? 0 : service->context_tokens,
-        .adapter_slots = service == NULL ? 0 : service->adapter_places,
+        .adapter_slots = service == NULL ? 0 : service->adapter_slots,
         .resident_models = (const GQuark *)(void *)models->data,
         .resident_model_count = models->len,
     };
@@ -243,7 +243,7 @@
     }
     ch_pending_loads_update(balancer->loading_models, GPOINTER_TO_UINT(key),
                             NULL, 0, NULL, 0,
-                            ch_client_now(balancer->node->client));
+                            ch_client_get_time(balancer->node->client));
     return TRUE;
 }
 
@@ -256,26 +256,26 @@
     struct balancer *balancer = data;
     struct update update = {
         .balancer = balancer,
-        .config = ch_config_keeper_current(balancer->node->config),
+        .config = ch_config_manager_get_current(balancer->node->config),
         .listed =
             g_array_new(FALSE, FALSE, sizeof(struct ch_crash_listed_upstream)),
     };
     pthread_mutex_lock(&balancer->lock);
     balancer->listed_upstreams = g_hash_table_new(NULL, NULL);
     ch_balance_begin_update(balancer->balance);
-    ch_roster_each(balancer->roster, update_upstream, &update);
+    ch_roster_foreach(balancer->roster, update_upstream, &update);
     ch_balance_end_update(balancer->balance);
     g_hash_table_foreach_remove(balancer->clients, remove_unlisted, balancer);
     g_hash_table_destroy(balancer->listed_upstreams);
     balancer->listed_upstreams = NULL;
     pthread_mutex_unlock(&balancer->lock);
     ch_config_unref(update.config);
-    ch_crash_keeper_listed(
-        balancer->node->crashes,
+    ch_crash_guard_update_upstreams(
+        balancer->node->crash_guard,
         (const struct ch_crash_listed_upstream *)(void *)update.listed->data,
         update.listed->len);
     g_array_free(update.listed, TRUE);
-    ch_controller_changed(balancer->controller);
+    ch_controller_refresh(balancer->controller);
     route_waiting(balancer);
 }
 
@@ -360,12 +360,12 @@
             {
                 .handle = request->handle,
                 .upstream = choice->upstream,
-                .boot = choice->boot_id,
+                .boot_id = choice->boot_id,
                 .client = request->client->client,
                 .address = request->client->address,
                 .priority = request->info.priority,
                 .other_region = choice->other_region,
-                .expected = choice->expected_latency,
+                .expected_latency = choice->expected_latency,
             },
     };
 }
@@ -377,7 +377,7 @@
 estimate_model_ready(const struct balancer *balancer, GQuark model,
                      int64_t now)
 {
-    return balancer->node->settings->without.wait_for_model
+    return balancer->node->settings->disabled_features.wait_for_model
                ? 0
                : ch_pending_loads_estimate_ready(balancer->loading_models,
                                                  model, now);
@@ -460,7 +460,7 @@
     if (request->choice.code != CH_OK) {
         return wait_or_refuse(balancer, request, now);
     }
-    if (!balancer->node->settings->without.refuse_late &&
+    if (!balancer->node->settings->disabled_features.refuse_late &&
         ch_late_is_expected(info, request->choice.expected_latency, now)) {
         return wait_or_refuse_late(balancer, request, now);
     }
@@ -497,7 +497,7 @@
                             bool loaded)
 {
     struct action action = {.kind = ACTION_NONE};
-    int64_t now = ch_client_now(balancer->node->client);
+    int64_t now = ch_client_get_time(balancer->node->client);
     pthread_mutex_lock(&balancer->lock);
     struct request *request = ch_table_get(balancer->requests, handle);
     if (request != NULL && request->state == REQUEST_LOADING_ADAPTER) {
@@ -552,8 +552,8 @@
     balancer->recheck_scheduled = true;
     pthread_mutex_unlock(&balancer->lock);
     if (must_schedule) {
-        ch_timers_after(balancer->node->timers, DEFER_RECHECK_US,
-                        recheck_waiting, balancer);
+        ch_timers_add(balancer->node->timers, DEFER_RECHECK_US,
+                      recheck_waiting, balancer);
     }
 }
 
@@ -575,9 +575,9 @@
         adapter_load = g_new0(struct adapter_load, 1);
         adapter_load->balancer = balancer;
         adapter_load->handle = action->handle;
-        if (!ch_controller_has_holder(balancer->controller,
-                                      action->choice.data_centre) ||
-            !ch_controller_prepare(
+        if (!ch_controller_has_lease_holder(balancer->controller,
+                                            action->choice.data_centre) ||
+            !ch_controller_prepare_adapter(
                 balancer->controller, action->choice.upstream,
                 action->choice.data_centre, action->model, action->adapter,
                 handle_adapter_loaded, adapter_load)) {
@@ -600,7 +600,7 @@
                  const struct ch_router_handlers *handlers, void *data)
 {
     struct balancer *balancer = (struct balancer *)router;
-    int64_t now = ch_client_now(balancer->node->client);
+    int64_t now = ch_client_get_time(balancer->node->client);
     struct request *request = g_new0(struct request, 1);
     request->info = *info;
     request->handlers = handlers;
@@ -657,9 +657,9 @@
 {
     GArray *handles = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     GArray *actions = g_array_new(FALSE, FALSE, sizeof(struct action));
-    int64_t now = ch_client_now(balancer->node->client);
+    int64_t now = ch_client_get_time(balancer->node->client);
     pthread_mutex_lock(&balancer->lock);
-    ch_table_each(balancer->requests, collect_waiting, handles);
+    ch_table_foreach(balancer->requests, collect_waiting, handles);
     for (guint i = 0; i < handles->len; i++) {
         struct request *request = ch_table_get(
             balancer->requests, g_array_index(handles, uint64_t, i));
@@ -697,12 +697,12 @@
 
 /* Handles a lease holder's status of one engine. */
 static void
-handle_engine_status(void *data, const struct ch_engine_told *engine)
+handle_engine_status(void *data, const struct ch_engine_status *engine)
 {
     struct balancer *balancer = data;
     struct received_status *status = g_new0(struct received_status, 1);
-    status->engine_boot_id = engine->boot;
-    status->received_time = ch_client_now(balancer->node->client);
+    status->engine_boot_id = engine->boot_id;
+    status->received_time = ch_client_get_time(balancer->node->client);
     status->models = copy_names(engine->models, engine->model_count);
     status->adapters = copy_names(engine->adapters, engine->adapter_count);
     pthread_mutex_lock(&balancer->lock);
@@ -710,7 +710,7 @@
                          GUINT_TO_POINTER(engine->upstream), status);
     ch_pending_loads_update(balancer->loading_models, engine->upstream,
                             engine->models, engine->model_count,
-                            engine->coming, engine->coming_count,
+                            engine->pending_loads, engine->pending_load_count,
                             status->received_time);
     ch_balance_set_models(balancer->balance, engine->upstream, engine->models,
                           engine->model_count);
@@ -718,7 +718,7 @@
                             engine->adapters, engine->adapter_count);
     ch_balance_set_busy(balancer->balance, engine->upstream, engine->busy);
     ch_balance_set_total_load(balancer->balance, engine->upstream,
-                              engine->running, engine->unread,
+                              engine->running, engine->prefill_backlog,
                               status->received_time);
     pthread_mutex_unlock(&balancer->lock);
 }
@@ -729,7 +729,7 @@
 handle_engine_loads(void *data, const GArray *loads)
 {
     struct balancer *balancer = data;
-    int64_t now = ch_client_now(balancer->node->client);
+    int64_t now = ch_client_get_time(balancer->node->client);
     pthread_mutex_lock(&balancer->lock);
     for (guint i = 0; i < loads->len; i++) {
         const struct ch_engine_load *load =
@@ -740,7 +740,7 @@
             status->received_time = now;
         }
         ch_balance_set_total_load(balancer->balance, load->upstream,
-                                  load->running, load->unread, now);
+                                  load->running, load->prefill_backlog, now);
     }
     pthread_mutex_unlock(&balancer->lock);
 }
@@ -781,7 +781,7 @@
 {
     uint32_t thousandths = (uint32_t)(demand * 1000);
     if (thousandths > 0) {
-        find_or_add_demand(data, model)->work = thousandths;
+        find_or_add_demand(data, model)->engine_ms_per_s = thousandths;
     }
 }
 
@@ -799,7 +799,7 @@
     int64_t prefill_time = ch_balance_estimate_prefill(
         gathered_demand->balancer->balance, &request->info);
     find_or_add_demand(gathered_demand->models, request->info.model)
-        ->backlog += (uint32_t)(prefill_time / 1000);
+        ->backlog_ms += (uint32_t)(prefill_time / 1000);
 }
 
 /* Adds the load of this node's requests on one engine. */
@@ -822,9 +822,10 @@
     const struct gathered_demand gathered_demand = {balancer, out};
     ch_balance_report_load(balancer->balance, add_load, loads);
     ch_balance_foreach_demand(balancer->balance,
-                              ch_client_now(balancer->node->client),
+                              ch_client_get_time(balancer->node->client),
                               add_model_demand, out);
-    ch_table_each(balancer->requests, add_backlog, (void *)&gathered_demand);
+    ch_table_foreach(balancer->requests, add_backlog,
+                     (void *)&gathered_demand);
     pthread_mutex_unlock(&balancer->lock);
     route_waiting(balancer);
 }
@@ -848,7 +849,7 @@
     GHashTableIter iterator;
     gpointer key = NULL;
     pthread_mutex_lock(&balancer->lock);
-    ch_table_each(balancer->requests, add_used_adapter, balancer);
+    ch_table_foreach(balancer->requests, add_used_adapter, balancer);
     g_hash_table_iter_init(&iterator, balancer->adapters_in_use);
     while (g_hash_table_iter_next(&iterator, &key, NULL)) {
         g_ptr_array_add(out, g_strdup(key));
@@ -862,7 +863,7 @@
 balancer_first_byte(struct ch_router *router, uint64_t handle)
 {
     struct balancer *balancer = (struct balancer *)router;
-    int64_t now = ch_client_now(balancer->node->client);
+    int64_t now = ch_client_get_time(balancer->node->client);
     pthread_mutex_lock(&balancer->lock);
     struct request *request = ch_table_get(balancer->requests, handle);
     if (request != NULL && !request->has_first_byte) {
@@ -893,7 +894,7 @@
                  const struct ch_timing_sample *sample)
 {
     struct balancer *balancer = (struct balancer *)router;
-    int64_t now = ch_client_now(balancer->node->client);
+    int64_t now = ch_client_get_time(balancer->node->client);
     pthread_mutex_lock(&balancer->lock);
     struct request *request = ch_table_remove(balancer->requests, handle);
     if (request != NULL) {
@@ -922,12 +923,13 @@
     json_builder_set_member_name(builder, "data_centre");
     json_builder_add_string_value(builder, host->data_centre);
     json_builder_set_member_name(builder, "leaving");
-    json_builder_add_boolean_value(builder, host->leaving);
+    json_builder_add_boolean_value(builder, host->draining);
     json_builder_set_member_name(builder, "resident");
     json_builder_begin_array(builder);
-    for (size_t i = 0; host->resident != NULL && host->resident[i] != NULL;
+    for (size_t i = 0;
+         host->resident_items != NULL && host->resident_items[i] != NULL;
          i++) {
-        json_builder_add_string_value(builder, host->resident[i]);
+        json_builder_add_string_value(builder, host->resident_items[i]);
     }
     json_builder_end_array(builder);
     json_builder_end_object(builder);
@@ -940,7 +942,7 @@
     struct balancer *balancer = (struct balancer *)router;
     json_builder_set_member_name(builder, "upstreams");
     json_builder_begin_array(builder);
-    ch_roster_each(balancer->roster, add_host_status, builder);
+    ch_roster_foreach(balancer->roster, add_host_status, builder);
     json_builder_end_array(builder);
     ch_controller_status(balancer->controller, builder);
 }
@@ -960,7 +962,7 @@
 static bool
 balancer_ready(struct ch_router *router)
 {
-    return ch_roster_known(((struct balancer *)router)->roster);
+    return ch_roster_is_known(((struct balancer *)router)->roster);
 }
 
 /* See struct ch_router_ops. */
@@ -969,7 +971,7 @@
 {
     struct balancer *balancer = (struct balancer *)router;
     ch_controller_drain(balancer->controller);
-    ch_roster_leave(balancer->roster);
+    ch_roster_unregister(balancer->roster);
 }
 
 /* See struct ch_router_ops. */
@@ -995,7 +997,7 @@
 {
     struct balancer *balancer = (struct balancer *)router;
     GPtrArray *left = g_ptr_array_new();
-    ch_table_each(balancer->requests, collect_request, left);
+    ch_table_foreach(balancer->requests, collect_request, left);
     for (guint i = 0; i < left->len; i++) {
         free_request(g_ptr_array_index(left, i));
     }
@@ -1018,22 +1020,22 @@
 {
     static const struct ch_router_ops ops = {
         .start = balancer_start,
-        .ready = balancer_ready,
+        .is_ready = balancer_ready,
         .request = balancer_request,
         .withdraw = balancer_withdraw,
-        .first = balancer_first_byte,
+        .record_first_byte = balancer_first_byte,
         .release = balancer_release,
         .drain = balancer_drain,
         .stop = balancer_stop,
         .free = balancer_free,
-        .status = balancer_status,
+        .write_status = balancer_status,
     };
     static const struct ch_controller_handlers handlers = {
-        .told = handle_engine_status,
-        .loads = handle_engine_loads,
-        .told_all = handle_status_complete,
-        .demand = gather_demand,
-        .used = gather_used_adapters,
+        .engine_status = handle_engine_status,
+        .engine_loads = handle_engine_loads,
+        .status_complete = handle_status_complete,
+        .collect_demand = gather_demand,
+        .collect_used_adapters = gather_used_adapters,
     };
     struct balancer *balancer = g_new0(struct balancer, 1);
     balancer->router.ops = &ops;
@@ -1041,7 +1043,8 @@
     balancer->balance =
         ch_balance_new(g_quark_from_string(node->settings->region),
                        g_quark_from_string(node->settings->data_centre));
-    ch_balance_disable_features(balancer->balance, &node->settings->without);
+    ch_balance_disable_features(balancer->balance,
+                                &node->settings->disabled_features);
     balancer->loading_models = ch_pending_loads_new();
     balancer->clients = g_hash_table_new_full(NULL, NULL, NULL, client_unref);
     balancer->requests = ch_table_new();
--- a/libchestnuthitch/node/claim.c
+++ b/libchestnuthitch/node/claim.c
@@ -25,7 +25,7 @@
     RETRY_DELAY_US = 1000 * 1000,
 };
 
-struct ch_claim {
+struct ch_lease {
     struct ch_node *node;
     char *key;
     int64_t handover_pause;
@@ -57,7 +57,7 @@
 
 /* Drops a reference; the last one frees the lease. */
 static void
-lease_unref(struct ch_claim *lease)
+lease_unref(struct ch_lease *lease)
 {
     if (!g_atomic_int_dec_and_test(&lease->references)) {
         return;
@@ -69,10 +69,10 @@
 }
 
 /* See claim.h. */
-struct ch_claim *
-ch_claim_new(struct ch_node *node, const char *key, int64_t handover_pause)
+struct ch_lease *
+ch_lease_new(struct ch_node *node, const char *key, int64_t handover_pause)
 {
-    struct ch_claim *lease = g_new0(struct ch_claim, 1);
+    struct ch_lease *lease = g_new0(struct ch_lease, 1);
     lease->node = node;
     lease->key = g_strdup(key);
     lease->handover_pause = handover_pause;
@@ -83,7 +83,7 @@
 
 /* Drops the owner's reference; a call in flight still ends by itself. */
 void
-ch_claim_free(struct ch_claim *lease)
+ch_lease_free(struct ch_lease *lease)
 {
     if (lease != NULL) {
         lease_unref(lease);
@@ -92,7 +92,7 @@
 
 /* See claim.h. */
 bool
-ch_claim_held(struct ch_claim *lease, uint64_t *fencing_token)
+ch_lease_is_held(struct ch_lease *lease, uint64_t *fencing_token)
 {
     pthread_mutex_lock(&lease->lock);
     bool held =
@@ -104,7 +104,7 @@
 
 /* Sets and logs whether the lease is held. Lock held. */
 static void
-set_held(struct ch_claim *lease, bool held, const char *why)
+set_held(struct ch_lease *lease, bool held, const char *why)
 {
     if (lease->held != held) {
         ch_log(lease->node->client, CH_LOG_NOTICE,
@@ -117,7 +117,7 @@
 
 /* Gives up this attempt or lease, and tries again after a delay. Lock held. */
 static void
-schedule_retry(struct ch_claim *lease, const char *why)
+schedule_retry(struct ch_lease *lease, const char *why)
 {
     set_held(lease, false, why);
     lease->kv_lease_id = 0;
@@ -129,7 +129,7 @@
 /* Records that this attempt wrote the key, unless the lease was released
  * meanwhile. Lock held. */
 static void
-record_acquired(struct ch_claim *lease, uint64_t revision)
+record_acquired(struct ch_lease *lease, uint64_t revision)
 {
     if (lease->released) {
         return;
@@ -140,9 +140,9 @@
 
 /* Reads the key after a write whose outcome is unknown. */
 static void
-handle_read_back(void *data, const struct ch_kv_answer *answer)
+handle_read_back(void *data, const struct ch_kv_result *answer)
 {
-    struct ch_claim *lease = data;
+    struct ch_lease *lease = data;
     pthread_mutex_lock(&lease->lock);
     lease->call_in_flight = false;
     if (answer->code == CH_OK && answer->length == strlen(lease->write_id) &&
@@ -159,9 +159,9 @@
 /* Handles the result of the write: done, refused because the key exists, or
  * outcome unknown. */
 static void
-handle_write(void *data, const struct ch_kv_answer *answer)
+handle_write(void *data, const struct ch_kv_result *answer)
 {
-    struct ch_claim *lease = data;
+    struct ch_lease *lease = data;
     if (answer->code == CH_KV_AMBIGUOUS) {
         ch_kv_call_get(lease->node, lease->key, handle_read_back, lease);
         return;
@@ -180,9 +180,9 @@
 
 /* Handles the grant of a key-value lease: writes the key under it. */
 static void
-handle_kv_lease(void *data, const struct ch_kv_answer *answer)
+handle_kv_lease(void *data, const struct ch_kv_result *answer)
 {
-    struct ch_claim *lease = data;
+    struct ch_lease *lease = data;
     pthread_mutex_lock(&lease->lock);
     bool proceed = answer->code == CH_OK && !lease->released;
     if (proceed) {
@@ -212,8 +212,8 @@
 /* Whether the key was written by an earlier process of this host. That process
  * has ended, because this one has its address. */
 static bool
-is_from_earlier_process(const struct ch_claim *lease,
-                        const struct ch_kv_answer *answer)
+is_from_earlier_process(const struct ch_lease *lease,
+                        const struct ch_kv_result *answer)
 {
     const char *name = lease->node->settings->name;
     size_t length = strlen(name);
@@ -225,9 +225,9 @@
 /* Handles the current key: it is free, left by an earlier process of this
  * host, or another node's. */
 static void
-handle_lookup(void *data, const struct ch_kv_answer *answer)
+handle_lookup(void *data, const struct ch_kv_result *answer)
 {
-    struct ch_claim *lease = data;
+    struct ch_lease *lease = data;
     int64_t ttl = LEASE_USE_US + lease->handover_pause + CLOCK_MARGIN_US;
     pthread_mutex_lock(&lease->lock);
     bool from_earlier = is_from_earlier_process(lease, answer);
@@ -246,15 +246,15 @@
         lease_unref(lease);
         return;
     }
-    ch_kv_call_lease(lease->node, ttl, handle_kv_lease, lease);
+    ch_kv_call_create_lease(lease->node, ttl, handle_kv_lease, lease);
 }
 
 /* Handles the result of a renewal: renewed, or expired; after other errors a
  * later renewal may still succeed. */
 static void
-handle_renewal(void *data, const struct ch_kv_answer *answer)
+handle_renewal(void *data, const struct ch_kv_result *answer)
 {
-    struct ch_claim *lease = data;
+    struct ch_lease *lease = data;
     pthread_mutex_lock(&lease->lock);
     lease->call_in_flight = false;
     if (answer->code == CH_OK) {
@@ -269,7 +269,7 @@
 
 /* See claim.h. */
 void
-ch_claim_step(struct ch_claim *lease, bool wanted)
+ch_lease_update(struct ch_lease *lease, bool wanted)
 {
     int64_t now = get_boottime_us();
     int64_t ttl = LEASE_USE_US + lease->handover_pause + CLOCK_MARGIN_US;
@@ -290,7 +290,8 @@
     }
     pthread_mutex_unlock(&lease->lock);
     if (do_call && renew) {
-        ch_kv_call_renew(lease->node, kv_lease_id, handle_renewal, lease);
+        ch_kv_call_renew_lease(lease->node, kv_lease_id, handle_renewal,
+                               lease);
     }
     else if (do_call) {
         ch_kv_call_get(lease->node, lease->key, handle_lookup, lease);
@@ -302,14 +303,14 @@
 /* Handles the result of ending the key-value lease; if the call failed, that
  * lease expires by itself. */
 static void
-handle_kv_lease_end(void *data, const struct ch_kv_answer *answer)
+handle_kv_lease_end(void *data, const struct ch_kv_result *answer)
 {
     (void)answer;
     lease_unref(data);
 }
 
 struct lease_release {
-    struct ch_claim *lease;
+    struct ch_lease *lease;
     uint64_t kv_lease_id;
 };
 
@@ -325,7 +326,7 @@
 
 /* See claim.h. */
 int64_t
-ch_claim_age(struct ch_claim *lease)
+ch_lease_get_renewal_age(struct ch_lease *lease)
 {
     pthread_mutex_lock(&lease->lock);
     int64_t age = get_boottime_us() - lease->renewed_at;
@@ -335,7 +336,7 @@
 
 /* See claim.h. */
 void
-ch_claim_give_up(struct ch_claim *lease, int64_t delay)
+ch_lease_release(struct ch_lease *lease, int64_t delay)
 {
     pthread_mutex_lock(&lease->lock);
     struct lease_release *release = g_new0(struct lease_release, 1);
@@ -349,5 +350,5 @@
         return;
     }
     g_atomic_int_inc(&lease->references);
-    ch_timers_after(lease->node->timers, delay, end_kv_lease, release);
+    ch_timers_add(lease->node->timers, delay, end_kv_lease, release);
 }
--- a/libchestnuthitch/node/claim.h
+++ b/libchestnuthitch/node/claim.h
@@ -14,25 +14,25 @@
 
 #include "node/node.h"
 
-struct ch_claim;
+struct ch_lease;
 
 /* handover_pause: least time between the last action of one lease holder and
  * the first of the next, microseconds. */
-struct ch_claim *ch_claim_new(struct ch_node *node, const char *key,
+struct ch_lease *ch_lease_new(struct ch_node *node, const char *key,
                               int64_t handover_pause);
-void ch_claim_free(struct ch_claim *lease);
+void ch_lease_free(struct ch_lease *lease);
 /* Does what is due: tries to acquire the lease if `wanted`, renews a held
  * lease. Call it at least every 250 ms. */
-void ch_claim_step(struct ch_claim *lease, bool wanted);
+void ch_lease_update(struct ch_lease *lease, bool wanted);
 /* Whether the lease is held at this moment, and its fencing token. Call it
  * right before each action. */
-bool ch_claim_held(struct ch_claim *lease, uint64_t *fencing_token);
+bool ch_lease_is_held(struct ch_lease *lease, uint64_t *fencing_token);
 /* Microseconds since this node sent the last call by which the key-value store
  * granted or renewed the lease. */
-int64_t ch_claim_age(struct ch_claim *lease);
+int64_t ch_lease_get_renewal_age(struct ch_lease *lease);
 /* Releases the lease, because another node was found to have a higher fencing
  * token or because this node stops. delay: microseconds until other nodes may
  * acquire it. */
-void ch_claim_give_up(struct ch_claim *lease, int64_t delay);
+void ch_lease_release(struct ch_lease *lease, int64_t delay);
 
 #endif
--- a/libchestnuthitch/node/config_keeper.c
+++ b/libchestnuthitch/node/config_keeper.c
@@ -80,7 +80,7 @@
     MAX_BACKOFF_US = 1000 * 1000,
 };
 
-struct ch_config_keeper {
+struct ch_config_manager {
     struct ch_node *node;
     pthread_mutex_t lock;
     int references;
@@ -107,8 +107,8 @@
 /* ---- ownership ---- */
 
 /* Adds a reference, for a call or timer in progress. */
-static struct ch_config_keeper *
-keeper_add_reference(struct ch_config_keeper *keeper)
+static struct ch_config_manager *
+keeper_add_reference(struct ch_config_manager *keeper)
 {
     g_atomic_int_inc(&keeper->references);
     return keeper;
@@ -116,7 +116,7 @@
 
 /* Drops a reference; frees the keeper with the last one. */
 static void
-keeper_drop_reference(struct ch_config_keeper *keeper)
+keeper_drop_reference(struct ch_config_manager *keeper)
 {
     if (!g_atomic_int_dec_and_test(&keeper->references)) {
         return;
@@ -133,7 +133,7 @@
 
 /* See node.h. */
 struct ch_config *
-ch_config_keeper_current(struct ch_config_keeper *keeper)
+ch_config_manager_get_current(struct ch_config_manager *keeper)
 {
     pthread_mutex_lock(&keeper->lock);
     struct ch_config *config =
@@ -144,7 +144,7 @@
 
 /* The revision in force; 0: none. */
 static uint64_t
-current_revision(struct ch_config_keeper *keeper)
+current_revision(struct ch_config_manager *keeper)
 {
     pthread_mutex_lock(&keeper->lock);
     uint64_t revision =
@@ -155,7 +155,7 @@
 
 /* The revision in force, or a higher one that is being parsed. Lock held. */
 static uint64_t
-known_revision(const struct ch_config_keeper *keeper)
+known_revision(const struct ch_config_manager *keeper)
 {
     uint64_t current = keeper->current == NULL ? 0 : keeper->current->revision;
     return ch_revision_is_newer(current, keeper->parsing_revision)
@@ -174,7 +174,7 @@
  * brings it again.
  */
 static bool
-begin_applying(struct ch_config_keeper *keeper, uint64_t revision)
+begin_applying(struct ch_config_manager *keeper, uint64_t revision)
 {
     pthread_mutex_lock(&keeper->lock);
     bool begin = ch_revision_is_newer(known_revision(keeper), revision);
@@ -188,7 +188,7 @@
 /* Ends what begin_applying registered; the parsing of a higher revision may
  * have begun meanwhile. */
 static void
-end_applying(struct ch_config_keeper *keeper, uint64_t revision)
+end_applying(struct ch_config_manager *keeper, uint64_t revision)
 {
     pthread_mutex_lock(&keeper->lock);
     if (keeper->parsing_revision == revision) {
@@ -200,10 +200,10 @@
 /* Notifies a few nodes of the new revision, which all messages of this node
  * carry now; nodes that are behind then pull it. */
 static void
-notify_others(struct ch_config_keeper *keeper)
+notify_others(struct ch_config_manager *keeper)
 {
     struct ch_node *node = keeper->node;
-    g_auto(GStrv) live = ch_peers_live(node->peers);
+    g_auto(GStrv) live = ch_peers_list_live(node->peers);
     guint count = g_strv_length(live);
     for (guint i = 0; i < NOTIFIED_NODES && count > 0; i++) {
         const char *name = live[g_random_int_range(0, (gint32)count)];
@@ -222,7 +222,7 @@
 
 /* Puts the config (owned) into force if its revision is higher. */
 static void
-apply_config(struct ch_config_keeper *keeper, struct ch_config *config)
+apply_config(struct ch_config_manager *keeper, struct ch_config *config)
 {
     struct ch_node *node = keeper->node;
     struct ch_config *old = config;
@@ -238,8 +238,8 @@
     pthread_mutex_unlock(&keeper->lock);
     if (newer) {
         if (node->client->metrics != NULL) {
-            ch_metrics_count(node->client->metrics, CH_COUNT_CONFIG_CHANGES,
-                             1);
+            ch_metrics_add_count(node->client->metrics,
+                                 CH_COUNT_CONFIG_CHANGES, 1);
         }
         ch_log(node->client, CH_LOG_NOTICE, "config-in-force",
                CH_F_INT("revision", config->revision),
@@ -254,7 +254,7 @@
 /* Puts a revision into force from its parts. A text that this node can't parse
  * leaves the configuration in force as it is. */
 static void
-apply_parts(struct ch_config_keeper *keeper, uint64_t revision,
+apply_parts(struct ch_config_manager *keeper, uint64_t revision,
             const char *token, const char *author, const char *text)
 {
     struct ch_error error = {0};
@@ -275,15 +275,15 @@
 /* The record in a value of the key-value store, or a record made of the
  * platform's own format there; NULL with an error. */
 static struct ch_revision_record *
-parse_record(const struct ch_config_keeper *keeper,
-             const struct ch_kv_answer *answer, struct ch_error *error)
+parse_record(const struct ch_config_manager *keeper,
+             const struct ch_kv_result *answer, struct ch_error *error)
 {
     const struct ch_dialect *dialect = keeper->node->dialect;
-    if (dialect == NULL || dialect->config_text == NULL) {
+    if (dialect == NULL || dialect->extract_config == NULL) {
         return ch_revision_record_parse(answer->value, answer->length, error);
     }
     g_autofree char *text =
-        dialect->config_text(answer->value, answer->length, error);
+        dialect->extract_config(answer->value, answer->length, error);
     return text == NULL
                ? NULL
                : ch_revision_record_new("operator", "operator", text, NULL, 0);
@@ -298,7 +298,8 @@
  * which its streams pause; so the revision is compared first.
  */
 static bool
-apply_value(struct ch_config_keeper *keeper, const struct ch_kv_answer *answer)
+apply_value(struct ch_config_manager *keeper,
+            const struct ch_kv_result *answer)
 {
     struct ch_error error = {0};
     if (!begin_applying(keeper, answer->revision)) {
@@ -321,13 +322,13 @@
 
 /* ---- from the key-value store: watch and read ---- */
 
-static void begin_watch(struct ch_config_keeper *keeper);
+static void begin_watch(struct ch_config_manager *keeper);
 
 /* Ends a watch. After a failure the next watch waits for a backoff, so that
  * the key-value store can recover under the calls of all nodes; likewise while
  * there is no configuration to read. */
 static void
-end_watch(struct ch_config_keeper *keeper, enum ch_code code)
+end_watch(struct ch_config_manager *keeper, enum ch_code code)
 {
     pthread_mutex_lock(&keeper->lock);
     bool no_change = code == CH_KV_MISSING && keeper->current != NULL;
@@ -343,7 +344,7 @@
         keeper->backoff =
             CLAMP(keeper->backoff * 2, MIN_BACKOFF_US, MAX_BACKOFF_US);
         keeper->next_watch_at =
-            ch_client_now(keeper->node->client) + keeper->backoff;
+            ch_client_get_time(keeper->node->client) + keeper->backoff;
     }
     pthread_mutex_unlock(&keeper->lock);
 }
@@ -351,9 +352,9 @@
 /* Handles the reply to a watch. After a value, the next watch follows at
  * once. */
 static void
-handle_watch(void *data, const struct ch_kv_answer *answer)
+handle_watch(void *data, const struct ch_kv_result *answer)
 {
-    struct ch_config_keeper *keeper = data;
+    struct ch_config_manager *keeper = data;
     enum ch_code code = answer->code;
     if (code == CH_OK && !apply_value(keeper, answer)) {
         code =
@@ -372,11 +373,11 @@
  * node yet, watches the key-value store, which counts every call.
  */
 static bool
-is_role_known(const struct ch_config_keeper *keeper)
+is_role_known(const struct ch_config_manager *keeper)
 {
     const struct ch_node *node = keeper->node;
-    return ch_peers_listed(node->peers) ||
-           ch_client_now(node->client) - keeper->started_at >=
+    return ch_peers_has_list(node->peers) ||
+           ch_client_get_time(node->client) - keeper->started_at >=
                HOST_LIST_TIMEOUT_US;
 }
 
@@ -384,7 +385,7 @@
  * parsed or the backoff has not passed. The other nodes learn of a revision
  * from the watchers, and from scheduled reads. */
 static void
-begin_watch(struct ch_config_keeper *keeper)
+begin_watch(struct ch_config_manager *keeper)
 {
     struct ch_node *node = keeper->node;
     bool is_watcher =
@@ -395,7 +396,7 @@
         keeper->current == NULL ? 0 : keeper->current->revision;
     bool begin = is_watcher && !keeper->stopped &&
                  !keeper->watch_in_progress && keeper->parsing_revision == 0 &&
-                 ch_client_now(node->client) >= keeper->next_watch_at;
+                 ch_client_get_time(node->client) >= keeper->next_watch_at;
     if (begin) {
         keeper->watch_in_progress = true;
         keeper_add_reference(keeper);
@@ -411,9 +412,9 @@
 /* Handles the reply to a scheduled read. Only the watchers log that the
  * key-value store is unavailable. */
 static void
-handle_read(void *data, const struct ch_kv_answer *answer)
+handle_read(void *data, const struct ch_kv_result *answer)
 {
-    struct ch_config_keeper *keeper = data;
+    struct ch_config_manager *keeper = data;
     if (answer->code == CH_OK) {
         (void)apply_value(keeper, answer);
     }
@@ -431,22 +432,23 @@
  * asked by then. Lock held.
  */
 static bool
-should_read_on_return(struct ch_config_keeper *keeper, int64_t now)
+should_read_on_return(struct ch_config_manager *keeper, int64_t now)
 {
-    bool should_read = g_atomic_int_get(&keeper->node->returns) != 0 &&
-                       keeper->current == NULL && !keeper->return_read_done &&
-                       now - keeper->started_at >= RETURN_READ_DELAY_US;
+    bool should_read =
+        g_atomic_int_get(&keeper->node->predecessor_listed) != 0 &&
+        keeper->current == NULL && !keeper->return_read_done &&
+        now - keeper->started_at >= RETURN_READ_DELAY_US;
     keeper->return_read_done = keeper->return_read_done || should_read;
     return should_read;
 }
 
 /* Reads the configuration if this node's read is due; see READ_PERIOD_US. */
 static void
-read_if_due(struct ch_config_keeper *keeper)
+read_if_due(struct ch_config_manager *keeper)
 {
     struct ch_node *node = keeper->node;
-    g_auto(GStrv) live = ch_peers_live(node->peers);
-    int64_t now = ch_client_now(node->client);
+    g_auto(GStrv) live = ch_peers_list_live(node->peers);
+    int64_t now = ch_client_get_time(node->client);
     int64_t period = (int64_t)READ_PERIOD_US * MAX(g_strv_length(live), 1U);
     pthread_mutex_lock(&keeper->lock);
     bool begin = !keeper->stopped && !keeper->read_in_progress &&
@@ -468,7 +470,7 @@
 
 /* Puts the configuration of a ConfigPush into force. */
 static void
-apply_push(struct ch_config_keeper *keeper,
+apply_push(struct ch_config_manager *keeper,
            const Chestnuthitch__Wire__ConfigPush *push)
 {
     if (push->packed.len == 0) {
@@ -477,8 +479,8 @@
         return;
     }
     struct ch_error error = {0};
-    char *text = ch_unpack(push->packed.data, push->packed.len, MAX_TEXT_BYTES,
-                           NULL, &error);
+    char *text = ch_decompress(push->packed.data, push->packed.len,
+                               MAX_TEXT_BYTES, NULL, &error);
     if (text == NULL) {
         ch_log(keeper->node->client, CH_LOG_ERR, "config-unreadable",
                CH_F_INT("revision", push->revision),
@@ -491,7 +493,7 @@
 
 /* Puts the ConfigPush of a message into force, unless it is not needed. */
 static void
-receive_push(struct ch_config_keeper *keeper,
+receive_push(struct ch_config_manager *keeper,
              const Chestnuthitch__Wire__Frame *frame)
 {
     if (frame->body_case != CHESTNUTHITCH__WIRE__FRAME__BODY_CONFIG_PUSH) {
@@ -509,7 +511,7 @@
 handle_pull_reply(void *data, enum ch_code code,
                   const Chestnuthitch__Wire__Frame *reply)
 {
-    struct ch_config_keeper *keeper = data;
+    struct ch_config_manager *keeper = data;
     if (code == CH_OK && reply != NULL) {
         receive_push(keeper, reply);
     }
@@ -523,13 +525,13 @@
  * disconnected or paused thus delays the newest revision by
  * PULL_RETRY_DELAY_US at most. */
 static void
-begin_pull(struct ch_config_keeper *keeper, const char *from)
+begin_pull(struct ch_config_manager *keeper, const char *from)
 {
     Chestnuthitch__Wire__ConfigPull pull =
         CHESTNUTHITCH__WIRE__CONFIG_PULL__INIT;
     Chestnuthitch__Wire__Frame frame = CHESTNUTHITCH__WIRE__FRAME__INIT;
     pthread_mutex_lock(&keeper->lock);
-    int64_t now = ch_client_now(keeper->node->client);
+    int64_t now = ch_client_get_time(keeper->node->client);
     bool begin = !keeper->stopped && keeper->pulls < MAX_PULLS &&
                  (keeper->pulls == 0 ||
                   now >= keeper->last_pull_at + PULL_RETRY_DELAY_US);
@@ -557,17 +559,17 @@
  * of their region had the revision within LOCAL_COPY_TIMEOUT_US.
  */
 static bool
-may_pull_from(struct ch_config_keeper *keeper, uint64_t revision,
+may_pull_from(struct ch_config_manager *keeper, uint64_t revision,
               const char *from)
 {
     const struct ch_node *node = keeper->node;
     const struct ch_settings *own = node->settings;
-    if (ch_peers_is_near(node->peers, from) ||
+    if (ch_peers_is_same_region(node->peers, from) ||
         ch_peers_has_role(node->peers, "config-entry", ENTRY_NODES,
                           own->region)) {
         return true;
     }
-    int64_t now = ch_client_now(node->client);
+    int64_t now = ch_client_get_time(node->client);
     pthread_mutex_lock(&keeper->lock);
     if (ch_revision_is_newer(keeper->remote_revision, revision)) {
         keeper->remote_revision = revision;
@@ -580,8 +582,8 @@
 
 /* A message carried a revision: pulls it if it is higher. */
 void
-ch_config_keeper_learn(struct ch_config_keeper *keeper, uint64_t revision,
-                       const char *from)
+ch_config_manager_note_revision(struct ch_config_manager *keeper,
+                                uint64_t revision, const char *from)
 {
     pthread_mutex_lock(&keeper->lock);
     uint64_t known = known_revision(keeper);
@@ -595,7 +597,7 @@
 /* The compressed text of the config, compressed once for all nodes that ask; a
  * new reference. */
 static GBytes *
-compress_config(struct ch_config_keeper *keeper,
+compress_config(struct ch_config_manager *keeper,
                 const struct ch_config *config)
 {
     pthread_mutex_lock(&keeper->lock);
@@ -607,8 +609,8 @@
     if (compressed != NULL) {
         return compressed;
     }
-    compressed =
-        ch_pack(config->declaration->text, strlen(config->declaration->text));
+    compressed = ch_compress(config->declaration->canonical_text,
+                             strlen(config->declaration->canonical_text));
     pthread_mutex_lock(&keeper->lock);
     if (keeper->current == config && keeper->compressed == NULL) {
         keeper->compressed = g_bytes_ref(compressed);
@@ -621,17 +623,17 @@
 static void
 handle_pull(void *data, const Chestnuthitch__Wire__Frame *frame)
 {
-    struct ch_config_keeper *keeper = data;
+    struct ch_config_manager *keeper = data;
     Chestnuthitch__Wire__Frame reply = CHESTNUTHITCH__WIRE__FRAME__INIT;
     Chestnuthitch__Wire__ConfigPush push =
         CHESTNUTHITCH__WIRE__CONFIG_PUSH__INIT;
     Chestnuthitch__Wire__Done done = CHESTNUTHITCH__WIRE__DONE__INIT;
-    struct ch_config *config = ch_config_keeper_current(keeper);
+    struct ch_config *config = ch_config_manager_get_current(keeper);
     GBytes *compressed = NULL;
     if (config != NULL &&
         ch_revision_is_newer(frame->config_pull->above, config->revision)) {
         push.revision = config->revision;
-        push.token = config->token;
+        push.token = config->write_id;
         push.author = config->author;
         compressed = compress_config(keeper, config);
         push.packed.data = (uint8_t *)(uintptr_t)g_bytes_get_data(
@@ -660,7 +662,7 @@
 /* While no configuration is known, asks one node after another: a new node may
  * start while the key-value store is unavailable. */
 static void
-ask_others(struct ch_config_keeper *keeper)
+ask_others(struct ch_config_manager *keeper)
 {
     const struct ch_node *node = keeper->node;
     pthread_mutex_lock(&keeper->lock);
@@ -669,7 +671,7 @@
     if (known) {
         return;
     }
-    g_auto(GStrv) live = ch_peers_live(node->peers);
+    g_auto(GStrv) live = ch_peers_list_live(node->peers);
     guint count = g_strv_length(live);
     guint first = count == 0 ? 0 : g_random_int() % count;
     for (guint i = 0; i < count; i++) {
@@ -688,7 +690,7 @@
 static void
 tick(void *data)
 {
-    struct ch_config_keeper *keeper = data;
+    struct ch_config_manager *keeper = data;
     begin_watch(keeper);
     read_if_due(keeper);
     ask_others(keeper);
@@ -696,7 +698,7 @@
     bool is_rescheduled = !keeper->stopped;
     if (is_rescheduled) {
         keeper->timer =
-            ch_timers_after(keeper->node->timers, TICK_US, tick, keeper);
+            ch_timers_add(keeper->node->timers, TICK_US, tick, keeper);
     }
     pthread_mutex_unlock(&keeper->lock);
     if (!is_rescheduled) {
@@ -707,7 +709,7 @@
 /* ---- an operator's write ---- */
 
 struct apply {
-    struct ch_config_keeper *keeper;
+    struct ch_config_manager *keeper;
     struct ch_revision_write write;
     char *author;
     char *text;
@@ -763,7 +765,7 @@
         apply_parts(apply->keeper, apply->read_revision, apply->read->write_id,
                     apply->read->author, apply->read->text);
     }
-    struct ch_config *config = ch_config_keeper_current(apply->keeper);
+    struct ch_config *config = ch_config_manager_get_current(apply->keeper);
     apply->done(apply->data, &error, config);
     if (config != NULL) {
         ch_config_unref(config);
@@ -775,7 +777,7 @@
 
 /* Handles the reply to a write. */
 static void
-apply_handle_write(void *data, const struct ch_kv_answer *answer)
+apply_handle_write(void *data, const struct ch_kv_result *answer)
 {
     struct apply *apply = data;
     apply_run_step(apply, ch_revision_write_handle_write(
@@ -784,7 +786,7 @@
 
 /* Handles the reply to a read. */
 static void
-apply_handle_read(void *data, const struct ch_kv_answer *answer)
+apply_handle_read(void *data, const struct ch_kv_result *answer)
 {
     struct apply *apply = data;
     enum ch_code code = answer->code;
@@ -847,7 +849,7 @@
 
 /* A write ID that no other write of any process has. */
 static char *
-new_write_id(struct ch_config_keeper *keeper)
+new_write_id(struct ch_config_manager *keeper)
 {
     pthread_mutex_lock(&keeper->lock);
     uint64_t number = ++keeper->write_count;
@@ -864,11 +866,11 @@
  * invalid.
  */
 void
-ch_config_keeper_apply(struct ch_config_keeper *keeper, const char *text,
-                       const char *author, uint64_t base,
-                       void (*done)(void *data, const struct ch_error *error,
-                                    struct ch_config *config),
-                       void *data)
+ch_config_manager_apply(struct ch_config_manager *keeper, const char *text,
+                        const char *author, uint64_t base,
+                        void (*done)(void *data, const struct ch_error *error,
+                                     struct ch_config *config),
+                        void *data)
 {
     struct ch_error error = {0};
     struct ch_declaration *declaration =
@@ -881,7 +883,7 @@
     struct apply *apply = g_new0(struct apply, 1);
     apply->keeper = keeper_add_reference(keeper);
     apply->author = g_strdup(author);
-    apply->text = g_strdup(declaration->text);
+    apply->text = g_strdup(declaration->canonical_text);
     apply->done = done;
     apply->data = data;
     ch_revision_write_init(&apply->write, base, token);
@@ -893,31 +895,33 @@
 
 /* Creates a keeper without a configuration and registers its message handlers
  * with the node's peers; node outlives the keeper. */
-struct ch_config_keeper *
-ch_config_keeper_new(struct ch_node *node)
+struct ch_config_manager *
+ch_config_manager_new(struct ch_node *node)
 {
-    struct ch_config_keeper *keeper = g_new0(struct ch_config_keeper, 1);
+    struct ch_config_manager *keeper = g_new0(struct ch_config_manager, 1);
     keeper->node = node;
     keeper->references = 1;
     pthread_mutex_init(&keeper->lock, NULL);
-    ch_peers_handle(node->peers, CHESTNUTHITCH__WIRE__FRAME__BODY_CONFIG_PULL,
-                    handle_pull, keeper);
-    ch_peers_handle(node->peers, CHESTNUTHITCH__WIRE__FRAME__BODY_CONFIG_PUSH,
-                    handle_push, keeper);
+    ch_peers_set_handler(node->peers,
+                         CHESTNUTHITCH__WIRE__FRAME__BODY_CONFIG_PULL,
+                         handle_pull, keeper);
+    ch_peers_set_handler(node->peers,
+                         CHESTNUTHITCH__WIRE__FRAME__BODY_CONFIG_PUSH,
+                         handle_push, keeper);
     return keeper;
 }
 
 /* Starts the periodic work. */
 void
-ch_config_keeper_start(struct ch_config_keeper *keeper)
+ch_config_manager_start(struct ch_config_manager *keeper)
 {
-    keeper->started_at = ch_client_now(keeper->node->client);
+    keeper->started_at = ch_client_get_time(keeper->node->client);
     ch_pool_submit(keeper->node->pool, tick, keeper_add_reference(keeper));
 }
 
 /* Stops the periodic work; calls in progress run to their end. */
 void
-ch_config_keeper_stop(struct ch_config_keeper *keeper)
+ch_config_manager_stop(struct ch_config_manager *keeper)
 {
     pthread_mutex_lock(&keeper->lock);
     keeper->stopped = true;
@@ -930,7 +934,7 @@
 
 /* Drops the node's reference; keeper may be NULL. */
 void
-ch_config_keeper_free(struct ch_config_keeper *keeper)
+ch_config_manager_free(struct ch_config_manager *keeper)
 {
     if (keeper != NULL) {
         keeper_drop_reference(keeper);
