--- a/libchestnuthitch/node/controller.c
+++ b/libchestnuthitch/node/controller.c
@@ -36,39 +36,40 @@
 /* ---- state of a data centre, and its lease ---- */
 
 /* See controller_internal.h. */
-struct duty *
-controller_duty(struct ch_controller *controller, GQuark data_centre)
+struct centre_state *
+controller_get_centre(struct ch_controller *controller, GQuark data_centre)
 {
     gpointer key = GUINT_TO_POINTER(data_centre);
-    struct duty *centre = g_hash_table_lookup(controller->duties, key);
+    struct centre_state *centre =
+        g_hash_table_lookup(controller->centres, key);
     if (centre != NULL) {
         return centre;
     }
     const struct ch_settings *settings = controller->node->settings;
     g_autofree char *name =
         g_strconcat("orders/", g_quark_to_string(data_centre), NULL);
-    centre = g_new0(struct duty, 1);
+    centre = g_new0(struct centre_state, 1);
     centre->data_centre = data_centre;
     g_autofree char *region =
-        ch_settings_region(settings, g_quark_to_string(data_centre));
+        ch_settings_get_region(settings, g_quark_to_string(data_centre));
     centre->region = g_quark_from_string(region);
-    centre->claim = ch_claim_new(controller->node, name,
+    centre->lease = ch_lease_new(controller->node, name,
                                  (int64_t)settings->lease_ms * 1000);
-    centre->heard =
-        ch_client_now(controller->node->client) - HOLDER_SILENCE_US;
-    ch_window_init(&centre->loads,
+    centre->heard_at =
+        ch_client_get_time(controller->node->client) - HOLDER_SILENCE_US;
+    ch_window_init(&centre->load_window,
                    (int64_t)(settings->load_window_s * G_USEC_PER_SEC) +
                        LOAD_WINDOW_MARGIN_US);
-    g_hash_table_insert(controller->duties, key, centre);
+    g_hash_table_insert(controller->centres, key, centre);
     return centre;
 }
 
 static void
 free_centre(void *data)
 {
-    struct duty *centre = data;
-    ch_claim_free(centre->claim);
-    ch_window_clear(&centre->loads);
+    struct centre_state *centre = data;
+    ch_lease_free(centre->lease);
+    ch_window_clear(&centre->load_window);
     g_free(centre->holder);
     g_free(centre);
 }
@@ -76,14 +77,15 @@
 /* Returns this node's rank among the nodes that may take the lease;
  * *other_centres: these include nodes of other data centres. */
 static size_t
-find_rank(const struct ch_controller *controller, const struct duty *centre,
-          bool *other_centres)
+find_rank(const struct ch_controller *controller,
+          const struct centre_state *centre, bool *other_centres)
 {
     const char *centre_name = g_quark_to_string(centre->data_centre);
     *other_centres =
         strcmp(centre_name, controller->node->settings->data_centre) != 0;
-    return ch_peers_rank(controller->node->peers, ch_hash_string(centre_name),
-                         *other_centres ? NULL : centre_name, NULL);
+    return ch_peers_get_rank(controller->node->peers,
+                             ch_hash_string(centre_name),
+                             *other_centres ? NULL : centre_name, NULL);
 }
 
 /*
@@ -98,12 +100,12 @@
  */
 static bool
 should_acquire_lease(const struct ch_controller *controller,
-                     const struct duty *centre, int64_t now)
+                     const struct centre_state *centre, int64_t now)
 {
-    int64_t silence = now - centre->heard;
+    int64_t silence = now - centre->heard_at;
     if (controller->draining || controller->stopping ||
         silence < HOLDER_SILENCE_US ||
-        !ch_peers_listed(controller->node->peers)) {
+        !ch_peers_has_list(controller->node->peers)) {
         return false;
     }
     bool other_centres = false;
@@ -115,8 +117,8 @@
 
 /* See controller_internal.h. */
 unsigned
-controller_loads_in_window(const struct ch_controller *controller,
-                           const struct ch_declaration *declaration)
+controller_get_max_loads(const struct ch_controller *controller,
+                         const struct ch_declaration *declaration)
 {
     const struct ch_settings *settings = controller->node->settings;
     double rate = settings->loads_per_s;
@@ -125,33 +127,32 @@
         rate = service_rate > 0 ? service_rate : rate;
     }
     double share = rate * settings->load_window_s * settings->load_overshoot /
-                   MAX(g_hash_table_size(controller->duties), 1U);
+                   MAX(g_hash_table_size(controller->centres), 1U);
     return 1 + (unsigned)(LOAD_RATE_SHARE * share);
 }
 
 /* Assumes that the window is full: what the previous lease holder has loaded
  * from the weight store lately is not known. */
 static void
-assume_window_full(struct ch_controller *controller, struct duty *centre,
-                   int64_t now)
+assume_window_full(struct ch_controller *controller,
+                   struct centre_state *centre, int64_t now)
 {
     struct ch_config *config =
-        ch_config_keeper_current(controller->node->config);
+        ch_config_manager_get_current(controller->node->config);
     unsigned max_loads = 1;
     if (config != NULL) {
-        max_loads =
-            controller_loads_in_window(controller, config->declaration);
+        max_loads = controller_get_max_loads(controller, config->declaration);
         ch_config_unref(config);
     }
-    ch_window_assume_full(&centre->loads, max_loads, now);
+    ch_window_assume_full(&centre->load_window, max_loads, now);
 }
 
 /* Resets the engine states after this node has acquired or lost the lease:
  * they must be read again, and waiters for adapters must ask the new holder.
  */
 static void
-record_lease_change(struct ch_controller *controller, struct duty *centre,
-                    bool held, int64_t now)
+record_lease_change(struct ch_controller *controller,
+                    struct centre_state *centre, bool held, int64_t now)
 {
     if (held == centre->was_held) {
         return;
@@ -161,8 +162,8 @@
     if (held) {
         assume_window_full(controller, centre, now);
         ch_roster_refresh(controller->roster);
-        for (int i = 0; i < AUDIENCES; i++) {
-            controller->telling[i].next_whole = now;
+        for (int i = 0; i < AUDIENCE_COUNT; i++) {
+            controller->publishing[i].next_full_at = now;
         }
     }
     GHashTableIter iterator;
@@ -173,11 +174,11 @@
         if (engine->data_centre != centre->data_centre) {
             continue;
         }
-        engine->known = false;
-        engine->mirrored = false;
-        engine->report_at = now;
-        engine->news = ALL_NEWS;
-        engine_fail_waits(engine, CH_NOT_READY);
+        engine->state_known = false;
+        engine->from_peer = false;
+        engine->next_report_at = now;
+        engine->unpublished = ALL_AUDIENCES;
+        engine_fail_waiters(engine, CH_NOT_READY);
     }
 }
 
@@ -185,8 +186,8 @@
 
 /* See controller_internal.h. */
 void
-controller_answer(struct ch_controller *controller,
-                  const struct adapter_wait *waiter, enum ch_code code)
+controller_reply_waiter(struct ch_controller *controller,
+                        const struct adapter_waiter *waiter, enum ch_code code)
 {
     Chestnuthitch__Wire__Frame frame = WIRE(FRAME__INIT);
     Chestnuthitch__Wire__Done done = WIRE(DONE__INIT);
@@ -197,11 +198,12 @@
     }
     else {
         refuse.code = code;
-        refuse.message = (char *)ch_code_meaning(code);
+        refuse.message = (char *)ch_code_get_meaning(code);
         frame.body_case = WIRE(FRAME__BODY_REFUSE);
         frame.refuse = &refuse;
     }
-    ch_peers_reply(controller->node->peers, waiter->from, waiter->id, &frame);
+    ch_peers_reply(controller->node->peers, waiter->from, waiter->request_id,
+                   &frame);
 }
 
 /* Handles the request of a node to have an adapter loaded. */
@@ -210,53 +212,59 @@
 {
     struct ch_controller *controller = data;
     const Chestnuthitch__Wire__Prepare *prepare = frame->prepare;
-    int64_t now = ch_client_now(controller->node->client);
-    const struct adapter_wait waiter = {
+    int64_t now = ch_client_get_time(controller->node->client);
+    const struct adapter_waiter waiter = {
         .from = frame->from,
-        .id = frame->id,
-        .until = now + PREPARE_TIMEOUT_US,
+        .request_id = frame->id,
+        .deadline = now + PREPARE_TIMEOUT_US,
     };
     uint64_t fencing_token = 0;
     pthread_mutex_lock(&controller->lock);
     struct controller_engine *engine = g_hash_table_lookup(
         controller->engines,
         GUINT_TO_POINTER(g_quark_try_string(prepare->upstream)));
-    struct duty *centre =
-        engine == NULL ? NULL
-                       : controller_duty(controller, engine->data_centre);
-    if (centre == NULL || !ch_claim_held(centre->claim, &fencing_token)) {
-        controller_answer(controller, &waiter, CH_NOT_READY);
+    struct centre_state *centre =
+        engine == NULL
+            ? NULL
+            : controller_get_centre(controller, engine->data_centre);
+    if (centre == NULL || !ch_lease_is_held(centre->lease, &fencing_token)) {
+        controller_reply_waiter(controller, &waiter, CH_NOT_READY);
     }
     else {
-        engine_prepare(engine, centre, g_quark_from_string(prepare->model),
-                       g_quark_from_string(prepare->adapter), &waiter, now);
+        engine_prepare_adapter(
+            engine, centre, g_quark_from_string(prepare->model),
+            g_quark_from_string(prepare->adapter), &waiter, now);
     }
     pthread_mutex_unlock(&controller->lock);
 }
 
 /* See controller.h. */
 bool
-ch_controller_has_holder(struct ch_controller *controller, GQuark data_centre)
+ch_controller_has_lease_holder(struct ch_controller *controller,
+                               GQuark data_centre)
 {
-    int64_t now = ch_client_now(controller->node->client);
+    int64_t now = ch_client_get_time(controller->node->client);
     pthread_mutex_lock(&controller->lock);
-    const struct duty *centre = controller_duty(controller, data_centre);
+    const struct centre_state *centre =
+        controller_get_centre(controller, data_centre);
     bool has_holder =
-        centre->holder != NULL && now - centre->heard < HOLDER_SILENCE_US;
+        centre->holder != NULL && now - centre->heard_at < HOLDER_SILENCE_US;
     pthread_mutex_unlock(&controller->lock);
     return has_holder;
 }
 
 /* See controller.h. */
 bool
-ch_controller_prepare(struct ch_controller *controller, GQuark upstream,
-                      GQuark data_centre, GQuark model, GQuark adapter,
-                      void (*done)(void *data, enum ch_code code,
-                                   const Chestnuthitch__Wire__Frame *),
-                      void *data)
+ch_controller_prepare_adapter(struct ch_controller *controller,
+                              GQuark upstream, GQuark data_centre,
+                              GQuark model, GQuark adapter,
+                              void (*done)(void *data, enum ch_code code,
+                                           const Chestnuthitch__Wire__Frame *),
+                              void *data)
 {
     pthread_mutex_lock(&controller->lock);
-    const struct duty *centre = controller_duty(controller, data_centre);
+    const struct centre_state *centre =
+        controller_get_centre(controller, data_centre);
     g_autofree char *holder = g_strdup(centre->holder);
     pthread_mutex_unlock(&controller->lock);
     if (holder == NULL) {
@@ -297,8 +305,8 @@
         engine = engine_new(controller, host);
         g_hash_table_replace(controller->engines, key, engine);
     }
-    engine_listed(engine, host, refresh->now);
-    (void)controller_duty(controller, engine->data_centre);
+    engine_apply_host(engine, host, refresh->now);
+    (void)controller_get_centre(controller, engine->data_centre);
 }
 
 /* Whether an engine is no longer listed; fails its waiters if so. */
@@ -309,18 +317,18 @@
     (void)data;
     struct controller_engine *engine = value;
     if (!engine->listed) {
-        engine_fail_waits(engine, CH_NO_UPSTREAM);
+        engine_fail_waiters(engine, CH_NO_UPSTREAM);
     }
     return !engine->listed;
 }
 
 /* See controller.h. */
 void
-ch_controller_changed(struct ch_controller *controller)
+ch_controller_refresh(struct ch_controller *controller)
 {
     const struct refresh refresh = {
         controller,
-        ch_client_now(controller->node->client),
+        ch_client_get_time(controller->node->client),
     };
     pthread_mutex_lock(&controller->lock);
     GHashTableIter iterator;
@@ -329,7 +337,7 @@
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         ((struct controller_engine *)value)->listed = false;
     }
-    ch_roster_each(controller->roster, apply_host, (void *)&refresh);
+    ch_roster_foreach(controller->roster, apply_host, (void *)&refresh);
     g_hash_table_foreach_remove(controller->engines, fail_if_unlisted, NULL);
     pthread_mutex_unlock(&controller->lock);
 }
@@ -346,23 +354,25 @@
  * once the store answers.
  */
 static void
-release_lease(struct ch_controller *controller, struct duty *centre)
+release_lease(struct ch_controller *controller, struct centre_state *centre)
 {
     int64_t handover_pause =
         (int64_t)controller->node->settings->lease_ms * 1000;
-    if (centre->was_held && ch_claim_age(centre->claim) < KV_UNAVAILABLE_US) {
-        ch_claim_give_up(centre->claim, handover_pause);
+    if (centre->was_held &&
+        ch_lease_get_renewal_age(centre->lease) < KV_UNAVAILABLE_US) {
+        ch_lease_release(centre->lease, handover_pause);
     }
 }
 
 /* Does the periodic work for one data centre. Lock held. */
 static void
-run_centre(struct ch_controller *controller, struct duty *centre, int64_t now)
+run_centre(struct ch_controller *controller, struct centre_state *centre,
+           int64_t now)
 {
     uint64_t fencing_token = 0;
-    ch_claim_step(centre->claim,
-                  should_acquire_lease(controller, centre, now));
-    bool held = ch_claim_held(centre->claim, &fencing_token);
+    ch_lease_update(centre->lease,
+                    should_acquire_lease(controller, centre, now));
+    bool held = ch_lease_is_held(centre->lease, &fencing_token);
     record_lease_change(controller, centre, held, now);
     if (!held) {
         return;
@@ -376,13 +386,13 @@
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct controller_engine *engine = value;
         if (engine->data_centre == centre->data_centre) {
-            engine_pump(engine, centre, now);
+            engine_send_due(engine, centre, now);
         }
     }
-    if (now >= centre->next_arrange) {
-        centre->next_arrange = now + PLACEMENT_PERIOD_US;
-        controller_arrange(controller, centre, now);
-        controller_fill_places(controller, centre, now);
+    if (now >= centre->next_placement_at) {
+        centre->next_placement_at = now + PLACEMENT_PERIOD_US;
+        controller_place_models(controller, centre, now);
+        controller_preload_adapters(controller, centre, now);
     }
 }
 
@@ -391,25 +401,25 @@
 run_periodic(void *data)
 {
     struct ch_controller *controller = data;
-    int64_t now = ch_client_now(controller->node->client);
+    int64_t now = ch_client_get_time(controller->node->client);
     pthread_mutex_lock(&controller->lock);
     GHashTableIter iterator;
     gpointer value = NULL;
-    g_hash_table_iter_init(&iterator, controller->duties);
+    g_hash_table_iter_init(&iterator, controller->centres);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         run_centre(controller, value, now);
     }
-    controller_tell(controller, now);
+    controller_publish(controller, now);
     pthread_mutex_unlock(&controller->lock);
-    controller_demand_step(controller);
+    controller_send_demand(controller);
     pthread_mutex_lock(&controller->lock);
     if (controller->stopping) {
         controller->jobs--;
         pthread_cond_broadcast(&controller->idle);
     }
     else {
-        ch_timers_after(controller->node->timers, TICK_PERIOD_US, run_periodic,
-                        controller);
+        ch_timers_add(controller->node->timers, TICK_PERIOD_US, run_periodic,
+                      controller);
     }
     pthread_mutex_unlock(&controller->lock);
 }
@@ -420,15 +430,15 @@
 void
 ch_controller_status(struct ch_controller *controller, JsonBuilder *builder)
 {
-    int64_t now = ch_client_now(controller->node->client);
+    int64_t now = ch_client_get_time(controller->node->client);
     json_builder_set_member_name(builder, "rights");
     json_builder_begin_array(builder);
     pthread_mutex_lock(&controller->lock);
     GHashTableIter iterator;
     gpointer value = NULL;
-    g_hash_table_iter_init(&iterator, controller->duties);
+    g_hash_table_iter_init(&iterator, controller->centres);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        const struct duty *centre = value;
+        const struct centre_state *centre = value;
         json_builder_begin_object(builder);
         json_builder_set_member_name(builder, "data_centre");
         json_builder_add_string_value(builder,
@@ -437,9 +447,9 @@
         json_builder_add_string_value(
             builder, centre->holder == NULL ? "" : centre->holder);
         json_builder_set_member_name(builder, "fence");
-        json_builder_add_int_value(builder, (int64_t)centre->fence);
+        json_builder_add_int_value(builder, (int64_t)centre->fencing_token);
         json_builder_set_member_name(builder, "heard_ms_ago");
-        json_builder_add_int_value(builder, (now - centre->heard) / 1000);
+        json_builder_add_int_value(builder, (now - centre->heard_at) / 1000);
         json_builder_end_object(builder);
     }
     pthread_mutex_unlock(&controller->lock);
@@ -463,9 +473,9 @@
     GHashTableIter iterator;
     gpointer value = NULL;
     pthread_mutex_lock(&controller->lock);
-    g_hash_table_iter_init(&iterator, controller->duties);
+    g_hash_table_iter_init(&iterator, controller->centres);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        const struct duty *centre = value;
+        const struct centre_state *centre = value;
         if (centre->holder != NULL) {
             g_ptr_array_add(names, g_strdup(centre->holder));
         }
@@ -488,14 +498,15 @@
     pthread_cond_init(&controller->idle, NULL);
     controller->engines =
         g_hash_table_new_full(NULL, NULL, NULL, release_engine);
-    controller->duties = g_hash_table_new_full(NULL, NULL, NULL, free_centre);
-    controller->smoothed = g_hash_table_new_full(NULL, NULL, NULL, g_free);
+    controller->centres = g_hash_table_new_full(NULL, NULL, NULL, free_centre);
+    controller->average_demand =
+        g_hash_table_new_full(NULL, NULL, NULL, g_free);
     controller_demand_init(controller);
-    controller_tell_init(controller);
-    controller_hear_init(controller);
-    ch_peers_handle(node->peers, WIRE(FRAME__BODY_PREPARE), handle_prepare,
-                    controller);
-    ch_roster_set_orderers(roster, list_holders, controller);
+    controller_publish_init(controller);
+    controller_receive_init(controller);
+    ch_peers_set_handler(node->peers, WIRE(FRAME__BODY_PREPARE),
+                         handle_prepare, controller);
+    ch_roster_set_lease_holders(roster, list_holders, controller);
     return controller;
 }
 
@@ -504,8 +515,8 @@
 ch_controller_start(struct ch_controller *controller)
 {
     controller->jobs = 1;
-    ch_timers_after(controller->node->timers, TICK_PERIOD_US, run_periodic,
-                    controller);
+    ch_timers_add(controller->node->timers, TICK_PERIOD_US, run_periodic,
+                  controller);
 }
 
 /* See controller.h. The lease is released only after the pause that must lie
@@ -517,7 +528,7 @@
     controller->draining = true;
     GHashTableIter iterator;
     gpointer value = NULL;
-    g_hash_table_iter_init(&iterator, controller->duties);
+    g_hash_table_iter_init(&iterator, controller->centres);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         release_lease(controller, value);
     }
@@ -544,11 +555,11 @@
         return;
     }
     g_hash_table_destroy(controller->engines);
-    g_hash_table_destroy(controller->duties);
-    g_hash_table_destroy(controller->demands);
-    g_hash_table_destroy(controller->used);
-    g_hash_table_destroy(controller->tellers);
-    g_hash_table_destroy(controller->smoothed);
+    g_hash_table_destroy(controller->centres);
+    g_hash_table_destroy(controller->node_demands);
+    g_hash_table_destroy(controller->used_adapters);
+    g_hash_table_destroy(controller->publishers);
+    g_hash_table_destroy(controller->average_demand);
     pthread_mutex_destroy(&controller->lock);
     pthread_cond_destroy(&controller->idle);
     g_free(controller);
--- a/libchestnuthitch/node/controller_demand.c
+++ b/libchestnuthitch/node/controller_demand.c
@@ -65,8 +65,8 @@
         const struct ch_model_demand *model =
             &g_array_index(models, struct ch_model_demand, i);
         demand->models[i] = (char *)g_quark_to_string(model->model);
-        demand->work[i] = model->work;
-        demand->backlog[i] = model->backlog;
+        demand->work[i] = model->engine_ms_per_s;
+        demand->backlog[i] = model->backlog_ms;
     }
 }
 
@@ -86,7 +86,7 @@
         chestnuthitch__wire__engine_load__init(&rows[i]);
         rows[i].upstream = (char *)g_quark_to_string(load->upstream);
         rows[i].running = load->running;
-        rows[i].unread_ms = (uint32_t)(load->unread / 1000);
+        rows[i].unread_ms = (uint32_t)(load->prefill_backlog / 1000);
         demand->loads[i] = &rows[i];
     }
 }
@@ -122,11 +122,12 @@
 send_own_demand(struct ch_controller *controller, int64_t now)
 {
     pthread_mutex_lock(&controller->lock);
-    g_autofree char *holder = controller_teller(controller, now);
+    g_autofree char *holder = controller_find_publisher(controller, now);
     pthread_mutex_unlock(&controller->lock);
     struct demand_lists own = lists_new();
-    controller->handlers->demand(controller->data, own.models, own.loads);
-    controller->handlers->used(controller->data, own.used);
+    controller->handlers->collect_demand(controller->data, own.models,
+                                         own.loads);
+    controller->handlers->collect_used_adapters(controller->data, own.used);
     if (holder != NULL) {
         send_lists(controller, &own, holder, false);
     }
@@ -139,7 +140,7 @@
 free_report(void *data)
 {
     struct node_demand *report = data;
-    g_array_free(report->list, TRUE);
+    g_array_free(report->models, TRUE);
     g_array_free(report->loads, TRUE);
     g_free(report);
 }
@@ -149,7 +150,7 @@
 is_stale(gpointer key, gpointer value, gpointer data)
 {
     (void)key;
-    return *(int64_t *)data - ((struct node_demand *)value)->at >=
+    return *(int64_t *)data - ((struct node_demand *)value)->received_at >=
            DEMAND_VALID_US;
 }
 
@@ -159,32 +160,32 @@
              const Chestnuthitch__Wire__Demand *demand, int64_t now)
 {
     struct node_demand *report = g_new0(struct node_demand, 1);
-    report->at = now;
-    report->collected = demand->collected;
+    report->received_at = now;
+    report->is_sum = demand->collected;
     report->data_centre = demand->data_centre[0] == '\0'
                               ? 0
                               : g_quark_from_string(demand->data_centre);
-    report->list = g_array_new(FALSE, FALSE, sizeof(struct ch_model_demand));
+    report->models = g_array_new(FALSE, FALSE, sizeof(struct ch_model_demand));
     for (size_t i = 0;
          i < demand->n_models && i < demand->n_work && i < demand->n_backlog;
          i++) {
         const struct ch_model_demand model = {
             .model = g_quark_from_string(demand->models[i]),
-            .work = demand->work[i],
-            .backlog = demand->backlog[i],
+            .engine_ms_per_s = demand->work[i],
+            .backlog_ms = demand->backlog[i],
         };
-        g_array_append_val(report->list, model);
+        g_array_append_val(report->models, model);
     }
     report->loads = g_array_new(FALSE, FALSE, sizeof(struct ch_engine_load));
     for (size_t i = 0; i < demand->n_loads; i++) {
         const struct ch_engine_load load = {
             .upstream = g_quark_from_string(demand->loads[i]->upstream),
             .running = demand->loads[i]->running,
-            .unread = (int64_t)demand->loads[i]->unread_ms * 1000,
+            .prefill_backlog = (int64_t)demand->loads[i]->unread_ms * 1000,
         };
         g_array_append_val(report->loads, load);
     }
-    g_hash_table_replace(controller->demands,
+    g_hash_table_replace(controller->node_demands,
                          g_strdup_printf("%s %d %s", from, demand->collected,
                                          demand->data_centre),
                          report);
@@ -219,13 +220,14 @@
         return;
     }
     GQuark adapter = g_quark_try_string(name);
-    struct item *item = adapter == 0 ? NULL : engine_item(engine, adapter);
+    struct item *item =
+        adapter == 0 ? NULL : engine_find_item(engine, adapter);
     if (item != NULL) {
-        item->used = now;
+        item->last_used_at = now;
     }
-    if (!is_sum &&
-        !controller_holds(controller_duty(controller, engine->data_centre))) {
-        g_hash_table_add(controller->used, g_strdup(text));
+    if (!is_sum && !controller_holds_lease(controller_get_centre(
+                       controller, engine->data_centre))) {
+        g_hash_table_add(controller->used_adapters, g_strdup(text));
     }
 }
 
@@ -235,7 +237,7 @@
 {
     struct ch_controller *controller = data;
     const Chestnuthitch__Wire__Demand *demand = frame->demand;
-    int64_t now = ch_client_now(controller->node->client);
+    int64_t now = ch_client_get_time(controller->node->client);
     pthread_mutex_lock(&controller->lock);
     store_demand(controller, frame->from, demand, now);
     for (size_t i = 0; i < demand->n_used; i++) {
@@ -252,32 +254,32 @@
 static void
 add_models(GHashTable *sums, const struct node_demand *report)
 {
-    for (guint i = 0; i < report->list->len; i++) {
+    for (guint i = 0; i < report->models->len; i++) {
         const struct ch_model_demand *model =
-            &g_array_index(report->list, struct ch_model_demand, i);
+            &g_array_index(report->models, struct ch_model_demand, i);
         gpointer key = GUINT_TO_POINTER(model->model);
-        struct smoothed *sum = g_hash_table_lookup(sums, key);
+        struct fleet_demand *sum = g_hash_table_lookup(sums, key);
         if (sum == NULL) {
-            sum = g_new0(struct smoothed, 1);
+            sum = g_new0(struct fleet_demand, 1);
             g_hash_table_insert(sums, key, sum);
         }
-        sum->work += model->work / 1000.0;
-        sum->backlog += model->backlog / 1000.0;
+        sum->demand += model->engine_ms_per_s / 1000.0;
+        sum->backlog_s += model->backlog_ms / 1000.0;
     }
 }
 
 /* See controller_internal.h. */
 GHashTable *
 controller_sum_demands(struct ch_controller *controller,
-                       const struct duty *centre, int64_t now)
+                       const struct centre_state *centre, int64_t now)
 {
     GHashTable *sums = g_hash_table_new_full(NULL, NULL, NULL, g_free);
     GHashTableIter iterator;
     gpointer value = NULL;
-    g_hash_table_iter_init(&iterator, controller->demands);
+    g_hash_table_iter_init(&iterator, controller->node_demands);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const struct node_demand *report = value;
-        if (now - report->at < DEMAND_VALID_US &&
+        if (now - report->received_at < DEMAND_VALID_US &&
             (report->data_centre == 0 ||
              report->data_centre == centre->data_centre)) {
             add_models(sums, report);
@@ -288,7 +290,7 @@
 
 /* Adds one report's loads to the engines of a data centre. */
 static void
-add_loads(struct ch_controller *controller, const struct duty *centre,
+add_loads(struct ch_controller *controller, const struct centre_state *centre,
           const struct node_demand *report)
 {
     for (guint i = 0; i < report->loads->len; i++) {
@@ -297,8 +299,8 @@
         struct controller_engine *engine = g_hash_table_lookup(
             controller->engines, GUINT_TO_POINTER(load->upstream));
         if (engine != NULL && engine->data_centre == centre->data_centre) {
-            engine->load_running += load->running;
-            engine->load_unread += load->unread;
+            engine->total_running += load->running;
+            engine->total_prefill_backlog += load->prefill_backlog;
         }
     }
 }
@@ -306,7 +308,7 @@
 /* See controller_internal.h. */
 void
 controller_sum_loads(struct ch_controller *controller,
-                     const struct duty *centre, int64_t now)
+                     const struct centre_state *centre, int64_t now)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
@@ -314,14 +316,14 @@
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct controller_engine *engine = value;
         if (engine->data_centre == centre->data_centre) {
-            engine->load_running = 0;
-            engine->load_unread = 0;
+            engine->total_running = 0;
+            engine->total_prefill_backlog = 0;
         }
     }
-    g_hash_table_iter_init(&iterator, controller->demands);
+    g_hash_table_iter_init(&iterator, controller->node_demands);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const struct node_demand *report = value;
-        if (now - report->at < DEMAND_VALID_US) {
+        if (now - report->received_at < DEMAND_VALID_US) {
             add_loads(controller, centre, report);
         }
     }
@@ -334,8 +336,8 @@
 static bool
 should_forward(const struct node_demand *report, int64_t now)
 {
-    return !report->collected && report->data_centre == 0 &&
-           now - report->at < DEMAND_FORWARD_US;
+    return !report->is_sum && report->data_centre == 0 &&
+           now - report->received_at < DEMAND_FORWARD_US;
 }
 
 /* Appends the summed demand of all nodes that report to this one. */
@@ -346,7 +348,7 @@
     GHashTableIter iterator;
     gpointer key = NULL;
     gpointer value = NULL;
-    g_hash_table_iter_init(&iterator, controller->demands);
+    g_hash_table_iter_init(&iterator, controller->node_demands);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         if (should_forward(value, now)) {
             add_models(sums, value);
@@ -354,11 +356,11 @@
     }
     g_hash_table_iter_init(&iterator, sums);
     while (g_hash_table_iter_next(&iterator, &key, &value)) {
-        const struct smoothed *sum = value;
+        const struct fleet_demand *sum = value;
         const struct ch_model_demand model = {
             .model = GPOINTER_TO_UINT(key),
-            .work = (uint32_t)(sum->work * 1000),
-            .backlog = (uint32_t)(sum->backlog * 1000),
+            .engine_ms_per_s = (uint32_t)(sum->demand * 1000),
+            .backlog_ms = (uint32_t)(sum->backlog_s * 1000),
         };
         g_array_append_val(out, model);
     }
@@ -377,7 +379,7 @@
         g_hash_table_insert(sums, key, sum);
     }
     sum->running += load->running;
-    sum->unread += load->unread;
+    sum->prefill_backlog += load->prefill_backlog;
 }
 
 /* Whether that node holds the lease to order the engine, as far as is known
@@ -387,8 +389,9 @@
                  const struct controller_engine *engine, const char *holder)
 {
     return engine != NULL &&
-           g_strcmp0(controller_duty(controller, engine->data_centre)->holder,
-                     holder) == 0;
+           g_strcmp0(
+               controller_get_centre(controller, engine->data_centre)->holder,
+               holder) == 0;
 }
 
 /* Appends the summed loads that the nodes reporting to this one have sent to a
@@ -400,7 +403,7 @@
     GHashTable *sums = g_hash_table_new_full(NULL, NULL, NULL, g_free);
     GHashTableIter iterator;
     gpointer value = NULL;
-    g_hash_table_iter_init(&iterator, controller->demands);
+    g_hash_table_iter_init(&iterator, controller->node_demands);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const struct node_demand *report = value;
         for (guint i = 0;
@@ -430,7 +433,7 @@
 {
     GHashTableIter iterator;
     gpointer key = NULL;
-    g_hash_table_iter_init(&iterator, controller->used);
+    g_hash_table_iter_init(&iterator, controller->used_adapters);
     while (g_hash_table_iter_next(&iterator, &key, NULL)) {
         const char *adapter = NULL;
         if (is_controlled_by(controller,
@@ -447,7 +450,7 @@
 static void
 forward_demand(struct ch_controller *controller, bool near, int64_t now)
 {
-    GPtrArray *holders = controller_other_holders(controller, near, now);
+    GPtrArray *holders = controller_list_other_holders(controller, near, now);
     struct demand_lists sums = lists_new();
     collect_models(controller, sums.models, now);
     for (guint i = 0; i < holders->len; i++) {
@@ -467,16 +470,16 @@
 static void
 forward_due_demand(struct ch_controller *controller, int64_t now)
 {
-    g_hash_table_foreach_remove(controller->demands, is_stale, &now);
-    if (!controller_holds_any(controller)) {
-        g_hash_table_remove_all(controller->used);
+    g_hash_table_foreach_remove(controller->node_demands, is_stale, &now);
+    if (!controller_holds_any_lease(controller)) {
+        g_hash_table_remove_all(controller->used_adapters);
         return;
     }
     forward_demand(controller, true, now);
-    if (now >= controller->next_demand_far) {
-        controller->next_demand_far = now + REMOTE_DEMAND_PERIOD_US;
+    if (now >= controller->next_remote_demand_at) {
+        controller->next_remote_demand_at = now + REMOTE_DEMAND_PERIOD_US;
         forward_demand(controller, false, now);
-        g_hash_table_remove_all(controller->used);
+        g_hash_table_remove_all(controller->used_adapters);
     }
 }
 
@@ -484,13 +487,13 @@
 
 /* See controller_internal.h. */
 void
-controller_demand_step(struct ch_controller *controller)
+controller_send_demand(struct ch_controller *controller)
 {
-    int64_t now = ch_client_now(controller->node->client);
+    int64_t now = ch_client_get_time(controller->node->client);
     pthread_mutex_lock(&controller->lock);
-    bool due = now >= controller->next_demand;
+    bool due = now >= controller->next_demand_at;
     if (due) {
-        controller->next_demand = now + DEMAND_PERIOD_US;
+        controller->next_demand_at = now + DEMAND_PERIOD_US;
         forward_due_demand(controller, now);
     }
     pthread_mutex_unlock(&controller->lock);
@@ -503,10 +506,10 @@
 void
 controller_demand_init(struct ch_controller *controller)
 {
-    controller->demands =
+    controller->node_demands =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_report);
-    controller->used =
+    controller->used_adapters =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    ch_peers_handle(controller->node->peers, WIRE(FRAME__BODY_DEMAND),
-                    handle_demand, controller);
+    ch_peers_set_handler(controller->node->peers, WIRE(FRAME__BODY_DEMAND),
+                         handle_demand, controller);
 }
--- a/libchestnuthitch/node/controller_engine.c
+++ b/libchestnuthitch/node/controller_engine.c
@@ -31,18 +31,18 @@
 static const struct ch_service *
 find_service(const struct controller_engine *engine, struct ch_config **config)
 {
-    *config = ch_config_keeper_current(engine->controller->node->config);
+    *config = ch_config_manager_get_current(engine->controller->node->config);
     if (*config == NULL) {
         return NULL;
     }
-    int index = ch_declaration_service((*config)->declaration,
-                                       g_quark_to_string(engine->service));
+    int index = ch_declaration_find_service(
+        (*config)->declaration, g_quark_to_string(engine->service));
     return index < 0 ? NULL : &(*config)->declaration->services[index];
 }
 
 /* See controller_internal.h. */
 uint32_t
-engine_memory(const struct controller_engine *engine)
+engine_get_memory_mb(const struct controller_engine *engine)
 {
     struct ch_config *config = NULL;
     const struct ch_service *service = find_service(engine, &config);
@@ -53,20 +53,21 @@
 
 /* See controller_internal.h. */
 uint32_t
-engine_adapter_places(const struct controller_engine *engine)
+engine_get_adapter_slots(const struct controller_engine *engine)
 {
     struct ch_config *config = NULL;
     const struct ch_service *service = find_service(engine, &config);
-    uint32_t slots = service == NULL ? 0 : service->adapter_places;
+    uint32_t slots = service == NULL ? 0 : service->adapter_slots;
     ch_config_unref(config);
     return slots;
 }
 
 /* See controller_internal.h. */
 uint32_t
-engine_reserve(const struct controller_engine *engine, uint32_t adapter_mb)
+engine_get_adapter_reserve_mb(const struct controller_engine *engine,
+                              uint32_t adapter_mb)
 {
-    return engine_adapter_places(engine) * adapter_mb;
+    return engine_get_adapter_slots(engine) * adapter_mb;
 }
 
 /* The memory of a model or adapter in MB in a configuration; 0: unknown. */
@@ -75,7 +76,7 @@
 {
     size_t length = strcspn(name, "/");
     char *model = g_strndup(name, length);
-    int index = ch_declaration_model(declaration, model);
+    int index = ch_declaration_find_model(declaration, model);
     g_free(model);
     if (index < 0) {
         return 0;
@@ -86,10 +87,10 @@
 
 /* See controller_internal.h. */
 uint32_t
-controller_memory(struct ch_controller *controller, GQuark name)
+controller_get_memory_mb(struct ch_controller *controller, GQuark name)
 {
     struct ch_config *config =
-        ch_config_keeper_current(controller->node->config);
+        ch_config_manager_get_current(controller->node->config);
     uint32_t memory_mb = 0;
     if (config != NULL) {
         memory_mb =
@@ -101,7 +102,7 @@
 
 /* See controller_internal.h. */
 GQuark
-controller_model_of(GQuark name)
+controller_get_adapter_model(GQuark name)
 {
     const char *text = g_quark_to_string(name);
     const char *slash = strchr(text, '/');
@@ -117,13 +118,13 @@
 static void
 free_waiters(struct item *item)
 {
-    for (guint i = 0; item->waits != NULL && i < item->waits->len; i++) {
-        g_free(g_array_index(item->waits, struct adapter_wait, i).from);
+    for (guint i = 0; item->waiters != NULL && i < item->waiters->len; i++) {
+        g_free(g_array_index(item->waiters, struct adapter_waiter, i).from);
     }
-    if (item->waits != NULL) {
-        g_array_free(item->waits, TRUE);
+    if (item->waiters != NULL) {
+        g_array_free(item->waiters, TRUE);
     }
-    item->waits = NULL;
+    item->waiters = NULL;
 }
 
 /* For g_array_set_clear_func(). */
@@ -135,7 +136,7 @@
 
 /* See controller_internal.h. */
 struct item *
-engine_item(struct controller_engine *engine, GQuark name)
+engine_find_item(struct controller_engine *engine, GQuark name)
 {
     for (guint i = 0; i < engine->items->len; i++) {
         struct item *item = &g_array_index(engine->items, struct item, i);
@@ -155,8 +156,8 @@
         .name = name,
         .model = model,
         .state = state,
-        .changed = now,
-        .used = now,
+        .changed_at = now,
+        .last_used_at = now,
     };
     g_array_append_val(engine->items, item);
     return &g_array_index(engine->items, struct item, engine->items->len - 1);
@@ -167,10 +168,10 @@
 reply_waiters(struct controller_engine *engine, struct item *item,
               enum ch_code code)
 {
-    for (guint i = 0; item->waits != NULL && i < item->waits->len; i++) {
-        controller_answer(engine->controller,
-                          &g_array_index(item->waits, struct adapter_wait, i),
-                          code);
+    for (guint i = 0; item->waiters != NULL && i < item->waiters->len; i++) {
+        controller_reply_waiter(
+            engine->controller,
+            &g_array_index(item->waiters, struct adapter_waiter, i), code);
     }
     free_waiters(item);
 }
@@ -184,7 +185,7 @@
         if (item->name == name) {
             reply_waiters(engine, item, CH_NO_UPSTREAM);
             g_array_remove_index(engine->items, i);
-            engine->news = ALL_NEWS;
+            engine->unpublished = ALL_AUDIENCES;
             return;
         }
     }
@@ -192,7 +193,7 @@
 
 /* See controller_internal.h. */
 void
-engine_fail_waits(struct controller_engine *engine, enum ch_code code)
+engine_fail_waiters(struct controller_engine *engine, enum ch_code code)
 {
     for (guint i = 0; i < engine->items->len; i++) {
         reply_waiters(engine, &g_array_index(engine->items, struct item, i),
@@ -207,9 +208,9 @@
 {
     if (item->state != state) {
         item->state = state;
-        item->changed = now;
-        item->ordered = false;
-        engine->news = ALL_NEWS;
+        item->changed_at = now;
+        item->accepted = false;
+        engine->unpublished = ALL_AUDIENCES;
     }
 }
 
@@ -224,12 +225,12 @@
     engine->controller = controller;
     engine->references = 1;
     engine->name = g_quark_from_string(host->name);
-    engine->news = ALL_NEWS;
+    engine->unpublished = ALL_AUDIENCES;
     engine->address = g_strdup(host->address);
     engine->client = node->dialect->upstream_new(
-        node->client, node->http, host, CH_CONTROLLER_CALL_LIMIT);
+        node->client, node->http, host, CH_CONTROLLER_CALL_TIMEOUT_US);
     engine->items = g_array_new(FALSE, FALSE, sizeof(struct item));
-    engine->copies = g_array_new(FALSE, FALSE, sizeof(GQuark));
+    engine->local_copies = g_array_new(FALSE, FALSE, sizeof(GQuark));
     g_array_set_clear_func(engine->items, clear_item);
     return engine;
 }
@@ -243,7 +244,7 @@
     }
     engine->client->ops->free(engine->client);
     g_array_free(engine->items, TRUE);
-    g_array_free(engine->copies, TRUE);
+    g_array_free(engine->local_copies, TRUE);
     g_free(engine->address);
     g_free(engine);
 }
@@ -254,8 +255,8 @@
 {
     for (size_t i = 0; names != NULL && names[i] != NULL; i++) {
         GQuark name = g_quark_from_string(names[i]);
-        if (engine_item(engine, name) == NULL) {
-            engine_add_item(engine, name, controller_model_of(name),
+        if (engine_find_item(engine, name) == NULL) {
+            engine_add_item(engine, name, controller_get_adapter_model(name),
                             CH_ITEM_RESIDENT, now);
         }
     }
@@ -265,14 +266,14 @@
 static void
 reset_engine(struct controller_engine *engine, int64_t now)
 {
-    engine_fail_waits(engine, CH_NO_UPSTREAM);
+    engine_fail_waiters(engine, CH_NO_UPSTREAM);
     g_array_set_size(engine->items, 0);
-    engine->taken = 0;
-    engine->known = false;
-    engine->mirrored = false;
-    engine->unsure = false;
-    engine->report_at = now;
-    engine->news = ALL_NEWS;
+    engine->orders_taken = 0;
+    engine->state_known = false;
+    engine->from_peer = false;
+    engine->order_outcome_unknown = false;
+    engine->next_report_at = now;
+    engine->unpublished = ALL_AUDIENCES;
 }
 
 /*
@@ -283,26 +284,27 @@
  * shown changes only the boot ID.
  */
 void
-engine_listed(struct controller_engine *engine, const struct ch_host *host,
-              int64_t now)
+engine_apply_host(struct controller_engine *engine, const struct ch_host *host,
+                  int64_t now)
 {
-    if (host->boot > engine->boot && engine->restarted) {
-        engine->boot = host->boot;
-        engine->restarted = false;
+    if (host->boot_id > engine->boot_id && engine->restart_reported) {
+        engine->boot_id = host->boot_id;
+        engine->restart_reported = false;
     }
-    else if (host->boot > engine->boot || engine->boot == 0) {
+    else if (host->boot_id > engine->boot_id || engine->boot_id == 0) {
         reset_engine(engine, now);
-        engine->boot = host->boot;
-        add_resident_items(engine, host->resident, now);
+        engine->boot_id = host->boot_id;
+        add_resident_items(engine, host->resident_items, now);
     }
     engine->listed = true;
-    engine->leaving = host->leaving;
+    engine->draining = host->draining;
     engine->service = g_quark_from_string(host->service);
     engine->data_centre = g_quark_from_string(host->data_centre);
-    g_array_set_size(engine->copies, 0);
-    for (size_t i = 0; host->copies != NULL && host->copies[i] != NULL; i++) {
-        GQuark copy = g_quark_from_string(host->copies[i]);
-        g_array_append_val(engine->copies, copy);
+    g_array_set_size(engine->local_copies, 0);
+    for (size_t i = 0;
+         host->local_copies != NULL && host->local_copies[i] != NULL; i++) {
+        GQuark copy = g_quark_from_string(host->local_copies[i]);
+        g_array_append_val(engine->local_copies, copy);
     }
 }
 
@@ -329,7 +331,7 @@
     else if (action == CH_ORDER_UNLOAD) {
         return;
     }
-    ch_metrics_count(metrics, counter, 1);
+    ch_metrics_add_count(metrics, counter, 1);
 }
 
 /* Marks adapters as resident when their load time has passed. Runs on the
@@ -341,11 +343,11 @@
     struct ch_controller *controller = job->controller;
     struct controller_engine *engine = job->engine;
     pthread_mutex_lock(&controller->lock);
-    int64_t now = ch_client_now(controller->node->client);
+    int64_t now = ch_client_get_time(controller->node->client);
     for (guint i = 0; i < engine->items->len; i++) {
         struct item *item = &g_array_index(engine->items, struct item, i);
         if (item->model != 0 && item->state == CH_ITEM_LOADING &&
-            item->ordered && now - item->changed >= ADAPTER_LOAD_US) {
+            item->accepted && now - item->changed_at >= ADAPTER_LOAD_US) {
             set_state(engine, item, CH_ITEM_RESIDENT, now);
             reply_waiters(engine, item, CH_OK);
         }
@@ -367,8 +369,8 @@
     job->engine = engine;
     engine->references++;
     controller->jobs++;
-    ch_timers_after(controller->node->timers, ADAPTER_LOAD_US + 1000,
-                    finish_adapter_loads, job);
+    ch_timers_add(controller->node->timers, ADAPTER_LOAD_US + 1000,
+                  finish_adapter_loads, job);
 }
 
 /* Handles an order that the engine accepted. */
@@ -376,12 +378,12 @@
 handle_accepted_order(struct controller_engine *engine, struct item *item,
                       int64_t now)
 {
-    engine->taken++;
-    count_order(engine, item, engine->ordered_action);
-    item->ordered = true;
-    item->changed = now;
-    engine->report_at = now + REPORT_PERIOD_CHANGING_US;
-    if (item->model != 0 && engine->ordered_action == CH_ORDER_LOAD) {
+    engine->orders_taken++;
+    count_order(engine, item, engine->order_action);
+    item->accepted = true;
+    item->changed_at = now;
+    engine->next_report_at = now + REPORT_PERIOD_CHANGING_US;
+    if (item->model != 0 && engine->order_action == CH_ORDER_LOAD) {
         schedule_adapter_ready(engine);
     }
 }
@@ -394,8 +396,8 @@
 handle_fulfilled_order(struct controller_engine *engine, struct item *item,
                        int64_t now)
 {
-    if (engine->ordered_action == CH_ORDER_UNLOAD) {
-        engine->taken += item->model != 0 ? 1 : 0;
+    if (engine->order_action == CH_ORDER_UNLOAD) {
+        engine->orders_taken += item->model != 0 ? 1 : 0;
         remove_item(engine, item->name);
         return;
     }
@@ -410,9 +412,9 @@
                      int64_t now)
 {
     if (item != NULL && item->model != 0 &&
-        engine->ordered_action == CH_ORDER_UNLOAD) {
+        engine->order_action == CH_ORDER_UNLOAD) {
         set_state(engine, item, CH_ITEM_RESIDENT, now);
-        item->used = now;
+        item->last_used_at = now;
     }
 }
 
@@ -421,18 +423,19 @@
 static void
 count_delayed_load(struct controller_engine *engine, int64_t now)
 {
-    struct item *item = engine_item(engine, engine->ordered_item);
-    struct duty *centre =
-        controller_duty(engine->controller, engine->data_centre);
+    struct item *item = engine_find_item(engine, engine->order_item);
+    struct centre_state *centre =
+        controller_get_centre(engine->controller, engine->data_centre);
     if (item == NULL || !item->from_store ||
-        engine->ordered_action != CH_ORDER_LOAD) {
+        engine->order_action != CH_ORDER_LOAD) {
         return;
     }
-    if (!ch_window_start_reserved(&centre->loads, centre->most_loads,
-                                  item->load_at, now)) {
-        ch_window_record_start(&centre->loads, now);
+    if (!ch_window_start_reserved(&centre->load_window,
+                                  centre->max_loads_in_window,
+                                  item->load_started_at, now)) {
+        ch_window_record_start(&centre->load_window, now);
     }
-    item->load_at = now;
+    item->load_started_at = now;
 }
 
 /* Handles an order that was refused or whose outcome is unknown. */
@@ -440,23 +443,23 @@
 handle_failed_order(struct controller_engine *engine, enum ch_code code,
                     int64_t now)
 {
-    engine->known = false;
+    engine->state_known = false;
     switch (code) {
     case CH_UPSTREAM_REFUSED:
-        engine->quiet_until = now + REFUSED_ORDER_DELAY_US;
+        engine->orders_blocked_until = now + REFUSED_ORDER_DELAY_US;
         break;
     case CH_NO_UPSTREAM:
     case CH_UPSTREAM_CONNECT:
-        engine->quiet_until = now + UNREACHABLE_DELAY_US;
-        engine_fail_waits(engine, CH_NO_UPSTREAM);
+        engine->orders_blocked_until = now + UNREACHABLE_DELAY_US;
+        engine_fail_waiters(engine, CH_NO_UPSTREAM);
         break;
     default:
-        engine->unsure = true;
-        engine->quiet_until = now + REPORT_SETTLE_US;
+        engine->order_outcome_unknown = true;
+        engine->orders_blocked_until = now + REPORT_SETTLE_US;
         count_delayed_load(engine, now);
         break;
     }
-    engine->report_at = engine->quiet_until;
+    engine->next_report_at = engine->orders_blocked_until;
 }
 
 /* Handles the result of an order, and sends the next one. */
@@ -464,17 +467,17 @@
 handle_order_result(struct order_job *job, int64_t now)
 {
     struct controller_engine *engine = job->engine;
-    struct item *item = engine_item(engine, engine->ordered_item);
-    struct duty *centre =
-        controller_duty(job->controller, engine->data_centre);
-    engine->ordering = false;
-    if (job->boot != engine->boot) {
+    struct item *item = engine_find_item(engine, engine->order_item);
+    struct centre_state *centre =
+        controller_get_centre(job->controller, engine->data_centre);
+    engine->order_in_flight = false;
+    if (job->boot != engine->boot_id) {
         return;
     }
     if (job->code == CH_STALE_FENCE) {
-        ch_metrics_count(job->controller->node->client->metrics,
-                         CH_COUNT_ORDERS_REFUSED, 1);
-        ch_claim_give_up(centre->claim, 0);
+        ch_metrics_add_count(job->controller->node->client->metrics,
+                             CH_COUNT_ORDERS_REFUSED, 1);
+        ch_lease_release(centre->lease, 0);
     }
     else if (job->code == CH_OK && item != NULL) {
         handle_accepted_order(engine, item, now);
@@ -486,7 +489,7 @@
         handle_refused_order(engine, item, now);
         handle_failed_order(engine, job->code, now);
     }
-    engine_pump(engine, centre, now);
+    engine_send_due(engine, centre, now);
 }
 
 /* Runs on the pool. */
@@ -496,15 +499,16 @@
     struct order_job *job = data;
     struct ch_controller *controller = job->controller;
     pthread_mutex_lock(&controller->lock);
-    int64_t now = ch_client_now(controller->node->client);
+    int64_t now = ch_client_get_time(controller->node->client);
     ch_log(controller->node->client, CH_LOG_INFO, "ordered",
            CH_F_STR("upstream", g_quark_to_string(job->engine->name)),
-           CH_F_STR("item", g_quark_to_string(job->engine->ordered_item)),
-           CH_F_STR("action", job->engine->ordered_action == CH_ORDER_LOAD
+           CH_F_STR("item", g_quark_to_string(job->engine->order_item)),
+           CH_F_STR("action", job->engine->order_action == CH_ORDER_LOAD
                                   ? "load"
                                   : "unload"),
-           CH_F_INT("taken", job->engine->taken), CH_F_INT("code", job->code),
-           CH_F_INT("took_us", now - job->engine->last_order), CH_F_END);
+           CH_F_INT("taken", job->engine->orders_taken),
+           CH_F_INT("code", job->code),
+           CH_F_INT("took_us", now - job->engine->last_order_at), CH_F_END);
     handle_order_result(job, now);
     engine_unref(job->engine);
     controller->jobs--;
@@ -524,36 +528,37 @@
 
 /* Sends an order, if the lease is held at this very moment. */
 static void
-send_order(struct controller_engine *engine, struct duty *centre,
+send_order(struct controller_engine *engine, struct centre_state *centre,
            struct item *item, enum ch_order_action action, int64_t now)
 {
     struct ch_controller *controller = engine->controller;
     const char *name = g_quark_to_string(item->name);
     const char *slash = strchr(name, '/');
     uint64_t fencing_token = 0;
-    if (!ch_claim_held(centre->claim, &fencing_token)) {
+    if (!ch_lease_is_held(centre->lease, &fencing_token)) {
         return;
     }
-    engine->ordering = true;
-    engine->ordered_item = item->name;
-    engine->ordered_action = action;
-    engine->last_order = now;
+    engine->order_in_flight = true;
+    engine->order_item = item->name;
+    engine->order_action = action;
+    engine->last_order_at = now;
     struct order_job *job = g_new0(struct order_job, 1);
     job->controller = controller;
     job->engine = engine;
-    job->boot = engine->boot;
+    job->boot = engine->boot_id;
     engine->references++;
     controller->jobs++;
-    ch_metrics_count(controller->node->client->metrics, CH_COUNT_ORDERS, 1);
+    ch_metrics_add_count(controller->node->client->metrics, CH_COUNT_ORDERS,
+                         1);
     struct ch_order order = {
-        .fence = fencing_token,
+        .fencing_token = fencing_token,
         .action = action,
         .model = slash == NULL ? name : g_quark_to_string(item->model),
         .adapter = slash == NULL ? NULL : slash + 1,
-        .expected = (int64_t)engine->taken,
+        .expected_orders_taken = (int64_t)engine->orders_taken,
     };
-    engine->client->ops->order(engine->client, &order, submit_order_result,
-                               job);
+    engine->client->ops->send_order(engine->client, &order,
+                                    submit_order_result, job);
 }
 
 /* See controller_internal.h. */
@@ -567,7 +572,7 @@
             item->state == CH_ITEM_LOADING || item->state == CH_ITEM_UNLOADING;
         bool blocks_others =
             item->model == 0 || item->state == CH_ITEM_UNLOADING;
-        if (changing && blocks_others && item->ordered) {
+        if (changing && blocks_others && item->accepted) {
             return true;
         }
     }
@@ -584,7 +589,7 @@
     for (guint i = 0; i < engine->items->len; i++) {
         const struct item *item =
             &g_array_index(engine->items, struct item, i);
-        bool uses_slot = item->state != CH_ITEM_LOADING || item->ordered;
+        bool uses_slot = item->state != CH_ITEM_LOADING || item->accepted;
         count += item->model != 0 && uses_slot ? 1 : 0;
     }
     return count;
@@ -598,8 +603,9 @@
     for (guint i = 0; i < engine->items->len; i++) {
         const struct item *item =
             &g_array_index(engine->items, struct item, i);
-        if (item->state != CH_ITEM_LOADING || item->ordered) {
-            used_mb += controller_memory(engine->controller, item->name);
+        if (item->state != CH_ITEM_LOADING || item->accepted) {
+            used_mb +=
+                controller_get_memory_mb(engine->controller, item->name);
         }
     }
     return used_mb;
@@ -614,10 +620,10 @@
     for (guint i = 0; i < engine->items->len; i++) {
         struct item *item = &g_array_index(engine->items, struct item, i);
         if (item->model == 0 || item->state != CH_ITEM_RESIDENT ||
-            now - item->used < ADAPTER_IN_USE_US) {
+            now - item->last_used_at < ADAPTER_IN_USE_US) {
             continue;
         }
-        if (oldest == NULL || item->used < oldest->used) {
+        if (oldest == NULL || item->last_used_at < oldest->last_used_at) {
             oldest = item;
         }
     }
@@ -628,20 +634,20 @@
 static bool
 has_resident_model(struct controller_engine *engine, GQuark model)
 {
-    const struct item *item = engine_item(engine, model);
+    const struct item *item = engine_find_item(engine, model);
     return item != NULL && item->state == CH_ITEM_RESIDENT;
 }
 
 /* Orders an adapter, or the unload of another one to make space for it. True:
  * an order was sent. */
 static bool
-order_adapter(struct controller_engine *engine, struct duty *centre,
+order_adapter(struct controller_engine *engine, struct centre_state *centre,
               struct item *item, int64_t now)
 {
-    uint32_t slots = engine_adapter_places(engine);
-    uint32_t memory_mb = engine_memory(engine);
+    uint32_t slots = engine_get_adapter_slots(engine);
+    uint32_t memory_mb = engine_get_memory_mb(engine);
     bool fits = sum_used_memory_mb(engine) +
-                    controller_memory(engine->controller, item->name) <=
+                    controller_get_memory_mb(engine->controller, item->name) <=
                 memory_mb;
     if (count_adapter_slots(engine) < slots && fits) {
         send_order(engine, centre, item, CH_ORDER_LOAD, now);
@@ -660,24 +666,26 @@
 /* Orders a model; a load only once there is enough free memory and the weight
  * store allows it. True: an order was sent. */
 static bool
-order_model(struct controller_engine *engine, struct duty *centre,
+order_model(struct controller_engine *engine, struct centre_state *centre,
             struct item *item, int64_t now)
 {
     if (item->state == CH_ITEM_UNLOADING) {
         send_order(engine, centre, item, CH_ORDER_UNLOAD, now);
         return true;
     }
-    uint64_t needed_mb = controller_memory(engine->controller, item->name);
-    if (needed_mb == 0 ||
-        sum_used_memory_mb(engine) + needed_mb > engine_memory(engine)) {
+    uint64_t needed_mb =
+        controller_get_memory_mb(engine->controller, item->name);
+    if (needed_mb == 0 || sum_used_memory_mb(engine) + needed_mb >
+                              engine_get_memory_mb(engine)) {
         return false;
     }
     if (item->from_store &&
-        !ch_window_start_reserved(&centre->loads, centre->most_loads,
-                                  item->load_at, now)) {
+        !ch_window_start_reserved(&centre->load_window,
+                                  centre->max_loads_in_window,
+                                  item->load_started_at, now)) {
         return false;
     }
-    item->load_at = now;
+    item->load_started_at = now;
     send_order(engine, centre, item, CH_ORDER_LOAD, now);
     return true;
 }
@@ -687,19 +695,19 @@
 is_due(const struct controller_engine *engine, const struct item *item,
        int64_t now)
 {
-    if (item->ordered || item->told || now < item->not_before) {
+    if (item->accepted || item->from_peer || now < item->next_order_at) {
         return false;
     }
     if (item->state == CH_ITEM_UNLOADING && item->model == 0) {
-        return !ch_order_should_delay_unload(item->not_before, engine->waiting,
-                                             now);
+        return !ch_order_should_delay_unload(item->next_order_at,
+                                             engine->waiting, now);
     }
     return item->state == CH_ITEM_LOADING || item->state == CH_ITEM_UNLOADING;
 }
 
 /* Sends the next order; adapters come first, as requests wait for them. */
 static void
-send_next_order(struct controller_engine *engine, struct duty *centre,
+send_next_order(struct controller_engine *engine, struct centre_state *centre,
                 int64_t now)
 {
     for (int models = 0; models < 2; models++) {
@@ -730,15 +738,15 @@
     struct controller_engine *engine;
     uint64_t boot;
     int64_t requested_at;
-    struct ch_report *report; /* NULL: none received */
+    struct ch_engine_report *report; /* NULL: none received */
 };
 
 /* Whether a report lists an item as resident. */
 static bool
-report_lists(const struct ch_report *report, const char *name)
+report_lists(const struct ch_engine_report *report, const char *name)
 {
-    for (size_t i = 0; i < report->resident_count; i++) {
-        if (strcmp(report->resident[i].name, name) == 0) {
+    for (size_t i = 0; i < report->resident_item_count; i++) {
+        if (strcmp(report->resident_items[i].name, name) == 0) {
             return true;
         }
     }
@@ -754,7 +762,7 @@
         ch_log(engine->controller->node->client, CH_LOG_INFO, event,
                CH_F_STR("upstream", g_quark_to_string(engine->name)),
                CH_F_STR("model", g_quark_to_string(item->name)),
-               CH_F_INT("took_us", now - item->changed), CH_F_END);
+               CH_F_INT("took_us", now - item->changed_at), CH_F_END);
     }
 }
 
@@ -765,11 +773,11 @@
 {
     const struct ch_report_comparison comparison = {
         .state = item->state,
-        .accepted = item->ordered,
-        .from_peer = item->told,
+        .accepted = item->accepted,
+        .from_peer = item->from_peer,
         .listed = report_lists(job->report, g_quark_to_string(item->name)),
-        .busy = job->report->busy,
-        .changed_at = item->changed,
+        .busy = job->report->order_in_progress,
+        .changed_at = item->changed_at,
         .requested_at = job->requested_at,
     };
     switch (ch_order_evaluate_report(&comparison)) {
@@ -786,7 +794,7 @@
         item->state = CH_ITEM_ABSENT;
         break;
     case CH_REPORT_UNLOAD_FAILED:
-        item->ordered = false;
+        item->accepted = false;
         break;
     default:
         break;
@@ -798,8 +806,8 @@
 apply_resident_lists(struct controller_engine *engine,
                      const struct report_job *job, int64_t now)
 {
-    const struct ch_report *report = job->report;
-    char **names = g_new0(char *, report->resident_count + 1);
+    const struct ch_engine_report *report = job->report;
+    char **names = g_new0(char *, report->resident_item_count + 1);
     for (guint i = 0; i < engine->items->len; i++) {
         compare_item(engine, &g_array_index(engine->items, struct item, i),
                      job, now);
@@ -811,13 +819,13 @@
             remove_item(engine, item->name);
         }
     }
-    for (size_t i = 0; i < report->resident_count; i++) {
-        names[i] = report->resident[i].name;
+    for (size_t i = 0; i < report->resident_item_count; i++) {
+        names[i] = report->resident_items[i].name;
     }
     guint old_count = engine->items->len;
     add_resident_items(engine, names, now);
     if (engine->items->len != old_count) {
-        engine->news = ALL_NEWS;
+        engine->unpublished = ALL_AUDIENCES;
     }
     g_free(names);
 }
@@ -830,34 +838,35 @@
 apply_report(struct report_job *job, int64_t now)
 {
     struct controller_engine *engine = job->engine;
-    const struct ch_report *report = job->report;
-    engine->reporting = false;
-    if (report == NULL || job->boot != engine->boot) {
+    const struct ch_engine_report *report = job->report;
+    engine->report_in_flight = false;
+    if (report == NULL || job->boot != engine->boot_id) {
         return;
     }
     engine->running = report->running;
     engine->waiting = report->waiting;
-    bool settled = !engine->ordering &&
-                   job->requested_at - engine->last_order >= REPORT_SETTLE_US;
-    if (engine->ordering ||
-        (!settled && report->orders_taken != engine->taken)) {
+    bool settled =
+        !engine->order_in_flight &&
+        job->requested_at - engine->last_order_at >= REPORT_SETTLE_US;
+    if (engine->order_in_flight ||
+        (!settled && report->orders_taken != engine->orders_taken)) {
         return;
     }
-    if (report->orders_taken < engine->taken && !settled) {
+    if (report->orders_taken < engine->orders_taken && !settled) {
         return;
     }
-    if (report->orders_taken < engine->taken) {
+    if (report->orders_taken < engine->orders_taken) {
         reset_engine(engine, now);
-        engine->restarted = true;
+        engine->restart_reported = true;
     }
-    engine->taken = report->orders_taken;
-    engine->unsure = false;
+    engine->orders_taken = report->orders_taken;
+    engine->order_outcome_unknown = false;
     apply_resident_lists(engine, job, now);
     /* If an order of another node is in flight, what it loads is in no list
      * yet, and this node would load beyond the memory. Once that order is
      * done, a report shows its result; a report that is not busy and counts as
      * many orders as the engine expects next is complete. */
-    engine->known = !report->busy || engine_is_busy(engine);
+    engine->state_known = !report->order_in_progress || engine_is_busy(engine);
 }
 
 /* Runs on the pool. */
@@ -867,21 +876,22 @@
     struct report_job *job = data;
     struct ch_controller *controller = job->controller;
     pthread_mutex_lock(&controller->lock);
-    int64_t now = ch_client_now(controller->node->client);
+    int64_t now = ch_client_get_time(controller->node->client);
     apply_report(job, now);
-    engine_pump(job->engine,
-                controller_duty(controller, job->engine->data_centre), now);
+    engine_send_due(
+        job->engine,
+        controller_get_centre(controller, job->engine->data_centre), now);
     engine_unref(job->engine);
     controller->jobs--;
     pthread_cond_broadcast(&controller->idle);
     pthread_mutex_unlock(&controller->lock);
-    ch_report_free(job->report);
+    ch_engine_report_free(job->report);
     g_free(job);
 }
 
 /* Runs on the thread of the HTTP loop; hands the result to the pool. */
 static void
-submit_report(void *data, enum ch_code code, struct ch_report *report)
+submit_report(void *data, enum ch_code code, struct ch_engine_report *report)
 {
     struct report_job *job = data;
     (void)code;
@@ -907,31 +917,32 @@
 static void
 request_report(struct controller_engine *engine, int64_t now)
 {
-    if (engine->reporting || now < engine->report_at) {
+    if (engine->report_in_flight || now < engine->next_report_at) {
         return;
     }
-    bool soon = is_changing(engine) || !engine->known;
-    engine->reporting = true;
-    engine->report_at =
+    bool soon = is_changing(engine) || !engine->state_known;
+    engine->report_in_flight = true;
+    engine->next_report_at =
         now + (soon ? REPORT_PERIOD_CHANGING_US : REPORT_PERIOD_IDLE_US);
     struct report_job *job = g_new0(struct report_job, 1);
     job->controller = engine->controller;
     job->engine = engine;
-    job->boot = engine->boot;
+    job->boot = engine->boot_id;
     job->requested_at = now;
     engine->references++;
     engine->controller->jobs++;
-    engine->client->ops->report(engine->client, submit_report, job);
+    engine->client->ops->fetch_report(engine->client, submit_report, job);
 }
 
 /* ---- entry points ---- */
 
 /* See controller_internal.h. */
 bool
-engine_is_open(const struct controller_engine *engine, int64_t now)
+engine_accepts_model_order(const struct controller_engine *engine, int64_t now)
 {
-    return engine->listed && engine->known && !engine->unsure &&
-           now >= engine->quiet_until && !is_changing(engine);
+    return engine->listed && engine->state_known &&
+           !engine->order_outcome_unknown &&
+           now >= engine->orders_blocked_until && !is_changing(engine);
 }
 
 /* Fails the waiters of adapters whose time is over. */
@@ -940,8 +951,9 @@
 {
     for (guint i = 0; i < engine->items->len; i++) {
         struct item *item = &g_array_index(engine->items, struct item, i);
-        if (item->waits != NULL && item->waits->len > 0 &&
-            g_array_index(item->waits, struct adapter_wait, 0).until <= now) {
+        if (item->waiters != NULL && item->waiters->len > 0 &&
+            g_array_index(item->waiters, struct adapter_waiter, 0).deadline <=
+                now) {
             reply_waiters(engine, item, CH_PEER_TIMEOUT);
         }
     }
@@ -949,18 +961,19 @@
 
 /* See controller_internal.h. */
 void
-engine_pump(struct controller_engine *engine, struct duty *centre, int64_t now)
+engine_send_due(struct controller_engine *engine, struct centre_state *centre,
+                int64_t now)
 {
     uint64_t fencing_token = 0;
     if (engine->controller->stopping ||
-        !ch_claim_held(centre->claim, &fencing_token)) {
-        engine_fail_waits(engine, CH_NOT_READY);
+        !ch_lease_is_held(centre->lease, &fencing_token)) {
+        engine_fail_waiters(engine, CH_NOT_READY);
         return;
     }
     expire_waiters(engine, now);
     request_report(engine, now);
-    if (!engine->listed || engine->leaving || engine->ordering ||
-        !engine->known || now < engine->quiet_until ||
+    if (!engine->listed || engine->draining || engine->order_in_flight ||
+        !engine->state_known || now < engine->orders_blocked_until ||
         engine_is_busy(engine)) {
         return;
     }
@@ -969,31 +982,33 @@
 
 /* See controller_internal.h. */
 void
-engine_prepare(struct controller_engine *engine, struct duty *centre,
-               GQuark model, GQuark adapter, const struct adapter_wait *waiter,
-               int64_t now)
+engine_prepare_adapter(struct controller_engine *engine,
+                       struct centre_state *centre, GQuark model,
+                       GQuark adapter, const struct adapter_waiter *waiter,
+                       int64_t now)
 {
-    struct item *item = engine_item(engine, adapter);
+    struct item *item = engine_find_item(engine, adapter);
     if (item != NULL && item->state == CH_ITEM_RESIDENT) {
-        item->used = now;
-        controller_answer(engine->controller, waiter, CH_OK);
+        item->last_used_at = now;
+        controller_reply_waiter(engine->controller, waiter, CH_OK);
         return;
     }
-    if (!has_resident_model(engine, model) || engine->leaving ||
+    if (!has_resident_model(engine, model) || engine->draining ||
         engine_is_busy(engine) ||
         (item != NULL && item->state == CH_ITEM_UNLOADING)) {
-        controller_answer(engine->controller, waiter, CH_NO_UPSTREAM);
+        controller_reply_waiter(engine->controller, waiter, CH_NO_UPSTREAM);
         return;
     }
     if (item == NULL) {
         item = engine_add_item(engine, adapter, model, CH_ITEM_LOADING, now);
     }
-    if (item->waits == NULL) {
-        item->waits = g_array_new(FALSE, FALSE, sizeof(struct adapter_wait));
+    if (item->waiters == NULL) {
+        item->waiters =
+            g_array_new(FALSE, FALSE, sizeof(struct adapter_waiter));
     }
-    g_array_append_val(item->waits, *waiter);
-    struct adapter_wait *stored =
-        &g_array_index(item->waits, struct adapter_wait, item->waits->len - 1);
+    g_array_append_val(item->waiters, *waiter);
+    struct adapter_waiter *stored = &g_array_index(
+        item->waiters, struct adapter_waiter, item->waiters->len - 1);
     stored->from = g_strdup(waiter->from);
-    engine_pump(engine, centre, now);
+    engine_send_due(engine, centre, now);
 }
--- a/libchestnuthitch/node/controller_hear.c
+++ b/libchestnuthitch/node/controller_hear.c
@@ -80,16 +80,17 @@
  * the known one means that the sender's holder has lost the lease. Returns
  * whether the message's lease is current. */
 static bool
-apply_lease(struct duty *centre, const Chestnuthitch__Wire__Right *lease,
-            int64_t now)
+apply_lease(struct centre_state *centre,
+            const Chestnuthitch__Wire__Right *lease, int64_t now)
 {
     int64_t heard_at = now - (int64_t)lease->age_ms * 1000;
-    if (lease->fence < centre->fence || lease->holder[0] == '\0') {
+    if (lease->fence < centre->fencing_token || lease->holder[0] == '\0') {
         return false;
     }
-    centre->heard =
-        lease->fence > centre->fence ? heard_at : MAX(centre->heard, heard_at);
-    centre->fence = lease->fence;
+    centre->heard_at = lease->fence > centre->fencing_token
+                           ? heard_at
+                           : MAX(centre->heard_at, heard_at);
+    centre->fencing_token = lease->fence;
     if (g_strcmp0(centre->holder, lease->holder) != 0) {
         g_free(centre->holder);
         centre->holder = g_strdup(lease->holder);
@@ -115,9 +116,9 @@
     struct message_leases leases;
     find_leases(frame, &leases);
     for (size_t i = 0; i < leases.count; i++) {
-        struct duty *centre =
-            controller_duty(context->controller,
-                            g_quark_from_string(leases.rows[i]->data_centre));
+        struct centre_state *centre = controller_get_centre(
+            context->controller,
+            g_quark_from_string(leases.rows[i]->data_centre));
         if (apply_lease(centre, leases.rows[i], context->now)) {
             g_hash_table_insert(context->current_holders,
                                 GUINT_TO_POINTER(centre->data_centre),
@@ -145,8 +146,8 @@
 {
     return strcmp(context->from, context->controller->node->settings->name) !=
                0 &&
-           !controller_holds(
-               controller_duty(context->controller, engine->data_centre));
+           !controller_holds_lease(controller_get_centre(context->controller,
+                                                         engine->data_centre));
 }
 
 /* Replaces an engine's items by those that another lease holder reports, for
@@ -159,7 +160,7 @@
 {
     const char *holder = g_hash_table_lookup(
         context->current_holders, GUINT_TO_POINTER(engine->data_centre));
-    engine_fail_waits(engine, CH_NOT_READY);
+    engine_fail_waiters(engine, CH_NOT_READY);
     g_array_set_size(engine->items, 0);
     for (size_t i = 0; i < state->n_models; i++) {
         engine_add_item(engine, g_quark_from_string(state->models[i]), 0,
@@ -167,19 +168,19 @@
     }
     for (size_t i = 0; i < state->n_adapters; i++) {
         GQuark adapter = g_quark_from_string(state->adapters[i]);
-        engine_add_item(engine, adapter, controller_model_of(adapter),
+        engine_add_item(engine, adapter, controller_get_adapter_model(adapter),
                         CH_ITEM_RESIDENT, context->now);
     }
     for (size_t i = 0; i < state->n_coming; i++) {
         struct item *item =
             engine_add_item(engine, g_quark_from_string(state->coming[i]), 0,
                             CH_ITEM_LOADING, context->now);
-        item->told = true;
+        item->from_peer = true;
     }
-    engine->mirrored = true;
-    engine->told_busy = state->busy;
+    engine->from_peer = true;
+    engine->peer_busy = state->busy;
     if (strcmp(holder, context->from) == 0) {
-        engine->news |= 1U << AUDIENCE_NODES;
+        engine->unpublished |= 1U << AUDIENCE_NODES;
     }
 }
 
@@ -231,7 +232,7 @@
         return false;
     }
     record_number(context->publisher, state);
-    if (engine != NULL && engine->boot == state->boot &&
+    if (engine != NULL && engine->boot_id == state->boot &&
         is_controlled_elsewhere(context, engine)) {
         apply_peer_state(context, engine, state);
     }
@@ -281,12 +282,12 @@
             .upstream = reported->upstream,
             .data_centre = engine->data_centre,
             .running = reported->running,
-            .unread = (int64_t)reported->prefill_backlog_ms * 1000,
+            .prefill_backlog = (int64_t)reported->prefill_backlog_ms * 1000,
         };
         g_array_append_val(loads, load);
         if (is_controlled_elsewhere(context, engine)) {
-            engine->load_running = load.running;
-            engine->load_unread = load.unread;
+            engine->total_running = load.running;
+            engine->total_prefill_backlog = load.prefill_backlog;
         }
     }
     return loads;
@@ -310,13 +311,13 @@
     g_autofree char *key =
         g_strdup_printf("%s %u", frame->from, frame->engines->audience);
     struct publisher *publisher =
-        g_hash_table_lookup(controller->tellers, key);
+        g_hash_table_lookup(controller->publishers, key);
     *is_new = publisher == NULL;
     if (publisher == NULL) {
-        g_hash_table_foreach_remove(controller->tellers, is_expired, &now);
+        g_hash_table_foreach_remove(controller->publishers, is_expired, &now);
         publisher = g_new0(struct publisher, 1);
         publisher->loads = g_hash_table_new_full(NULL, NULL, NULL, g_free);
-        g_hash_table_insert(controller->tellers, g_steal_pointer(&key),
+        g_hash_table_insert(controller->publishers, g_steal_pointer(&key),
                             publisher);
     }
     publisher->heard_at = now;
@@ -392,7 +393,7 @@
         .controller = controller,
         .from = frame->from,
         .current_holders = g_hash_table_new(NULL, NULL),
-        .now = ch_client_now(controller->node->client),
+        .now = ch_client_get_time(controller->node->client),
     };
     GArray *loads = NULL;
     bool is_new = false;
@@ -439,20 +440,20 @@
     GArray *models = make_quarks(state->models, state->n_models);
     GArray *adapters = make_quarks(state->adapters, state->n_adapters);
     GArray *pending_loads = make_quarks(state->coming, state->n_coming);
-    const struct ch_engine_told reported = {
+    const struct ch_engine_status reported = {
         .upstream = g_quark_from_string(state->upstream),
-        .boot = state->boot,
+        .boot_id = state->boot,
         .models = (const GQuark *)(void *)models->data,
         .model_count = models->len,
         .adapters = (const GQuark *)(void *)adapters->data,
         .adapter_count = adapters->len,
-        .coming = (const GQuark *)(void *)pending_loads->data,
-        .coming_count = pending_loads->len,
+        .pending_loads = (const GQuark *)(void *)pending_loads->data,
+        .pending_load_count = pending_loads->len,
         .running = state->running,
-        .unread = (int64_t)state->unread_ms * 1000,
+        .prefill_backlog = (int64_t)state->unread_ms * 1000,
         .busy = state->busy,
     };
-    controller->handlers->told(controller->data, &reported);
+    controller->handlers->engine_status(controller->data, &reported);
     g_array_free(models, TRUE);
     g_array_free(adapters, TRUE);
     g_array_free(pending_loads, TRUE);
@@ -474,8 +475,8 @@
         }
     }
     if (loads != NULL) {
-        controller->handlers->loads(controller->data, loads);
-        controller->handlers->told_all(controller->data);
+        controller->handlers->engine_loads(controller->data, loads);
+        controller->handlers->status_complete(controller->data);
         g_array_free(loads, TRUE);
     }
     g_free(for_router);
@@ -483,10 +484,10 @@
 
 /* See controller_internal.h. */
 void
-controller_hear_init(struct ch_controller *controller)
+controller_receive_init(struct ch_controller *controller)
 {
-    controller->tellers =
+    controller->publishers =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_publisher);
-    ch_peers_handle(controller->node->peers, WIRE(FRAME__BODY_ENGINES),
-                    handle_engines, controller);
+    ch_peers_set_handler(controller->node->peers, WIRE(FRAME__BODY_ENGINES),
+                         handle_engines, controller);
 }
--- a/libchestnuthitch/node/controller_models.c
+++ b/libchestnuthitch/node/controller_models.c
@@ -38,31 +38,31 @@
 /* Updates the moving average of demand from the current reports. */
 static void
 update_average_demand(struct ch_controller *controller,
-                      const struct duty *centre, int64_t now)
+                      const struct centre_state *centre, int64_t now)
 {
     GHashTable *sums = controller_sum_demands(controller, centre, now);
     double elapsed =
-        (double)(now - controller->smoothed_at) / DEMAND_AVERAGE_US;
+        (double)(now - controller->average_updated_at) / DEMAND_AVERAGE_US;
     double weight = 1 - exp(-elapsed);
-    controller->smoothed_at = now;
+    controller->average_updated_at = now;
     GHashTableIter iterator;
     gpointer key = NULL;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, sums);
     while (g_hash_table_iter_next(&iterator, &key, NULL)) {
-        if (!g_hash_table_contains(controller->smoothed, key)) {
-            g_hash_table_insert(controller->smoothed, key,
-                                g_new0(struct smoothed, 1));
+        if (!g_hash_table_contains(controller->average_demand, key)) {
+            g_hash_table_insert(controller->average_demand, key,
+                                g_new0(struct fleet_demand, 1));
         }
     }
-    g_hash_table_iter_init(&iterator, controller->smoothed);
+    g_hash_table_iter_init(&iterator, controller->average_demand);
     while (g_hash_table_iter_next(&iterator, &key, &value)) {
-        struct smoothed *average = value;
-        const struct smoothed *sum = g_hash_table_lookup(sums, key);
-        double demand = sum == NULL ? 0 : sum->work;
-        double backlog_s = sum == NULL ? 0 : sum->backlog;
-        average->work += (demand - average->work) * weight;
-        average->backlog += (backlog_s - average->backlog) * weight;
+        struct fleet_demand *average = value;
+        const struct fleet_demand *sum = g_hash_table_lookup(sums, key);
+        double demand = sum == NULL ? 0 : sum->demand;
+        double backlog_s = sum == NULL ? 0 : sum->backlog_s;
+        average->demand += (demand - average->demand) * weight;
+        average->backlog_s += (backlog_s - average->backlog_s) * weight;
     }
     g_hash_table_destroy(sums);
 }
@@ -83,10 +83,10 @@
 other_centre_accepts_change(const struct controller_engine *engine,
                             int64_t now)
 {
-    const struct duty *centre =
-        controller_duty(engine->controller, engine->data_centre);
+    const struct centre_state *centre =
+        controller_get_centre(engine->controller, engine->data_centre);
     bool accepts = engine->listed && centre->holder != NULL &&
-                   now - centre->heard < OTHER_HOLDER_SILENCE_US;
+                   now - centre->heard_at < OTHER_HOLDER_SILENCE_US;
     for (guint i = 0; i < engine->items->len; i++) {
         const struct item *item =
             &g_array_index(engine->items, struct item, i);
@@ -99,8 +99,8 @@
 /* Adds an engine with its models. */
 static void
 add_engine(struct placement_input *input,
-           const struct controller_engine *engine, const struct duty *centre,
-           uint32_t adapter_mb, int64_t now)
+           const struct controller_engine *engine,
+           const struct centre_state *centre, uint32_t adapter_mb, int64_t now)
 {
     GArray *items =
         g_array_new(FALSE, FALSE, sizeof(struct ch_placement_item));
@@ -119,16 +119,18 @@
         .data_centre = engine->data_centre,
         .controlled = engine->data_centre == centre->data_centre,
         .accepts_orders = engine->data_centre == centre->data_centre
-                              ? engine_is_open(engine, now)
+                              ? engine_accepts_model_order(engine, now)
                               : other_centre_accepts_change(engine, now),
-        .draining = engine->leaving,
-        .memory_mb = engine_memory(engine),
-        .adapter_reserve_mb = engine_reserve(engine, adapter_mb),
+        .draining = engine->draining,
+        .memory_mb = engine_get_memory_mb(engine),
+        .adapter_reserve_mb =
+            engine_get_adapter_reserve_mb(engine, adapter_mb),
         .items = (const struct ch_placement_item *)(void *)items->data,
         .item_count = items->len,
-        .local_copies = (const GQuark *)(void *)engine->copies->data,
-        .local_copy_count = engine->copies->len,
-        .reserved_for = now < engine->pledged_until ? engine->pledged : 0,
+        .local_copies = (const GQuark *)(void *)engine->local_copies->data,
+        .local_copy_count = engine->local_copies->len,
+        .reserved_for =
+            now < engine->reserved_until ? engine->reserved_for : 0,
     };
     g_array_append_val(input->engines, entry);
 }
@@ -140,12 +142,12 @@
 {
     const struct ch_model *model = &declaration->models[index];
     GQuark name = g_quark_from_string(model->name);
-    const struct smoothed *average =
-        g_hash_table_lookup(controller->smoothed, GUINT_TO_POINTER(name));
+    const struct fleet_demand *average = g_hash_table_lookup(
+        controller->average_demand, GUINT_TO_POINTER(name));
     GArray *services = g_array_new(FALSE, FALSE, sizeof(GQuark));
     for (size_t i = 0; i < declaration->service_count; i++) {
         GQuark service = g_quark_from_string(declaration->services[i].name);
-        if (model->services[i]) {
+        if (model->allowed_services[i]) {
             g_array_append_val(services, service);
         }
     }
@@ -153,11 +155,11 @@
     const struct ch_placement_model entry = {
         .name = name,
         .memory_mb = model->memory_mb,
-        .demand = average == NULL ? 0 : average->work,
-        .backlog_s = average == NULL ? 0 : average->backlog,
+        .demand = average == NULL ? 0 : average->demand,
+        .backlog_s = average == NULL ? 0 : average->backlog_s,
         .services = (const GQuark *)(void *)services->data,
         .service_count = services->len,
-        .has_adapters = model->numbered_adapters > 0,
+        .has_adapters = model->numbered_adapter_count > 0,
     };
     g_array_append_val(input->models, entry);
 }
@@ -202,7 +204,7 @@
 
 /* Starts a load or an unload; the orders are sent when they are due. */
 static void
-start_action(struct ch_controller *controller, struct duty *centre,
+start_action(struct ch_controller *controller, struct centre_state *centre,
              const struct ch_placement_action *action, int64_t now)
 {
     struct controller_engine *engine = g_hash_table_lookup(
@@ -218,44 +220,44 @@
         CH_F_BOOL("from_store", action->from_store),
         CH_F_STR("reason", action->reason), CH_F_END);
     if (action->from_store) {
-        ch_window_record_start(&centre->loads, now);
+        ch_window_record_start(&centre->load_window, now);
     }
     GQuark loaded_model =
         action->kind == CH_ACTION_LOAD ? action->model : action->reserved_for;
     bool keeps_reservation =
-        loaded_model != 0 && engine->pledged == loaded_model;
+        loaded_model != 0 && engine->reserved_for == loaded_model;
     int64_t load_at = action->from_store  ? now
-                      : keeps_reservation ? engine->pledged_load
+                      : keeps_reservation ? engine->reserved_load_at
                                           : 0;
-    engine->pledged = action->reserved_for;
-    engine->pledged_until = now + RESERVATION_US;
-    engine->pledged_load = load_at;
+    engine->reserved_for = action->reserved_for;
+    engine->reserved_until = now + RESERVATION_US;
+    engine->reserved_load_at = load_at;
     if (action->kind == CH_ACTION_LOAD) {
         struct item *item =
             engine_add_item(engine, action->model, 0, CH_ITEM_LOADING, now);
         item->from_store = load_at != 0;
-        item->load_at = load_at;
+        item->load_started_at = load_at;
     }
     else {
-        struct item *item = engine_item(engine, action->model);
+        struct item *item = engine_find_item(engine, action->model);
         item->state = CH_ITEM_UNLOADING;
-        item->ordered = false;
-        item->changed = now;
-        item->not_before = now + UNLOAD_DELAY_US;
-        engine->report_at = now + UNLOAD_DELAY_US - REPORT_LEAD_US;
+        item->accepted = false;
+        item->changed_at = now;
+        item->next_order_at = now + UNLOAD_DELAY_US;
+        engine->next_report_at = now + UNLOAD_DELAY_US - REPORT_LEAD_US;
     }
-    engine->news = ALL_NEWS;
-    engine_pump(engine, centre, now);
+    engine->unpublished = ALL_AUDIENCES;
+    engine_send_due(engine, centre, now);
 }
 
 /* Logs models that still have a shortage, and the reasons, at most once per
  * SHORTAGE_LOG_PERIOD_US. */
 static void
-log_shortages(struct ch_controller *controller, struct duty *centre,
+log_shortages(struct ch_controller *controller, struct centre_state *centre,
               const struct ch_placement_state *state, GArray *actions,
               int64_t now)
 {
-    if (now < centre->next_short) {
+    if (now < centre->next_shortage_log_at) {
         return;
     }
     GArray *entries =
@@ -273,24 +275,24 @@
                CH_F_INT("changing", entry->changing),
                CH_F_INT("no_room", entry->no_room),
                CH_F_INT("no_load", entry->no_load), CH_F_END);
-        centre->next_short = now + SHORTAGE_LOG_PERIOD_US;
+        centre->next_shortage_log_at = now + SHORTAGE_LOG_PERIOD_US;
     }
     g_array_free(entries, TRUE);
 }
 
 /* See controller_internal.h. */
 void
-controller_arrange(struct ch_controller *controller, struct duty *centre,
-                   int64_t now)
+controller_place_models(struct ch_controller *controller,
+                        struct centre_state *centre, int64_t now)
 {
     struct ch_config *config =
-        ch_config_keeper_current(controller->node->config);
+        ch_config_manager_get_current(controller->node->config);
     if (config == NULL) {
         return;
     }
     update_average_demand(controller, centre, now);
-    centre->most_loads =
-        controller_loads_in_window(controller, config->declaration);
+    centre->max_loads_in_window =
+        controller_get_max_loads(controller, config->declaration);
     uint32_t adapter_mb = find_largest_adapter_mb(config->declaration);
     struct placement_input input = {
         .engines =
@@ -315,10 +317,10 @@
             (const struct ch_placement_model *)(void *)input.models->data,
         .model_count = input.models->len,
         .data_centre = centre->data_centre,
-        .store_loads_left =
-            ch_window_count_left(&centre->loads, centre->most_loads, now),
+        .store_loads_left = ch_window_count_left(
+            &centre->load_window, centre->max_loads_in_window, now),
         .max_changing_engines = count_changeable_engines(&input),
-        .disabled = controller->node->settings->without,
+        .disabled = controller->node->settings->disabled_features,
     };
     GArray *actions =
         g_array_new(FALSE, FALSE, sizeof(struct ch_placement_action));
@@ -349,7 +351,7 @@
     g_hash_table_iter_init(&iterator, controller->engines);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const struct controller_engine *engine = value;
-        for (guint i = 0; !engine->leaving && i < engine->items->len; i++) {
+        for (guint i = 0; !engine->draining && i < engine->items->len; i++) {
             const struct item *item =
                 &g_array_index(engine->items, struct item, i);
             if (item->model != 0) {
@@ -365,7 +367,7 @@
 find_missing_adapter(GHashTable *present, const struct ch_model *model)
 {
     char name[ADAPTER_NAME_BYTES];
-    for (unsigned i = 1; i <= model->numbered_adapters; i++) {
+    for (unsigned i = 1; i <= model->numbered_adapter_count; i++) {
         (void)g_snprintf(name, sizeof(name), "%s/a%u", model->name, i);
         GQuark adapter = g_quark_from_string(name);
         if (!g_hash_table_contains(present, GUINT_TO_POINTER(adapter))) {
@@ -389,19 +391,19 @@
 
 /* Starts to load one adapter on an engine with free adapter slots. */
 static void
-preload_adapter(struct duty *centre, struct controller_engine *engine,
+preload_adapter(struct centre_state *centre, struct controller_engine *engine,
                 const struct ch_declaration *declaration, GHashTable *present,
                 int64_t now)
 {
-    if (!engine_is_open(engine, now) || engine->ordering ||
+    if (!engine_accepts_model_order(engine, now) || engine->order_in_flight ||
         count_used_slots(engine) + SPARE_ADAPTER_SLOTS >=
-            engine_adapter_places(engine)) {
+            engine_get_adapter_slots(engine)) {
         return;
     }
     for (size_t i = 0; i < declaration->model_count; i++) {
         const struct ch_model *model = &declaration->models[i];
         GQuark name = g_quark_from_string(model->name);
-        const struct item *item = engine_item(engine, name);
+        const struct item *item = engine_find_item(engine, name);
         if (item == NULL || item->state != CH_ITEM_RESIDENT) {
             continue;
         }
@@ -409,9 +411,9 @@
         if (adapter != 0) {
             struct item *added =
                 engine_add_item(engine, adapter, name, CH_ITEM_LOADING, now);
-            added->used = 0;
+            added->last_used_at = 0;
             g_hash_table_add(present, GUINT_TO_POINTER(adapter));
-            engine_pump(engine, centre, now);
+            engine_send_due(engine, centre, now);
             return;
         }
     }
@@ -428,14 +430,14 @@
  * back. Without that outage, the first request would wait for the load.
  */
 void
-controller_fill_places(struct ch_controller *controller, struct duty *centre,
-                       int64_t now)
+controller_preload_adapters(struct ch_controller *controller,
+                            struct centre_state *centre, int64_t now)
 {
-    if (controller->node->settings->without.adapters_ahead) {
+    if (controller->node->settings->disabled_features.preload_adapters) {
         return;
     }
     struct ch_config *config =
-        ch_config_keeper_current(controller->node->config);
+        ch_config_manager_get_current(controller->node->config);
     GHashTableIter iterator;
     gpointer value = NULL;
     if (config == NULL) {
--- a/libchestnuthitch/node/controller_tell.c
+++ b/libchestnuthitch/node/controller_tell.c
@@ -29,31 +29,31 @@
     int change_ms;
     int heartbeat_ms;
     int full_ms;
-} periods[AUDIENCES] = {
+} periods[AUDIENCE_COUNT] = {
     [AUDIENCE_NODES] = {100, 800, 16000},
-    [AUDIENCE_NEAR] = {100, 400, 4000},
-    [AUDIENCE_FAR] = {1000, 1000, 8000},
+    [AUDIENCE_LOCAL_HOLDERS] = {100, 400, 4000},
+    [AUDIENCE_REMOTE_HOLDERS] = {1000, 1000, 8000},
 };
 
 /* ---- publishers and subscribers; lock held ---- */
 
 /* See controller_internal.h. */
 bool
-controller_holds(const struct duty *centre)
+controller_holds_lease(const struct centre_state *centre)
 {
     uint64_t fencing_token = 0;
-    return centre->was_held && ch_claim_held(centre->claim, &fencing_token);
+    return centre->was_held && ch_lease_is_held(centre->lease, &fencing_token);
 }
 
 /* See controller_internal.h. */
 bool
-controller_holds_any(struct ch_controller *controller)
+controller_holds_any_lease(struct ch_controller *controller)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
-    g_hash_table_iter_init(&iterator, controller->duties);
+    g_hash_table_iter_init(&iterator, controller->centres);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        if (controller_holds(value)) {
+        if (controller_holds_lease(value)) {
             return true;
         }
     }
@@ -69,12 +69,12 @@
         g_array_new(FALSE, FALSE, sizeof(struct ch_publisher_lease));
     GHashTableIter iterator;
     gpointer value = NULL;
-    g_hash_table_iter_init(&iterator, controller->duties);
+    g_hash_table_iter_init(&iterator, controller->centres);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        const struct duty *centre = value;
-        bool own = controller_holds(centre);
+        const struct centre_state *centre = value;
+        bool own = controller_holds_lease(centre);
         if (!own && (centre->holder == NULL ||
-                     now - centre->heard >= PUBLISHER_SILENCE_US ||
+                     now - centre->heard_at >= PUBLISHER_SILENCE_US ||
                      strcmp(centre->holder, settings->name) == 0)) {
             continue;
         }
@@ -91,7 +91,7 @@
 
 /* See controller_internal.h. */
 char *
-controller_teller(struct ch_controller *controller, int64_t now)
+controller_find_publisher(struct ch_controller *controller, int64_t now)
 {
     const struct ch_settings *settings = controller->node->settings;
     GArray *leases = list_leases(controller, now);
@@ -105,8 +105,8 @@
 
 /* See controller_internal.h. */
 GPtrArray *
-controller_other_holders(struct ch_controller *controller, bool near,
-                         int64_t now)
+controller_list_other_holders(struct ch_controller *controller, bool near,
+                              int64_t now)
 {
     const char *self = controller->node->settings->name;
     GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
@@ -115,7 +115,7 @@
         const char *name = g_quark_to_string(
             g_array_index(leases, struct ch_publisher_lease, i).holder);
         if (strcmp(name, self) != 0 &&
-            ch_peers_is_near(controller->node->peers, name) == near &&
+            ch_peers_is_same_region(controller->node->peers, name) == near &&
             !g_ptr_array_find_with_equal_func(names, name, g_str_equal,
                                               NULL)) {
             g_ptr_array_add(names, g_strdup(name));
@@ -157,8 +157,8 @@
         .names = g_ptr_array_new_with_free_func(g_free),
     };
     g_ptr_array_add(search.names, g_strdup(self));
-    ch_peers_each_other(controller->node->peers, add_subscriber,
-                        (void *)&search);
+    ch_peers_foreach_other(controller->node->peers, add_subscriber,
+                           (void *)&search);
     g_array_free((GArray *)search.leases, TRUE);
     return search.names;
 }
@@ -206,8 +206,9 @@
 {
     GPtrArray *names = g_ptr_array_new();
     add_names(engine, true, CH_ITEM_LOADING, names);
-    if (engine->pledged != 0 && now < engine->pledged_until) {
-        g_ptr_array_add(names, (char *)g_quark_to_string(engine->pledged));
+    if (engine->reserved_for != 0 && now < engine->reserved_until) {
+        g_ptr_array_add(names,
+                        (char *)g_quark_to_string(engine->reserved_for));
     }
     *count = names->len;
     return (char **)g_ptr_array_free(names, FALSE);
@@ -223,19 +224,19 @@
         g_new(Chestnuthitch__Wire__EngineState, 1);
     chestnuthitch__wire__engine_state__init(state);
     if (engine->number == 0) {
-        engine->number = ++controller->last_number;
+        engine->number = ++controller->last_engine_number;
     }
     state->upstream = (char *)g_quark_to_string(engine->name);
-    state->boot = engine->boot;
+    state->boot = engine->boot_id;
     state->models =
         list_names(engine, true, CH_ITEM_RESIDENT, &state->n_models);
     state->adapters =
         list_names(engine, false, CH_ITEM_RESIDENT, &state->n_adapters);
     state->coming = list_pending_loads(engine, now, &state->n_coming);
-    state->running = engine->load_running;
-    state->unread_ms = (uint32_t)(engine->load_unread / 1000);
+    state->running = engine->total_running;
+    state->unread_ms = (uint32_t)(engine->total_prefill_backlog / 1000);
     state->busy =
-        engine->mirrored ? engine->told_busy : engine_is_busy(engine);
+        engine->from_peer ? engine->peer_busy : engine_is_busy(engine);
     state->number = engine->number;
     return state;
 }
@@ -266,23 +267,25 @@
  * all data centres whose lease holder was heard lately, other lease holders
  * those that this node controls. */
 static bool
-covers_centre(const struct duty *centre, enum audience audience, int64_t now)
+covers_centre(const struct centre_state *centre, enum audience audience,
+              int64_t now)
 {
-    return controller_holds(centre) ||
+    return controller_holds_lease(centre) ||
            (audience == AUDIENCE_NODES && centre->holder != NULL &&
-            now - centre->heard < PUBLISHER_SILENCE_US);
+            now - centre->heard_at < PUBLISHER_SILENCE_US);
 }
 
 /* Whether an engine's load changed enough to be published to an audience. */
 static bool
 is_load_changed(const struct controller_engine *engine, enum audience audience)
 {
-    const struct load *published = &engine->told[audience];
-    uint32_t prefill_backlog_ms = (uint32_t)(engine->load_unread / 1000);
-    return published->running != engine->load_running ||
-           (published->unread_ms == 0) != (prefill_backlog_ms == 0) ||
-           MAX(published->unread_ms, prefill_backlog_ms) -
-                   MIN(published->unread_ms, prefill_backlog_ms) >=
+    const struct published_load *published = &engine->published[audience];
+    uint32_t prefill_backlog_ms =
+        (uint32_t)(engine->total_prefill_backlog / 1000);
+    return published->running != engine->total_running ||
+           (published->prefill_backlog_ms == 0) != (prefill_backlog_ms == 0) ||
+           MAX(published->prefill_backlog_ms, prefill_backlog_ms) -
+                   MIN(published->prefill_backlog_ms, prefill_backlog_ms) >=
                PREFILL_BACKLOG_STEP_MS;
 }
 
@@ -290,9 +293,10 @@
 static void
 add_load(struct message *message, const struct controller_engine *engine)
 {
-    uint32_t prefill_backlog_ms = (uint32_t)(engine->load_unread / 1000);
+    uint32_t prefill_backlog_ms =
+        (uint32_t)(engine->total_prefill_backlog / 1000);
     g_array_append_val(message->numbers, engine->number);
-    g_array_append_val(message->running, engine->load_running);
+    g_array_append_val(message->running, engine->total_running);
     g_array_append_val(message->prefill_backlog_ms, prefill_backlog_ms);
 }
 
@@ -304,7 +308,7 @@
 {
     enum audience audience = message->audience;
     unsigned bit = 1U << audience;
-    bool with_state = message->full || (engine->news & bit) != 0;
+    bool with_state = message->full || (engine->unpublished & bit) != 0;
     if (with_state) {
         g_ptr_array_add(message->states, make_state(controller, engine, now));
     }
@@ -317,25 +321,26 @@
     if (message->is_reply) {
         return;
     }
-    engine->news &= ~bit;
-    engine->told[audience] = (struct load){
-        engine->load_running, (uint32_t)(engine->load_unread / 1000)};
+    engine->unpublished &= ~bit;
+    engine->published[audience] = (struct published_load){
+        engine->total_running,
+        (uint32_t)(engine->total_prefill_backlog / 1000)};
 }
 
 /* Adds the lease of a data centre; it points to the names of the quark, the
  * settings or the centre state. */
 static void
 add_lease(const struct ch_controller *controller, struct message *message,
-          struct duty *centre, int64_t now)
+          struct centre_state *centre, int64_t now)
 {
     uint64_t fencing_token = 0;
-    bool own = ch_claim_held(centre->claim, &fencing_token);
+    bool own = ch_lease_is_held(centre->lease, &fencing_token);
     Chestnuthitch__Wire__Right *lease = g_new(Chestnuthitch__Wire__Right, 1);
     chestnuthitch__wire__right__init(lease);
     lease->data_centre = (char *)g_quark_to_string(centre->data_centre);
-    lease->fence = own ? fencing_token : centre->fence;
+    lease->fence = own ? fencing_token : centre->fencing_token;
     lease->holder = own ? controller->node->settings->name : centre->holder;
-    lease->age_ms = own ? 0 : (uint32_t)((now - centre->heard) / 1000);
+    lease->age_ms = own ? 0 : (uint32_t)((now - centre->heard_at) / 1000);
     g_ptr_array_add(message->leases, lease);
 }
 
@@ -351,7 +356,7 @@
     message->numbers = g_array_new(FALSE, FALSE, sizeof(uint32_t));
     message->running = g_array_new(FALSE, FALSE, sizeof(uint32_t));
     message->prefill_backlog_ms = g_array_new(FALSE, FALSE, sizeof(uint32_t));
-    g_hash_table_iter_init(&iterator, controller->duties);
+    g_hash_table_iter_init(&iterator, controller->centres);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         if (covers_centre(value, message->audience, now)) {
             add_lease(controller, message, value, now);
@@ -360,9 +365,10 @@
     g_hash_table_iter_init(&iterator, controller->engines);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct controller_engine *engine = value;
-        if ((engine->known || engine->mirrored) &&
-            covers_centre(controller_duty(controller, engine->data_centre),
-                          message->audience, now)) {
+        if ((engine->state_known || engine->from_peer) &&
+            covers_centre(
+                controller_get_centre(controller, engine->data_centre),
+                message->audience, now)) {
             add_engine(controller, message, engine, now);
         }
     }
@@ -421,59 +427,61 @@
 {
     return audience == AUDIENCE_NODES
                ? list_subscribers(controller, now)
-               : controller_other_holders(controller,
-                                          audience == AUDIENCE_NEAR, now);
+               : controller_list_other_holders(
+                     controller, audience == AUDIENCE_LOCAL_HOLDERS, now);
 }
 
 /* Publishes to one audience what is due. */
 static void
 publish(struct ch_controller *controller, enum audience audience, int64_t now)
 {
-    struct tell_times *times = &controller->telling[audience];
-    if (now < times->next) {
+    struct publish_times *times = &controller->publishing[audience];
+    if (now < times->next_change_at) {
         return;
     }
     struct message message = {
         .audience = audience,
-        .full = now >= times->next_whole,
+        .full = now >= times->next_full_at,
     };
     message_fill(controller, &message, now);
     bool has_changes = message.states->len > 0 || message.numbers->len > 0;
-    if (message.leases->len > 0 && (has_changes || now >= times->next_quiet)) {
+    if (message.leases->len > 0 &&
+        (has_changes || now >= times->next_heartbeat_at)) {
         GPtrArray *recipients = list_audience(controller, audience, now);
         times->sequence++;
         message_send(controller, &message, times->sequence, recipients);
         g_ptr_array_free(recipients, TRUE);
-        times->next = now + INT64_C(1000) * periods[audience].change_ms;
-        times->next_quiet =
+        times->next_change_at =
+            now + INT64_C(1000) * periods[audience].change_ms;
+        times->next_heartbeat_at =
             now + INT64_C(1000) * periods[audience].heartbeat_ms;
     }
     if (message.full) {
-        times->next_whole = now + INT64_C(1000) * periods[audience].full_ms;
+        times->next_full_at = now + INT64_C(1000) * periods[audience].full_ms;
     }
     message_clear(&message);
 }
 
 /* See controller_internal.h. */
 void
-controller_tell(struct ch_controller *controller, int64_t now)
+controller_publish(struct ch_controller *controller, int64_t now)
 {
     bool due = false;
     GHashTableIter iterator;
     gpointer value = NULL;
-    for (int i = 0; i < AUDIENCES; i++) {
-        due = due || now >= controller->telling[i].next;
+    for (int i = 0; i < AUDIENCE_COUNT; i++) {
+        due = due || now >= controller->publishing[i].next_change_at;
     }
-    if (!due || !controller_holds_any(controller)) {
+    if (!due || !controller_holds_any_lease(controller)) {
         return;
     }
-    g_hash_table_iter_init(&iterator, controller->duties);
+    g_hash_table_iter_init(&iterator, controller->centres);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        if (controller_holds(value)) {
+        if (controller_holds_lease(value)) {
             controller_sum_loads(controller, value, now);
         }
     }
-    for (int i = 0; i < AUDIENCES; i++) {
+    for (int i = 0; i < AUDIENCE_COUNT; i++) {
         publish(controller, (enum audience)i, now);
     }
 }
@@ -484,8 +492,8 @@
 handle_full_request(void *data, const Chestnuthitch__Wire__Frame *frame)
 {
     struct ch_controller *controller = data;
-    int64_t now = ch_client_now(controller->node->client);
-    if (frame->engines_pull->audience >= AUDIENCES) {
+    int64_t now = ch_client_get_time(controller->node->client);
+    if (frame->engines_pull->audience >= AUDIENCE_COUNT) {
         return;
     }
     struct message message = {
@@ -499,7 +507,7 @@
     message_fill(controller, &message, now);
     if (message.leases->len > 0) {
         message_send(controller, &message,
-                     controller->telling[message.audience].sequence,
+                     controller->publishing[message.audience].sequence,
                      recipients);
     }
     pthread_mutex_unlock(&controller->lock);
@@ -509,8 +517,9 @@
 
 /* See controller_internal.h. */
 void
-controller_tell_init(struct ch_controller *controller)
+controller_publish_init(struct ch_controller *controller)
 {
-    ch_peers_handle(controller->node->peers, WIRE(FRAME__BODY_ENGINES_PULL),
-                    handle_full_request, controller);
+    ch_peers_set_handler(controller->node->peers,
+                         WIRE(FRAME__BODY_ENGINES_PULL), handle_full_request,
+                         controller);
 }
--- a/libchestnuthitch/node/crash_keeper.c
+++ b/libchestnuthitch/node/crash_keeper.c
@@ -28,7 +28,7 @@
         {host, strlen(host)},
         {request->path, strlen(request->path)},
         {request->caller, strlen(request->caller)},
-        {request->body, request->length},
+        {request->body, request->body_length},
     };
     return ch_digest_compute(parts, G_N_ELEMENTS(parts));
 }
@@ -36,24 +36,23 @@
 /* Whether anything is known or suspected. Nearly always nothing is, and then a
  * call costs no more than this check. */
 static bool
-may_have_suspects(struct ch_crash_keeper *guard)
+may_have_suspects(struct ch_crash_guard *guard)
 {
-    return guard != NULL && ck_pr_load_int(&guard->active) != 0;
+    return guard != NULL && ck_pr_load_int(&guard->has_suspects) != 0;
 }
 
 /* See crash_internal.h. */
 void
-crash_keeper_note_active(struct ch_crash_keeper *guard)
+crash_guard_update_has_suspects(struct ch_crash_guard *guard)
 {
     bool active = !ch_crash_table_is_empty(guard->table) ||
-                  ch_interrupted_calls_count(guard->cuts) > 0;
-    ck_pr_store_int(&guard->active, active);
+                  ch_interrupted_calls_count(guard->interrupted_calls) > 0;
+    ck_pr_store_int(&guard->has_suspects, active);
 }
 
 /* The index of a digest among the barred ones, or -1. */
 static int
-find_barred(const struct ch_crash_keeper *guard,
-            const struct ch_digest *digest)
+find_barred(const struct ch_crash_guard *guard, const struct ch_digest *digest)
 {
     for (guint i = 0; i < guard->barred->len; i++) {
         if (ch_digest_equal(&g_array_index(guard->barred, struct ch_digest, i),
@@ -66,8 +65,8 @@
 
 /* See crash_internal.h. */
 void
-crash_keeper_forget_barred(struct ch_crash_keeper *guard,
-                           const struct ch_digest *digest)
+crash_guard_remove_barred(struct ch_crash_guard *guard,
+                          const struct ch_digest *digest)
 {
     int index = find_barred(guard, digest);
     if (index >= 0) {
@@ -79,13 +78,13 @@
 static void
 abandon_barred(void *data)
 {
-    struct ch_crash_keeper *guard = data;
-    struct ch_front *front = ck_pr_load_ptr(&guard->node->front);
+    struct ch_crash_guard *guard = data;
+    struct ch_frontend *front = ck_pr_load_ptr(&guard->node->frontend);
     if (front != NULL) {
-        ch_front_drop_barred(front);
+        ch_frontend_abandon_barred(front);
     }
     pthread_mutex_lock(&guard->lock);
-    guard->jobs--;
+    guard->pending_jobs--;
     pthread_cond_broadcast(&guard->idle);
     pthread_mutex_unlock(&guard->lock);
 }
@@ -93,7 +92,7 @@
 /* Logs, once, that a request is barred; queues its record and ends its
  * exchanges. Lock held. */
 static void
-report_barred(struct ch_crash_keeper *guard,
+report_barred(struct ch_crash_guard *guard,
               const struct ch_crash_assessment *assessment)
 {
     char digest_text[CH_DIGEST_TEXT_SIZE];
@@ -101,19 +100,19 @@
         find_barred(guard, &assessment->digest) >= 0) {
         return;
     }
-    if (guard->barred->len >= guard->node->settings->crash_requests) {
+    if (guard->barred->len >= guard->node->settings->max_crash_requests) {
         g_array_remove_index(guard->barred, 0);
     }
     g_array_append_val(guard->barred, assessment->digest);
     ch_digest_format(&assessment->digest, digest_text);
-    ch_metrics_count(guard->node->client->metrics, CH_COUNT_CRASHERS, 1);
+    ch_metrics_add_count(guard->node->client->metrics, CH_COUNT_CRASHERS, 1);
     ch_log(guard->node->client, CH_LOG_WARNING, "request-barred",
            CH_F_STR("digest", digest_text),
            CH_F_INT("crashes", assessment->crashes),
            CH_F_INT("sure", assessment->unexplained_crashes), CH_F_END);
-    crash_record_note(guard, assessment);
+    crash_record_schedule_write(guard, assessment);
     if (!guard->stopping) {
-        guard->jobs++;
+        guard->pending_jobs++;
         ch_pool_submit(guard->node->pool, abandon_barred, guard);
     }
 }
@@ -121,7 +120,7 @@
 /* Logs an observation: each of this node, and those of other nodes for
  * requests that were on more than one crashed upstream. */
 static void
-log_observation(struct ch_crash_keeper *guard,
+log_observation(struct ch_crash_guard *guard,
                 const struct ch_crash_observation *observation,
                 const struct ch_crash_assessment *assessment, const char *from)
 {
@@ -140,9 +139,9 @@
 
 /* See crash_internal.h. */
 bool
-crash_keeper_take(struct ch_crash_keeper *guard,
-                  const struct ch_crash_observation *observation,
-                  const char *from)
+crash_guard_add_observation(struct ch_crash_guard *guard,
+                            const struct ch_crash_observation *observation,
+                            const char *from)
 {
     if (!ch_crash_table_add(guard->table, observation)) {
         return false;
@@ -151,7 +150,7 @@
      * are of requests that were on one of them; these are not logged. */
     unsigned crashes =
         ch_crash_table_count_crashes(guard->table, &observation->digest);
-    if (from != NULL && crashes < MIN(guard->node->settings->crashes, 2)) {
+    if (from != NULL && crashes < MIN(guard->node->settings->crash_limit, 2)) {
         return true;
     }
     const struct ch_crash_assessment assessment =
@@ -163,40 +162,41 @@
 
 /* See crash_internal.h. */
 void
-crash_keeper_take_ended(struct ch_crash_keeper *guard, GArray *observations)
+crash_guard_add_own_observations(struct ch_crash_guard *guard,
+                                 GArray *observations)
 {
     for (guint i = 0; i < observations->len; i++) {
         const struct ch_crash_observation *observation =
             &g_array_index(observations, struct ch_crash_observation, i);
-        if (crash_keeper_take(guard, observation, NULL)) {
-            g_array_append_val(guard->runs, *observation);
-            crash_tell_soon(guard);
+        if (crash_guard_add_observation(guard, observation, NULL)) {
+            g_array_append_val(guard->unsent_observations, *observation);
+            crash_publish_schedule(guard);
         }
     }
-    ch_metrics_count(guard->node->client->metrics, CH_COUNT_CRASHED_CALLS,
-                     observations->len);
+    ch_metrics_add_count(guard->node->client->metrics, CH_COUNT_CRASHED_CALLS,
+                         observations->len);
     g_array_free(observations, TRUE);
-    crash_keeper_note_active(guard);
+    crash_guard_update_has_suspects(guard);
 }
 
 /* A connection that is opened to learn whether an upstream crashed. */
 struct probe {
-    struct ch_crash_keeper *guard;
+    struct ch_crash_guard *guard;
     GQuark upstream;
 };
 
 /* Handles the end of a probe, on the HTTP loop. A connection that was accepted
  * shows nothing: it may have been accepted just before the process ended. */
 static void
-handle_probe_end(void *data, const struct ch_http_end *end)
+handle_probe_end(void *data, const struct ch_http_result *end)
 {
     struct probe *probe = data;
-    struct ch_crash_keeper *guard = probe->guard;
-    if (end->refused) {
-        ch_crash_keeper_refused(guard, probe->upstream);
+    struct ch_crash_guard *guard = probe->guard;
+    if (end->connection_refused) {
+        ch_crash_guard_record_refused(guard, probe->upstream);
     }
     pthread_mutex_lock(&guard->lock);
-    guard->jobs--;
+    guard->pending_jobs--;
     pthread_cond_broadcast(&guard->idle);
     pthread_mutex_unlock(&guard->lock);
     g_free(probe);
@@ -206,21 +206,22 @@
  * probed less than PROBE_INTERVAL_US ago, so that all calls that it interrupts
  * at the same moment share one probe, or after the stop. Lock held. */
 static bool
-register_probe(struct ch_crash_keeper *guard, GQuark upstream, int64_t now)
+register_probe(struct ch_crash_guard *guard, GQuark upstream, int64_t now)
 {
     gpointer key = GUINT_TO_POINTER(upstream);
-    const int64_t *last = g_hash_table_lookup(guard->probed, key);
+    const int64_t *last = g_hash_table_lookup(guard->last_probe_at, key);
     if (guard->stopping || (last != NULL && now - *last < PROBE_INTERVAL_US)) {
         return false;
     }
-    g_hash_table_replace(guard->probed, key, g_memdup2(&now, sizeof(now)));
-    guard->jobs++;
+    g_hash_table_replace(guard->last_probe_at, key,
+                         g_memdup2(&now, sizeof(now)));
+    guard->pending_jobs++;
     return true;
 }
 
 /* Opens a connection to an upstream. */
 static void
-open_probe(struct ch_crash_keeper *guard, const struct ch_grant *grant)
+open_probe(struct ch_crash_guard *guard, const struct ch_grant *grant)
 {
     static const struct ch_http_handlers handlers = {.on_end =
                                                          handle_probe_end};
@@ -231,8 +232,8 @@
     const struct ch_http_request request = {
         .method = "GET",
         .url = url,
-        .connect_limit = PROBE_TIMEOUT_US,
-        .total_limit = PROBE_TIMEOUT_US,
+        .connect_timeout = PROBE_TIMEOUT_US,
+        .total_timeout = PROBE_TIMEOUT_US,
         .connect_only = true,
     };
     ch_http_submit(guard->node->http, &request, &handlers, probe);
@@ -241,17 +242,19 @@
 /* Whether the end of an upstream may be a crash. An upstream that is draining,
  * or that was removed from the list before, ends as planned. Lock held. */
 static bool
-may_crash(const struct ch_crash_keeper *guard, GQuark upstream)
+may_crash(const struct ch_crash_guard *guard, GQuark upstream)
 {
-    return guard->staying == NULL ||
-           g_hash_table_contains(guard->staying, GUINT_TO_POINTER(upstream));
+    return guard->active_upstreams == NULL ||
+           g_hash_table_contains(guard->active_upstreams,
+                                 GUINT_TO_POINTER(upstream));
 }
 
 /* See crash_keeper.h. */
 void
-ch_crash_keeper_cut(struct ch_crash_keeper *guard,
-                    const struct ch_request *request,
-                    const struct ch_grant *grant, bool before_response)
+ch_crash_guard_record_interrupted(struct ch_crash_guard *guard,
+                                  const struct ch_request *request,
+                                  const struct ch_grant *grant,
+                                  bool before_response)
 {
     if (guard == NULL) {
         return;
@@ -260,8 +263,8 @@
         .digest = compute_digest(request),
         .fingerprint = request->fingerprint,
         .upstream = grant->upstream,
-        .boot_id = grant->boot,
-        .ended_at = ch_client_now(guard->node->client),
+        .boot_id = grant->boot_id,
+        .ended_at = ch_client_get_time(guard->node->client),
         .before_response = before_response,
     };
     bool is_registered = false;
@@ -269,17 +272,18 @@
     if (may_crash(guard, observation.upstream)) {
         GArray *observations =
             g_array_new(FALSE, FALSE, sizeof(struct ch_crash_observation));
-        ch_interrupted_calls_add(guard->cuts, &observation);
+        ch_interrupted_calls_add(guard->interrupted_calls, &observation);
         if (ch_crash_table_has_crash(guard->table, observation.upstream,
                                      observation.boot_id)) {
-            ch_interrupted_calls_note_crash(guard->cuts, observation.upstream,
+            ch_interrupted_calls_note_crash(guard->interrupted_calls,
+                                            observation.upstream,
                                             observation.boot_id, observations);
         }
         else if (grant->address != NULL) {
             is_registered = register_probe(guard, observation.upstream,
                                            observation.ended_at);
         }
-        crash_keeper_take_ended(guard, observations);
+        crash_guard_add_own_observations(guard, observations);
     }
     pthread_mutex_unlock(&guard->lock);
     if (is_registered) {
@@ -289,7 +293,7 @@
 
 /* See crash_keeper.h. */
 void
-ch_crash_keeper_refused(struct ch_crash_keeper *guard, GQuark upstream)
+ch_crash_guard_record_refused(struct ch_crash_guard *guard, GQuark upstream)
 {
     if (!may_have_suspects(guard)) {
         return;
@@ -297,31 +301,31 @@
     GArray *observations =
         g_array_new(FALSE, FALSE, sizeof(struct ch_crash_observation));
     pthread_mutex_lock(&guard->lock);
-    ch_interrupted_calls_note_refused(guard->cuts, upstream,
-                                      ch_client_now(guard->node->client),
+    ch_interrupted_calls_note_refused(guard->interrupted_calls, upstream,
+                                      ch_client_get_time(guard->node->client),
                                       observations);
-    crash_keeper_take_ended(guard, observations);
+    crash_guard_add_own_observations(guard, observations);
     pthread_mutex_unlock(&guard->lock);
 }
 
 /* See crash_keeper.h. */
 void
-ch_crash_keeper_answered(struct ch_crash_keeper *guard, GQuark upstream,
-                         int64_t sent_at)
+ch_crash_guard_record_response(struct ch_crash_guard *guard, GQuark upstream,
+                               int64_t sent_at)
 {
     if (!may_have_suspects(guard)) {
         return;
     }
     pthread_mutex_lock(&guard->lock);
-    ch_interrupted_calls_note_response(guard->cuts, upstream, sent_at);
-    crash_keeper_note_active(guard);
+    ch_interrupted_calls_note_response(guard->interrupted_calls, upstream,
+                                       sent_at);
+    crash_guard_update_has_suspects(guard);
     pthread_mutex_unlock(&guard->lock);
 }
 
 /* Whether the request may be in the table, by its fingerprint. */
 static bool
-may_be_in_table(struct ch_crash_keeper *guard,
-                const struct ch_request *request)
+may_be_in_table(struct ch_crash_guard *guard, const struct ch_request *request)
 {
     if (!may_have_suspects(guard)) {
         return false;
@@ -335,8 +339,8 @@
 
 /* See crash_keeper.h. */
 void
-ch_crash_keeper_whole(struct ch_crash_keeper *guard,
-                      const struct ch_request *request)
+ch_crash_guard_record_complete(struct ch_crash_guard *guard,
+                               const struct ch_request *request)
 {
     if (!may_be_in_table(guard, request)) {
         return;
@@ -345,9 +349,9 @@
     pthread_mutex_lock(&guard->lock);
     bool was_barred = find_barred(guard, &digest) >= 0;
     if (ch_crash_table_mark_harmless(guard->table, &digest)) {
-        g_array_append_val(guard->sound, digest);
-        crash_keeper_forget_barred(guard, &digest);
-        crash_tell_soon(guard);
+        g_array_append_val(guard->unsent_harmless, digest);
+        crash_guard_remove_barred(guard, &digest);
+        crash_publish_schedule(guard);
     }
     pthread_mutex_unlock(&guard->lock);
     if (was_barred) {
@@ -357,8 +361,8 @@
 
 /* See crash_keeper.h. */
 bool
-ch_crash_keeper_bars(struct ch_crash_keeper *guard,
-                     const struct ch_request *request)
+ch_crash_guard_is_barred(struct ch_crash_guard *guard,
+                         const struct ch_request *request)
 {
     if (!may_be_in_table(guard, request)) {
         return false;
@@ -374,9 +378,9 @@
 
 /* See crash_keeper.h. */
 void
-ch_crash_keeper_listed(struct ch_crash_keeper *guard,
-                       const struct ch_crash_listed_upstream *upstreams,
-                       size_t count)
+ch_crash_guard_update_upstreams(
+    struct ch_crash_guard *guard,
+    const struct ch_crash_listed_upstream *upstreams, size_t count)
 {
     if (guard == NULL) {
         return;
@@ -384,34 +388,34 @@
     GArray *observations =
         g_array_new(FALSE, FALSE, sizeof(struct ch_crash_observation));
     pthread_mutex_lock(&guard->lock);
-    if (guard->staying == NULL) {
-        guard->staying = g_hash_table_new(NULL, NULL);
+    if (guard->active_upstreams == NULL) {
+        guard->active_upstreams = g_hash_table_new(NULL, NULL);
     }
-    g_hash_table_remove_all(guard->staying);
+    g_hash_table_remove_all(guard->active_upstreams);
     for (size_t i = 0; i < count; i++) {
         if (!upstreams[i].draining) {
-            g_hash_table_add(guard->staying,
+            g_hash_table_add(guard->active_upstreams,
                              GUINT_TO_POINTER(upstreams[i].upstream));
         }
     }
-    ch_interrupted_calls_note_list(guard->cuts, upstreams, count,
+    ch_interrupted_calls_note_list(guard->interrupted_calls, upstreams, count,
                                    observations);
-    crash_keeper_take_ended(guard, observations);
+    crash_guard_add_own_observations(guard, observations);
     pthread_mutex_unlock(&guard->lock);
 }
 
 /* See crash_keeper.h. */
 bool
-ch_crash_keeper_known(struct ch_crash_keeper *guard)
+ch_crash_guard_is_ready(struct ch_crash_guard *guard)
 {
     if (guard == NULL) {
         return true;
     }
-    int64_t now = ch_client_now(guard->node->client);
+    int64_t now = ch_client_get_time(guard->node->client);
     pthread_mutex_lock(&guard->lock);
-    bool read = guard->read || guard->node->kv == NULL;
-    bool is_known =
-        (guard->heard && read) || now - guard->started > STARTUP_TIMEOUT_US;
+    bool read = guard->records_loaded || guard->node->kv == NULL;
+    bool is_known = (guard->full_state_received && read) ||
+                    now - guard->started_at > STARTUP_TIMEOUT_US;
     pthread_mutex_unlock(&guard->lock);
     return is_known;
 }
@@ -420,20 +424,20 @@
 
 /* See crash_keeper.h. */
 bool
-ch_crash_keeper_release(struct ch_crash_keeper *guard,
-                        const struct ch_digest *digest)
+ch_crash_guard_release(struct ch_crash_guard *guard,
+                       const struct ch_digest *digest)
 {
     if (guard == NULL) {
         return false;
     }
     char digest_text[CH_DIGEST_TEXT_SIZE];
-    int64_t now = ch_client_now(guard->node->client);
+    int64_t now = ch_client_get_time(guard->node->client);
     pthread_mutex_lock(&guard->lock);
     bool is_known = ch_crash_table_release(guard->table, digest, now);
     if (is_known) {
-        g_array_append_val(guard->released, *digest);
-        crash_keeper_forget_barred(guard, digest);
-        crash_tell_soon(guard);
+        g_array_append_val(guard->unsent_releases, *digest);
+        crash_guard_remove_barred(guard, digest);
+        crash_publish_schedule(guard);
     }
     pthread_mutex_unlock(&guard->lock);
     ch_digest_format(digest, digest_text);
@@ -480,12 +484,12 @@
 
 /* See crash_keeper.h. */
 void
-ch_crash_keeper_status(struct ch_crash_keeper *guard, JsonBuilder *builder)
+ch_crash_guard_write_status(struct ch_crash_guard *guard, JsonBuilder *builder)
 {
     if (guard == NULL) {
         return;
     }
-    struct status status = {builder, ch_client_now(guard->node->client)};
+    struct status status = {builder, ch_client_get_time(guard->node->client)};
     json_builder_set_member_name(builder, "crash_suspects");
     json_builder_begin_array(builder);
     pthread_mutex_lock(&guard->lock);
@@ -510,72 +514,76 @@
 static void
 tick(void *data)
 {
-    struct ch_crash_keeper *guard = data;
-    int64_t now = ch_client_now(guard->node->client);
+    struct ch_crash_guard *guard = data;
+    int64_t now = ch_client_get_time(guard->node->client);
     pthread_mutex_lock(&guard->lock);
-    ch_interrupted_calls_expire(guard->cuts, now);
+    ch_interrupted_calls_expire(guard->interrupted_calls, now);
     ch_crash_table_expire(guard->table, now);
-    g_hash_table_foreach_remove(guard->probed, is_stale_probe, &now);
-    crash_keeper_note_active(guard);
+    g_hash_table_foreach_remove(guard->last_probe_at, is_stale_probe, &now);
+    crash_guard_update_has_suspects(guard);
     pthread_mutex_unlock(&guard->lock);
-    crash_tell_tick(guard, now);
+    crash_publish_tick(guard, now);
     crash_record_tick(guard, now);
     pthread_mutex_lock(&guard->lock);
     if (guard->stopping) {
-        guard->jobs--;
+        guard->pending_jobs--;
         pthread_cond_broadcast(&guard->idle);
     }
     else {
-        ch_timers_after(guard->node->timers,
-                        guard->heard ? TICK_US : STARTUP_TICK_US, tick, guard);
+        ch_timers_add(guard->node->timers,
+                      guard->full_state_received ? TICK_US : STARTUP_TICK_US,
+                      tick, guard);
     }
     pthread_mutex_unlock(&guard->lock);
 }
 
 /* Creates a guard that knows of no crash. */
-struct ch_crash_keeper *
-ch_crash_keeper_new(struct ch_node *node)
+struct ch_crash_guard *
+ch_crash_guard_new(struct ch_node *node)
 {
     const struct ch_crash_limits limits = {
-        .crashes_to_bar = node->settings->crashes,
-        .max_requests = node->settings->crash_requests,
-        .retention = (int64_t)node->settings->crash_keep_s * G_USEC_PER_SEC,
+        .crashes_to_bar = node->settings->crash_limit,
+        .max_requests = node->settings->max_crash_requests,
+        .retention =
+            (int64_t)node->settings->crash_retention_s * G_USEC_PER_SEC,
     };
-    struct ch_crash_keeper *guard = g_new0(struct ch_crash_keeper, 1);
+    struct ch_crash_guard *guard = g_new0(struct ch_crash_guard, 1);
     guard->node = node;
     guard->table = ch_crash_table_new(&limits);
-    guard->cuts = ch_interrupted_calls_new();
-    guard->probed = g_hash_table_new_full(NULL, NULL, NULL, g_free);
+    guard->interrupted_calls = ch_interrupted_calls_new();
+    guard->last_probe_at = g_hash_table_new_full(NULL, NULL, NULL, g_free);
     guard->barred = g_array_new(FALSE, FALSE, sizeof(struct ch_digest));
-    guard->unrecorded =
+    guard->unwritten_records =
         g_array_new(FALSE, FALSE, sizeof(struct ch_crash_assessment));
-    guard->runs =
+    guard->unsent_observations =
         g_array_new(FALSE, FALSE, sizeof(struct ch_crash_observation));
-    guard->sound = g_array_new(FALSE, FALSE, sizeof(struct ch_digest));
-    guard->released = g_array_new(FALSE, FALSE, sizeof(struct ch_digest));
+    guard->unsent_harmless =
+        g_array_new(FALSE, FALSE, sizeof(struct ch_digest));
+    guard->unsent_releases =
+        g_array_new(FALSE, FALSE, sizeof(struct ch_digest));
     pthread_mutex_init(&guard->lock, NULL);
     pthread_cond_init(&guard->idle, NULL);
-    crash_tell_init(guard);
+    crash_publish_init(guard);
     return guard;
 }
 
 /* Starts the periodic work. */
 void
-ch_crash_keeper_start(struct ch_crash_keeper *guard)
+ch_crash_guard_start(struct ch_crash_guard *guard)
 {
-    guard->started = ch_client_now(guard->node->client);
-    guard->ticked = guard->started;
-    guard->jobs = 1;
-    ch_timers_after(guard->node->timers, STARTUP_TICK_US, tick, guard);
+    guard->started_at = ch_client_get_time(guard->node->client);
+    guard->last_tick_at = guard->started_at;
+    guard->pending_jobs = 1;
+    ch_timers_add(guard->node->timers, STARTUP_TICK_US, tick, guard);
 }
 
 /* Stops the periodic work, and waits for messages and calls in progress. */
 void
-ch_crash_keeper_stop(struct ch_crash_keeper *guard)
+ch_crash_guard_stop(struct ch_crash_guard *guard)
 {
     pthread_mutex_lock(&guard->lock);
     guard->stopping = true;
-    while (guard->jobs > 0) {
+    while (guard->pending_jobs > 0) {
         pthread_cond_wait(&guard->idle, &guard->lock);
     }
     pthread_mutex_unlock(&guard->lock);
@@ -583,22 +591,22 @@
 
 /* Frees the guard after its stop; guard may be NULL. */
 void
-ch_crash_keeper_free(struct ch_crash_keeper *guard)
+ch_crash_guard_free(struct ch_crash_guard *guard)
 {
     if (guard == NULL) {
         return;
     }
     ch_crash_table_free(guard->table);
-    ch_interrupted_calls_free(guard->cuts);
-    if (guard->staying != NULL) {
-        g_hash_table_destroy(guard->staying);
+    ch_interrupted_calls_free(guard->interrupted_calls);
+    if (guard->active_upstreams != NULL) {
+        g_hash_table_destroy(guard->active_upstreams);
     }
-    g_hash_table_destroy(guard->probed);
+    g_hash_table_destroy(guard->last_probe_at);
     g_array_free(guard->barred, TRUE);
-    g_array_free(guard->unrecorded, TRUE);
-    g_array_free(guard->runs, TRUE);
-    g_array_free(guard->sound, TRUE);
-    g_array_free(guard->released, TRUE);
+    g_array_free(guard->unwritten_records, TRUE);
+    g_array_free(guard->unsent_observations, TRUE);
+    g_array_free(guard->unsent_harmless, TRUE);
+    g_array_free(guard->unsent_releases, TRUE);
     pthread_mutex_destroy(&guard->lock);
     pthread_cond_destroy(&guard->idle);
     g_free(guard);
--- a/libchestnuthitch/node/crash_record.c
+++ b/libchestnuthitch/node/crash_record.c
@@ -25,11 +25,11 @@
 
 /* Writes the record key of a digest. */
 static void
-format_key(const struct ch_digest *digest, char key[CRASH_RECORD_KEY])
+format_key(const struct ch_digest *digest, char key[CRASH_RECORD_KEY_SIZE])
 {
     char text[CH_DIGEST_TEXT_SIZE];
     ch_digest_format(digest, text);
-    (void)g_snprintf(key, CRASH_RECORD_KEY, KEY_PREFIX "%s", text);
+    (void)g_snprintf(key, CRASH_RECORD_KEY_SIZE, KEY_PREFIX "%s", text);
 }
 
 /* Writes the record's value, "FINGERPRINT SECONDS"; seconds is the time of day
@@ -69,18 +69,18 @@
 
 /* A call to the key-value store about one record. */
 struct record_call {
-    struct ch_crash_keeper *guard;
-    char key[CRASH_RECORD_KEY];
+    struct ch_crash_guard *guard;
+    char key[CRASH_RECORD_KEY_SIZE];
 };
 
 /* Creates a call and counts it as a pending job. Lock held. */
 static struct record_call *
-begin_call(struct ch_crash_keeper *guard, const struct ch_digest *digest)
+begin_call(struct ch_crash_guard *guard, const struct ch_digest *digest)
 {
     struct record_call *call = g_new0(struct record_call, 1);
     call->guard = guard;
     format_key(digest, call->key);
-    guard->jobs++;
+    guard->pending_jobs++;
     return call;
 }
 
@@ -88,7 +88,7 @@
 static void
 end_call(struct record_call *call, const char *call_name, enum ch_code code)
 {
-    struct ch_crash_keeper *guard = call->guard;
+    struct ch_crash_guard *guard = call->guard;
     if (code != CH_OK && code != CH_KV_MISSING && code != CH_KV_CONFLICT) {
         ch_log(guard->node->client, CH_LOG_WARNING, "crash-record-failed",
                CH_F_STR("call", call_name), CH_F_STR("key", call->key),
@@ -96,7 +96,7 @@
     }
     g_free(call);
     pthread_mutex_lock(&guard->lock);
-    guard->jobs--;
+    guard->pending_jobs--;
     pthread_cond_broadcast(&guard->idle);
     pthread_mutex_unlock(&guard->lock);
 }
@@ -106,15 +106,15 @@
 /* Handles the reply to a write. A record that exists already counts as
  * written; after a failure it stays queued. */
 static void
-handle_write(void *data, const struct ch_kv_answer *answer)
+handle_write(void *data, const struct ch_kv_result *answer)
 {
     struct record_call *call = data;
-    struct ch_crash_keeper *guard = call->guard;
+    struct ch_crash_guard *guard = call->guard;
     pthread_mutex_lock(&guard->lock);
-    guard->recording = false;
+    guard->write_in_flight = false;
     if ((answer->code == CH_OK || answer->code == CH_KV_CONFLICT) &&
-        guard->unrecorded->len > 0) {
-        g_array_remove_index(guard->unrecorded, 0);
+        guard->unwritten_records->len > 0) {
+        g_array_remove_index(guard->unwritten_records, 0);
     }
     pthread_mutex_unlock(&guard->lock);
     end_call(call, "write", answer->code);
@@ -123,19 +123,20 @@
 /* Writes the first queued record, unless a write is in flight. When the reply
  * to a write was lost, the next attempt finds the record. */
 static void
-write_next_record(struct ch_crash_keeper *guard)
+write_next_record(struct ch_crash_guard *guard)
 {
     struct ch_node *node = guard->node;
     char value[MAX_VALUE_SIZE];
     pthread_mutex_lock(&guard->lock);
-    if (guard->unrecorded->len == 0 || guard->recording || guard->stopping) {
+    if (guard->unwritten_records->len == 0 || guard->write_in_flight ||
+        guard->stopping) {
         pthread_mutex_unlock(&guard->lock);
         return;
     }
     const struct ch_crash_assessment assessment =
-        g_array_index(guard->unrecorded, struct ch_crash_assessment, 0);
+        g_array_index(guard->unwritten_records, struct ch_crash_assessment, 0);
     struct record_call *call = begin_call(guard, &assessment.digest);
-    guard->recording = true;
+    guard->write_in_flight = true;
     pthread_mutex_unlock(&guard->lock);
     format_value(assessment.fingerprint, g_get_real_time() / G_USEC_PER_SEC,
                  value);
@@ -145,13 +146,13 @@
 
 /* See crash_internal.h. */
 void
-crash_record_note(struct ch_crash_keeper *guard,
-                  const struct ch_crash_assessment *assessment)
+crash_record_schedule_write(struct ch_crash_guard *guard,
+                            const struct ch_crash_assessment *assessment)
 {
     if (guard->node->kv != NULL &&
         ch_peers_has_role(guard->node->peers, "crash-records", WRITER_COUNT,
                           NULL)) {
-        g_array_append_val(guard->unrecorded, *assessment);
+        g_array_append_val(guard->unwritten_records, *assessment);
     }
 }
 
@@ -159,7 +160,7 @@
 
 /* Handles the reply to a removal. */
 static void
-handle_remove(void *data, const struct ch_kv_answer *answer)
+handle_remove(void *data, const struct ch_kv_result *answer)
 {
     end_call(data, "remove", answer->code);
 }
@@ -167,7 +168,7 @@
 /* Handles the read of a record before its removal, which needs the
  * revision. */
 static void
-handle_get(void *data, const struct ch_kv_answer *answer)
+handle_get(void *data, const struct ch_kv_result *answer)
 {
     struct record_call *call = data;
     if (answer->code != CH_OK) {
@@ -180,7 +181,7 @@
 
 /* See crash_internal.h. */
 void
-crash_record_remove(struct ch_crash_keeper *guard,
+crash_record_remove(struct ch_crash_guard *guard,
                     const struct ch_digest *digest)
 {
     if (guard->node->kv == NULL) {
@@ -200,12 +201,12 @@
 /* Restores the barred requests of the records; removes records older than
  * crash_keep_s. */
 static void
-restore_records(struct ch_crash_keeper *guard,
+restore_records(struct ch_crash_guard *guard,
                 const struct ch_kv_entry *entries, size_t count)
 {
-    int64_t max_age_s = guard->node->settings->crash_keep_s;
+    int64_t max_age_s = guard->node->settings->crash_retention_s;
     int64_t wall_seconds = g_get_real_time() / G_USEC_PER_SEC;
-    int64_t now = ch_client_now(guard->node->client);
+    int64_t now = ch_client_get_time(guard->node->client);
     for (size_t i = 0; i < count; i++) {
         struct ch_digest digest;
         uint64_t fingerprint = 0;
@@ -221,7 +222,7 @@
         }
         pthread_mutex_lock(&guard->lock);
         ch_crash_table_restore_barred(guard->table, &digest, fingerprint, now);
-        crash_keeper_note_active(guard);
+        crash_guard_update_has_suspects(guard);
         pthread_mutex_unlock(&guard->lock);
     }
 }
@@ -233,34 +234,35 @@
             size_t count)
 {
     struct record_call *call = data;
-    struct ch_crash_keeper *guard = call->guard;
+    struct ch_crash_guard *guard = call->guard;
     bool valid = code == CH_OK || code == CH_KV_MISSING;
     if (valid) {
         restore_records(guard, entries, count);
     }
     pthread_mutex_lock(&guard->lock);
-    guard->read = valid;
-    guard->reading = false;
+    guard->records_loaded = valid;
+    guard->read_in_flight = false;
     pthread_mutex_unlock(&guard->lock);
     end_call(call, "list", code);
 }
 
 /* See crash_internal.h. */
 void
-crash_record_tick(struct ch_crash_keeper *guard, int64_t now)
+crash_record_tick(struct ch_crash_guard *guard, int64_t now)
 {
     static const struct ch_digest none = {{0}};
     if (guard->node->kv == NULL) {
         return;
     }
     pthread_mutex_lock(&guard->lock);
-    bool should_read =
-        !guard->read && !guard->reading && !guard->stopping &&
-        (guard->read_at == 0 || now - guard->read_at >= READ_RETRY_DELAY_US);
+    bool should_read = !guard->records_loaded && !guard->read_in_flight &&
+                       !guard->stopping &&
+                       (guard->last_read_at == 0 ||
+                        now - guard->last_read_at >= READ_RETRY_DELAY_US);
     struct record_call *call = should_read ? begin_call(guard, &none) : NULL;
     if (should_read) {
-        guard->reading = true;
-        guard->read_at = now;
+        guard->read_in_flight = true;
+        guard->last_read_at = now;
     }
     pthread_mutex_unlock(&guard->lock);
     if (should_read) {
--- a/libchestnuthitch/node/crash_tell.c
+++ b/libchestnuthitch/node/crash_tell.c
@@ -113,7 +113,7 @@
 }
 
 static void
-message_send(struct ch_crash_keeper *guard, struct message *message,
+message_send(struct ch_crash_guard *guard, struct message *message,
              char **names, size_t count)
 {
     message->crashes.n_runs = message->observations->len;
@@ -135,11 +135,11 @@
 
 /* The names of the other live nodes; free with g_ptr_array_free. */
 static GPtrArray *
-list_other_nodes(struct ch_crash_keeper *guard)
+list_other_nodes(struct ch_crash_guard *guard)
 {
     GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
     GPtrArray *remote_names = g_ptr_array_new();
-    ch_peers_others(guard->node->peers, names, remote_names);
+    ch_peers_list_others(guard->node->peers, names, remote_names);
     g_ptr_array_extend_and_steal(names, remote_names);
     return names;
 }
@@ -159,15 +159,17 @@
 static void
 send_changes(void *data)
 {
-    struct ch_crash_keeper *guard = data;
+    struct ch_crash_guard *guard = data;
     struct message message;
-    message_init(&message, ch_client_now(guard->node->client));
+    message_init(&message, ch_client_get_time(guard->node->client));
     pthread_mutex_lock(&guard->lock);
-    GArray *observations =
-        steal_array(&guard->runs, sizeof(struct ch_crash_observation));
-    GArray *harmless = steal_array(&guard->sound, sizeof(struct ch_digest));
-    GArray *released = steal_array(&guard->released, sizeof(struct ch_digest));
-    guard->telling = false;
+    GArray *observations = steal_array(&guard->unsent_observations,
+                                       sizeof(struct ch_crash_observation));
+    GArray *harmless =
+        steal_array(&guard->unsent_harmless, sizeof(struct ch_digest));
+    GArray *released =
+        steal_array(&guard->unsent_releases, sizeof(struct ch_digest));
+    guard->publish_scheduled = false;
     pthread_mutex_unlock(&guard->lock);
     for (guint i = 0; i < observations->len; i++) {
         message_add_observation(
@@ -191,20 +193,19 @@
     g_array_free(harmless, TRUE);
     g_array_free(released, TRUE);
     pthread_mutex_lock(&guard->lock);
-    guard->jobs--;
+    guard->pending_jobs--;
     pthread_cond_broadcast(&guard->idle);
     pthread_mutex_unlock(&guard->lock);
 }
 
 /* See crash_internal.h. */
 void
-crash_tell_soon(struct ch_crash_keeper *guard)
+crash_publish_schedule(struct ch_crash_guard *guard)
 {
-    if (!guard->telling && !guard->stopping) {
-        guard->telling = true;
-        guard->jobs++;
-        ch_timers_after(guard->node->timers, SEND_DELAY_US, send_changes,
-                        guard);
+    if (!guard->publish_scheduled && !guard->stopping) {
+        guard->publish_scheduled = true;
+        guard->pending_jobs++;
+        ch_timers_add(guard->node->timers, SEND_DELAY_US, send_changes, guard);
     }
 }
 
@@ -212,7 +213,7 @@
 
 /* Requests the full state of a node. */
 static void
-request_full_state(struct ch_crash_keeper *guard, const char *from)
+request_full_state(struct ch_crash_guard *guard, const char *from)
 {
     Chestnuthitch__Wire__CrashesPull body = WIRE(CRASHES_PULL__INIT);
     Chestnuthitch__Wire__Frame frame = WIRE(FRAME__INIT);
@@ -224,20 +225,21 @@
 /* Sends the checksum to the next few nodes, or requests their full state. A
  * node that is alone has no state to wait for. */
 static void
-contact_few_nodes(struct ch_crash_keeper *guard, uint64_t checksum,
+contact_few_nodes(struct ch_crash_guard *guard, uint64_t checksum,
                   bool should_request, int64_t now)
 {
     GPtrArray *others = list_other_nodes(guard);
     struct message message;
-    if (others->len == 0 && ch_peers_listed(guard->node->peers)) {
+    if (others->len == 0 && ch_peers_has_list(guard->node->peers)) {
         pthread_mutex_lock(&guard->lock);
-        guard->heard = true;
+        guard->full_state_received = true;
         pthread_mutex_unlock(&guard->lock);
     }
     message_init(&message, now);
     message.crashes.sum = checksum;
     for (guint i = 0; i < MIN(others->len, NODES_PER_PERIOD); i++) {
-        char *name = g_ptr_array_index(others, (guard->turn++) % others->len);
+        char *name =
+            g_ptr_array_index(others, (guard->next_peer++) % others->len);
         if (should_request) {
             request_full_state(guard, name);
         }
@@ -251,17 +253,17 @@
 
 /* See crash_internal.h. */
 void
-crash_tell_tick(struct ch_crash_keeper *guard, int64_t now)
+crash_publish_tick(struct ch_crash_guard *guard, int64_t now)
 {
     pthread_mutex_lock(&guard->lock);
-    bool should_request =
-        !guard->heard || now - guard->ticked > MAX_TICK_DELAY_US;
-    bool is_due = now - guard->pulled >= CHECKSUM_PERIOD_US &&
+    bool should_request = !guard->full_state_received ||
+                          now - guard->last_tick_at > MAX_TICK_DELAY_US;
+    bool is_due = now - guard->last_checksum_at >= CHECKSUM_PERIOD_US &&
                   !ch_crash_table_is_empty(guard->table);
     uint64_t checksum = is_due ? ch_crash_table_checksum(guard->table) : 0;
-    guard->ticked = now;
+    guard->last_tick_at = now;
     if (is_due) {
-        guard->pulled = now;
+        guard->last_checksum_at = now;
     }
     pthread_mutex_unlock(&guard->lock);
     if (should_request || is_due) {
@@ -292,13 +294,13 @@
 static void
 handle_pull(void *data, const Chestnuthitch__Wire__Frame *frame)
 {
-    struct ch_crash_keeper *guard = data;
+    struct ch_crash_guard *guard = data;
     struct full_state state = {
         g_array_new(FALSE, FALSE, sizeof(struct ch_crash_observation)),
         g_array_new(FALSE, FALSE, sizeof(struct ch_crash_assessment)),
     };
     struct message message;
-    message_init(&message, ch_client_now(guard->node->client));
+    message_init(&message, ch_client_get_time(guard->node->client));
     message.crashes.whole = true;
     pthread_mutex_lock(&guard->lock);
     ch_crash_table_foreach_observation(guard->table, copy_observation, &state);
@@ -344,7 +346,7 @@
 /* Adds an observation of another node, and those of this node's own calls that
  * were interrupted by the same crash. Lock held. */
 static void
-add_remote_observation(struct ch_crash_keeper *guard,
+add_remote_observation(struct ch_crash_guard *guard,
                        const Chestnuthitch__Wire__CrashRun *row,
                        const char *from, int64_t now)
 {
@@ -359,18 +361,19 @@
         return;
     }
     observation.upstream = g_quark_from_string(row->upstream);
-    (void)crash_keeper_take(guard, &observation, from);
+    (void)crash_guard_add_observation(guard, &observation, from);
     GArray *own_observations =
         g_array_new(FALSE, FALSE, sizeof(struct ch_crash_observation));
-    ch_interrupted_calls_note_crash(guard->cuts, observation.upstream,
-                                    observation.boot_id, own_observations);
-    crash_keeper_take_ended(guard, own_observations);
+    ch_interrupted_calls_note_crash(guard->interrupted_calls,
+                                    observation.upstream, observation.boot_id,
+                                    own_observations);
+    crash_guard_add_own_observations(guard, own_observations);
 }
 
 /* Adds the contents of a message in the order that the table needs:
  * observations first. Lock held. */
 static void
-apply_message(struct ch_crash_keeper *guard,
+apply_message(struct ch_crash_guard *guard,
               const Chestnuthitch__Wire__Frame *frame, int64_t now)
 {
     const Chestnuthitch__Wire__Crashes *crashes = frame->crashes;
@@ -381,7 +384,7 @@
     for (size_t i = 0; i < crashes->n_sound; i++) {
         if (parse_digest(&crashes->sound[i], &digest)) {
             (void)ch_crash_table_mark_harmless(guard->table, &digest);
-            crash_keeper_forget_barred(guard, &digest);
+            crash_guard_remove_barred(guard, &digest);
         }
     }
     for (size_t i = 0; i < crashes->n_released; i++) {
@@ -389,7 +392,7 @@
         if (parse_digest(&row->digest, &digest)) {
             (void)ch_crash_table_release(guard->table, &digest,
                                          now - (int64_t)row->age_ms * 1000);
-            crash_keeper_forget_barred(guard, &digest);
+            crash_guard_remove_barred(guard, &digest);
         }
     }
 }
@@ -398,15 +401,15 @@
 static void
 handle_crashes(void *data, const Chestnuthitch__Wire__Frame *frame)
 {
-    struct ch_crash_keeper *guard = data;
+    struct ch_crash_guard *guard = data;
     const Chestnuthitch__Wire__Crashes *crashes = frame->crashes;
-    int64_t now = ch_client_now(guard->node->client);
+    int64_t now = ch_client_get_time(guard->node->client);
     pthread_mutex_lock(&guard->lock);
     apply_message(guard, frame, now);
-    guard->heard = guard->heard || crashes->whole;
+    guard->full_state_received = guard->full_state_received || crashes->whole;
     bool differs = crashes->sum != 0 &&
                    crashes->sum != ch_crash_table_checksum(guard->table);
-    crash_keeper_note_active(guard);
+    crash_guard_update_has_suspects(guard);
     pthread_mutex_unlock(&guard->lock);
     if (differs) {
         request_full_state(guard, frame->from);
@@ -415,10 +418,10 @@
 
 /* See crash_internal.h. */
 void
-crash_tell_init(struct ch_crash_keeper *guard)
+crash_publish_init(struct ch_crash_guard *guard)
 {
-    ch_peers_handle(guard->node->peers, WIRE(FRAME__BODY_CRASHES),
-                    handle_crashes, guard);
-    ch_peers_handle(guard->node->peers, WIRE(FRAME__BODY_CRASHES_PULL),
-                    handle_pull, guard);
+    ch_peers_set_handler(guard->node->peers, WIRE(FRAME__BODY_CRASHES),
+                         handle_crashes, guard);
+    ch_peers_set_handler(guard->node->peers, WIRE(FRAME__BODY_CRASHES_PULL),
+                         handle_pull, guard);
 }
--- a/libchestnuthitch/node/dialect.h
+++ b/libchestnuthitch/node/dialect.h
@@ -18,13 +18,13 @@
      * value; NULL with an error. Slow for a large value, so it is called only
      * for a value that is about to come into force, and never on the loop of
      * outgoing calls. No handler: the value is Chestnuthitch's own record. */
-    char *(*config_text)(const char *value, size_t length,
-                         struct ch_error *error);
+    char *(*extract_config)(const char *value, size_t length,
+                            struct ch_error *error);
     /* Key prefix below which upstreams register themselves. */
     const char *hosts_prefix;
     /* Parses one registration; false with an error if it describes no
      * upstream. Does not set the region. */
-    bool (*host_parse)(const char *key, const char *value, size_t length,
+    bool (*parse_host)(const char *key, const char *value, size_t length,
                        struct ch_host *host, struct ch_error *error);
     struct ch_upstream *(*upstream_new)(struct ch_client *client,
                                         struct ch_http *http,
--- a/libchestnuthitch/node/effects.c
+++ b/libchestnuthitch/node/effects.c
@@ -66,10 +66,11 @@
 
 /* Calls the request's `granted` handler. */
 void
-effects_granted(struct effects *effects, const struct request *request,
-                struct ch_homes *homes, uint32_t priority)
+effects_add_granted(struct effects *effects, const struct request *request,
+                    struct ch_homes *homes, uint32_t priority)
 {
-    const struct ch_upstream_view *view = site_view(homes, request->upstream);
+    const struct ch_upstream_view *view =
+        upstream_list_get_view(homes, request->upstream);
     struct effect *effect = add_effect(effects, EFFECT_GRANTED);
     effect->handlers = request->handlers;
     effect->data = request->data;
@@ -81,14 +82,15 @@
         .priority = priority,
         .other_region = g_strcmp0(request->upstream->region,
                                   homes->node->settings->region) != 0,
-        .token = view != NULL ? view->token_time : 0,
+        .token_time = view != NULL ? view->token_time : 0,
     };
 }
 
 /* Calls the request's `refused` handler. */
 void
-effects_refused(struct effects *effects, const struct request *request,
-                enum ch_code code, int64_t retry_after, const char *message)
+effects_add_refused(struct effects *effects, const struct request *request,
+                    enum ch_code code, int64_t retry_after,
+                    const char *message)
 {
     struct effect *effect = add_effect(effects, EFFECT_REFUSED);
     effect->handlers = request->handlers;
@@ -100,40 +102,40 @@
 
 /* Tells another node that its request may be sent. */
 void
-effects_grant_frame(struct effects *effects, const struct ticket *ticket,
-                    uint64_t handle, uint32_t priority,
-                    const struct ch_homes *homes)
+effects_add_grant_frame(struct effects *effects, const struct ticket *ticket,
+                        uint64_t handle, uint32_t priority,
+                        const struct ch_homes *homes)
 {
     struct effect *effect = add_effect(effects, EFFECT_GRANT_FRAME);
-    effect->to = g_strdup(ticket->from);
-    effect->id = ticket->enqueue;
+    effect->to = g_strdup(ticket->from_node);
+    effect->id = ticket->enqueue_id;
     effect->grant.handle = handle;
     effect->priority = priority;
     effect->state =
-        site_make_state((struct ch_homes *)homes, ticket->upstream);
+        upstream_make_state((struct ch_homes *)homes, ticket->upstream);
 }
 
 /* Tells another node that its request is refused. */
 void
-effects_refuse_frame(struct effects *effects, const struct ticket *ticket,
-                     enum ch_code code, int64_t retry_after,
-                     const char *message, const struct ch_homes *homes)
+effects_add_refuse_frame(struct effects *effects, const struct ticket *ticket,
+                         enum ch_code code, int64_t retry_after,
+                         const char *message, const struct ch_homes *homes)
 {
     struct effect *effect = add_effect(effects, EFFECT_REFUSE_FRAME);
-    effect->to = g_strdup(ticket->from);
-    effect->id = ticket->enqueue;
+    effect->to = g_strdup(ticket->from_node);
+    effect->id = ticket->enqueue_id;
     effect->code = code;
     effect->retry_after = retry_after;
     effect->message = g_strdup(message);
     effect->state =
-        site_make_state((struct ch_homes *)homes, ticket->upstream);
+        upstream_make_state((struct ch_homes *)homes, ticket->upstream);
 }
 
 /* Passes a load order, with its reservation, or an unload order to the
  * ledger. */
 void
-effects_order(struct effects *effects, const struct upstream *upstream,
-              enum ch_action_kind kind, GQuark item, uint32_t memory_mb)
+effects_add_order(struct effects *effects, const struct upstream *upstream,
+                  enum ch_action_kind kind, GQuark item, uint32_t memory_mb)
 {
     struct effect *effect = add_effect(effects, EFFECT_ORDER);
     effect->upstream = upstream->name;
@@ -145,7 +147,8 @@
 /* Opens or closes the upstream's ledger.  Holds a reference to the upstream
  * until then: close uses the client that was passed to open. */
 void
-effects_ledger(struct effects *effects, struct upstream *upstream, bool open)
+effects_add_ledger_change(struct effects *effects, struct upstream *upstream,
+                          bool open)
 {
     struct effect *effect =
         add_effect(effects, open ? EFFECT_LEDGER_OPEN : EFFECT_LEDGER_CLOSE);
@@ -156,8 +159,8 @@
 
 /* Releases a grant at its home. */
 void
-effects_release(struct effects *effects, const char *home, GQuark upstream,
-                uint64_t grant, const struct ch_timing_sample *sample)
+effects_add_release(struct effects *effects, const char *home, GQuark upstream,
+                    uint64_t grant, const struct ch_timing_sample *sample)
 {
     struct effect *effect = add_effect(effects, EFFECT_RELEASE);
     effect->to = g_strdup(home);
@@ -168,8 +171,8 @@
 
 /* Withdraws a queued request from its home. */
 void
-effects_withdraw(struct effects *effects, const char *home, GQuark upstream,
-                 uint64_t enqueue)
+effects_add_withdraw(struct effects *effects, const char *home,
+                     GQuark upstream, uint64_t enqueue)
 {
     struct effect *effect = add_effect(effects, EFFECT_WITHDRAW);
     effect->to = g_strdup(home);
@@ -212,8 +215,8 @@
         return;
     }
     delivery->retries_left--;
-    ch_timers_after(delivery->homes->node->timers, RELEASE_RETRY_DELAY_US,
-                    send_delivery, delivery);
+    ch_timers_add(delivery->homes->node->timers, RELEASE_RETRY_DELAY_US,
+                  send_delivery, delivery);
 }
 
 /* Sends the message as a request to the peer, which acknowledges it. */
@@ -297,7 +300,7 @@
 static void
 run_effect(struct ch_homes *homes, struct effect *effect)
 {
-    struct ch_ledger_keeper *ledger = homes->node->ledger;
+    struct ch_ledger_manager *ledger = homes->node->ledger;
     switch (effect->kind) {
     case EFFECT_GRANTED:
         if (!request_is_stale(homes, effect->grant.handle)) {
@@ -316,20 +319,20 @@
         break;
     case EFFECT_ORDER:
         if (effect->action == CH_ACTION_LOAD) {
-            ch_ledger_keeper_load(ledger, effect->upstream, effect->item,
-                                  effect->memory_mb);
+            ch_ledger_manager_load(ledger, effect->upstream, effect->item,
+                                   effect->memory_mb);
         }
         else {
-            ch_ledger_keeper_unload(ledger, effect->upstream, effect->item);
+            ch_ledger_manager_unload(ledger, effect->upstream, effect->item);
         }
         break;
     case EFFECT_LEDGER_OPEN:
-        ch_ledger_keeper_open(ledger, effect->upstream,
-                              effect->ledger_upstream->client,
-                              effect->memory_mb);
+        ch_ledger_manager_open(ledger, effect->upstream,
+                               effect->ledger_upstream->client,
+                               effect->memory_mb);
         break;
     case EFFECT_LEDGER_CLOSE:
-        ch_ledger_keeper_close(ledger, effect->upstream);
+        ch_ledger_manager_close(ledger, effect->upstream);
         break;
     case EFFECT_RELEASE:
     case EFFECT_WITHDRAW:
@@ -351,7 +354,7 @@
             upstream_unref(effect->ledger_upstream);
             pthread_mutex_unlock(&homes->lock);
         }
-        site_free_state(effect->state);
+        upstream_free_state(effect->state);
         g_free(effect->message);
         g_free(effect->to);
         g_free(effect);
--- a/libchestnuthitch/node/exchange.c
+++ b/libchestnuthitch/node/exchange.c
@@ -15,25 +15,25 @@
  * budget, and drops the response, which also breaks the reference cycle
  * between the exchange and its response. */
 void
-ch_exchange_over(struct ch_exchange *exchange)
+ch_exchange_finish(struct ch_exchange *exchange)
 {
-    struct ch_front *front = exchange->front;
+    struct ch_frontend *front = exchange->front;
     if (exchange->timer != 0 &&
         ch_timers_cancel(front->node->timers, exchange->timer)) {
         ch_exchange_unref(exchange);
     }
-    ch_exchange_record(exchange);
+    ch_exchange_write_log(exchange);
     pthread_mutex_lock(&front->lock);
-    ch_retry_put_back(
-        ch_front_budget(front, exchange->request->work.required_service),
-        &exchange->try_held);
+    ch_retry_put_back(ch_frontend_get_retry_budget(
+                          front, exchange->request->info.required_service),
+                      &exchange->retry_taken);
     pthread_mutex_unlock(&front->lock);
     pthread_mutex_lock(&exchange->lock);
-    struct ch_reply *response = exchange->reply;
-    exchange->reply = NULL;
+    struct ch_response *response = exchange->response;
+    exchange->response = NULL;
     pthread_mutex_unlock(&exchange->lock);
-    ch_reply_unref(response);
-    ch_front_leave(front, exchange);
+    ch_response_unref(response);
+    ch_frontend_remove_exchange(front, exchange);
     ch_exchange_unref(exchange);
 }
 
@@ -47,12 +47,12 @@
     (void)stored;
     struct ch_exchange *exchange = data;
     pthread_mutex_lock(&exchange->lock);
-    if (exchange->whole) {
-        ch_exchange_tell_answer(exchange);
+    if (exchange->response_complete) {
+        ch_exchange_send_response(exchange);
     }
-    exchange->step = CH_STEP_OVER;
+    exchange->step = CH_EXCHANGE_STEP_DONE;
     pthread_mutex_unlock(&exchange->lock);
-    ch_exchange_over(exchange);
+    ch_exchange_finish(exchange);
 }
 
 /* Stores the complete response in the at-most-once record before the caller
@@ -64,8 +64,8 @@
 {
     struct ch_exchange *exchange = data;
     const struct ch_request *request = exchange->request;
-    bool whole = exchange->whole;
-    ch_once_keeper_finish(
+    bool whole = exchange->response_complete;
+    ch_once_manager_finish(
         exchange->front->node->once, request->caller, request->key,
         exchange->once_attempt, !whole, whole ? exchange->status : 0,
         whole ? exchange->content_type : NULL,
@@ -77,7 +77,7 @@
 static void
 store_response(struct ch_exchange *exchange)
 {
-    exchange->step = CH_STEP_KEEP;
+    exchange->step = CH_EXCHANGE_STEP_STORE;
     ch_pool_submit(exchange->front->node->pool, finish_once_record, exchange);
 }
 
@@ -88,11 +88,11 @@
 static bool
 end_without_response(struct ch_exchange *exchange)
 {
-    if (exchange->once_created && !exchange->may_have_run) {
+    if (exchange->once_record_created && !exchange->may_have_run) {
         store_response(exchange);
         return false;
     }
-    exchange->step = CH_STEP_OVER;
+    exchange->step = CH_EXCHANGE_STEP_DONE;
     return true;
 }
 
@@ -104,7 +104,7 @@
 fail(struct ch_exchange *exchange, enum ch_code code, const char *message,
      int64_t retry_after)
 {
-    ch_exchange_tell_failure(exchange, code, message, retry_after);
+    ch_exchange_send_failure(exchange, code, message, retry_after);
     return end_without_response(exchange);
 }
 
@@ -118,10 +118,10 @@
 refuse_if_barred(struct ch_exchange *exchange, bool *over)
 {
     struct ch_node *node = exchange->front->node;
-    if (!ch_crash_keeper_bars(node->crashes, exchange->request)) {
+    if (!ch_crash_guard_is_barred(node->crash_guard, exchange->request)) {
         return false;
     }
-    ch_metrics_count(node->client->metrics, CH_COUNT_CRASHERS_REFUSED, 1);
+    ch_metrics_add_count(node->client->metrics, CH_COUNT_CRASHERS_REFUSED, 1);
     *over =
         fail(exchange, CH_CRASHES_UPSTREAMS,
              "upstreams crashed under this request", BARRED_RETRY_AFTER_US);
@@ -143,13 +143,13 @@
 handle_grant(void *data, const struct ch_grant *grant)
 {
     struct ch_exchange *exchange = data;
-    struct ch_front *front = exchange->front;
+    struct ch_frontend *front = exchange->front;
     bool over = false;
     pthread_mutex_lock(&exchange->lock);
-    exchange->home_answered = true;
+    exchange->router_replied = true;
     exchange->grant = *grant;
-    if (exchange->first_grant == 0) {
-        exchange->first_grant = ch_client_now(front->node->client);
+    if (exchange->first_granted_at == 0) {
+        exchange->first_granted_at = ch_client_get_time(front->node->client);
     }
     if (exchange->abandoned) {
         release_unused_grant(exchange);
@@ -159,11 +159,11 @@
         release_unused_grant(exchange);
     }
     else {
-        ch_exchange_call(exchange);
+        ch_exchange_call_upstream(exchange);
     }
     pthread_mutex_unlock(&exchange->lock);
     if (over) {
-        ch_exchange_over(exchange);
+        ch_exchange_finish(exchange);
     }
 }
 
@@ -178,11 +178,11 @@
 static bool
 drop_exclusions(struct ch_exchange *exchange, enum ch_code code)
 {
-    if (exchange->abandoned || exchange->asked_anew ||
+    if (exchange->abandoned || exchange->exclusions_dropped ||
         exchange->excluded->len == 0 || code != CH_NO_UPSTREAM) {
         return false;
     }
-    exchange->asked_anew = true;
+    exchange->exclusions_dropped = true;
     g_array_set_size(exchange->excluded, 0);
     return true;
 }
@@ -192,11 +192,12 @@
 static bool
 take_retry(struct ch_exchange *exchange)
 {
-    struct ch_front *front = exchange->front;
+    struct ch_frontend *front = exchange->front;
     pthread_mutex_lock(&front->lock);
-    bool taken = ch_retry_take(
-        ch_front_budget(front, exchange->request->work.required_service),
-        &exchange->try_held);
+    bool taken =
+        ch_retry_take(ch_frontend_get_retry_budget(
+                          front, exchange->request->info.required_service),
+                      &exchange->retry_taken);
     pthread_mutex_unlock(&front->lock);
     return taken;
 }
@@ -225,12 +226,12 @@
 static void
 request_grant_later(struct ch_exchange *exchange)
 {
-    exchange->step = CH_STEP_HOME;
-    exchange->home_handle = 0;
-    exchange->home_answered = true;
+    exchange->step = CH_EXCHANGE_STEP_ROUTE;
+    exchange->router_handle = 0;
+    exchange->router_replied = true;
     g_array_set_size(exchange->excluded, 0);
-    ch_timers_after(exchange->front->node->timers, CH_RETRY_DELAY_US,
-                    request_grant_again, exchange);
+    ch_timers_add(exchange->front->node->timers, CH_RETRY_DELAY_US,
+                  request_grant_again, exchange);
 }
 
 /* Whether a stream that has started waits until an upstream can take it: the
@@ -240,11 +241,13 @@
 should_wait_for_upstream(struct ch_exchange *exchange, enum ch_code code,
                          bool may_have_run)
 {
-    const struct ch_request_info *info = &exchange->request->work;
+    const struct ch_request_info *info = &exchange->request->info;
     bool upstream_gone =
         info->required_upstream != 0 && code == CH_NO_UPSTREAM;
-    return !exchange->abandoned && exchange->stream_begun && !upstream_gone &&
-           ch_retry_is_delayed(info, code, may_have_run, exchange->events);
+    return !exchange->abandoned && exchange->stream_started &&
+           !upstream_gone &&
+           ch_retry_is_delayed(info, code, may_have_run,
+                               exchange->events_delivered);
 }
 
 /* The router refused the request, or no upstream serves it. The refusal is
@@ -256,7 +259,7 @@
     struct ch_exchange *exchange = data;
     bool over = false;
     pthread_mutex_lock(&exchange->lock);
-    exchange->home_answered = true;
+    exchange->router_replied = true;
     if (drop_exclusions(exchange, code)) {
         ch_pool_submit(exchange->front->node->pool, request_grant, exchange);
     }
@@ -268,7 +271,7 @@
     }
     pthread_mutex_unlock(&exchange->lock);
     if (over) {
-        ch_exchange_over(exchange);
+        ch_exchange_finish(exchange);
     }
 }
 
@@ -278,12 +281,12 @@
 static bool
 withdraw_request(struct ch_exchange *exchange)
 {
-    if (exchange->home_answered || exchange->home_handle == 0) {
+    if (exchange->router_replied || exchange->router_handle == 0) {
         return false;
     }
-    exchange->home_answered = true;
+    exchange->router_replied = true;
     struct ch_router *router = exchange->front->node->router;
-    if (!router->ops->withdraw(router, exchange->home_handle)) {
+    if (!router->ops->withdraw(router, exchange->router_handle)) {
         return false;
     }
     return end_without_response(exchange);
@@ -298,14 +301,14 @@
 {
     bool over = false;
     pthread_mutex_lock(&exchange->lock);
-    if (exchange->step == CH_STEP_HOME && exchange->round == round &&
-        !exchange->home_answered) {
-        exchange->home_handle = handle;
+    if (exchange->step == CH_EXCHANGE_STEP_ROUTE &&
+        exchange->routing_round == round && !exchange->router_replied) {
+        exchange->router_handle = handle;
         over = exchange->abandoned && withdraw_request(exchange);
     }
     pthread_mutex_unlock(&exchange->lock);
     if (over) {
-        ch_exchange_over(exchange);
+        ch_exchange_finish(exchange);
     }
 }
 
@@ -332,15 +335,15 @@
     if (should_stop) {
         pthread_mutex_unlock(&exchange->lock);
         if (over) {
-            ch_exchange_over(exchange);
+            ch_exchange_finish(exchange);
         }
         return;
     }
-    unsigned round = ++exchange->round;
-    exchange->home_answered = false;
-    exchange->home_handle = 0;
-    struct ch_request_info info = exchange->request->work;
-    info.answer_started = exchange->stream_begun;
+    unsigned round = ++exchange->routing_round;
+    exchange->router_replied = false;
+    exchange->router_handle = 0;
+    struct ch_request_info info = exchange->request->info;
+    info.answer_started = exchange->stream_started;
     GArray *excluded = g_array_copy(exchange->excluded);
     /* The exchange may be finished before the call returns. */
     ch_exchange_ref(exchange);
@@ -357,13 +360,13 @@
 /* Describes a failed call for the retry policy. */
 static struct ch_retry_failure
 describe_failure(const struct ch_exchange *exchange,
-                 const struct ch_call_end *end)
+                 const struct ch_call_result *end)
 {
     return (struct ch_retry_failure){
         .code = end->code,
         .may_have_run = end->may_have_run,
         .is_resumable = exchange->request->stream,
-        .events_delivered = exchange->events,
+        .events_delivered = exchange->events_delivered,
     };
 }
 
@@ -371,23 +374,25 @@
  * retried. A non-idempotent request without a key is dispatched only once:
  * there is no record that would tell a repeat from a first attempt. */
 static enum ch_retry
-decide_retry(struct ch_exchange *exchange, const struct ch_call_end *end)
+decide_retry(struct ch_exchange *exchange, const struct ch_call_result *end)
 {
-    struct ch_front *front = exchange->front;
-    const struct ch_request_info *info = &exchange->request->work;
-    bool repeatable = info->idempotent || exchange->once_created ||
+    struct ch_frontend *front = exchange->front;
+    const struct ch_request_info *info = &exchange->request->info;
+    bool repeatable = info->idempotent || exchange->once_record_created ||
                       (info->max_attempts > 0 && !exchange->may_have_run);
-    if (exchange->abandoned || exchange->too_large || !repeatable ||
-        ch_crash_keeper_bars(front->node->crashes, exchange->request)) {
+    if (exchange->abandoned || exchange->response_too_large || !repeatable ||
+        ch_crash_guard_is_barred(front->node->crash_guard,
+                                 exchange->request)) {
         return CH_RETRY_NO;
     }
     const struct ch_retry_failure failure = describe_failure(exchange, end);
     pthread_mutex_lock(&front->lock);
     enum ch_retry retry = ch_retry_decide(
-        ch_front_budget(front, info->required_service), &exchange->try_held,
-        info, &failure, ch_client_now(front->node->client));
+        ch_frontend_get_retry_budget(front, info->required_service),
+        &exchange->retry_taken, info, &failure,
+        ch_client_get_time(front->node->client));
     pthread_mutex_unlock(&front->lock);
-    if (retry == CH_RETRY_RESTART && exchange->stream_begun) {
+    if (retry == CH_RETRY_RESTART && exchange->stream_started) {
         return CH_RETRY_NO;
     }
     return retry;
@@ -396,27 +401,28 @@
 /* Asks the router for another upstream. Lock held. */
 static void
 retry_elsewhere(struct ch_exchange *exchange, enum ch_retry retry,
-                const struct ch_call_end *end)
+                const struct ch_call_result *end)
 {
     struct ch_metrics *metrics = exchange->front->node->client->metrics;
-    ch_metrics_count(metrics, CH_COUNT_RETRIES, 1);
+    ch_metrics_add_count(metrics, CH_COUNT_RETRIES, 1);
     if (retry == CH_RETRY_RESUME) {
-        ch_metrics_count(metrics, CH_COUNT_RESUMED, 1);
+        ch_metrics_add_count(metrics, CH_COUNT_RESUMED, 1);
     }
     if (retry == CH_RETRY_RESTART) {
         g_byte_array_set_size(exchange->body, 0);
     }
     GQuark failed = exchange->grant.upstream;
     g_array_append_val(exchange->excluded, failed);
-    struct ch_request_info *info = &exchange->request->work;
+    struct ch_request_info *info = &exchange->request->info;
     const struct ch_retry_failure failure = describe_failure(exchange, end);
     bool refused = ch_retry_is_refusal(info, &failure);
-    bool counts_as_attempt = info->max_attempts == 0 || exchange->was_sent;
+    bool counts_as_attempt =
+        info->max_attempts == 0 || exchange->was_connected;
     info->refusals += refused ? 1 : 0;
     info->attempt += counts_as_attempt && !refused ? 1 : 0;
-    exchange->step = CH_STEP_HOME;
-    exchange->home_handle = 0;
-    exchange->home_answered = false;
+    exchange->step = CH_EXCHANGE_STEP_ROUTE;
+    exchange->router_handle = 0;
+    exchange->router_replied = false;
     ch_pool_submit(exchange->front->node->pool, request_grant, exchange);
 }
 
@@ -425,17 +431,17 @@
 static bool
 handle_response(struct ch_exchange *exchange)
 {
-    exchange->whole = true;
-    if (exchange->told) {
-        ch_metrics_count(exchange->front->node->client->metrics,
-                         CH_COUNT_LATE_ANSWERS, 1);
+    exchange->response_complete = true;
+    if (exchange->responded) {
+        ch_metrics_add_count(exchange->front->node->client->metrics,
+                             CH_COUNT_LATE_ANSWERS, 1);
     }
-    if (exchange->once_created) {
+    if (exchange->once_record_created) {
         store_response(exchange);
         return false;
     }
-    ch_exchange_tell_answer(exchange);
-    exchange->step = CH_STEP_OVER;
+    ch_exchange_send_response(exchange);
+    exchange->step = CH_EXCHANGE_STEP_DONE;
     return true;
 }
 
@@ -444,7 +450,7 @@
  * can't be retried. */
 static bool
 is_upstream_failure(const struct ch_exchange *exchange,
-                    const struct ch_call_end *end)
+                    const struct ch_call_result *end)
 {
     return end->code == CH_OK && exchange->request->routed &&
            !exchange->is_stream && exchange->status >= 500;
@@ -454,42 +460,43 @@
  * upstream. Lock held. */
 static void
 report_crash_evidence(struct ch_exchange *exchange,
-                      const struct ch_call_end *end)
+                      const struct ch_call_result *end)
 {
-    struct ch_crash_keeper *crashes = exchange->front->node->crashes;
+    struct ch_crash_guard *crashes = exchange->front->node->crash_guard;
     const struct ch_grant *grant = &exchange->grant;
     if (end->code == CH_OK) {
-        ch_crash_keeper_whole(crashes, exchange->request);
+        ch_crash_guard_record_complete(crashes, exchange->request);
     }
-    else if (end->refused) {
-        ch_crash_keeper_refused(crashes, grant->upstream);
+    else if (end->connection_refused) {
+        ch_crash_guard_record_refused(crashes, grant->upstream);
     }
     else if (end->code == CH_UPSTREAM_CUT && end->may_have_run &&
              !exchange->abandoned) {
-        ch_crash_keeper_cut(crashes, exchange->request, grant,
-                            exchange->call_first == 0);
+        ch_crash_guard_record_interrupted(crashes, exchange->request, grant,
+                                          exchange->call_first_data_at == 0);
     }
 }
 
 /* Handles the end of a call, successful or not. A grant that was used is
  * released here and nowhere else. */
 bool
-ch_exchange_call_ended(struct ch_exchange *exchange,
-                       const struct ch_call_end *end)
+ch_exchange_handle_call_end(struct ch_exchange *exchange,
+                            const struct ch_call_result *end)
 {
     struct ch_node *node = exchange->front->node;
-    exchange->may_have_run = exchange->ran_before || end->may_have_run;
-    exchange->was_sent = end->code != CH_UPSTREAM_CONNECT;
-    struct ch_call_end effective_end = *end;
+    exchange->may_have_run =
+        exchange->may_have_run_before || end->may_have_run;
+    exchange->was_connected = end->code != CH_UPSTREAM_CONNECT;
+    struct ch_call_result effective_end = *end;
     if (is_upstream_failure(exchange, end)) {
         effective_end.code = CH_UPSTREAM_ANSWER;
         effective_end.may_have_run = true;
     }
     report_crash_evidence(exchange, end);
     struct ch_timing_sample sample =
-        ch_exchange_sample(exchange, effective_end.code);
+        ch_exchange_get_timing_sample(exchange, effective_end.code);
     node->router->ops->release(node->router, exchange->grant.handle, &sample);
-    bool has_response = end->code == CH_OK && !exchange->too_large;
+    bool has_response = end->code == CH_OK && !exchange->response_too_large;
     if (has_response && effective_end.code == CH_OK) {
         return handle_response(exchange);
     }
@@ -501,17 +508,17 @@
     if (has_response) {
         return handle_response(exchange);
     }
-    if (exchange->too_large) {
+    if (exchange->response_too_large) {
         return fail(exchange, CH_UPSTREAM_ANSWER,
                     "the upstream's response is over the limit", 0);
     }
     if (should_wait_for_upstream(exchange, end->code, end->may_have_run)) {
-        exchange->request->work.required_upstream = exchange->grant.upstream;
+        exchange->request->info.required_upstream = exchange->grant.upstream;
         request_grant_later(exchange);
         return false;
     }
     return fail(exchange, end->code, end->message,
-                exchange->request->work.idempotent ? CH_EXCHANGE_RETRY_AFTER
+                exchange->request->info.idempotent ? CH_EXCHANGE_RETRY_AFTER_US
                                                    : 0);
 }
 
@@ -523,8 +530,8 @@
 static bool
 is_useless_without_caller(const struct ch_exchange *exchange)
 {
-    return exchange->request->work.idempotent ||
-           (exchange->request->stream && !exchange->once_created);
+    return exchange->request->info.idempotent ||
+           (exchange->request->stream && !exchange->once_record_created);
 }
 
 /*
@@ -537,24 +544,24 @@
 ch_exchange_abandon(struct ch_exchange *exchange, enum ch_code code,
                     const char *message)
 {
-    if (exchange->abandoned || exchange->step == CH_STEP_OVER) {
+    if (exchange->abandoned || exchange->step == CH_EXCHANGE_STEP_DONE) {
         return false;
     }
     exchange->abandoned = true;
-    if (exchange->step == CH_STEP_KEEP) {
-        if (exchange->whole) {
-            ch_exchange_tell_answer(exchange);
+    if (exchange->step == CH_EXCHANGE_STEP_STORE) {
+        if (exchange->response_complete) {
+            ch_exchange_send_response(exchange);
         }
         return false;
     }
     /* It is not known yet whether an earlier attempt with this key ran. */
     exchange->may_have_run =
-        exchange->may_have_run || exchange->step == CH_STEP_ONCE;
-    ch_exchange_tell_failure(exchange, code, message, 0);
-    if (exchange->step == CH_STEP_HOME) {
+        exchange->may_have_run || exchange->step == CH_EXCHANGE_STEP_ONCE;
+    ch_exchange_send_failure(exchange, code, message, 0);
+    if (exchange->step == CH_EXCHANGE_STEP_ROUTE) {
         return withdraw_request(exchange);
     }
-    if (exchange->step == CH_STEP_CALL &&
+    if (exchange->step == CH_EXCHANGE_STEP_CALL &&
         is_useless_without_caller(exchange)) {
         exchange->grant.client->ops->cancel(exchange->grant.client,
                                             exchange->call_handle);
@@ -572,44 +579,44 @@
                                     "the caller's deadline passed");
     pthread_mutex_unlock(&exchange->lock);
     if (over) {
-        ch_exchange_over(exchange);
+        ch_exchange_finish(exchange);
     }
     ch_exchange_unref(exchange);
 }
 
 /* See exchange.h. */
 void
-ch_exchange_cut(struct ch_exchange *exchange)
+ch_exchange_abort(struct ch_exchange *exchange)
 {
     pthread_mutex_lock(&exchange->lock);
-    bool calling = exchange->step == CH_STEP_CALL;
+    bool calling = exchange->step == CH_EXCHANGE_STEP_CALL;
     bool over =
         ch_exchange_abandon(exchange, CH_STOPPING, "the node has to stop");
     /* The node stops, so nobody would receive the rest of the response. */
-    if (calling && !exchange->request->work.idempotent) {
+    if (calling && !exchange->request->info.idempotent) {
         exchange->grant.client->ops->cancel(exchange->grant.client,
                                             exchange->call_handle);
     }
     pthread_mutex_unlock(&exchange->lock);
     if (over) {
-        ch_exchange_over(exchange);
+        ch_exchange_finish(exchange);
     }
 }
 
 /* See exchange.h. */
 void
-ch_exchange_drop_barred(struct ch_exchange *exchange)
+ch_exchange_abandon_barred(struct ch_exchange *exchange)
 {
-    struct ch_crash_keeper *crashes = exchange->front->node->crashes;
+    struct ch_crash_guard *crashes = exchange->front->node->crash_guard;
     bool over = false;
     pthread_mutex_lock(&exchange->lock);
-    if (ch_crash_keeper_bars(crashes, exchange->request)) {
+    if (ch_crash_guard_is_barred(crashes, exchange->request)) {
         over = ch_exchange_abandon(exchange, CH_CRASHES_UPSTREAMS,
                                    "upstreams crashed under this request");
     }
     pthread_mutex_unlock(&exchange->lock);
     if (over) {
-        ch_exchange_over(exchange);
+        ch_exchange_finish(exchange);
     }
 }
 
@@ -623,7 +630,7 @@
                                     "the caller closed its connection");
     pthread_mutex_unlock(&exchange->lock);
     if (over) {
-        ch_exchange_over(exchange);
+        ch_exchange_finish(exchange);
     }
 }
 
@@ -633,11 +640,11 @@
  * held. */
 static void
 send_stored_response(struct ch_exchange *exchange,
-                     const struct ch_once_answer *result)
+                     const struct ch_once_result *result)
 {
     exchange->may_have_run = true;
-    if (!result->kept) {
-        ch_exchange_tell_failure(
+    if (!result->response_stored) {
+        ch_exchange_send_failure(
             exchange, CH_OUTCOME_UNKNOWN,
             "an earlier attempt with this key ran; its response was not kept",
             0);
@@ -645,14 +652,15 @@
     }
     exchange->status = result->status;
     exchange->content_type = g_strdup(result->content_type);
-    g_byte_array_append(exchange->body, result->body, (guint)result->length);
-    ch_exchange_tell_answer(exchange);
+    g_byte_array_append(exchange->body, result->body,
+                        (guint)result->body_length);
+    ch_exchange_send_response(exchange);
 }
 
 /* Responds to a caller whose key does not permit a dispatch. Lock held. */
 static void
 send_once_state(struct ch_exchange *exchange,
-                const struct ch_once_answer *result)
+                const struct ch_once_result *result)
 {
     switch (result->state) {
     case CH_ONCE_DONE:
@@ -660,15 +668,15 @@
         return;
     case CH_ONCE_IN_PROGRESS:
         exchange->may_have_run = true;
-        ch_exchange_tell_failure(exchange, CH_IN_PROGRESS, NULL,
-                                 CH_EXCHANGE_RETRY_AFTER);
+        ch_exchange_send_failure(exchange, CH_IN_PROGRESS, NULL,
+                                 CH_EXCHANGE_RETRY_AFTER_US);
         return;
     case CH_ONCE_MISMATCH:
-        ch_exchange_tell_failure(exchange, CH_KEY_REUSED, NULL, 0);
+        ch_exchange_send_failure(exchange, CH_KEY_REUSED, NULL, 0);
         return;
     default:
-        ch_exchange_tell_failure(exchange, CH_ONCE_UNAVAILABLE, NULL,
-                                 CH_EXCHANGE_RETRY_AFTER);
+        ch_exchange_send_failure(exchange, CH_ONCE_UNAVAILABLE, NULL,
+                                 CH_EXCHANGE_RETRY_AFTER_US);
         return;
     }
 }
@@ -676,26 +684,26 @@
 /* Handles the state of the at-most-once record. Only CH_ONCE_CREATED permits a
  * dispatch. */
 static void
-handle_once_begun(void *data, const struct ch_once_answer *result)
+handle_once_begun(void *data, const struct ch_once_result *result)
 {
     struct ch_exchange *exchange = data;
     bool over = false;
     pthread_mutex_lock(&exchange->lock);
     if (result->state == CH_ONCE_CREATED) {
         exchange->may_have_run = false;
-        exchange->once_created = true;
+        exchange->once_record_created = true;
         exchange->once_attempt = result->attempt;
-        exchange->step = CH_STEP_HOME;
+        exchange->step = CH_EXCHANGE_STEP_ROUTE;
         ch_pool_submit(exchange->front->node->pool, request_grant, exchange);
     }
     else {
         send_once_state(exchange, result);
-        exchange->step = CH_STEP_OVER;
+        exchange->step = CH_EXCHANGE_STEP_DONE;
         over = true;
     }
     pthread_mutex_unlock(&exchange->lock);
     if (over) {
-        ch_exchange_over(exchange);
+        ch_exchange_finish(exchange);
     }
 }
 
@@ -706,10 +714,10 @@
 {
     struct ch_exchange *exchange = data;
     const struct ch_request *request = exchange->request;
-    if (!request->work.idempotent && request->key != NULL) {
-        ch_once_keeper_begin(exchange->front->node->once, request->caller,
-                             request->key, request->fingerprint,
-                             handle_once_begun, exchange);
+    if (!request->info.idempotent && request->key != NULL) {
+        ch_once_manager_begin(exchange->front->node->once, request->caller,
+                              request->key, request->fingerprint,
+                              handle_once_begun, exchange);
         return;
     }
     request_grant(exchange);
@@ -724,28 +732,28 @@
         return;
     }
     ch_exchange_ref(exchange);
-    exchange->timer = ch_timers_after(exchange->front->node->timers,
-                                      deadline - exchange->arrived,
-                                      handle_deadline, exchange);
+    exchange->timer = ch_timers_add(exchange->front->node->timers,
+                                    deadline - exchange->arrived_at,
+                                    handle_deadline, exchange);
 }
 
 /* Starts the exchange of a request that was parsed and is valid. Must be
  * called before the response is passed to the HTTP library, so that no handler
  * runs too early. */
 void
-ch_exchange_start(struct ch_front *front, struct ch_request *request,
-                  struct ch_reply *response)
+ch_exchange_start(struct ch_frontend *front, struct ch_request *request,
+                  struct ch_response *response)
 {
-    static const struct ch_reply_watcher watcher = {
-        .gone = handle_disconnect,
-        .drop = ch_exchange_unref,
+    static const struct ch_response_watcher watcher = {
+        .disconnected = handle_disconnect,
+        .unref_data = ch_exchange_unref,
     };
     struct ch_exchange *exchange = ch_exchange_new(front, request, response);
-    ch_reply_watch(response, &watcher, ch_exchange_ref(exchange));
-    ch_front_enter(front, exchange);
+    ch_response_set_watcher(response, &watcher, ch_exchange_ref(exchange));
+    ch_frontend_add_exchange(front, exchange);
     pthread_mutex_lock(&front->lock);
     ch_retry_budget_add_request(
-        ch_front_budget(front, request->work.required_service));
+        ch_frontend_get_retry_budget(front, request->info.required_service));
     pthread_mutex_unlock(&front->lock);
     start_deadline_timer(exchange);
     ch_pool_submit(front->node->pool, begin_exchange, exchange);
