--- a/libchestnuthitch/node/exchange_call.c
+++ b/libchestnuthitch/node/exchange_call.c
@@ -39,7 +39,7 @@
 {
     struct ch_exchange *exchange = data;
     pthread_mutex_lock(&exchange->lock);
-    for (size_t i = 0; !exchange->stream_begun && i < count; i++) {
+    for (size_t i = 0; !exchange->stream_started && i < count; i++) {
         const struct ch_http_header copy = {g_strdup(headers[i].name),
                                             g_strdup(headers[i].value)};
         g_array_append_val(exchange->headers, copy);
@@ -64,26 +64,26 @@
 static void
 record_data_time(struct ch_exchange *exchange)
 {
-    int64_t now = ch_client_now(exchange->front->node->client);
-    if (exchange->call_first == 0) {
+    int64_t now = ch_client_get_time(exchange->front->node->client);
+    if (exchange->call_first_data_at == 0) {
         struct ch_router *router = exchange->front->node->router;
-        exchange->call_first = now;
-        ch_crash_keeper_answered(exchange->front->node->crashes,
-                                 exchange->grant.upstream,
-                                 exchange->dispatched);
-        if (router->ops->first != NULL) {
-            router->ops->first(router, exchange->grant.handle);
+        exchange->call_first_data_at = now;
+        ch_crash_guard_record_response(exchange->front->node->crash_guard,
+                                       exchange->grant.upstream,
+                                       exchange->dispatched_at);
+        if (router->ops->record_first_byte != NULL) {
+            router->ops->record_first_byte(router, exchange->grant.handle);
         }
     }
-    if (exchange->first == 0) {
-        exchange->first = now;
+    if (exchange->first_data_at == 0) {
+        exchange->first_data_at = now;
     }
     else {
         exchange->longest_gap =
-            MAX(exchange->longest_gap, now - exchange->last);
+            MAX(exchange->longest_gap, now - exchange->last_data_at);
     }
-    exchange->call_last = now;
-    exchange->last = now;
+    exchange->call_last_data_at = now;
+    exchange->last_data_at = now;
 }
 
 /* Cancels the call; its on_end handler then ends the exchange. Lock held. */
@@ -99,11 +99,11 @@
 static void
 append_body(struct ch_exchange *exchange, const char *bytes, size_t length)
 {
-    if (exchange->too_large) {
+    if (exchange->response_too_large) {
         return;
     }
-    if (exchange->body->len + length > CH_EXCHANGE_MOST_ANSWER) {
-        exchange->too_large = true;
+    if (exchange->body->len + length > CH_EXCHANGE_MAX_RESPONSE_BYTES) {
+        exchange->response_too_large = true;
         cancel_call(exchange);
         return;
     }
@@ -143,12 +143,12 @@
     if (!exchange->request->routed || !parse_event_id(bytes, length, &id)) {
         return true;
     }
-    if (exchange->last_event != NULL &&
-        id != g_ascii_strtoull(exchange->last_event, NULL, 10) + 1) {
+    if (exchange->last_event_id != NULL &&
+        id != g_ascii_strtoull(exchange->last_event_id, NULL, 10) + 1) {
         return false;
     }
-    g_free(exchange->last_event);
-    exchange->last_event = g_strdup_printf("%" G_GUINT64_FORMAT, id);
+    g_free(exchange->last_event_id);
+    exchange->last_event_id = g_strdup_printf("%" G_GUINT64_FORMAT, id);
     return true;
 }
 
@@ -162,23 +162,23 @@
         cancel_call(exchange);
         return;
     }
-    exchange->events++;
-    exchange->call_events++;
-    exchange->made_tokens = exchange->events;
-    if (exchange->once_created) {
+    exchange->events_delivered++;
+    exchange->call_event_count++;
+    exchange->generated_tokens = exchange->events_delivered;
+    if (exchange->once_record_created) {
         append_body(exchange, bytes, length);
     }
-    if (exchange->told) {
+    if (exchange->responded) {
         return;
     }
-    if (!exchange->stream_begun) {
-        exchange->stream_begun = true;
-        ch_reply_begin(
-            exchange->reply,
+    if (!exchange->stream_started) {
+        exchange->stream_started = true;
+        ch_response_start_stream(
+            exchange->response,
             (const struct ch_http_header *)(void *)exchange->headers->data,
             exchange->headers->len);
     }
-    if (!ch_reply_event(exchange->reply, bytes, length)) {
+    if (!ch_response_add_event(exchange->response, bytes, length)) {
         ch_exchange_abandon(exchange, CH_CANCELLED,
                             "the caller is gone or reads too slowly");
     }
@@ -194,14 +194,14 @@
     pthread_mutex_lock(&exchange->lock);
     record_data_time(exchange);
     if (exchange->grant.other_region) {
-        ch_metrics_count(metrics, CH_COUNT_LINK_BYTES, length);
+        ch_metrics_add_count(metrics, CH_COUNT_LINK_BYTES, length);
     }
-    if (exchange->abandoned && !exchange->once_created) {
+    if (exchange->abandoned && !exchange->once_record_created) {
         pthread_mutex_unlock(&exchange->lock);
         return;
     }
     if (exchange->is_stream) {
-        ch_metrics_count(metrics, CH_COUNT_TOKENS, 1);
+        ch_metrics_add_count(metrics, CH_COUNT_TOKENS, 1);
         forward_event(exchange, bytes, length);
     }
     else {
@@ -220,8 +220,8 @@
 handle_silence(void *data)
 {
     struct ch_exchange *exchange = data;
-    struct ch_front *front = exchange->front;
-    const struct ch_request_info *info = &exchange->request->work;
+    struct ch_frontend *front = exchange->front;
+    const struct ch_request_info *info = &exchange->request->info;
     if (!exchange->request->routed) {
         return false;
     }
@@ -230,11 +230,11 @@
      * to run to its end. */
     bool taken = false;
     if (!exchange->abandoned) {
-        int64_t now = ch_client_now(front->node->client);
+        int64_t now = ch_client_get_time(front->node->client);
         pthread_mutex_lock(&front->lock);
         taken = ch_retry_may_abandon(
-            ch_front_budget(front, info->required_service),
-            &exchange->try_held, info, now);
+            ch_frontend_get_retry_budget(front, info->required_service),
+            &exchange->retry_taken, info, now);
         pthread_mutex_unlock(&front->lock);
     }
     pthread_mutex_unlock(&exchange->lock);
@@ -261,30 +261,31 @@
         at++;
     }
     while (at < end && g_ascii_isdigit(*at) &&
-           tokens < CH_REQUEST_MOST_TOKENS) {
+           tokens < CH_REQUEST_MAX_TOKENS) {
         tokens = tokens * 10 + (uint64_t)g_ascii_digit_value(*at);
         at++;
     }
-    return (uint32_t)MIN(tokens, CH_REQUEST_MOST_TOKENS);
+    return (uint32_t)MIN(tokens, CH_REQUEST_MAX_TOKENS);
 }
 
 static void
-handle_call_end(void *data, const struct ch_call_end *end)
+handle_call_end(void *data, const struct ch_call_result *end)
 {
     struct ch_exchange *exchange = data;
     pthread_mutex_lock(&exchange->lock);
     /* A plain response to a resumed call can't continue the stream that has
      * started. */
-    struct ch_call_end effective_end = *end;
-    if (end->code == CH_OK && exchange->stream_begun && !exchange->is_stream) {
+    struct ch_call_result effective_end = *end;
+    if (end->code == CH_OK && exchange->stream_started &&
+        !exchange->is_stream) {
         effective_end.code = CH_UPSTREAM_ANSWER;
         g_strlcpy(effective_end.message,
                   "the upstream did not resume the stream",
                   sizeof(effective_end.message));
     }
     if (end->code == CH_OK && !exchange->is_stream &&
-        !exchange->request->work.is_service) {
-        exchange->made_tokens = parse_completion_tokens(exchange->body);
+        !exchange->request->info.is_service) {
+        exchange->generated_tokens = parse_completion_tokens(exchange->body);
     }
     if (exchange->out_of_order) {
         effective_end.code = CH_UPSTREAM_ANSWER;
@@ -292,10 +293,10 @@
         g_strlcpy(effective_end.message, "an event is missing or was repeated",
                   sizeof(effective_end.message));
     }
-    bool over = ch_exchange_call_ended(exchange, &effective_end);
+    bool over = ch_exchange_handle_call_end(exchange, &effective_end);
     pthread_mutex_unlock(&exchange->lock);
     if (over) {
-        ch_exchange_over(exchange);
+        ch_exchange_finish(exchange);
     }
 }
 
@@ -308,18 +309,18 @@
         (int64_t)exchange->front->node->settings->first_byte_ms * 1000;
     if (request->first_byte_limit > 0) {
         return MAX(request->first_byte_limit,
-                   EXPECTED_LATENCY_FACTOR * exchange->grant.expected +
+                   EXPECTED_LATENCY_FACTOR * exchange->grant.expected_latency +
                        EXPECTED_LATENCY_MARGIN_US);
     }
-    if (request->stream || request->work.is_service) {
+    if (request->stream || request->info.is_service) {
         return limit;
     }
-    int64_t token = request->between_tokens > 0 ? 2 * request->between_tokens
-                                                : DEFAULT_TOKEN_US;
-    if (exchange->grant.token > 0) {
-        token = MIN(token, TOKEN_TIME_FACTOR * exchange->grant.token);
+    int64_t token = request->token_target > 0 ? 2 * request->token_target
+                                              : DEFAULT_TOKEN_US;
+    if (exchange->grant.token_time > 0) {
+        token = MIN(token, TOKEN_TIME_FACTOR * exchange->grant.token_time);
     }
-    return MIN(limit + token * request->work.max_output_tokens,
+    return MIN(limit + token * request->info.max_output_tokens,
                MAX_FIRST_BYTE_US);
 }
 
@@ -327,37 +328,38 @@
 static void
 reset_call(struct ch_exchange *exchange)
 {
-    exchange->step = CH_STEP_CALL;
-    exchange->calls++;
-    exchange->try_held = false;
-    exchange->ran_before = exchange->may_have_run;
+    exchange->step = CH_EXCHANGE_STEP_CALL;
+    exchange->call_count++;
+    exchange->retry_taken = false;
+    exchange->may_have_run_before = exchange->may_have_run;
     exchange->may_have_run = true;
-    exchange->dispatched = ch_client_now(exchange->front->node->client);
-    exchange->call_first = 0;
-    exchange->call_last = 0;
-    exchange->call_events = 0;
+    exchange->dispatched_at =
+        ch_client_get_time(exchange->front->node->client);
+    exchange->call_first_data_at = 0;
+    exchange->call_last_data_at = 0;
+    exchange->call_event_count = 0;
     exchange->status = 0;
     exchange->is_stream = false;
     exchange->out_of_order = false;
-    if (!exchange->stream_begun) {
+    if (!exchange->stream_started) {
         g_array_set_size(exchange->headers, 0);
     }
 }
 
 /* See exchange.h. */
 const char *
-ch_exchange_id(const struct ch_exchange *exchange)
+ch_exchange_get_request_id(const struct ch_exchange *exchange)
 {
     return exchange->request->request_id != NULL
                ? exchange->request->request_id
-               : ch_reply_id(exchange->reply);
+               : ch_response_get_id(exchange->response);
 }
 
 /* See exchange.h. The grant may come after the deadline but before the
  * deadline's timer has run: the result is then 1, since a call with 0 would
  * have no limit. */
 int64_t
-ch_exchange_time_left(const struct ch_request *request, int64_t now)
+ch_exchange_get_time_left(const struct ch_request *request, int64_t now)
 {
     if (!request->routed || request->deadline == 0) {
         return 0;
@@ -368,43 +370,45 @@
 /* Calls the granted upstream. A retry uses a fresh connection: the first call
  * may have failed because the kept-alive connections have gone silent. */
 void
-ch_exchange_call(struct ch_exchange *exchange)
+ch_exchange_call_upstream(struct ch_exchange *exchange)
 {
     static const struct ch_call_handlers handlers = {
         .on_headers = handle_headers,
-        .on_head = handle_head,
+        .on_response = handle_head,
         .on_data = handle_data,
-        .on_silent = handle_silence,
+        .on_stall = handle_silence,
         .on_end = handle_call_end,
     };
     const struct ch_request *request = exchange->request;
     const struct ch_settings *settings = exchange->front->node->settings;
     reset_call(exchange);
     struct ch_call call = {
-        .request_id = ch_exchange_id(exchange),
+        .request_id = ch_exchange_get_request_id(exchange),
         .method = request->method,
         .path = request->path,
         .content_type = request->content_type,
-        .idempotency_key = request->work.is_service ? request->key : NULL,
+        .idempotency_key = request->info.is_service ? request->key : NULL,
         .body = request->body,
-        .body_length = request->length,
+        .body_length = request->body_length,
         .stream = request->stream,
-        .may_repeat = request->work.idempotent,
-        .fresh = request->work.attempt > 0 || request->work.refusals > 0,
-        .resume_from = exchange->events,
-        .resume_id = exchange->last_event,
+        .may_repeat = request->info.idempotent,
+        .fresh_connection =
+            request->info.attempt > 0 || request->info.refusals > 0,
+        .resume_from = exchange->events_delivered,
+        .last_event_id = exchange->last_event_id,
         .headers = request->headers,
         .header_count = request->header_count,
-        .time_left = ch_exchange_time_left(request, exchange->dispatched),
+        .remaining_time =
+            ch_exchange_get_time_left(request, exchange->dispatched_at),
         .priority = exchange->grant.priority,
-        .connect_limit = (int64_t)settings->connect_ms * 1000,
-        .first_byte_limit = first_byte_limit(exchange),
-        .stall_limit = request->stall_limit > 0
-                           ? request->stall_limit
-                           : (int64_t)settings->stall_ms * 1000,
+        .connect_timeout = (int64_t)settings->connect_ms * 1000,
+        .first_byte_timeout = first_byte_limit(exchange),
+        .stall_timeout = request->stall_limit > 0
+                             ? request->stall_limit
+                             : (int64_t)settings->stall_ms * 1000,
     };
-    call.total_limit =
-        call.time_left > 0 ? call.time_left + DEADLINE_MARGIN_US : 0;
+    call.total_timeout =
+        call.remaining_time > 0 ? call.remaining_time + DEADLINE_MARGIN_US : 0;
     struct ch_upstream *client = exchange->grant.client;
     exchange->call_handle =
         client->ops->call(client, &call, &handlers, exchange);
@@ -413,23 +417,27 @@
 /* All tokens of a plain model response arrive at once, so the time of one
  * token is computed from the whole. */
 struct ch_timing_sample
-ch_exchange_sample(const struct ch_exchange *exchange, enum ch_code code)
+ch_exchange_get_timing_sample(const struct ch_exchange *exchange,
+                              enum ch_code code)
 {
     struct ch_timing_sample sample = {.code = code};
-    if (exchange->call_first == 0) {
+    if (exchange->call_first_data_at == 0) {
         return sample;
     }
-    sample.first_byte_time = exchange->call_first - exchange->dispatched;
+    sample.first_byte_time =
+        exchange->call_first_data_at - exchange->dispatched_at;
     if (exchange->is_stream) {
-        sample.token_count = exchange->call_events;
-        if (exchange->call_events > 1) {
-            sample.token_time = (exchange->call_last - exchange->call_first) /
-                                (exchange->call_events - 1);
+        sample.token_count = exchange->call_event_count;
+        if (exchange->call_event_count > 1) {
+            sample.token_time =
+                (exchange->call_last_data_at - exchange->call_first_data_at) /
+                (exchange->call_event_count - 1);
         }
     }
-    else if (exchange->made_tokens > 0) {
-        sample.token_count = exchange->made_tokens;
-        sample.token_time = sample.first_byte_time / exchange->made_tokens;
+    else if (exchange->generated_tokens > 0) {
+        sample.token_count = exchange->generated_tokens;
+        sample.token_time =
+            sample.first_byte_time / exchange->generated_tokens;
         sample.first_byte_time = sample.token_time;
     }
     return sample;
--- a/libchestnuthitch/node/exchange_life.c
+++ b/libchestnuthitch/node/exchange_life.c
@@ -13,26 +13,26 @@
 
 /* Takes ownership of request. The new exchange has not begun. */
 struct ch_exchange *
-ch_exchange_new(struct ch_front *front, struct ch_request *request,
-                struct ch_reply *response)
+ch_exchange_new(struct ch_frontend *front, struct ch_request *request,
+                struct ch_response *response)
 {
     struct ch_exchange *exchange = g_new0(struct ch_exchange, 1);
     exchange->references = 1;
     exchange->front = front;
     exchange->request = request;
-    exchange->reply = ch_reply_ref(response);
+    exchange->response = ch_response_ref(response);
     exchange->excluded = g_array_new(FALSE, FALSE, sizeof(GQuark));
     exchange->headers =
         g_array_new(FALSE, FALSE, sizeof(struct ch_http_header));
     g_array_set_clear_func(exchange->headers, clear_header);
-    exchange->last_event = g_strdup(request->resume_id);
+    exchange->last_event_id = g_strdup(request->resume_id);
     exchange->body = g_byte_array_new();
-    exchange->arrived = request->work.arrived_at;
-    exchange->at_wall_ms = g_get_real_time() / 1000;
+    exchange->arrived_at = request->info.arrived_at;
+    exchange->arrived_wall_ms = g_get_real_time() / 1000;
     exchange->code = CH_SYSTEM;
-    exchange->step = !request->work.idempotent && request->key != NULL
-                         ? CH_STEP_ONCE
-                         : CH_STEP_HOME;
+    exchange->step = !request->info.idempotent && request->key != NULL
+                         ? CH_EXCHANGE_STEP_ONCE
+                         : CH_EXCHANGE_STEP_ROUTE;
     pthread_mutex_init(&exchange->lock, NULL);
     return exchange;
 }
@@ -57,7 +57,7 @@
     g_array_free(exchange->excluded, TRUE);
     g_byte_array_free(exchange->body, TRUE);
     g_array_free(exchange->headers, TRUE);
-    g_free(exchange->last_event);
+    g_free(exchange->last_event_id);
     g_free(exchange->content_type);
     pthread_mutex_destroy(&exchange->lock);
     g_free(exchange);
--- a/libchestnuthitch/node/exchange_tell.c
+++ b/libchestnuthitch/node/exchange_tell.c
@@ -13,10 +13,10 @@
 record_response(struct ch_exchange *exchange, enum ch_code code,
                 enum ch_outcome outcome)
 {
-    exchange->told = true;
+    exchange->responded = true;
     exchange->code = code;
     exchange->outcome = outcome;
-    exchange->told_at = ch_client_now(exchange->front->node->client);
+    exchange->responded_at = ch_client_get_time(exchange->front->node->client);
 }
 
 /* Ends a stream that the caller has begun to receive: the error is its last
@@ -25,8 +25,8 @@
 end_stream_with_error(struct ch_exchange *exchange, const char *json)
 {
     char *event = g_strdup_printf("data: %s\n\n", json);
-    ch_reply_event(exchange->reply, event, strlen(event));
-    ch_reply_end(exchange->reply);
+    ch_response_add_event(exchange->response, event, strlen(event));
+    ch_response_end_stream(exchange->response);
     g_free(event);
 }
 
@@ -38,7 +38,7 @@
 static int
 get_routed_status(enum ch_code code, enum ch_outcome outcome)
 {
-    int status = ch_code_http(code);
+    int status = ch_code_get_http_status(code);
     if (outcome == CH_NOT_RUN) {
         return status >= 500 ? 503 : status;
     }
@@ -51,10 +51,10 @@
  * second upstream says nothing about the first.
  */
 void
-ch_exchange_tell_failure(struct ch_exchange *exchange, enum ch_code code,
+ch_exchange_send_failure(struct ch_exchange *exchange, enum ch_code code,
                          const char *message, int64_t retry_after)
 {
-    if (exchange->told) {
+    if (exchange->responded) {
         return;
     }
     record_response(exchange, code,
@@ -64,33 +64,33 @@
         .outcome = exchange->outcome,
         .message = message,
         .retry_after = retry_after,
-        .request_id = ch_exchange_id(exchange),
+        .request_id = ch_exchange_get_request_id(exchange),
     };
-    char *json = ch_refusal_print(&refusal);
-    if (exchange->stream_begun && exchange->request->routed) {
+    char *json = ch_refusal_to_json(&refusal);
+    if (exchange->stream_started && exchange->request->routed) {
         /* Text after the upstream's events would be taken for a part of its
          * response. */
-        ch_reply_cut(exchange->reply);
+        ch_response_abort(exchange->response);
         g_free(json);
         return;
     }
-    if (exchange->stream_begun) {
+    if (exchange->stream_started) {
         end_stream_with_error(exchange, json);
         g_free(json);
         return;
     }
-    const struct ch_reply_answer response = {
+    const struct ch_response_data response = {
         .status = exchange->request->routed
                       ? get_routed_status(code, exchange->outcome)
-                      : ch_code_http(code),
+                      : ch_code_get_http_status(code),
         .content_type = "application/json",
         .outcome = exchange->outcome,
         .code = code,
         .retry_after = retry_after,
         .body = json,
-        .length = strlen(json),
+        .body_length = strlen(json),
     };
-    ch_reply_whole(exchange->reply, &response);
+    ch_response_send(exchange->response, &response);
 }
 
 /* The headers passed on from the upstream. */
@@ -104,17 +104,18 @@
 static void
 start_stream(struct ch_exchange *exchange)
 {
-    ch_reply_begin(exchange->reply, get_response_headers(exchange),
-                   exchange->headers->len);
+    ch_response_start_stream(exchange->response,
+                             get_response_headers(exchange),
+                             exchange->headers->len);
 }
 
 /* Passes the upstream's complete response on. A 5xx status of a plain service
  * is a response too, but it does not show whether the work was done, so its
  * outcome is unknown. */
 void
-ch_exchange_tell_answer(struct ch_exchange *exchange)
+ch_exchange_send_response(struct ch_exchange *exchange)
 {
-    if (exchange->told) {
+    if (exchange->responded) {
         return;
     }
     record_response(exchange, CH_OK,
@@ -122,32 +123,33 @@
     if (exchange->is_stream) {
         start_stream(exchange);
         if (!exchange->request->routed) {
-            ch_reply_event(exchange->reply, stream_end_event,
-                           sizeof(stream_end_event) - 1);
+            ch_response_add_event(exchange->response, stream_end_event,
+                                  sizeof(stream_end_event) - 1);
         }
-        ch_reply_end(exchange->reply);
+        ch_response_end_stream(exchange->response);
         return;
     }
-    const struct ch_reply_answer response = {
+    const struct ch_response_data response = {
         .status = exchange->status,
         .content_type = exchange->content_type,
         .outcome = exchange->outcome,
         .body = g_memdup2(exchange->body->data, exchange->body->len),
-        .length = exchange->body->len,
+        .body_length = exchange->body->len,
         .headers = get_response_headers(exchange),
         .header_count = exchange->headers->len,
     };
-    ch_reply_whole(exchange->reply, &response);
+    ch_response_send(exchange->response, &response);
 }
 
 /* Mean time between the tokens of a stream; 0: fewer than two. */
 static int64_t
 mean_token_gap(const struct ch_exchange *exchange)
 {
-    if (exchange->events < 2) {
+    if (exchange->events_delivered < 2) {
         return 0;
     }
-    return (exchange->last - exchange->first) / (exchange->events - 1);
+    return (exchange->last_data_at - exchange->first_data_at) /
+           (exchange->events_delivered - 1);
 }
 
 /* Whether every target that the class states was met. Only the caller of a
@@ -156,31 +158,32 @@
 has_met_targets(const struct ch_exchange *exchange)
 {
     const struct ch_request *request = exchange->request;
-    int64_t total = exchange->told_at - exchange->arrived;
+    int64_t total = exchange->responded_at - exchange->arrived_at;
     if (exchange->code != CH_OK || exchange->status >= 500) {
         return false;
     }
-    if (request->whole_answer > 0 && total > request->whole_answer) {
+    if (request->answer_target > 0 && total > request->answer_target) {
         return false;
     }
     if (exchange->is_stream) {
-        return (request->first_token == 0 ||
-                exchange->first - exchange->arrived <= request->first_token) &&
-               (request->between_tokens == 0 ||
-                mean_token_gap(exchange) <= request->between_tokens);
+        return (request->first_token_target == 0 ||
+                exchange->first_data_at - exchange->arrived_at <=
+                    request->first_token_target) &&
+               (request->token_target == 0 ||
+                mean_token_gap(exchange) <= request->token_target);
     }
-    if (request->whole_answer > 0 || request->first_token == 0) {
+    if (request->answer_target > 0 || request->first_token_target == 0) {
         return true;
     }
-    return total <= request->first_token +
-                        request->between_tokens * exchange->made_tokens;
+    return total <= request->first_token_target +
+                        request->token_target * exchange->generated_tokens;
 }
 
 /* Time since the request's arrival; 0 when it did not happen. */
 static int64_t
 time_since_arrival(const struct ch_exchange *exchange, int64_t at)
 {
-    return at == 0 ? 0 : at - exchange->arrived;
+    return at == 0 ? 0 : at - exchange->arrived_at;
 }
 
 static void
@@ -196,68 +199,71 @@
     else if (exchange->outcome == CH_NOT_RUN) {
         counter = CH_COUNT_REFUSED;
     }
-    ch_metrics_count(metrics, counter, 1);
-    ch_metrics_outcome(metrics, class_name, tenant, exchange->code,
-                       has_met_targets(exchange));
-    if (exchange->first_grant != 0) {
+    ch_metrics_add_count(metrics, counter, 1);
+    ch_metrics_count_outcome(metrics, class_name, tenant, exchange->code,
+                             has_met_targets(exchange));
+    if (exchange->first_granted_at != 0) {
         ch_metrics_observe(
-            metrics, CH_HIST_QUEUED, class_name, tenant,
-            time_since_arrival(exchange, exchange->first_grant));
+            metrics, CH_HIST_QUEUE_TIME, class_name, tenant,
+            time_since_arrival(exchange, exchange->first_granted_at));
     }
-    if (exchange->is_stream && exchange->first != 0) {
-        ch_metrics_observe(metrics, CH_HIST_FIRST_TOKEN, class_name, tenant,
-                           time_since_arrival(exchange, exchange->first));
+    if (exchange->is_stream && exchange->first_data_at != 0) {
+        ch_metrics_observe(
+            metrics, CH_HIST_FIRST_TOKEN, class_name, tenant,
+            time_since_arrival(exchange, exchange->first_data_at));
     }
-    if (exchange->events > 1) {
-        ch_metrics_observe(metrics, CH_HIST_BETWEEN_TOKENS, class_name, tenant,
+    if (exchange->events_delivered > 1) {
+        ch_metrics_observe(metrics, CH_HIST_TOKEN_INTERVAL, class_name, tenant,
                            mean_token_gap(exchange));
     }
     if (exchange->code == CH_OK) {
-        ch_metrics_observe(metrics, CH_HIST_WHOLE_ANSWER, class_name, tenant,
-                           time_since_arrival(exchange, exchange->told_at));
+        ch_metrics_observe(
+            metrics, CH_HIST_RESPONSE_TIME, class_name, tenant,
+            time_since_arrival(exchange, exchange->responded_at));
     }
 }
 
 /* Writes the log event "request", from which the log can be replayed as a
  * trace. */
 void
-ch_exchange_record(const struct ch_exchange *exchange)
+ch_exchange_write_log(const struct ch_exchange *exchange)
 {
     const struct ch_request *request = exchange->request;
     char prefix[20] = "";
-    if (request->work.prefix_hash != 0) {
+    if (request->info.prefix_hash != 0) {
         g_snprintf(prefix, sizeof(prefix), "%016" G_GINT64_MODIFIER "x",
-                   request->work.prefix_hash);
+                   request->info.prefix_hash);
     }
     update_metrics(exchange);
-    ch_log(
-        exchange->front->node->client, CH_LOG_INFO, "request",
-        CH_F_STR("request_id", ch_exchange_id(exchange)),
-        CH_F_STR("caller", request->caller),
-        CH_F_STR("class", request->class_name),
-        CH_F_STR("model", request->model),
-        CH_F_STR("adapter", request->adapter ? request->adapter : ""),
-        CH_F_STR("prefix", prefix),
-        CH_F_INT("prompt_tokens", request->work.prompt_tokens),
-        CH_F_INT("output_tokens", request->work.max_output_tokens),
-        CH_F_INT("made_tokens", exchange->made_tokens),
-        CH_F_STR("key", request->key ? request->key : ""),
-        CH_F_STR("upstream",
-                 exchange->grant.upstream == 0
-                     ? ""
-                     : g_quark_to_string(exchange->grant.upstream)),
-        CH_F_INT("code", exchange->code),
-        CH_F_STR("outcome", ch_outcome_name(exchange->outcome)),
-        CH_F_INT("status", exchange->status),
-        CH_F_INT("attempts", exchange->calls),
-        CH_F_INT("at_ms", exchange->at_wall_ms),
-        CH_F_INT("target_us", request->work.first_token_deadline -
-                                  request->work.arrived_at),
-        CH_F_INT("queued_us",
-                 time_since_arrival(exchange, exchange->first_grant)),
-        CH_F_INT("first_us", time_since_arrival(exchange, exchange->first)),
-        CH_F_INT("between_us", mean_token_gap(exchange)),
-        CH_F_INT("longest_gap_us", exchange->longest_gap),
-        CH_F_INT("total_us", time_since_arrival(exchange, exchange->told_at)),
-        CH_F_END);
+    ch_log(exchange->front->node->client, CH_LOG_INFO, "request",
+           CH_F_STR("request_id", ch_exchange_get_request_id(exchange)),
+           CH_F_STR("caller", request->caller),
+           CH_F_STR("class", request->class_name),
+           CH_F_STR("model", request->model),
+           CH_F_STR("adapter", request->adapter ? request->adapter : ""),
+           CH_F_STR("prefix", prefix),
+           CH_F_INT("prompt_tokens", request->info.prompt_tokens),
+           CH_F_INT("output_tokens", request->info.max_output_tokens),
+           CH_F_INT("made_tokens", exchange->generated_tokens),
+           CH_F_STR("key", request->key ? request->key : ""),
+           CH_F_STR("upstream",
+                    exchange->grant.upstream == 0
+                        ? ""
+                        : g_quark_to_string(exchange->grant.upstream)),
+           CH_F_INT("code", exchange->code),
+           CH_F_STR("outcome", ch_outcome_get_name(exchange->outcome)),
+           CH_F_INT("status", exchange->status),
+           CH_F_INT("attempts", exchange->call_count),
+           CH_F_INT("at_ms", exchange->arrived_wall_ms),
+           CH_F_INT("target_us", request->info.first_token_deadline -
+                                     request->info.arrived_at),
+           CH_F_INT("queued_us",
+                    time_since_arrival(exchange, exchange->first_granted_at)),
+           CH_F_INT("first_us",
+                    time_since_arrival(exchange, exchange->first_data_at)),
+           CH_F_INT("between_us", mean_token_gap(exchange)),
+           CH_F_INT("longest_gap_us", exchange->longest_gap),
+           CH_F_INT("total_us",
+                    time_since_arrival(exchange, exchange->responded_at)),
+           CH_F_END);
 }
--- a/libchestnuthitch/node/front.c
+++ b/libchestnuthitch/node/front.c
@@ -46,30 +46,32 @@
 
 /* See frontend.h. */
 uint64_t
-ch_front_new_id(struct ch_front *frontend, char text[CH_REPLY_ID])
+ch_frontend_new_id(struct ch_frontend *frontend,
+                   char text[CH_RESPONSE_ID_SIZE])
 {
     pthread_mutex_lock(&frontend->lock);
     uint64_t number = ++frontend->last_id;
     pthread_mutex_unlock(&frontend->lock);
-    (void)snprintf(text, CH_REPLY_ID,
+    (void)snprintf(text, CH_RESPONSE_ID_SIZE,
                    "%016" G_GINT64_MODIFIER "x-%" G_GINT64_MODIFIER "x",
-                   frontend->id_start, number);
+                   frontend->id_prefix, number);
     return number;
 }
 
 /* The number of live nodes among which the retry slack is divided, refreshed
  * once a second. */
 static unsigned
-count_live_nodes(struct ch_front *frontend)
-{
-    int64_t now = ch_client_now(frontend->node->client);
-    if (frontend->live == 0 || now - frontend->shared_at > G_USEC_PER_SEC) {
-        char **live = ch_peers_live(frontend->node->peers);
-        frontend->live = MAX(g_strv_length(live), 1U);
-        frontend->shared_at = now;
+count_live_nodes(struct ch_frontend *frontend)
+{
+    int64_t now = ch_client_get_time(frontend->node->client);
+    if (frontend->live_count == 0 ||
+        now - frontend->live_updated_at > G_USEC_PER_SEC) {
+        char **live = ch_peers_list_live(frontend->node->peers);
+        frontend->live_count = MAX(g_strv_length(live), 1U);
+        frontend->live_updated_at = now;
         g_strfreev(live);
     }
-    return frontend->live;
+    return frontend->live_count;
 }
 
 /*
@@ -81,7 +83,7 @@
  * agree at once on the number of live nodes when some start or stop.
  */
 static void
-update_budget(struct ch_front *frontend, struct ch_retry_budget *budget)
+update_budget(struct ch_frontend *frontend, struct ch_retry_budget *budget)
 {
     const struct ch_settings *settings = frontend->node->settings;
     double slack =
@@ -93,26 +95,27 @@
 
 /* See frontend.h. */
 struct ch_retry_budget *
-ch_front_budget(struct ch_front *frontend, GQuark service)
+ch_frontend_get_retry_budget(struct ch_frontend *frontend, GQuark service)
 {
     gpointer key = GUINT_TO_POINTER(service);
     if (service == 0) {
-        return &frontend->retries;
+        return &frontend->retry_budget;
     }
     struct ch_retry_budget *budget =
-        g_hash_table_lookup(frontend->service_retries, key);
+        g_hash_table_lookup(frontend->service_retry_budgets, key);
     if (budget == NULL) {
         budget = g_new0(struct ch_retry_budget, 1);
         ch_retry_budget_init(
             budget, RETRY_PART * frontend->node->settings->retry_share);
-        g_hash_table_insert(frontend->service_retries, key, budget);
+        g_hash_table_insert(frontend->service_retry_budgets, key, budget);
     }
     update_budget(frontend, budget);
     return budget;
 }
 
 void
-ch_front_enter(struct ch_front *frontend, struct ch_exchange *exchange)
+ch_frontend_add_exchange(struct ch_frontend *frontend,
+                         struct ch_exchange *exchange)
 {
     pthread_mutex_lock(&frontend->lock);
     g_hash_table_add(frontend->exchanges, exchange);
@@ -120,18 +123,19 @@
 }
 
 void
-ch_front_leave(struct ch_front *frontend, struct ch_exchange *exchange)
+ch_frontend_remove_exchange(struct ch_frontend *frontend,
+                            struct ch_exchange *exchange)
 {
     pthread_mutex_lock(&frontend->lock);
     g_hash_table_remove(frontend->exchanges, exchange);
-    pthread_cond_broadcast(&frontend->quiet);
+    pthread_cond_broadcast(&frontend->count_lowered);
     pthread_mutex_unlock(&frontend->lock);
 }
 
 /* True once new requests are refused. *stopping: whether callers are told to
  * close their connections. */
 static bool
-is_refusing(struct ch_front *frontend, bool *stopping)
+is_refusing(struct ch_frontend *frontend, bool *stopping)
 {
     pthread_mutex_lock(&frontend->lock);
     bool refusing = frontend->refusing;
@@ -142,28 +146,28 @@
 
 /* See node.h. */
 bool
-ch_node_ready(struct ch_node *node)
+ch_node_is_ready(struct ch_node *node)
 {
     bool stopping = false;
-    struct ch_front *frontend = ck_pr_load_ptr(&node->front);
+    struct ch_frontend *frontend = ck_pr_load_ptr(&node->frontend);
     if (frontend == NULL) {
         return false;
     }
     (void)is_refusing(frontend, &stopping);
-    struct ch_config *config = ch_config_keeper_current(node->config);
+    struct ch_config *config = ch_config_manager_get_current(node->config);
     bool known = config != NULL;
     if (known) {
         ch_config_unref(config);
     }
-    return known && !stopping && ch_crash_keeper_known(node->crashes) &&
-           node->router->ops->ready(node->router);
+    return known && !stopping && ch_crash_guard_is_ready(node->crash_guard) &&
+           node->router->ops->is_ready(node->router);
 }
 
 /* ---- one complete request ---- */
 
 /* Refuses a request for which no exchange was started. */
 static void
-refuse(struct ch_front *frontend, struct ch_reply *response,
+refuse(struct ch_frontend *frontend, struct ch_response *response,
        const struct ch_fault *fault, int64_t retry_after)
 {
     enum ch_code code = fault->error.code;
@@ -173,49 +177,50 @@
         .message = fault->error.message,
         .field = fault->field,
         .retry_after = retry_after,
-        .request_id = ch_reply_id(response),
+        .request_id = ch_response_get_id(response),
     };
-    char *json = ch_refusal_print(&refusal);
-    const struct ch_reply_answer data = {
-        .status = ch_code_http(code),
+    char *json = ch_refusal_to_json(&refusal);
+    const struct ch_response_data data = {
+        .status = ch_code_get_http_status(code),
         .content_type = "application/json",
         .outcome = CH_NOT_RUN,
         .code = code,
         .retry_after = retry_after,
         .body = json,
-        .length = strlen(json),
+        .body_length = strlen(json),
     };
-    ch_reply_whole(response, &data);
-    ch_metrics_count(frontend->node->client->metrics, CH_COUNT_REFUSED, 1);
+    ch_response_send(response, &data);
+    ch_metrics_add_count(frontend->node->client->metrics, CH_COUNT_REFUSED, 1);
     ch_log(frontend->node->client, CH_LOG_INFO, "refused",
-           CH_F_STR("request_id", ch_reply_id(response)),
-           CH_F_INT("code", code), CH_F_STR("name", ch_code_name(code)),
+           CH_F_STR("request_id", ch_response_get_id(response)),
+           CH_F_INT("code", code), CH_F_STR("name", ch_code_get_name(code)),
            CH_F_STR("field", fault->field),
            CH_F_STR("message", fault->error.message),
-           CH_F_STR("outcome", ch_outcome_name(CH_NOT_RUN)), CH_F_END);
+           CH_F_STR("outcome", ch_outcome_get_name(CH_NOT_RUN)), CH_F_END);
 }
 
 /* Parses a request whose class is chosen by host and path. */
 static struct ch_request *
-parse_routed(struct ch_front *frontend, struct ch_intake *incoming,
+parse_routed(struct ch_frontend *frontend,
+             struct ch_incoming_request *incoming,
              const struct ch_config *config, int64_t now,
              struct ch_fault *fault)
 {
     struct ch_request_input *input = g_new0(struct ch_request_input, 1);
     struct ch_request *request = NULL;
-    bool good =
-        ch_intake_read(incoming, frontend->node->dialect, input, fault);
+    bool good = ch_incoming_request_read_dialect(
+        incoming, frontend->node->dialect, input, fault);
     if (input->request_id != NULL &&
-        strlen(input->request_id) <= CH_REPLY_MOST_ID) {
-        ch_reply_own_id(incoming->reply,
-                        frontend->node->dialect->request_id_header,
-                        input->request_id);
+        strlen(input->request_id) <= CH_RESPONSE_MAX_ID_BYTES) {
+        ch_response_use_caller_id(incoming->response,
+                                  frontend->node->dialect->request_id_header,
+                                  input->request_id);
     }
     if (good) {
         request =
             ch_request_parse_routed(config->declaration, input, now, fault);
     }
-    g_array_free(input->passed, TRUE);
+    g_array_free(input->forwarded_headers, TRUE);
     g_free(input);
     return request;
 }
@@ -223,55 +228,57 @@
 /* Parses a request by the configuration in force, and starts its exchange or
  * answers it. */
 static void
-start_request(struct ch_front *frontend, struct ch_intake *incoming,
+start_request(struct ch_frontend *frontend,
+              struct ch_incoming_request *incoming,
               const struct ch_config *config)
 {
     struct ch_fault fault = {.error.code = CH_OK};
     struct ch_request_input input;
     struct ch_request *request = NULL;
-    int64_t now = ch_client_now(frontend->node->client);
+    int64_t now = ch_client_get_time(frontend->node->client);
     if (frontend->node->dialect != NULL) {
         request = parse_routed(frontend, incoming, config, now, &fault);
     }
     else {
-        ch_intake_input(incoming, &input);
+        ch_incoming_request_get_input(incoming, &input);
         request = ch_request_parse(config->declaration, &input, now, &fault);
     }
     if (request == NULL) {
-        refuse(frontend, incoming->reply, &fault, 0);
+        refuse(frontend, incoming->response, &fault, 0);
         return;
     }
     if (request->kind == CH_REQUEST_MODEL_LIST) {
-        ch_local_models(config->declaration, request, incoming->reply);
+        ch_local_send_models(config->declaration, request, incoming->response);
         ch_request_free(request);
         return;
     }
-    request->work.id = incoming->number;
-    ch_exchange_start(frontend, request, incoming->reply);
+    request->info.id = incoming->number;
+    ch_exchange_start(frontend, request, incoming->response);
 }
 
 /* Handles a request that has arrived completely. */
 static void
-handle_complete_request(struct ch_front *frontend, struct ch_intake *incoming,
-                        bool refusing)
+handle_complete_request(struct ch_frontend *frontend,
+                        struct ch_incoming_request *incoming, bool refusing)
 {
     struct ch_fault fault = {.error.code = CH_OK};
     if (frontend->node->dialect == NULL &&
         ch_local_serve(frontend, incoming)) {
         return;
     }
-    ch_metrics_count(frontend->node->client->metrics, CH_COUNT_REQUESTS, 1);
+    ch_metrics_add_count(frontend->node->client->metrics, CH_COUNT_REQUESTS,
+                         1);
     if (refusing) {
         ch_fault_set(&fault, CH_STOPPING, "", "this node is stopping");
-        refuse(frontend, incoming->reply, &fault, STOPPING_RETRY_AFTER_US);
+        refuse(frontend, incoming->response, &fault, STOPPING_RETRY_AFTER_US);
         return;
     }
     struct ch_config *config =
-        ch_config_keeper_current(frontend->node->config);
+        ch_config_manager_get_current(frontend->node->config);
     if (config == NULL) {
         ch_fault_set(&fault, CH_NOT_READY, "",
                      "this node has no configuration yet");
-        refuse(frontend, incoming->reply, &fault, NOT_READY_RETRY_AFTER_US);
+        refuse(frontend, incoming->response, &fault, NOT_READY_RETRY_AFTER_US);
         return;
     }
     start_request(frontend, incoming, config);
@@ -286,34 +293,39 @@
 handle_request_line(void *data, const char *uri,
                     struct MHD_Connection *connection)
 {
-    struct ch_front *frontend = data;
-    CH_ACQUIRE(&frontend->listener); /* see handle_new_connection() */
-    char id[CH_REPLY_ID];
-    uint64_t number = ch_front_new_id(frontend, id);
-    struct ch_intake *incoming = ch_intake_new(connection, uri, id, number);
+    struct ch_frontend *frontend = data;
+    CH_TSAN_ACQUIRE(&frontend->listener); /* see handle_new_connection() */
+    char id[CH_RESPONSE_ID_SIZE];
+    uint64_t number = ch_frontend_new_id(frontend, id);
+    struct ch_incoming_request *incoming =
+        ch_incoming_request_new(connection, uri, id, number);
     if (frontend->node->dialect != NULL) {
-        ch_reply_own_id(incoming->reply,
-                        frontend->node->dialect->request_id_header, NULL);
+        ch_response_use_caller_id(incoming->response,
+                                  frontend->node->dialect->request_id_header,
+                                  NULL);
     }
     pthread_mutex_lock(&frontend->lock);
     frontend->incoming++;
-    incoming->mark = ch_table_add(frontend->replies, incoming->reply);
+    incoming->response_handle =
+        ch_table_add(frontend->responses, incoming->response);
     pthread_mutex_unlock(&frontend->lock);
-    ch_hangups_add(frontend->hangups, ch_reply_fd(incoming->reply),
-                   incoming->mark);
+    ch_disconnect_watch_add(frontend->disconnect_watch,
+                            ch_response_get_fd(incoming->response),
+                            incoming->response_handle);
     return incoming;
 }
 
 /* Counts the request as accepted, because it is complete or is answered early:
  * from here on the node stops only after sending the response. */
 static void
-accept_request(struct ch_front *frontend, struct ch_intake *incoming)
+accept_request(struct ch_frontend *frontend,
+               struct ch_incoming_request *incoming)
 {
     incoming->complete = true;
     pthread_mutex_lock(&frontend->lock);
     frontend->incoming--;
     frontend->accepted++;
-    pthread_cond_broadcast(&frontend->quiet);
+    pthread_cond_broadcast(&frontend->count_lowered);
     pthread_mutex_unlock(&frontend->lock);
 }
 
@@ -326,39 +338,41 @@
 {
     (void)path;
     (void)version;
-    struct ch_front *frontend = data;
-    struct ch_intake *incoming = *request;
+    struct ch_frontend *frontend = data;
+    struct ch_incoming_request *incoming = *request;
     const struct ch_settings *settings = frontend->node->settings;
     bool stopping = false;
     bool refusing = is_refusing(frontend, &stopping);
-    if (!incoming->begun) {
+    if (!incoming->head_checked) {
         struct ch_fault fault = {.error.code = CH_OK};
-        if (ch_intake_head(incoming, connection, method, settings, &fault)) {
+        if (ch_incoming_request_read_head(incoming, connection, method,
+                                          settings, &fault)) {
             return MHD_YES;
         }
         accept_request(frontend, incoming);
-        refuse(frontend, incoming->reply, &fault, 0);
+        refuse(frontend, incoming->response, &fault, 0);
         /* The body is not read, so the bytes that follow are not the start of
          * another request: the connection has to close. */
-        return ch_reply_serve(incoming->reply, true);
+        return ch_response_queue(incoming->response, true);
     }
     if (*upload_size > 0) {
-        bool good =
-            ch_intake_body(incoming, upload, *upload_size, settings->max_body);
+        bool good = ch_incoming_request_add_body(
+            incoming, upload, *upload_size, settings->max_body_bytes);
         *upload_size = 0;
         return good ? MHD_YES : MHD_NO;
     }
     if (!incoming->complete) {
         accept_request(frontend, incoming);
         struct ch_fault fault = {.error.code = CH_OK};
-        if (ch_intake_check(incoming, settings->max_body, &fault)) {
+        if (ch_incoming_request_check(incoming, settings->max_body_bytes,
+                                      &fault)) {
             handle_complete_request(frontend, incoming, refusing);
         }
         else {
-            refuse(frontend, incoming->reply, &fault, 0);
+            refuse(frontend, incoming->response, &fault, 0);
         }
     }
-    return ch_reply_serve(incoming->reply, stopping);
+    return ch_response_queue(incoming->response, stopping);
 }
 
 /* The library has finished with a request, successfully or not. */
@@ -367,29 +381,30 @@
                    void **request, enum MHD_RequestTerminationCode why)
 {
     (void)connection;
-    struct ch_front *frontend = data;
-    struct ch_intake *incoming = *request;
+    struct ch_frontend *frontend = data;
+    struct ch_incoming_request *incoming = *request;
     if (incoming == NULL) {
         return;
     }
-    ch_hangups_remove(frontend->hangups, ch_reply_fd(incoming->reply));
+    ch_disconnect_watch_remove(frontend->disconnect_watch,
+                               ch_response_get_fd(incoming->response));
     pthread_mutex_lock(&frontend->lock);
-    ch_table_remove(frontend->replies, incoming->mark);
+    ch_table_remove(frontend->responses, incoming->response_handle);
     pthread_mutex_unlock(&frontend->lock);
     if (!incoming->complete) {
         ch_log(frontend->node->client, CH_LOG_INFO, "request-cut-short",
-               CH_F_STR("request_id", ch_reply_id(incoming->reply)),
+               CH_F_STR("request_id", ch_response_get_id(incoming->response)),
                CH_F_INT("code", CH_BODY_TRUNCATED), CH_F_INT("why", (int)why),
                CH_F_END);
     }
     bool complete = incoming->complete;
-    ch_reply_detach(incoming->reply);
-    ch_intake_free(incoming);
+    ch_response_detach(incoming->response);
+    ch_incoming_request_free(incoming);
     *request = NULL;
     pthread_mutex_lock(&frontend->lock);
     frontend->accepted -= complete;
     frontend->incoming -= !complete;
-    pthread_cond_broadcast(&frontend->quiet);
+    pthread_cond_broadcast(&frontend->count_lowered);
     pthread_mutex_unlock(&frontend->lock);
 }
 
@@ -397,17 +412,17 @@
 static void
 handle_disconnect(void *data, uint64_t response_handle)
 {
-    struct ch_front *frontend = data;
+    struct ch_frontend *frontend = data;
     pthread_mutex_lock(&frontend->lock);
-    struct ch_reply *response =
-        ch_table_get(frontend->replies, response_handle);
+    struct ch_response *response =
+        ch_table_get(frontend->responses, response_handle);
     if (response != NULL) {
-        ch_reply_ref(response);
+        ch_response_ref(response);
     }
     pthread_mutex_unlock(&frontend->lock);
     if (response != NULL) {
-        ch_reply_hang_up(response);
-        ch_reply_unref(response);
+        ch_response_handle_disconnect(response);
+        ch_response_unref(response);
     }
 }
 
@@ -418,7 +433,7 @@
 static void
 log_library_message(void *data, const char *form, va_list arguments)
 {
-    struct ch_front *frontend = data;
+    struct ch_frontend *frontend = data;
     char text[256];
     (void)vsnprintf(text, sizeof(text), form, arguments);
     ch_log(frontend->node->client, CH_LOG_DEBUG, "listener",
@@ -429,13 +444,14 @@
 
 /* Logs that there are too many connections, at most once a second. */
 static void
-log_connection_limit(struct ch_front *frontend)
+log_connection_limit(struct ch_frontend *frontend)
 {
-    int64_t now = ch_client_now(frontend->node->client);
-    if (frontend->full_at != 0 && now - frontend->full_at < G_USEC_PER_SEC) {
+    int64_t now = ch_client_get_time(frontend->node->client);
+    if (frontend->limit_logged_at != 0 &&
+        now - frontend->limit_logged_at < G_USEC_PER_SEC) {
         return;
     }
-    frontend->full_at = now;
+    frontend->limit_logged_at = now;
     ch_log(frontend->node->client, CH_LOG_WARNING, "too-many-connections",
            CH_F_INT("limit", frontend->node->settings->max_connections),
            CH_F_END);
@@ -445,7 +461,7 @@
  * to each of its threads, so that it would reject callers while another thread
  * still has capacity. */
 static bool
-count_connection(struct ch_front *frontend)
+count_connection(struct ch_frontend *frontend)
 {
     pthread_mutex_lock(&frontend->lock);
     bool room =
@@ -456,7 +472,7 @@
 }
 
 static void
-uncount_connection(struct ch_front *frontend)
+uncount_connection(struct ch_frontend *frontend)
 {
     pthread_mutex_lock(&frontend->lock);
     frontend->connections--;
@@ -481,13 +497,13 @@
 static void
 handle_new_connection(void *data, int fd, const struct sockaddr_in *from)
 {
-    struct ch_front *frontend = data;
+    struct ch_frontend *frontend = data;
     if (!count_connection(frontend)) {
         log_connection_limit(frontend);
         close(fd);
         return;
     }
-    CH_RELEASE(&frontend->listener); /* the library's lock passes on fd */
+    CH_TSAN_RELEASE(&frontend->listener); /* the library's lock passes on fd */
     if (MHD_add_connection(frontend->daemon, fd, (const struct sockaddr *)from,
                            sizeof(*from)) != MHD_YES) {
         uncount_connection(frontend);
@@ -497,7 +513,7 @@
 /* Starts the library's threads. The library's memory limit for a connection
  * bounds the head of a request even before this node can check it. */
 static struct MHD_Daemon *
-start_daemon(struct ch_front *frontend)
+start_daemon(struct ch_frontend *frontend)
 {
     const struct ch_settings *settings = frontend->node->settings;
     unsigned threads = CLAMP(settings->workers, 1, MAX_LISTENER_THREADS);
@@ -511,7 +527,7 @@
         handle_request_end, frontend, MHD_OPTION_CONNECTION_LIMIT,
         settings->max_connections * threads, MHD_OPTION_NOTIFY_CONNECTION,
         handle_connection_change, frontend, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
-        settings->max_headers + CH_INTAKE_MEMORY,
+        settings->max_header_bytes + CH_INCOMING_MEMORY_BYTES,
         MHD_OPTION_CONNECTION_TIMEOUT, (unsigned)IDLE_SECONDS,
         MHD_OPTION_THREAD_POOL_SIZE, threads > 1 ? threads : 0,
         MHD_OPTION_STRICT_FOR_CLIENT, 1, MHD_OPTION_END);
@@ -519,37 +535,39 @@
 
 /* Starts listening for callers. The node's other components must exist, but
  * not its configuration: without one, requests are refused with NOT_READY. */
-struct ch_front *
-ch_front_new(struct ch_node *node, struct ch_error *error)
+struct ch_frontend *
+ch_frontend_new(struct ch_node *node, struct ch_error *error)
 {
-    struct ch_front *frontend = g_new0(struct ch_front, 1);
+    struct ch_frontend *frontend = g_new0(struct ch_frontend, 1);
     frontend->node = node;
-    frontend->id_start =
+    frontend->id_prefix =
         ch_hash_pair(ch_hash_string(node->settings->name), node->incarnation);
-    frontend->replies = ch_table_new();
+    frontend->responses = ch_table_new();
     pthread_mutex_init(&frontend->lock, NULL);
-    pthread_cond_init(&frontend->quiet, NULL);
-    ch_retry_budget_init(&frontend->retries, node->settings->retry_share);
+    pthread_cond_init(&frontend->count_lowered, NULL);
+    ch_retry_budget_init(&frontend->retry_budget, node->settings->retry_share);
     frontend->exchanges = g_hash_table_new(NULL, NULL);
-    frontend->service_retries =
+    frontend->service_retry_budgets =
         g_hash_table_new_full(NULL, NULL, NULL, g_free);
-    frontend->hangups = ch_hangups_new(handle_disconnect, frontend);
+    frontend->disconnect_watch =
+        ch_disconnect_watch_new(handle_disconnect, frontend);
     frontend->daemon = start_daemon(frontend);
     if (frontend->daemon == NULL) {
         ch_error_set(error, CH_SYSTEM, "cannot serve HTTP: %s",
                      g_strerror(errno));
-        ch_front_free(frontend);
+        ch_frontend_free(frontend);
         return NULL;
     }
     frontend->listener = ch_listener_new(
         node->settings->callers, handle_new_connection, frontend, error);
     if (frontend->listener == NULL) {
-        ch_front_free(frontend);
+        ch_frontend_free(frontend);
         return NULL;
     }
     ch_log(node->client, CH_LOG_NOTICE, "listening-for-callers",
            CH_F_STR("address", node->settings->callers),
-           CH_F_INT("port", ch_listener_port(frontend->listener)), CH_F_END);
+           CH_F_INT("port", ch_listener_get_port(frontend->listener)),
+           CH_F_END);
     return frontend;
 }
 
@@ -568,7 +586,7 @@
 
 /* The running exchanges, with a reference to each. */
 static GPtrArray *
-list_exchanges(struct ch_front *frontend)
+list_exchanges(struct ch_frontend *frontend)
 {
     GPtrArray *open = g_ptr_array_new_with_free_func(ch_exchange_unref);
     GHashTableIter iterator;
@@ -584,24 +602,24 @@
 
 /* See node.h. */
 void
-ch_front_drop_barred(struct ch_front *frontend)
+ch_frontend_abandon_barred(struct ch_frontend *frontend)
 {
     GPtrArray *open = list_exchanges(frontend);
     for (guint i = 0; i < open->len; i++) {
-        ch_exchange_drop_barred(g_ptr_array_index(open, i));
+        ch_exchange_abandon_barred(g_ptr_array_index(open, i));
     }
     g_ptr_array_free(open, TRUE);
 }
 
 /* Aborts all running exchanges. */
 static void
-abort_exchanges(struct ch_front *frontend)
+abort_exchanges(struct ch_frontend *frontend)
 {
     GPtrArray *open = list_exchanges(frontend);
     ch_log(frontend->node->client, CH_LOG_WARNING, "requests-cut",
            CH_F_INT("count", open->len), CH_F_END);
     for (guint i = 0; i < open->len; i++) {
-        ch_exchange_cut(g_ptr_array_index(open, i));
+        ch_exchange_abort(g_ptr_array_index(open, i));
     }
     g_ptr_array_free(open, TRUE);
 }
@@ -609,15 +627,16 @@
 /* Waits until every accepted request has its response, or until the time
  * `until` (NULL: no limit). Lock held; false when the time has come. */
 static bool
-wait_for_responses(struct ch_front *frontend, const struct timespec *until)
+wait_for_responses(struct ch_frontend *frontend, const struct timespec *until)
 {
     int error = 0;
     while (error == 0 && (frontend->accepted > 0 ||
                           g_hash_table_size(frontend->exchanges) > 0)) {
-        error = until == NULL
-                    ? pthread_cond_wait(&frontend->quiet, &frontend->lock)
-                    : pthread_cond_timedwait(&frontend->quiet, &frontend->lock,
-                                             until);
+        error =
+            until == NULL
+                ? pthread_cond_wait(&frontend->count_lowered, &frontend->lock)
+                : pthread_cond_timedwait(&frontend->count_lowered,
+                                         &frontend->lock, until);
     }
     return error == 0;
 }
@@ -628,14 +647,14 @@
  * then must not keep the node from stopping.
  */
 static void
-wait_until_idle(struct ch_front *frontend, const struct timespec *abort_at)
+wait_until_idle(struct ch_frontend *frontend, const struct timespec *abort_at)
 {
     struct timespec until = time_after(INCOMING_WAIT_US);
     pthread_mutex_lock(&frontend->lock);
     int error = 0;
     while (frontend->incoming > 0 && error == 0) {
-        error =
-            pthread_cond_timedwait(&frontend->quiet, &frontend->lock, &until);
+        error = pthread_cond_timedwait(&frontend->count_lowered,
+                                       &frontend->lock, &until);
     }
     if (!wait_for_responses(frontend, abort_at)) {
         pthread_mutex_unlock(&frontend->lock);
@@ -661,7 +680,7 @@
  * be reset.
  */
 void
-ch_front_stop(struct ch_front *frontend)
+ch_frontend_stop(struct ch_frontend *frontend)
 {
     int64_t grace = (int64_t)frontend->node->settings->grace_ms * 1000;
     struct timespec at =
@@ -685,7 +704,7 @@
 /* Frees the front end; closes it at once if ch_frontend_stop() was not called.
  */
 void
-ch_front_free(struct ch_front *frontend)
+ch_frontend_free(struct ch_frontend *frontend)
 {
     if (frontend == NULL) {
         return;
@@ -694,15 +713,15 @@
     if (frontend->daemon != NULL) {
         MHD_stop_daemon(frontend->daemon);
     }
-    ch_hangups_free(frontend->hangups);
-    ch_table_free(frontend->replies);
-    if (frontend->service_retries != NULL) {
-        g_hash_table_destroy(frontend->service_retries);
+    ch_disconnect_watch_free(frontend->disconnect_watch);
+    ch_table_free(frontend->responses);
+    if (frontend->service_retry_budgets != NULL) {
+        g_hash_table_destroy(frontend->service_retry_budgets);
     }
     if (frontend->exchanges != NULL) {
         g_hash_table_destroy(frontend->exchanges);
     }
-    pthread_cond_destroy(&frontend->quiet);
+    pthread_cond_destroy(&frontend->count_lowered);
     pthread_mutex_destroy(&frontend->lock);
     g_free(frontend);
 }
--- a/libchestnuthitch/node/gossip.c
+++ b/libchestnuthitch/node/gossip.c
@@ -38,20 +38,21 @@
 update_sequence(struct ch_homes *homes, struct upstream *upstream, int64_t now)
 {
     home_refresh_view(homes, upstream, now);
-    const struct ch_upstream_view *view = site_view(homes, upstream);
+    const struct ch_upstream_view *view =
+        upstream_list_get_view(homes, upstream);
     if (view == NULL) {
         return;
     }
     uint64_t hash = compute_state_hash(view);
-    if (hash == upstream->told_hash && !homes->news &&
-        now - upstream->told_at < CH_GOSSIP_REFRESH_US) {
+    if (hash == upstream->published_hash && !homes->publish_all &&
+        now - upstream->published_at < CH_GOSSIP_REFRESH_US) {
         return;
     }
-    upstream->told_hash = hash;
-    upstream->told_at = now;
+    upstream->published_hash = hash;
+    upstream->published_at = now;
     upstream->sequence =
         MAX(upstream->sequence + 1, (uint64_t)g_get_real_time());
-    upstream->news = true;
+    upstream->unpublished = true;
 }
 
 /*
@@ -63,7 +64,7 @@
 static void
 collect_states(struct ch_homes *homes, struct message *message, int64_t now)
 {
-    bool reaches_all = ch_gossip_reaches_all(homes->live);
+    bool reaches_all = ch_gossip_reaches_all(homes->live_count);
     guint count = homes->upstreams->len;
     guint start = count > 0 ? g_rand_int(homes->random) % count : 0;
     for (guint k = 0; k < count; k++) {
@@ -73,18 +74,18 @@
             continue;
         }
         update_sequence(homes, upstream, now);
-        if ((reaches_all && !upstream->news) ||
+        if ((reaches_all && !upstream->unpublished) ||
             message->state_count == CH_GOSSIP_MAX_STATES) {
             continue;
         }
-        upstream->news = false;
+        upstream->unpublished = false;
         message->states[message->state_count] =
-            site_make_state(homes, upstream);
+            upstream_make_state(homes, upstream);
         if (message->states[message->state_count] != NULL) {
             message->state_count++;
         }
     }
-    homes->news = false;
+    homes->publish_all = false;
 }
 
 /* Adds the state of one member to the message. */
@@ -137,16 +138,16 @@
 {
     GPtrArray *local = g_ptr_array_new_with_free_func(g_free);
     GPtrArray *remote = g_ptr_array_new_with_free_func(g_free);
-    ch_peers_others(homes->node->peers, local, remote);
+    ch_peers_list_others(homes->node->peers, local, remote);
     struct ch_gossip_fanout fanout = {local->len, remote->len};
     if (!to_all) {
         fanout = ch_gossip_fanout(local->len, remote->len);
     }
     pthread_mutex_lock(&homes->lock);
-    unsigned local_turn = homes->near_turn;
-    unsigned remote_turn = homes->far_turn;
-    homes->near_turn += fanout.local;
-    homes->far_turn += fanout.remote;
+    unsigned local_turn = homes->next_local_peer;
+    unsigned remote_turn = homes->next_remote_peer;
+    homes->next_local_peer += fanout.local;
+    homes->next_remote_peer += fanout.remote;
     pthread_mutex_unlock(&homes->lock);
     send_message(homes, message, local, local_turn, fanout.local);
     send_message(homes, message, remote, remote_turn, fanout.remote);
@@ -159,7 +160,7 @@
 clear_message(struct message *message)
 {
     for (size_t i = 0; i < message->state_count; i++) {
-        site_free_state(message->states[i]);
+        upstream_free_state(message->states[i]);
     }
     g_ptr_array_free(message->members, TRUE);
 }
@@ -167,13 +168,13 @@
 /* One gossip round: changed upstream states and members recently found silent.
  * Sends nothing when there are none. */
 void
-gossip_round(struct ch_homes *homes, int64_t now)
+gossip_send_due(struct ch_homes *homes, int64_t now)
 {
     struct message message = {
         .members = g_ptr_array_new_with_free_func(free_member_state),
     };
     GPtrArray *silent = g_ptr_array_new_with_free_func(g_free);
-    ch_peers_hints(homes->node->peers, silent);
+    ch_peers_collect_hints(homes->node->peers, silent);
     for (guint i = 0; i < silent->len; i++) {
         add_member_state(&message, g_ptr_array_index(silent, i), 0,
                          CH_MEMBER_SILENT);
@@ -191,7 +192,7 @@
 /* Tells every live node that this one is stopping, so that other nodes become
  * home nodes while this one still responds. */
 void
-gossip_stopping(struct ch_homes *homes)
+gossip_announce_stop(struct ch_homes *homes)
 {
     struct message message = {
         .members = g_ptr_array_new_with_free_func(free_member_state),
@@ -208,20 +209,20 @@
 {
     struct ch_homes *homes = data;
     const Chestnuthitch__Wire__Gossip *gossip = frame->gossip;
-    int64_t now = ch_client_now(homes->node->client);
+    int64_t now = ch_client_get_time(homes->node->client);
     if (gossip->n_members > 0) {
-        ch_peers_told(homes->node->peers, gossip);
+        ch_peers_handle_gossip(homes->node->peers, gossip);
     }
     pthread_mutex_lock(&homes->lock);
     for (size_t i = 0; i < gossip->n_upstreams; i++) {
-        site_take_state(homes, gossip->upstreams[i], now);
+        upstream_list_apply_state(homes, gossip->upstreams[i], now);
     }
     pthread_mutex_unlock(&homes->lock);
 }
 
 void
-gossip_handlers(struct ch_homes *homes)
+gossip_register_handlers(struct ch_homes *homes)
 {
-    ch_peers_handle(homes->node->peers, WIRE(FRAME__BODY_GOSSIP),
-                    handle_gossip, homes);
+    ch_peers_set_handler(homes->node->peers, WIRE(FRAME__BODY_GOSSIP),
+                         handle_gossip, homes);
 }
--- a/libchestnuthitch/node/hangup.c
+++ b/libchestnuthitch/node/hangup.c
@@ -12,7 +12,7 @@
     MAX_EVENTS_PER_WAIT = 64,
 };
 
-struct ch_hangups {
+struct ch_disconnect_watch {
     void (*disconnected)(void *data, uint64_t handle);
     void *data;
     pthread_t thread;
@@ -24,7 +24,7 @@
 static void *
 run_watch(void *data)
 {
-    struct ch_hangups *watch = data;
+    struct ch_disconnect_watch *watch = data;
     struct epoll_event events[MAX_EVENTS_PER_WAIT];
     for (;;) {
         int count =
@@ -42,10 +42,11 @@
 }
 
 /* Starts the thread; aborts the process when there are no resources for it. */
-struct ch_hangups *
-ch_hangups_new(void (*disconnected)(void *data, uint64_t handle), void *data)
+struct ch_disconnect_watch *
+ch_disconnect_watch_new(void (*disconnected)(void *data, uint64_t handle),
+                        void *data)
 {
-    struct ch_hangups *watch = g_new0(struct ch_hangups, 1);
+    struct ch_disconnect_watch *watch = g_new0(struct ch_disconnect_watch, 1);
     watch->disconnected = disconnected;
     watch->data = data;
     watch->epoll_fd = epoll_create1(EPOLL_CLOEXEC);
@@ -64,7 +65,7 @@
 
 /* Stops the thread; disconnected does not run afterwards. */
 void
-ch_hangups_free(struct ch_hangups *watch)
+ch_disconnect_watch_free(struct ch_disconnect_watch *watch)
 {
     if (watch == NULL) {
         return;
@@ -80,7 +81,8 @@
  * closes only its sending side is reported as disconnected too: it can't be
  * told from one that has closed its connection. */
 void
-ch_hangups_add(struct ch_hangups *watch, int fd, uint64_t handle)
+ch_disconnect_watch_add(struct ch_disconnect_watch *watch, int fd,
+                        uint64_t handle)
 {
     struct epoll_event event = {
         .events = EPOLLRDHUP | EPOLLONESHOT,
@@ -91,7 +93,7 @@
 
 /* Ends the watch of a socket; must be called before the socket is closed. */
 void
-ch_hangups_remove(struct ch_hangups *watch, int fd)
+ch_disconnect_watch_remove(struct ch_disconnect_watch *watch, int fd)
 {
     epoll_ctl(watch->epoll_fd, EPOLL_CTL_DEL, fd, NULL);
 }
--- a/libchestnuthitch/node/home_frames.c
+++ b/libchestnuthitch/node/home_frames.c
@@ -60,15 +60,15 @@
         .attempt = enqueue->attempt,
         .idempotent = enqueue->idempotent,
     };
-    if (ch_declaration_class(declaration, enqueue->class_name) < 0) {
+    if (ch_declaration_find_class(declaration, enqueue->class_name) < 0) {
         return false;
     }
     info->class_name = g_quark_from_string(enqueue->class_name);
     if (enqueue->service) {
         info->model = g_quark_from_string(enqueue->model);
-        return ch_declaration_service(declaration, enqueue->model) >= 0;
+        return ch_declaration_find_service(declaration, enqueue->model) >= 0;
     }
-    int model = ch_declaration_model(declaration, enqueue->model);
+    int model = ch_declaration_find_model(declaration, enqueue->model);
     if (model < 0) {
         return false;
     }
@@ -79,7 +79,8 @@
         return enqueue->adapter[0] == '\0';
     }
     int index = -1;
-    if (ch_declaration_adapter(declaration, adapter + 1, &index) != model) {
+    if (ch_declaration_find_adapter(declaration, adapter + 1, &index) !=
+        model) {
         return false;
     }
     info->adapter = g_quark_from_string(enqueue->adapter);
@@ -95,22 +96,24 @@
 enqueue_remote(struct ch_homes *homes, const Chestnuthitch__Wire__Frame *frame,
                struct ch_request_info *info)
 {
-    int64_t now = ch_client_now(homes->node->client);
+    int64_t now = ch_client_get_time(homes->node->client);
     struct effects effects;
     effects_init(&effects);
     pthread_mutex_lock(&homes->lock);
     struct upstream *upstream =
-        homes->draining ? NULL
-                        : site_find_name(homes, frame->enqueue->upstream);
+        homes->draining
+            ? NULL
+            : upstream_list_find_name(homes, frame->enqueue->upstream);
     if (upstream != NULL) {
         struct ticket *ticket = g_new0(struct ticket, 1);
-        ticket->from = g_strdup(frame->from);
-        ticket->enqueue = frame->id;
-        ch_peers_heard(homes->node->peers, frame->from, &ticket->incarnation);
+        ticket->from_node = g_strdup(frame->from);
+        ticket->enqueue_id = frame->id;
+        ch_peers_get_last_heard(homes->node->peers, frame->from,
+                                &ticket->from_incarnation);
         uint64_t handle = 0;
-        homes->rehome |= upstream->home == NULL;
+        homes->rehome_needed |= upstream->home == NULL;
         home_open(homes, upstream, now, &effects);
-        home_offer(homes, upstream, info, ticket, &handle, now, &effects);
+        home_enqueue(homes, upstream, info, ticket, &handle, now, &effects);
     }
     pthread_mutex_unlock(&homes->lock);
     effects_run(homes, &effects);
@@ -124,7 +127,8 @@
 handle_enqueue(void *data, const Chestnuthitch__Wire__Frame *frame)
 {
     struct ch_homes *homes = data;
-    struct ch_config *config = ch_config_keeper_current(homes->node->config);
+    struct ch_config *config =
+        ch_config_manager_get_current(homes->node->config);
     if (config == NULL) {
         refuse_enqueue(homes, frame, CH_NOT_READY,
                        "the home node has no configuration yet");
@@ -132,7 +136,7 @@
     }
     struct ch_request_info info;
     if (parse_enqueue(config->declaration, frame->enqueue,
-                      ch_client_now(homes->node->client), &info)) {
+                      ch_client_get_time(homes->node->client), &info)) {
         enqueue_remote(homes, frame, &info);
     }
     else {
@@ -159,7 +163,7 @@
     effects_init(&effects);
     pthread_mutex_lock(&homes->lock);
     home_release(homes, frame->release->grant, &sample,
-                 ch_client_now(homes->node->client), &effects);
+                 ch_client_get_time(homes->node->client), &effects);
     pthread_mutex_unlock(&homes->lock);
     effects_run(homes, &effects);
     acknowledge(homes, frame);
@@ -177,8 +181,8 @@
 {
     const struct ticket *ticket = item;
     struct ticket_search *search = data;
-    if (ticket->from != NULL && ticket->enqueue == search->enqueue &&
-        strcmp(ticket->from, search->from) == 0) {
+    if (ticket->from_node != NULL && ticket->enqueue_id == search->enqueue &&
+        strcmp(ticket->from_node, search->from) == 0) {
         search->handle = handle;
     }
 }
@@ -196,15 +200,15 @@
     struct effects effects;
     effects_init(&effects);
     pthread_mutex_lock(&homes->lock);
-    ch_table_each(homes->tickets, find_ticket, &search);
+    ch_table_foreach(homes->tickets, find_ticket, &search);
     const struct ticket *ticket = ch_table_get(homes->tickets, search.handle);
     if (ticket != NULL && !ticket->granted) {
-        effects_refuse_frame(&effects, ticket, CH_PEER_LOST, 0, "withdrawn",
-                             homes);
+        effects_add_refuse_frame(&effects, ticket, CH_PEER_LOST, 0,
+                                 "withdrawn", homes);
     }
     if (ticket != NULL) {
-        home_withdraw(homes, search.handle, ch_client_now(homes->node->client),
-                      &effects);
+        home_withdraw(homes, search.handle,
+                      ch_client_get_time(homes->node->client), &effects);
     }
     pthread_mutex_unlock(&homes->lock);
     effects_run(homes, &effects);
@@ -213,10 +217,13 @@
 
 /* Registers the handlers of messages to homes. */
 void
-home_handlers(struct ch_homes *homes)
+home_register_handlers(struct ch_homes *homes)
 {
     struct ch_peers *peers = homes->node->peers;
-    ch_peers_handle(peers, WIRE(FRAME__BODY_ENQUEUE), handle_enqueue, homes);
-    ch_peers_handle(peers, WIRE(FRAME__BODY_RELEASE), handle_release, homes);
-    ch_peers_handle(peers, WIRE(FRAME__BODY_WITHDRAW), handle_withdraw, homes);
+    ch_peers_set_handler(peers, WIRE(FRAME__BODY_ENQUEUE), handle_enqueue,
+                         homes);
+    ch_peers_set_handler(peers, WIRE(FRAME__BODY_RELEASE), handle_release,
+                         homes);
+    ch_peers_set_handler(peers, WIRE(FRAME__BODY_WITHDRAW), handle_withdraw,
+                         homes);
 }
--- a/libchestnuthitch/node/home_ledger.c
+++ b/libchestnuthitch/node/home_ledger.c
@@ -8,7 +8,7 @@
 assume_resident(struct upstream *upstream, GQuark item, uint32_t memory_mb,
                 int64_t now, struct ch_actions *actions)
 {
-    g_array_append_val(upstream->items, item);
+    g_array_append_val(upstream->known_items, item);
     ch_home_set_item(upstream->home, item, CH_ITEM_RESIDENT, memory_mb, now,
                      actions);
 }
@@ -23,16 +23,17 @@
  * ledger as usual.
  */
 void
-home_assume_view(struct ch_homes *homes, struct upstream *upstream,
-                 int64_t now, struct effects *effects)
+home_assume_published_items(struct ch_homes *homes, struct upstream *upstream,
+                            int64_t now, struct effects *effects)
 {
-    const struct ch_upstream_view *view = site_view(homes, upstream);
+    const struct ch_upstream_view *view =
+        upstream_list_get_view(homes, upstream);
     struct ch_actions actions = home_actions_new();
     for (guint i = 0; view != NULL && i < view->resident->len; i++) {
         GQuark item = g_array_index(view->resident, struct ch_item, i).name;
         assume_resident(upstream, item, 0, now, &actions);
     }
-    home_apply(homes, upstream, &actions, now, effects);
+    home_apply_actions(homes, upstream, &actions, now, effects);
 }
 
 static bool
@@ -50,22 +51,23 @@
  * that the previous home published.  Does nothing once the ledger has been
  * read. */
 void
-home_assume_report(struct upstream *upstream, const struct ch_report *report,
-                   int64_t now, struct ch_actions *actions)
+home_assume_reported_items(struct upstream *upstream,
+                           const struct ch_engine_report *report, int64_t now,
+                           struct ch_actions *actions)
 {
     if (upstream->ledger_read) {
         return;
     }
-    GArray *before = upstream->items;
-    upstream->items = g_array_new(FALSE, FALSE, sizeof(GQuark));
-    for (size_t i = 0; i < report->resident_count; i++) {
+    GArray *before = upstream->known_items;
+    upstream->known_items = g_array_new(FALSE, FALSE, sizeof(GQuark));
+    for (size_t i = 0; i < report->resident_item_count; i++) {
         assume_resident(upstream,
-                        g_quark_from_string(report->resident[i].name),
-                        report->resident[i].memory_mb, now, actions);
+                        g_quark_from_string(report->resident_items[i].name),
+                        report->resident_items[i].memory_mb, now, actions);
     }
     for (guint i = 0; i < before->len; i++) {
         GQuark item = g_array_index(before, GQuark, i);
-        if (!has_item(upstream->items, item)) {
+        if (!has_item(upstream->known_items, item)) {
             ch_home_set_item(upstream->home, item, CH_ITEM_ABSENT, 0, now,
                              actions);
         }
@@ -97,22 +99,22 @@
 {
     struct ch_actions actions = home_actions_new();
     upstream->ledger_read = true;
-    for (guint i = 0; i < upstream->items->len; i++) {
-        GQuark item = g_array_index(upstream->items, GQuark, i);
+    for (guint i = 0; i < upstream->known_items->len; i++) {
+        GQuark item = g_array_index(upstream->known_items, GQuark, i);
         if (ch_ledger_find_entry(ledger, g_quark_to_string(item)) == NULL) {
             ch_home_set_item(upstream->home, item, CH_ITEM_ABSENT, 0, now,
                              &actions);
         }
     }
-    g_array_set_size(upstream->items, 0);
+    g_array_set_size(upstream->known_items, 0);
     for (size_t i = 0; i < ledger->entry_count; i++) {
         const struct ch_ledger_entry *entry = &ledger->entries[i];
         GQuark item = g_quark_from_string(entry->item);
-        g_array_append_val(upstream->items, item);
+        g_array_append_val(upstream->known_items, item);
         ch_home_set_item(upstream->home, item, convert_state(entry->state),
                          entry->memory_mb, now, &actions);
     }
-    home_apply(homes, upstream, &actions, now, effects);
+    home_apply_actions(homes, upstream, &actions, now, effects);
 }
 
 /* Runs on a pool worker after every change of an upstream's ledger. */
@@ -123,10 +125,10 @@
     struct effects effects;
     effects_init(&effects);
     pthread_mutex_lock(&homes->lock);
-    struct upstream *upstream = site_find(homes, name);
+    struct upstream *upstream = upstream_list_find(homes, name);
     if (upstream != NULL && upstream->home != NULL) {
         apply_ledger(homes, upstream, ledger,
-                     ch_client_now(homes->node->client), &effects);
+                     ch_client_get_time(homes->node->client), &effects);
     }
     pthread_mutex_unlock(&homes->lock);
     effects_run(homes, &effects);
@@ -153,16 +155,16 @@
            CH_F_STR("upstream", g_quark_to_string(name)),
            CH_F_STR("item", g_quark_to_string(item)),
            CH_F_STR("action", kind == CH_ACTION_LOAD ? "load" : "unload"),
-           CH_F_INT("code", code), CH_F_STR("reason", ch_code_meaning(code)),
-           CH_F_END);
+           CH_F_INT("code", code),
+           CH_F_STR("reason", ch_code_get_meaning(code)), CH_F_END);
     pthread_mutex_lock(&homes->lock);
-    struct upstream *upstream = site_find(homes, name);
+    struct upstream *upstream = upstream_list_find(homes, name);
     if (upstream != NULL && upstream->home != NULL) {
-        int64_t now = ch_client_now(homes->node->client);
+        int64_t now = ch_client_get_time(homes->node->client);
         struct ch_actions actions = home_actions_new();
         ch_home_handle_failed_order(upstream->home, item, kind, code, now,
                                     &actions);
-        home_apply(homes, upstream, &actions, now, &effects);
+        home_apply_actions(homes, upstream, &actions, now, &effects);
     }
     pthread_mutex_unlock(&homes->lock);
     effects_run(homes, &effects);
--- a/libchestnuthitch/node/home_members.c
+++ b/libchestnuthitch/node/home_members.c
@@ -30,16 +30,16 @@
 {
     const struct ticket *ticket = item;
     struct lost_search *search = data;
-    if (ticket->from == NULL) {
+    if (ticket->from_node == NULL) {
         return;
     }
     uint64_t incarnation = 0;
-    int64_t last_heard =
-        ch_peers_heard(search->homes->node->peers, ticket->from, &incarnation);
-    bool other_process = incarnation != 0 && ticket->incarnation != 0 &&
-                         incarnation != ticket->incarnation;
-    if (other_process ||
-        search->now - MAX(last_heard, ticket->since) > MAX_GRANT_SILENCE_US) {
+    int64_t last_heard = ch_peers_get_last_heard(
+        search->homes->node->peers, ticket->from_node, &incarnation);
+    bool other_process = incarnation != 0 && ticket->from_incarnation != 0 &&
+                         incarnation != ticket->from_incarnation;
+    if (other_process || search->now - MAX(last_heard, ticket->created_at) >
+                             MAX_GRANT_SILENCE_US) {
         g_array_append_val(search->handles, handle);
     }
 }
@@ -55,10 +55,10 @@
         .now = now,
         .handles = g_array_new(FALSE, FALSE, sizeof(uint64_t)),
     };
-    ch_table_each(homes->tickets, collect_lost_ticket, &search);
+    ch_table_foreach(homes->tickets, collect_lost_ticket, &search);
     for (guint i = 0; i < search.handles->len; i++) {
-        ch_metrics_count(homes->node->client->metrics, CH_COUNT_GRANTS_LOST,
-                         1);
+        ch_metrics_add_count(homes->node->client->metrics,
+                             CH_COUNT_GRANTS_LOST, 1);
         home_withdraw(homes, g_array_index(search.handles, uint64_t, i), now,
                       effects);
     }
@@ -71,34 +71,36 @@
 update_shared_limits(struct ch_homes *homes)
 {
     const struct ch_settings *settings = homes->node->settings;
-    char **live = ch_peers_live(homes->node->peers);
+    char **live = ch_peers_list_live(homes->node->peers);
     unsigned count = g_strv_length(live);
     g_strfreev(live);
     double nodes = MAX(count, 1U);
-    homes->loads.rate_per_s = settings->loads_per_s / nodes;
-    homes->loads.capacity = MAX(settings->loads_parallel / nodes, 1.0);
-    homes->link.rate_per_s = settings->link_mbit * 1e6 / 8 / nodes;
-    homes->link.capacity = homes->link.rate_per_s * 2;
-    homes->news = count != homes->live;
-    homes->live = count;
+    homes->load_budget.rate_per_s = settings->loads_per_s / nodes;
+    homes->load_budget.capacity =
+        MAX(settings->max_parallel_loads / nodes, 1.0);
+    homes->link_budget.rate_per_s =
+        settings->region_link_mbit_per_s * 1e6 / 8 / nodes;
+    homes->link_budget.capacity = homes->link_budget.rate_per_s * 2;
+    homes->publish_all = count != homes->live_count;
+    homes->live_count = count;
 }
 
 /* Opens and closes homes according to the membership and ends lost grants. */
 void
-home_rehome(struct ch_homes *homes, int64_t now, struct effects *effects)
+homes_assign(struct ch_homes *homes, int64_t now, struct effects *effects)
 {
-    if (now < homes->next_rehome && !homes->draining) {
+    if (now < homes->next_rehome_at && !homes->draining) {
         return;
     }
-    homes->next_rehome = now + REHOME_PERIOD_US;
+    homes->next_rehome_at = now + REHOME_PERIOD_US;
     update_shared_limits(homes);
     end_lost_grants(homes, now, effects);
-    uint64_t membership_version = ch_peers_version(homes->node->peers);
-    if (membership_version == homes->homed_version && !homes->rehome) {
+    uint64_t membership_version = ch_peers_get_version(homes->node->peers);
+    if (membership_version == homes->homes_version && !homes->rehome_needed) {
         return;
     }
-    homes->homed_version = membership_version;
-    homes->rehome = false;
+    homes->homes_version = membership_version;
+    homes->rehome_needed = false;
     for (guint i = 0; i < homes->upstreams->len; i++) {
         struct upstream *upstream = g_ptr_array_index(homes->upstreams, i);
         bool becomes = false;
--- a/libchestnuthitch/node/home_queue.c
+++ b/libchestnuthitch/node/home_queue.c
@@ -29,7 +29,7 @@
 home_free_ticket(struct ticket *ticket)
 {
     upstream_unref(ticket->upstream);
-    g_free(ticket->from);
+    g_free(ticket->from_node);
     g_free(ticket);
 }
 
@@ -38,10 +38,10 @@
 static struct request *
 find_local_request(const struct ch_homes *homes, const struct ticket *ticket)
 {
-    if (ticket->from != NULL) {
+    if (ticket->from_node != NULL) {
         return NULL;
     }
-    return ch_table_get(homes->requests, ticket->enqueue);
+    return ch_table_get(homes->requests, ticket->enqueue_id);
 }
 
 /* Tells the ticket's entry node that the request may be sent. */
@@ -54,15 +54,15 @@
         return;
     }
     ticket->granted = true;
-    ch_metrics_count(homes->node->client->metrics, CH_COUNT_GRANTS, 1);
-    if (ticket->from != NULL) {
-        effects_grant_frame(effects, ticket, action->request_id,
-                            action->priority, homes);
+    ch_metrics_add_count(homes->node->client->metrics, CH_COUNT_GRANTS, 1);
+    if (ticket->from_node != NULL) {
+        effects_add_grant_frame(effects, ticket, action->request_id,
+                                action->priority, homes);
         return;
     }
     struct request *request = find_local_request(homes, ticket);
     if (request != NULL) {
-        request_granted(homes, request, action->priority, effects);
+        request_handle_grant(homes, request, action->priority, effects);
     }
 }
 
@@ -81,13 +81,14 @@
            CH_F_STR("upstream", g_quark_to_string(ticket->upstream->name)),
            CH_F_INT("code", action->code), CH_F_STR("reason", action->message),
            CH_F_END);
-    if (ticket->from != NULL) {
-        effects_refuse_frame(effects, ticket, action->code,
-                             action->retry_after, action->message, homes);
+    if (ticket->from_node != NULL) {
+        effects_add_refuse_frame(effects, ticket, action->code,
+                                 action->retry_after, action->message, homes);
     }
     else if (request != NULL) {
-        request_refused(homes, request, action->code, action->retry_after,
-                        action->message, now, effects);
+        request_handle_refusal(homes, request, action->code,
+                               action->retry_after, action->message, now,
+                               effects);
     }
     home_free_ticket(ticket);
 }
@@ -111,7 +112,7 @@
     if (!is_model(item)) {
         return true;
     }
-    return ch_token_bucket_take(&homes->loads, 1.0, now);
+    return ch_token_bucket_take(&homes->load_budget, 1.0, now);
 }
 
 /* Counts the models that are being loaded in this node's region, as far as
@@ -136,11 +137,12 @@
 /* Updates the number of loads that may start now: within this node's share of
  * the rate, and no more in parallel than the store serves at full speed. */
 void
-homes_refresh_loads(struct ch_homes *homes, int64_t now)
+homes_update_loads_left(struct ch_homes *homes, int64_t now)
 {
-    unsigned parallel = homes->node->settings->loads_parallel;
+    unsigned parallel = homes->node->settings->max_parallel_loads;
     unsigned running_loads = count_running_loads(homes);
-    unsigned load_budget = (unsigned)ch_token_bucket_level(&homes->loads, now);
+    unsigned load_budget =
+        (unsigned)ch_token_bucket_level(&homes->load_budget, now);
     homes->fleet.store_loads_left =
         running_loads < parallel ? MIN(load_budget, parallel - running_loads)
                                  : 0;
@@ -159,19 +161,20 @@
         /* Handled like a write conflict: the home retries a tick later. */
         ch_home_handle_failed_order(upstream->home, action->item, action->kind,
                                     CH_KV_CONFLICT, now, &retry_actions);
-        home_apply(homes, upstream, &retry_actions, now, effects);
+        home_apply_actions(homes, upstream, &retry_actions, now, effects);
         return;
     }
     if (action->kind == CH_ACTION_LOAD && !is_model(action->item)) {
-        upstream->quick_until = now + ADAPTER_REPORT_WINDOW_US;
+        upstream->fast_reports_until = now + ADAPTER_REPORT_WINDOW_US;
     }
-    effects_order(effects, upstream, action->kind, action->item,
-                  action->memory_mb);
+    effects_add_order(effects, upstream, action->kind, action->item,
+                      action->memory_mb);
 }
 
 void
-home_apply(struct ch_homes *homes, struct upstream *upstream,
-           struct ch_actions *actions, int64_t now, struct effects *effects)
+home_apply_actions(struct ch_homes *homes, struct upstream *upstream,
+                   struct ch_actions *actions, int64_t now,
+                   struct effects *effects)
 {
     for (guint i = 0; i < actions->list->len; i++) {
         const struct ch_action *action =
@@ -198,7 +201,7 @@
 home_refresh_view(struct ch_homes *homes, struct upstream *upstream,
                   int64_t now)
 {
-    struct ch_upstream_view *view = site_view(homes, upstream);
+    struct ch_upstream_view *view = upstream_list_get_view(homes, upstream);
     if (view == NULL || upstream->home == NULL) {
         return;
     }
@@ -209,7 +212,7 @@
     ch_home_get_view(upstream->home, now, view);
     view->region = region;
     view->data_centre = data_centre;
-    view->draining = view->draining || upstream->leaving;
+    view->draining = view->draining || upstream->draining;
 }
 
 /* Makes this node the home of an upstream. */
@@ -225,19 +228,19 @@
         .service = upstream->service,
         .capacity_mb = upstream->capacity_mb,
         .accelerators = upstream->accelerators,
-        .batch = upstream->batch,
-        .max_queue = homes->node->settings->max_queue,
-        .draining = upstream->leaving,
+        .batch = upstream->max_batch,
+        .max_queue = homes->node->settings->max_queue_length,
+        .draining = upstream->draining,
     };
     upstream->home = ch_home_new(homes->policy, &config, now);
-    g_array_set_size(upstream->items, 0);
+    g_array_set_size(upstream->known_items, 0);
     upstream->ledger_read = false;
-    home_assume_view(homes, upstream, now, effects);
-    upstream->report_at = now;
+    home_assume_published_items(homes, upstream, now, effects);
+    upstream->next_report_at = now;
     upstream->report_failures = 0;
     upstream->incarnation = homes->node->incarnation;
     if (upstream->kind == CH_HOST_ENGINE) {
-        effects_ledger(effects, upstream, true);
+        effects_add_ledger_change(effects, upstream, true);
     }
     home_refresh_view(homes, upstream, now);
     ch_log(homes->node->client, CH_LOG_INFO, "home-opened",
@@ -272,17 +275,17 @@
     if (upstream->home == NULL) {
         return;
     }
-    int64_t now = ch_client_now(homes->node->client);
+    int64_t now = ch_client_get_time(homes->node->client);
     struct ticket_search search = {
         .homes = homes,
         .upstream = upstream,
         .handles = g_array_new(FALSE, FALSE, sizeof(uint64_t)),
     };
-    ch_table_each(homes->tickets, collect_ticket, &search);
+    ch_table_foreach(homes->tickets, collect_ticket, &search);
     ch_home_free(upstream->home);
     upstream->home = NULL;
     if (upstream->kind == CH_HOST_ENGINE) {
-        effects_ledger(effects, upstream, false);
+        effects_add_ledger_change(effects, upstream, false);
     }
     for (guint i = 0; i < search.handles->len; i++) {
         struct ch_action action = {
@@ -308,32 +311,32 @@
 /* Queues a request at a home.  The new ticket then belongs to
  * ch_homes.tickets; *handle is set before the home decides. */
 void
-home_offer(struct ch_homes *homes, struct upstream *upstream,
-           struct ch_request_info *info, struct ticket *ticket,
-           uint64_t *handle, int64_t now, struct effects *effects)
+home_enqueue(struct ch_homes *homes, struct upstream *upstream,
+             struct ch_request_info *info, struct ticket *ticket,
+             uint64_t *handle, int64_t now, struct effects *effects)
 {
     ticket->upstream = upstream_ref(upstream);
-    ticket->since = now;
+    ticket->created_at = now;
     info->id = ch_table_add(homes->tickets, ticket);
     *handle = info->id;
     struct ch_actions actions = home_actions_new();
-    homes_refresh_loads(homes, now);
+    homes_update_loads_left(homes, now);
     ch_home_enqueue(upstream->home, info, &homes->fleet, now, &actions);
-    home_apply(homes, upstream, &actions, now, effects);
+    home_apply_actions(homes, upstream, &actions, now, effects);
 }
 
 /* Queues a request of this node at a home on this node.  The request may have
  * been refused and freed when this returns. */
 void
-home_offer_local(struct ch_homes *homes, struct request *request, int64_t now,
-                 struct effects *effects)
+home_enqueue_local(struct ch_homes *homes, struct request *request,
+                   int64_t now, struct effects *effects)
 {
     struct ticket *ticket = g_new0(struct ticket, 1);
-    ticket->enqueue = request->handle;
-    struct ch_request_info info = request->work;
-    request->state = REQUEST_QUEUED_HERE;
-    home_offer(homes, request->upstream, &info, ticket, &request->ticket, now,
-               effects);
+    ticket->enqueue_id = request->handle;
+    struct ch_request_info info = request->info;
+    request->state = REQUEST_QUEUED_LOCAL;
+    home_enqueue(homes, request->upstream, &info, ticket,
+                 &request->grant_handle, now, effects);
 }
 
 /* Records a refused connection.  A service, which sends no reports, counts as
@@ -348,7 +351,7 @@
         upstream->down_until = now + SERVICE_RETRY_DELAY_US;
     }
     else {
-        upstream->report_at = now;
+        upstream->next_report_at = now;
     }
 }
 
@@ -368,10 +371,10 @@
         struct ch_actions actions = home_actions_new();
         if (upstream->down_until > now) {
             ch_home_update_engine_state(
-                upstream->home, 0, 0, upstream->leaving, true, now, &actions);
+                upstream->home, 0, 0, upstream->draining, true, now, &actions);
         }
         ch_home_release(upstream->home, handle, sample, now, &actions);
-        home_apply(homes, upstream, &actions, now, effects);
+        home_apply_actions(homes, upstream, &actions, now, effects);
     }
     home_free_ticket(ticket);
 }
@@ -395,7 +398,7 @@
     if (upstream->home != NULL) {
         struct ch_actions actions = home_actions_new();
         ch_home_withdraw(upstream->home, handle, now, &actions);
-        home_apply(homes, upstream, &actions, now, effects);
+        home_apply_actions(homes, upstream, &actions, now, effects);
     }
     home_free_ticket(ticket);
 }
--- a/libchestnuthitch/node/home_report.c
+++ b/libchestnuthitch/node/home_report.c
@@ -13,7 +13,7 @@
     struct ch_homes *homes;
     struct upstream *upstream;
     enum ch_code code;
-    struct ch_report *report;
+    struct ch_engine_report *report;
 };
 
 /* Applies a report to the home, or records that none came. */
@@ -22,7 +22,7 @@
                     struct effects *effects)
 {
     struct upstream *upstream = job->upstream;
-    upstream->reporting = false;
+    upstream->report_in_flight = false;
     if (upstream->home == NULL) {
         return;
     }
@@ -31,15 +31,15 @@
         upstream->report_failures = 0;
         ch_home_update_engine_state(
             upstream->home, job->report->running, job->report->waiting,
-            job->report->leaving || upstream->leaving, false, now, &actions);
-        home_assume_report(upstream, job->report, now, &actions);
+            job->report->draining || upstream->draining, false, now, &actions);
+        home_assume_reported_items(upstream, job->report, now, &actions);
     }
     else if (++upstream->report_failures >= FAILED_REPORTS_FOR_DOWN ||
              job->code == CH_UPSTREAM_CONNECT) {
-        ch_home_update_engine_state(upstream->home, 0, 0, upstream->leaving,
+        ch_home_update_engine_state(upstream->home, 0, 0, upstream->draining,
                                     true, now, &actions);
     }
-    home_apply(job->homes, upstream, &actions, now, effects);
+    home_apply_actions(job->homes, upstream, &actions, now, effects);
 }
 
 /* Runs on the pool: handles the result of a report call. */
@@ -51,23 +51,25 @@
     struct effects effects;
     effects_init(&effects);
     if (job->report != NULL) {
-        ch_ledger_keeper_report(homes->node->ledger, job->upstream->name,
-                                job->report);
+        ch_ledger_manager_handle_report(homes->node->ledger,
+                                        job->upstream->name, job->report);
     }
     pthread_mutex_lock(&homes->lock);
-    apply_report_result(job, ch_client_now(homes->node->client), &effects);
+    apply_report_result(job, ch_client_get_time(homes->node->client),
+                        &effects);
     upstream_unref(job->upstream);
-    homes->jobs--;
+    homes->pending_jobs--;
     pthread_cond_broadcast(&homes->idle);
     pthread_mutex_unlock(&homes->lock);
     effects_run(homes, &effects);
-    ch_report_free(job->report);
+    ch_engine_report_free(job->report);
     g_free(job);
 }
 
 /* Runs on the HTTP loop: hands the result to the pool. */
 static void
-submit_report_result(void *data, enum ch_code code, struct ch_report *report)
+submit_report_result(void *data, enum ch_code code,
+                     struct ch_engine_report *report)
 {
     struct report_job *job = data;
     job->code = code;
@@ -82,17 +84,18 @@
                     int64_t now, GPtrArray *jobs)
 {
     if (upstream->home == NULL || upstream->kind != CH_HOST_ENGINE ||
-        upstream->reporting ||
-        (now < upstream->report_at && now > upstream->quick_until)) {
+        upstream->report_in_flight ||
+        (now < upstream->next_report_at &&
+         now > upstream->fast_reports_until)) {
         return;
     }
-    upstream->reporting = true;
-    upstream->report_at =
-        now + (int64_t)homes->node->settings->report_ms * 1000;
+    upstream->report_in_flight = true;
+    upstream->next_report_at =
+        now + (int64_t)homes->node->settings->report_period_ms * 1000;
     struct report_job *job = g_new0(struct report_job, 1);
     job->homes = homes;
     job->upstream = upstream_ref(upstream);
-    homes->jobs++;
+    homes->pending_jobs++;
     g_ptr_array_add(jobs, job);
 }
 
@@ -104,11 +107,11 @@
     struct ch_actions actions = home_actions_new();
     if (upstream->down_until > 0 && upstream->down_until <= now) {
         upstream->down_until = 0;
-        ch_home_update_engine_state(upstream->home, 0, 0, upstream->leaving,
+        ch_home_update_engine_state(upstream->home, 0, 0, upstream->draining,
                                     false, now, &actions);
     }
     ch_home_tick(upstream->home, &homes->fleet, now, &actions);
-    home_apply(homes, upstream, &actions, now, effects);
+    home_apply_actions(homes, upstream, &actions, now, effects);
 }
 
 /* Takes the lock itself.  The caller runs the effects afterwards. */
@@ -117,7 +120,7 @@
 {
     GPtrArray *jobs = g_ptr_array_new();
     pthread_mutex_lock(&homes->lock);
-    homes_refresh_loads(homes, now);
+    homes_update_loads_left(homes, now);
     for (guint i = 0; i < homes->upstreams->len; i++) {
         struct upstream *upstream = g_ptr_array_index(homes->upstreams, i);
         if (upstream->home != NULL) {
@@ -129,7 +132,7 @@
     for (guint i = 0; i < jobs->len; i++) {
         struct report_job *job = g_ptr_array_index(jobs, i);
         struct ch_upstream *client = job->upstream->client;
-        client->ops->report(client, submit_report_result, job);
+        client->ops->fetch_report(client, submit_report_result, job);
     }
     g_ptr_array_free(jobs, TRUE);
 }
--- a/libchestnuthitch/node/homes.c
+++ b/libchestnuthitch/node/homes.c
@@ -42,18 +42,18 @@
         upstream_unref(request->upstream);
     }
     g_array_free(request->excluded, TRUE);
-    g_free(request->home);
-    g_free(request->refusal_message);
+    g_free(request->home_node);
+    g_free(request->last_refusal_message);
     g_free(request);
 }
 
 /* Handles a grant by a home on this node. */
 void
-request_granted(struct ch_homes *homes, struct request *request,
-                uint32_t priority, struct effects *effects)
+request_handle_grant(struct ch_homes *homes, struct request *request,
+                     uint32_t priority, struct effects *effects)
 {
-    request->state = REQUEST_GRANTED_HERE;
-    effects_granted(effects, request, homes, priority);
+    request->state = REQUEST_GRANTED_LOCAL;
+    effects_add_granted(effects, request, homes, priority);
 }
 
 static void route_request(struct ch_homes *homes, struct request *request,
@@ -67,11 +67,11 @@
     case CH_PEER_LOST:
     case CH_PEER_TIMEOUT:
     case CH_NOT_READY:
-        return ++request->bounces <= MAX_LOST_HOMES;
+        return ++request->reroute_count <= MAX_LOST_HOMES;
     case CH_LATE:
     case CH_QUEUE_FULL:
     case CH_NO_UPSTREAM:
-        if (++request->bounces > MAX_REFUSALS) {
+        if (++request->reroute_count > MAX_REFUSALS) {
             return false;
         }
         g_array_append_val(request->excluded, request->upstream->name);
@@ -84,16 +84,17 @@
 /* Handles a refusal by the request's home, or the loss of the home: the
  * request is routed again, or refused to its caller at once. */
 void
-request_refused(struct ch_homes *homes, struct request *request,
-                enum ch_code code, int64_t retry_after, const char *message,
-                int64_t now, struct effects *effects)
+request_handle_refusal(struct ch_homes *homes, struct request *request,
+                       enum ch_code code, int64_t retry_after,
+                       const char *message, int64_t now,
+                       struct effects *effects)
 {
     if (may_try_another_home(request, code)) {
-        if (ch_code_outcome(code) == CH_NOT_RUN && code != CH_NOT_READY) {
-            request->refusal = code;
-            request->refusal_after = retry_after;
-            g_free(request->refusal_message);
-            request->refusal_message = g_strdup(message);
+        if (ch_code_get_outcome(code) == CH_NOT_RUN && code != CH_NOT_READY) {
+            request->last_refusal = code;
+            request->last_retry_after = retry_after;
+            g_free(request->last_refusal_message);
+            request->last_refusal_message = g_strdup(message);
         }
         route_request(homes, request, now, effects);
         return;
@@ -102,7 +103,7 @@
         code = CH_NO_UPSTREAM;
         retry_after = LOST_HOME_RETRY_AFTER_US;
     }
-    effects_refused(effects, request, code, retry_after, message);
+    effects_add_refused(effects, request, code, retry_after, message);
     free_request(homes, request);
 }
 
@@ -123,14 +124,14 @@
 {
     if (request->withdrawn) {
         struct ch_timing_sample sample = {.code = CH_PEER_LOST};
-        effects_release(effects, request->home, request->upstream->name,
-                        grant->grant, &sample);
+        effects_add_release(effects, request->home_node,
+                            request->upstream->name, grant->grant, &sample);
         free_request(homes, request);
         return;
     }
-    request->state = REQUEST_GRANTED_THERE;
-    request->ticket = grant->grant;
-    effects_granted(effects, request, homes, grant->priority);
+    request->state = REQUEST_GRANTED_REMOTE;
+    request->grant_handle = grant->grant;
+    effects_add_granted(effects, request, homes, grant->priority);
 }
 
 /* Handles the reply to an Enqueue, or the loss of the home.  After a loss the
@@ -142,10 +143,10 @@
                      const Chestnuthitch__Wire__Frame *reply,
                      struct effects *effects)
 {
-    int64_t now = ch_client_now(homes->node->client);
+    int64_t now = ch_client_get_time(homes->node->client);
     if (reply != NULL && reply->body_case == WIRE(FRAME__BODY_GRANT)) {
         if (reply->grant->state != NULL) {
-            site_take_state(homes, reply->grant->state, now);
+            upstream_list_apply_state(homes, reply->grant->state, now);
         }
         handle_grant(homes, request, reply->grant, effects);
         return;
@@ -154,7 +155,7 @@
     const char *message = "the home node was lost";
     if (reply != NULL && reply->body_case == WIRE(FRAME__BODY_REFUSE)) {
         if (reply->refuse->state != NULL) {
-            site_take_state(homes, reply->refuse->state, now);
+            upstream_list_apply_state(homes, reply->refuse->state, now);
         }
         code = (enum ch_code)reply->refuse->code;
         retry_after = (int64_t)reply->refuse->retry_after_ms * 1000;
@@ -162,14 +163,15 @@
     }
     else {
         code = CH_PEER_LOST;
-        effects_withdraw(effects, request->home, request->upstream->name,
-                         request->enqueue);
+        effects_add_withdraw(effects, request->home_node,
+                             request->upstream->name, request->enqueue_id);
     }
     if (request->withdrawn) {
         free_request(homes, request);
         return;
     }
-    request_refused(homes, request, code, retry_after, message, now, effects);
+    request_handle_refusal(homes, request, code, retry_after, message, now,
+                           effects);
 }
 
 /* Runs on the pool: handles the reply to an Enqueue, or the loss of the
@@ -199,7 +201,7 @@
 static void
 send_enqueue(struct ch_homes *homes, struct request *request, int64_t now)
 {
-    const struct ch_request_info *info = &request->work;
+    const struct ch_request_info *info = &request->info;
     char tenant[32];
     g_snprintf(tenant, sizeof(tenant), "%016" G_GINT64_MODIFIER "x",
                info->tenant);
@@ -227,12 +229,12 @@
     struct enqueue_call *enqueue_call = g_new0(struct enqueue_call, 1);
     enqueue_call->homes = homes;
     enqueue_call->handle = request->handle;
-    enqueue_call->home = g_strdup(request->home);
+    enqueue_call->home = g_strdup(request->home_node);
     enqueue_call->upstream = request->upstream->name;
-    request->state = REQUEST_QUEUED_THERE;
-    ch_metrics_count(homes->node->client->metrics, CH_COUNT_FORWARDED, 1);
-    request->enqueue =
-        ch_peers_request(homes->node->peers, request->home, &frame, 0,
+    request->state = REQUEST_QUEUED_REMOTE;
+    ch_metrics_add_count(homes->node->client->metrics, CH_COUNT_FORWARDED, 1);
+    request->enqueue_id =
+        ch_peers_request(homes->node->peers, request->home_node, &frame, 0,
                          handle_enqueue_done, enqueue_call);
 }
 
@@ -244,25 +246,26 @@
 charge_link_budget(struct ch_homes *homes, const struct request *request,
                    int64_t now)
 {
-    const struct ch_upstream_view *view = site_view(homes, request->upstream);
+    const struct ch_upstream_view *view =
+        upstream_list_get_view(homes, request->upstream);
     if (view == NULL || view->region == homes->fleet.region) {
         return;
     }
     double bytes =
         LINK_BYTES_PER_REQUEST +
-        (double)LINK_BYTES_PER_PROMPT_TOKEN * request->work.prompt_tokens +
-        (double)LINK_BYTES_PER_OUTPUT_TOKEN * request->work.max_output_tokens;
-    ch_token_bucket_take(&homes->link, bytes, now);
+        (double)LINK_BYTES_PER_PROMPT_TOKEN * request->info.prompt_tokens +
+        (double)LINK_BYTES_PER_OUTPUT_TOKEN * request->info.max_output_tokens;
+    ch_token_bucket_take(&homes->link_budget, bytes, now);
 }
 
 /* Records a pause of this process, noticed at a tick or before the next
  * tick. */
 void
-homes_note_pause(struct ch_homes *homes, int64_t now)
+homes_record_pause(struct ch_homes *homes, int64_t now)
 {
-    if (homes->ticked > 0 && now - homes->ticked > MIN_PAUSE_US) {
-        homes->pauses++;
-        homes->ticked = now;
+    if (homes->last_tick_at > 0 && now - homes->last_tick_at > MIN_PAUSE_US) {
+        homes->pause_count++;
+        homes->last_tick_at = now;
     }
 }
 
@@ -273,22 +276,23 @@
               struct effects *effects)
 {
     homes->fleet.link_bytes_left =
-        (int64_t)ch_token_bucket_level(&homes->link, now);
-    homes_refresh_loads(homes, now);
+        (int64_t)ch_token_bucket_level(&homes->link_budget, now);
+    homes_update_loads_left(homes, now);
     struct ch_route route =
-        ch_route_choose_retry(homes->policy, &homes->fleet, &request->work,
-                              request->excluded, request->failed, now);
-    if (route.code != CH_OK && request->refusal != CH_OK) {
+        ch_route_choose_retry(homes->policy, &homes->fleet, &request->info,
+                              request->excluded, request->failed_count, now);
+    if (route.code != CH_OK && request->last_refusal != CH_OK) {
         /* Every possible home has refused: the caller gets the last home's
          * reason and retry time rather than "no upstream". */
-        effects_refused(effects, request, request->refusal,
-                        request->refusal_after, request->refusal_message);
+        effects_add_refused(effects, request, request->last_refusal,
+                            request->last_retry_after,
+                            request->last_refusal_message);
         free_request(homes, request);
         return;
     }
     if (route.code != CH_OK) {
-        effects_refused(effects, request, route.code, route.retry_after,
-                        route.message);
+        effects_add_refused(effects, request, route.code, route.retry_after,
+                            route.message);
         free_request(homes, request);
         return;
     }
@@ -298,15 +302,15 @@
     request->upstream =
         upstream_ref(g_ptr_array_index(homes->upstreams, route.upstream));
     charge_link_budget(homes, request, now);
-    homes_note_pause(homes, now);
-    request->pauses = homes->pauses;
-    g_free(request->home);
-    request->home = ch_peers_upstream_home(
+    homes_record_pause(homes, now);
+    request->pause_count = homes->pause_count;
+    g_free(request->home_node);
+    request->home_node = ch_peers_find_upstream_home(
         homes->node->peers, request->upstream->key, request->upstream->region,
         request->upstream->data_centre);
-    if (strcmp(request->home, homes->node->settings->name) == 0) {
+    if (strcmp(request->home_node, homes->node->settings->name) == 0) {
         home_open(homes, request->upstream, now, effects);
-        home_offer_local(homes, request, now, effects);
+        home_enqueue_local(homes, request, now, effects);
         return;
     }
     send_enqueue(homes, request, now);
@@ -320,20 +324,20 @@
                  const struct ch_router_handlers *handlers, void *data)
 {
     struct request *request = g_new0(struct request, 1);
-    request->work = *info;
+    request->info = *info;
     request->handlers = handlers;
     request->data = data;
     request->excluded = g_array_new(FALSE, FALSE, sizeof(GQuark));
     if (excluded != NULL && excluded->len > 0) {
         g_array_append_vals(request->excluded, excluded->data, excluded->len);
-        request->failed = excluded->len;
+        request->failed_count = excluded->len;
     }
     struct effects effects;
     effects_init(&effects);
     pthread_mutex_lock(&homes->lock);
     uint64_t handle = ch_table_add(homes->requests, request);
     request->handle = handle;
-    route_request(homes, request, ch_client_now(homes->node->client),
+    route_request(homes, request, ch_client_get_time(homes->node->client),
                   &effects);
     pthread_mutex_unlock(&homes->lock);
     effects_submit(homes, &effects);
@@ -345,22 +349,22 @@
 bool
 ch_homes_withdraw(struct ch_homes *homes, uint64_t handle)
 {
-    int64_t now = ch_client_now(homes->node->client);
+    int64_t now = ch_client_get_time(homes->node->client);
     bool withdrawn = false;
     struct effects effects;
     effects_init(&effects);
     pthread_mutex_lock(&homes->lock);
     struct request *request = ch_table_get(homes->requests, handle);
-    if (request != NULL && request->state == REQUEST_QUEUED_HERE) {
-        home_withdraw(homes, request->ticket, now, &effects);
+    if (request != NULL && request->state == REQUEST_QUEUED_LOCAL) {
+        home_withdraw(homes, request->grant_handle, now, &effects);
         free_request(homes, request);
         withdrawn = true;
     }
-    else if (request != NULL && request->state == REQUEST_QUEUED_THERE &&
+    else if (request != NULL && request->state == REQUEST_QUEUED_REMOTE &&
              !request->withdrawn) {
         request->withdrawn = true;
-        effects_withdraw(&effects, request->home, request->upstream->name,
-                         request->enqueue);
+        effects_add_withdraw(&effects, request->home_node,
+                             request->upstream->name, request->enqueue_id);
         withdrawn = true;
     }
     pthread_mutex_unlock(&homes->lock);
@@ -377,14 +381,15 @@
     effects_init(&effects);
     pthread_mutex_lock(&homes->lock);
     struct request *request = ch_table_get(homes->requests, handle);
-    if (request != NULL && request->state == REQUEST_GRANTED_HERE) {
-        home_release(homes, request->ticket, sample,
-                     ch_client_now(homes->node->client), &effects);
+    if (request != NULL && request->state == REQUEST_GRANTED_LOCAL) {
+        home_release(homes, request->grant_handle, sample,
+                     ch_client_get_time(homes->node->client), &effects);
         free_request(homes, request);
     }
-    else if (request != NULL && request->state == REQUEST_GRANTED_THERE) {
-        effects_release(&effects, request->home, request->upstream->name,
-                        request->ticket, sample);
+    else if (request != NULL && request->state == REQUEST_GRANTED_REMOTE) {
+        effects_add_release(&effects, request->home_node,
+                            request->upstream->name, request->grant_handle,
+                            sample);
         free_request(homes, request);
     }
     pthread_mutex_unlock(&homes->lock);
@@ -403,21 +408,22 @@
 request_is_stale(struct ch_homes *homes, uint64_t handle)
 {
     static const struct ch_timing_sample unused = {.code = CH_CANCELLED};
-    int64_t now = ch_client_now(homes->node->client);
+    int64_t now = ch_client_get_time(homes->node->client);
     bool stale = false;
     struct effects effects;
     effects_init(&effects);
     pthread_mutex_lock(&homes->lock);
-    homes_note_pause(homes, now);
+    homes_record_pause(homes, now);
     struct request *request = ch_table_get(homes->requests, handle);
-    if (request != NULL && request->pauses != homes->pauses) {
+    if (request != NULL && request->pause_count != homes->pause_count) {
         stale = true;
-        if (request->state == REQUEST_GRANTED_HERE) {
-            home_release(homes, request->ticket, &unused, now, &effects);
+        if (request->state == REQUEST_GRANTED_LOCAL) {
+            home_release(homes, request->grant_handle, &unused, now, &effects);
         }
         else {
-            effects_release(&effects, request->home, request->upstream->name,
-                            request->ticket, &unused);
+            effects_add_release(&effects, request->home_node,
+                                request->upstream->name, request->grant_handle,
+                                &unused);
         }
         request->state = REQUEST_ROUTING;
         route_request(homes, request, now, &effects);
@@ -443,8 +449,8 @@
     struct ch_timing_sample sample = {.code = CH_PEER_LOST};
     struct effects effects;
     effects_init(&effects);
-    effects_release(&effects, frame->from, upstream, frame->grant->grant,
-                    &sample);
+    effects_add_release(&effects, frame->from, upstream, frame->grant->grant,
+                        &sample);
     effects_run(homes, &effects);
 }
 
@@ -459,7 +465,7 @@
 static bool
 router_ready(struct ch_router *router)
 {
-    return ch_homes_ready((struct ch_homes *)router);
+    return ch_homes_is_ready((struct ch_homes *)router);
 }
 
 static uint64_t
@@ -505,23 +511,23 @@
 static void
 router_status(struct ch_router *router, JsonBuilder *builder)
 {
-    ch_homes_status((struct ch_homes *)router, builder);
+    ch_homes_write_status((struct ch_homes *)router, builder);
 }
 
 /* See node.h. */
 struct ch_router *
-ch_homes_router(struct ch_homes *homes)
+ch_homes_get_router(struct ch_homes *homes)
 {
     static const struct ch_router_ops ops = {
         .start = router_start,
-        .ready = router_ready,
+        .is_ready = router_ready,
         .request = router_request,
         .withdraw = router_withdraw,
         .release = router_release,
         .drain = router_drain,
         .stop = router_stop,
         .free = router_free,
-        .status = router_status,
+        .write_status = router_status,
     };
     homes->router.ops = &ops;
     return &homes->router;
@@ -536,23 +542,24 @@
     struct ch_homes *homes = g_new0(struct ch_homes, 1);
     homes->node = node;
     homes->policy = ch_policy_find("default");
-    homes->live = 1;
+    homes->live_count = 1;
     homes->random =
         g_rand_new_with_seed((guint32)ch_hash_string(node->settings->name));
     pthread_mutex_init(&homes->lock, NULL);
     pthread_cond_init(&homes->idle, NULL);
     homes->requests = ch_table_new();
     homes->tickets = ch_table_new();
-    site_init(homes);
-    int64_t now = ch_client_now(node->client);
+    upstream_list_init(homes);
+    int64_t now = ch_client_get_time(node->client);
     const struct ch_settings *settings = node->settings;
-    ch_token_bucket_init(&homes->loads, settings->loads_per_s,
-                         settings->loads_parallel, now);
-    ch_token_bucket_init(&homes->link, settings->link_mbit * 1e6 / 8,
-                         settings->link_mbit * 1e6 / 4, now);
-    home_handlers(homes);
-    gossip_handlers(homes);
-    ch_peers_handle_late(node->peers, release_late_grant, homes);
+    ch_token_bucket_init(&homes->load_budget, settings->loads_per_s,
+                         settings->max_parallel_loads, now);
+    ch_token_bucket_init(&homes->link_budget,
+                         settings->region_link_mbit_per_s * 1e6 / 8,
+                         settings->region_link_mbit_per_s * 1e6 / 4, now);
+    home_register_handlers(homes);
+    gossip_register_handlers(homes);
+    ch_peers_set_late_reply_handler(node->peers, release_late_grant, homes);
     return homes;
 }
 
@@ -562,11 +569,10 @@
 ch_homes_start(struct ch_homes *homes)
 {
     pthread_mutex_lock(&homes->lock);
-    homes->jobs += 2;
+    homes->pending_jobs += 2;
     pthread_mutex_unlock(&homes->lock);
-    homes_fetch_list(homes);
-    ch_timers_after(homes->node->timers, CH_HOME_TICK_US, homes_run_tick,
-                    homes);
+    homes_fetch_host_list(homes);
+    ch_timers_add(homes->node->timers, CH_HOME_TICK_US, homes_run_tick, homes);
 }
 
 /* Hands the homes over to other nodes: announces that this node is stopping,
@@ -575,16 +581,16 @@
 void
 ch_homes_drain(struct ch_homes *homes)
 {
-    ch_peers_stopping(homes->node->peers);
-    gossip_stopping(homes);
+    ch_peers_set_stopping(homes->node->peers);
+    gossip_announce_stop(homes);
     struct effects effects;
     effects_init(&effects);
-    char **live = ch_peers_live(homes->node->peers);
+    char **live = ch_peers_list_live(homes->node->peers);
     bool alone = g_strv_length(live) <= 1;
     g_strfreev(live);
     pthread_mutex_lock(&homes->lock);
     homes->draining = !alone;
-    home_rehome(homes, ch_client_now(homes->node->client), &effects);
+    homes_assign(homes, ch_client_get_time(homes->node->client), &effects);
     pthread_mutex_unlock(&homes->lock);
     effects_run(homes, &effects);
 }
@@ -606,19 +612,19 @@
         return;
     }
     GPtrArray *items = g_ptr_array_new();
-    ch_table_each(homes->requests, collect_item, items);
+    ch_table_foreach(homes->requests, collect_item, items);
     for (guint i = 0; i < items->len; i++) {
         free_request(homes, g_ptr_array_index(items, i));
     }
     g_ptr_array_set_size(items, 0);
-    ch_table_each(homes->tickets, collect_item, items);
+    ch_table_foreach(homes->tickets, collect_item, items);
     for (guint i = 0; i < items->len; i++) {
         home_free_ticket(g_ptr_array_index(items, i));
     }
     g_ptr_array_free(items, TRUE);
     ch_table_free(homes->requests);
     ch_table_free(homes->tickets);
-    site_clear(homes);
+    upstream_list_clear(homes);
     g_rand_free(homes->random);
     pthread_mutex_destroy(&homes->lock);
     pthread_cond_destroy(&homes->idle);
--- a/libchestnuthitch/node/homes_recur.c
+++ b/libchestnuthitch/node/homes_recur.c
@@ -17,7 +17,7 @@
 end_job(struct ch_homes *homes)
 {
     pthread_mutex_lock(&homes->lock);
-    homes->jobs--;
+    homes->pending_jobs--;
     pthread_cond_broadcast(&homes->idle);
     pthread_mutex_unlock(&homes->lock);
 }
@@ -31,16 +31,16 @@
  * report must not keep a fleet from starting.
  */
 bool
-ch_homes_ready(struct ch_homes *homes)
+ch_homes_is_ready(struct ch_homes *homes)
 {
     pthread_mutex_lock(&homes->lock);
-    int64_t now = ch_client_now(homes->node->client);
-    bool ready = homes->listed_at > 0;
+    int64_t now = ch_client_get_time(homes->node->client);
+    bool ready = homes->first_list_at > 0;
     for (guint i = 0; ready && i < homes->upstreams->len; i++) {
         const struct upstream *upstream =
             g_ptr_array_index(homes->upstreams, i);
         ready = upstream->sequence > 0 ||
-                now - homes->listed_at > MAX_STATE_WAIT_US;
+                now - homes->first_list_at > MAX_STATE_WAIT_US;
     }
     pthread_mutex_unlock(&homes->lock);
     return ready;
@@ -65,22 +65,21 @@
         end_job(homes);
         return;
     }
-    int64_t now = ch_client_now(homes->node->client);
+    int64_t now = ch_client_get_time(homes->node->client);
     struct effects effects;
     effects_init(&effects);
     pthread_mutex_lock(&homes->lock);
-    homes_note_pause(homes, now);
-    homes->ticked = now;
-    home_rehome(homes, now, &effects);
+    homes_record_pause(homes, now);
+    homes->last_tick_at = now;
+    homes_assign(homes, now, &effects);
     pthread_mutex_unlock(&homes->lock);
     home_tick_all(homes, now, &effects);
     effects_run(homes, &effects);
-    if (now >= homes->next_gossip) {
-        homes->next_gossip = now + CH_GOSSIP_PERIOD_US;
-        gossip_round(homes, now);
+    if (now >= homes->next_gossip_at) {
+        homes->next_gossip_at = now + CH_GOSSIP_PERIOD_US;
+        gossip_send_due(homes, now);
     }
-    ch_timers_after(homes->node->timers, CH_HOME_TICK_US, homes_run_tick,
-                    homes);
+    ch_timers_add(homes->node->timers, CH_HOME_TICK_US, homes_run_tick, homes);
 }
 
 struct list_job {
@@ -96,11 +95,11 @@
 schedule_list_fetch(struct ch_homes *homes)
 {
     pthread_mutex_lock(&homes->lock);
-    unsigned period = MAX(homes->node->settings->list_ms,
-                          homes->live * (unsigned)LIST_MS_PER_NODE);
+    unsigned period = MAX(homes->node->settings->host_list_period_ms,
+                          homes->live_count * (unsigned)LIST_MS_PER_NODE);
     int64_t delay = homes->stopping ? 0 : (int64_t)period * 1000;
-    homes->list_timer =
-        ch_timers_after(homes->node->timers, delay, homes_fetch_list, homes);
+    homes->list_timer = ch_timers_add(homes->node->timers, delay,
+                                      homes_fetch_host_list, homes);
     pthread_mutex_unlock(&homes->lock);
 }
 
@@ -116,9 +115,9 @@
     if (job->list != NULL) {
         struct effects effects;
         effects_init(&effects);
-        ch_peers_list(homes->node->peers, job->list);
+        ch_peers_update_list(homes->node->peers, job->list);
         pthread_mutex_lock(&homes->lock);
-        site_take_list(homes, job->list, &effects);
+        upstream_list_update(homes, job->list, &effects);
         pthread_mutex_unlock(&homes->lock);
         effects_run(homes, &effects);
     }
@@ -144,7 +143,7 @@
 
 /* Fetches the host list; ends the job if the homes stop. */
 void
-homes_fetch_list(void *data)
+homes_fetch_host_list(void *data)
 {
     struct ch_homes *homes = data;
     if (!is_running(homes)) {
@@ -164,9 +163,9 @@
     pthread_mutex_lock(&homes->lock);
     homes->stopping = true;
     if (ch_timers_cancel(homes->node->timers, homes->list_timer)) {
-        homes->jobs--;
+        homes->pending_jobs--;
     }
-    while (homes->jobs > 0) {
+    while (homes->pending_jobs > 0) {
         pthread_cond_wait(&homes->idle, &homes->lock);
     }
     pthread_mutex_unlock(&homes->lock);
--- a/libchestnuthitch/node/homes_status.c
+++ b/libchestnuthitch/node/homes_status.c
@@ -35,10 +35,11 @@
 add_upstream(struct ch_homes *homes, const struct upstream *upstream,
              JsonBuilder *builder)
 {
-    const struct ch_upstream_view *view = site_view(homes, upstream);
+    const struct ch_upstream_view *view =
+        upstream_list_get_view(homes, upstream);
     char *home =
-        ch_peers_upstream_home(homes->node->peers, upstream->key,
-                               upstream->region, upstream->data_centre);
+        ch_peers_find_upstream_home(homes->node->peers, upstream->key,
+                                    upstream->region, upstream->data_centre);
     json_builder_begin_object(builder);
     add_string(builder, "name", g_quark_to_string(upstream->name));
     add_string(builder, "kind",
@@ -63,7 +64,7 @@
 
 /* Adds the upstreams as an array "upstreams" to an open JSON object. */
 void
-ch_homes_status(struct ch_homes *homes, JsonBuilder *builder)
+ch_homes_write_status(struct ch_homes *homes, JsonBuilder *builder)
 {
     json_builder_set_member_name(builder, "upstreams");
     json_builder_begin_array(builder);
--- a/libchestnuthitch/node/intake.c
+++ b/libchestnuthitch/node/intake.c
@@ -5,37 +5,39 @@
 #include <string.h>
 #include <strings.h>
 
-static const char *const header_names[CH_INTAKE_HEADERS] = {
-    [CH_INTAKE_CALLER] = "Chestnuthitch-Caller",
-    [CH_INTAKE_CLASS] = "Chestnuthitch-Class",
-    [CH_INTAKE_DEADLINE] = "Chestnuthitch-Deadline-Ms",
-    [CH_INTAKE_KEY] = "Idempotency-Key",
-    [CH_INTAKE_CONTENT_TYPE] = "Content-Type",
+static const char *const header_names[CH_INCOMING_HEADER_COUNT] = {
+    [CH_INCOMING_CALLER] = "Chestnuthitch-Caller",
+    [CH_INCOMING_CLASS] = "Chestnuthitch-Class",
+    [CH_INCOMING_DEADLINE] = "Chestnuthitch-Deadline-Ms",
+    [CH_INCOMING_KEY] = "Idempotency-Key",
+    [CH_INCOMING_CONTENT_TYPE] = "Content-Type",
 };
 
 /* Creates an incoming request once its first line has arrived. */
-struct ch_intake *
-ch_intake_new(struct MHD_Connection *connection, const char *uri,
-              const char *request_id, uint64_t number)
+struct ch_incoming_request *
+ch_incoming_request_new(struct MHD_Connection *connection, const char *uri,
+                        const char *request_id, uint64_t number)
 {
-    struct ch_intake *incoming = g_new0(struct ch_intake, 1);
-    incoming->reply = ch_reply_new(connection, request_id);
+    struct ch_incoming_request *incoming =
+        g_new0(struct ch_incoming_request, 1);
+    incoming->response = ch_response_new(connection, request_id);
     incoming->number = number;
     incoming->uri = g_strdup(uri);
     incoming->body = g_byte_array_new();
-    incoming->repeated = -1;
-    incoming->all = g_array_new(FALSE, FALSE, sizeof(struct ch_http_header));
+    incoming->repeated_header = -1;
+    incoming->all_headers =
+        g_array_new(FALSE, FALSE, sizeof(struct ch_http_header));
     return incoming;
 }
 
 /* Frees the incoming request and its reference to the response. */
 void
-ch_intake_free(struct ch_intake *incoming)
+ch_incoming_request_free(struct ch_incoming_request *incoming)
 {
-    ch_reply_unref(incoming->reply);
-    g_array_free(incoming->all, TRUE);
+    ch_response_unref(incoming->response);
+    g_array_free(incoming->all_headers, TRUE);
     g_byte_array_free(incoming->body, TRUE);
-    for (int i = 0; i < CH_INTAKE_HEADERS; i++) {
+    for (int i = 0; i < CH_INCOMING_HEADER_COUNT; i++) {
         g_free(incoming->headers[i]);
     }
     g_free(incoming->method);
@@ -63,7 +65,7 @@
  * refused and its connection closed, so that nothing after it is read.
  */
 static void
-check_ambiguity(struct ch_intake *incoming, const char *name,
+check_ambiguity(struct ch_incoming_request *incoming, const char *name,
                 const char *value)
 {
     bool framing = strcasecmp(name, "Content-Length") == 0 ||
@@ -76,8 +78,8 @@
         clean =
             clean && ((unsigned char)*c >= 0x20 || *c == '\t') && *c != 0x7f;
     }
-    incoming->lengths += framing ? 1 : 0;
-    if (!clean || incoming->lengths > 1 ||
+    incoming->framing_headers += framing ? 1 : 0;
+    if (!clean || incoming->framing_headers > 1 ||
         (framing && !is_framing(name, value))) {
         incoming->malformed = true;
     }
@@ -90,18 +92,18 @@
            const char *value)
 {
     (void)kind;
-    struct ch_intake *incoming = data;
+    struct ch_incoming_request *incoming = data;
     const char *text = value == NULL ? "" : value;
     const struct ch_http_header header = {name, text};
     incoming->header_bytes += strlen(name) + strlen(text) + 4;
     check_ambiguity(incoming, name, text);
-    g_array_append_val(incoming->all, header);
-    for (int i = 0; i < CH_INTAKE_HEADERS; i++) {
+    g_array_append_val(incoming->all_headers, header);
+    for (int i = 0; i < CH_INCOMING_HEADER_COUNT; i++) {
         if (strcasecmp(name, header_names[i]) != 0) {
             continue;
         }
         if (incoming->headers[i] != NULL) {
-            incoming->repeated = i;
+            incoming->repeated_header = i;
         }
         g_free(incoming->headers[i]);
         incoming->headers[i] = g_strdup(text);
@@ -122,18 +124,21 @@
 /* Checks the head, so that a request that it makes invalid is refused before
  * its body is sent. */
 bool
-ch_intake_head(struct ch_intake *incoming, struct MHD_Connection *connection,
-               const char *method, const struct ch_settings *settings,
-               struct ch_fault *fault)
+ch_incoming_request_read_head(struct ch_incoming_request *incoming,
+                              struct MHD_Connection *connection,
+                              const char *method,
+                              const struct ch_settings *settings,
+                              struct ch_fault *fault)
 {
-    incoming->begun = true;
+    incoming->head_checked = true;
     incoming->method = g_strdup(method);
     MHD_get_connection_values(connection, MHD_HEADER_KIND, add_header,
                               incoming);
     incoming->header_bytes += strlen(incoming->uri) + strlen(method);
-    if (incoming->header_bytes > settings->max_headers) {
+    if (incoming->header_bytes > settings->max_header_bytes) {
         ch_fault_set(fault, CH_HEADERS_TOO_LARGE, "headers",
-                     "the headers exceed %zu bytes", settings->max_headers);
+                     "the headers exceed %zu bytes",
+                     settings->max_header_bytes);
         return false;
     }
     if (incoming->malformed) {
@@ -141,14 +146,15 @@
                      "the head of the request is malformed");
         return false;
     }
-    if (incoming->repeated >= 0) {
-        ch_fault_set(fault, CH_BAD_FIELD, header_names[incoming->repeated],
-                     "%s was sent twice", header_names[incoming->repeated]);
+    if (incoming->repeated_header >= 0) {
+        ch_fault_set(
+            fault, CH_BAD_FIELD, header_names[incoming->repeated_header],
+            "%s was sent twice", header_names[incoming->repeated_header]);
         return false;
     }
-    if (get_content_length(connection) > settings->max_body) {
+    if (get_content_length(connection) > settings->max_body_bytes) {
         ch_fault_set(fault, CH_BODY_TOO_LARGE, "body",
-                     "the body exceeds %zu bytes", settings->max_body);
+                     "the body exceeds %zu bytes", settings->max_body_bytes);
         return false;
     }
     return true;
@@ -156,13 +162,13 @@
 
 /* See incoming_request.h. */
 bool
-ch_intake_body(struct ch_intake *incoming, const char *bytes, size_t length,
-               size_t max)
+ch_incoming_request_add_body(struct ch_incoming_request *incoming,
+                             const char *bytes, size_t length, size_t max)
 {
     if (incoming->too_large || length > max - incoming->body->len) {
         incoming->too_large = true;
-        incoming->dropped += length;
-        return incoming->body->len + incoming->dropped <= 2 * max;
+        incoming->dropped_bytes += length;
+        return incoming->body->len + incoming->dropped_bytes <= 2 * max;
     }
     g_byte_array_append(incoming->body, (const guint8 *)bytes, (guint)length);
     return true;
@@ -170,8 +176,8 @@
 
 /* See incoming_request.h. */
 bool
-ch_intake_check(const struct ch_intake *incoming, size_t max,
-                struct ch_fault *fault)
+ch_incoming_request_check(const struct ch_incoming_request *incoming,
+                          size_t max, struct ch_fault *fault)
 {
     if (incoming->too_large) {
         ch_fault_set(fault, CH_BODY_TOO_LARGE, "body",
@@ -183,36 +189,38 @@
 
 /* See incoming_request.h. */
 void
-ch_intake_input(const struct ch_intake *incoming,
-                struct ch_request_input *input)
+ch_incoming_request_get_input(const struct ch_incoming_request *incoming,
+                              struct ch_request_input *input)
 {
     *input = (struct ch_request_input){
         .method = incoming->method,
         .uri = incoming->uri,
-        .caller = incoming->headers[CH_INTAKE_CALLER],
-        .class_name = incoming->headers[CH_INTAKE_CLASS],
-        .deadline_ms = incoming->headers[CH_INTAKE_DEADLINE],
-        .key = incoming->headers[CH_INTAKE_KEY],
-        .content_type = incoming->headers[CH_INTAKE_CONTENT_TYPE],
+        .caller = incoming->headers[CH_INCOMING_CALLER],
+        .class_name = incoming->headers[CH_INCOMING_CLASS],
+        .deadline_ms = incoming->headers[CH_INCOMING_DEADLINE],
+        .key = incoming->headers[CH_INCOMING_KEY],
+        .content_type = incoming->headers[CH_INCOMING_CONTENT_TYPE],
         .body = incoming->body->data,
-        .length = incoming->body->len,
+        .body_length = incoming->body->len,
     };
 }
 
 /* See incoming_request.h. */
 bool
-ch_intake_read(const struct ch_intake *incoming,
-               const struct ch_dialect *dialect,
-               struct ch_request_input *input, struct ch_fault *fault)
+ch_incoming_request_read_dialect(const struct ch_incoming_request *incoming,
+                                 const struct ch_dialect *dialect,
+                                 struct ch_request_input *input,
+                                 struct ch_fault *fault)
 {
     memset(input, 0, sizeof(*input));
     input->method = incoming->method;
     input->uri = incoming->uri;
-    input->content_type = incoming->headers[CH_INTAKE_CONTENT_TYPE];
+    input->content_type = incoming->headers[CH_INCOMING_CONTENT_TYPE];
     input->body = incoming->body->data;
-    input->length = incoming->body->len;
-    input->passed = g_array_new(FALSE, FALSE, sizeof(struct ch_http_header));
+    input->body_length = incoming->body->len;
+    input->forwarded_headers =
+        g_array_new(FALSE, FALSE, sizeof(struct ch_http_header));
     return dialect->read_headers(
-        (const struct ch_http_header *)(void *)incoming->all->data,
-        incoming->all->len, input, fault);
+        (const struct ch_http_header *)(void *)incoming->all_headers->data,
+        incoming->all_headers->len, input, fault);
 }
--- a/libchestnuthitch/node/kv_call.c
+++ b/libchestnuthitch/node/kv_call.c
@@ -8,12 +8,12 @@
 
 struct kv_call {
     struct ch_pool *pool;
-    void (*done)(void *data, const struct ch_kv_answer *answer);
+    void (*done)(void *data, const struct ch_kv_result *answer);
     void (*list_done)(void *data, enum ch_code code,
                       const struct ch_kv_entry *entries, size_t count);
     void (*range_done)(void *data, const struct ch_kv_range *range);
     void *data;
-    struct ch_kv_answer answer;
+    struct ch_kv_result answer;
     uint64_t range_revision; /* the store's, for a range */
     void *value;
     struct ch_kv_entry *entries;
@@ -43,7 +43,7 @@
             .code = call->answer.code,
             .entries = call->entries,
             .count = call->count,
-            .at = call->range_revision,
+            .revision = call->range_revision,
         };
         call->range_done(call->data, &range);
     }
@@ -60,7 +60,7 @@
 /* Copies the reply about a single value and queues it for a worker; runs on
  * the HTTP loop. */
 static void
-receive_value(void *data, const struct ch_kv_answer *answer)
+receive_value(void *data, const struct ch_kv_result *answer)
 {
     struct kv_call *call = data;
     call->answer = *answer;
@@ -105,7 +105,7 @@
 /* Creates the state of a call; it is freed after the reply. */
 static struct kv_call *
 call_new(struct ch_node *node,
-         void (*done)(void *data, const struct ch_kv_answer *answer),
+         void (*done)(void *data, const struct ch_kv_result *answer),
          void *data)
 {
     struct kv_call *call = g_new0(struct kv_call, 1);
@@ -118,7 +118,7 @@
 /* Reads a value; see struct ch_kv_ops. */
 void
 ch_kv_call_get(struct ch_node *node, const char *key,
-               void (*done)(void *data, const struct ch_kv_answer *answer),
+               void (*done)(void *data, const struct ch_kv_result *answer),
                void *data)
 {
     node->kv->ops->get(node->kv, key, receive_value,
@@ -129,7 +129,7 @@
 void
 ch_kv_call_put(struct ch_node *node, const char *key, const void *value,
                size_t length, uint64_t revision,
-               void (*done)(void *data, const struct ch_kv_answer *answer),
+               void (*done)(void *data, const struct ch_kv_result *answer),
                void *data)
 {
     node->kv->ops->put(node->kv, key, value, length, revision, receive_value,
@@ -139,7 +139,7 @@
 /* Removes by compare-and-swap; see struct ch_kv_ops. */
 void
 ch_kv_call_remove(struct ch_node *node, const char *key, uint64_t revision,
-                  void (*done)(void *data, const struct ch_kv_answer *answer),
+                  void (*done)(void *data, const struct ch_kv_result *answer),
                   void *data)
 {
     node->kv->ops->remove(node->kv, key, revision, receive_value,
@@ -151,7 +151,7 @@
 void
 ch_kv_call_watch(struct ch_node *node, const char *key, uint64_t revision,
                  int64_t timeout,
-                 void (*done)(void *data, const struct ch_kv_answer *answer),
+                 void (*done)(void *data, const struct ch_kv_result *answer),
                  void *data)
 {
     node->kv->ops->watch(node->kv, key, revision, timeout, receive_value,
@@ -176,7 +176,7 @@
 receive_range(void *data, const struct ch_kv_range *range)
 {
     struct kv_call *call = data;
-    call->range_revision = range->at;
+    call->range_revision = range->revision;
     receive_list(data, range->code, range->entries, range->count);
 }
 
@@ -203,40 +203,42 @@
 
 /* See struct ch_kv_ops. The entries are valid only until done() returns. */
 void
-ch_kv_call_changes(struct ch_node *node, const char *prefix, uint64_t after,
-                   int64_t timeout,
-                   void (*done)(void *data, const struct ch_kv_range *range),
-                   void *data)
+ch_kv_call_watch_changes(
+    struct ch_node *node, const char *prefix, uint64_t after, int64_t timeout,
+    void (*done)(void *data, const struct ch_kv_range *range), void *data)
 {
-    node->kv->ops->changes(node->kv, prefix, after, timeout, receive_range,
-                           range_call_new(node, done, data));
+    node->kv->ops->watch_changes(node->kv, prefix, after, timeout,
+                                 receive_range,
+                                 range_call_new(node, done, data));
 }
 
 /* See struct ch_kv_ops. */
 void
-ch_kv_call_lease(struct ch_node *node, int64_t ttl,
-                 void (*done)(void *data, const struct ch_kv_answer *answer),
-                 void *data)
+ch_kv_call_create_lease(struct ch_node *node, int64_t ttl,
+                        void (*done)(void *data,
+                                     const struct ch_kv_result *answer),
+                        void *data)
 {
-    node->kv->ops->lease(node->kv, ttl, receive_value,
-                         call_new(node, done, data));
+    node->kv->ops->create_lease(node->kv, ttl, receive_value,
+                                call_new(node, done, data));
 }
 
 /* See struct ch_kv_ops. */
 void
-ch_kv_call_renew(struct ch_node *node, uint64_t lease_id,
-                 void (*done)(void *data, const struct ch_kv_answer *answer),
-                 void *data)
+ch_kv_call_renew_lease(struct ch_node *node, uint64_t lease_id,
+                       void (*done)(void *data,
+                                    const struct ch_kv_result *answer),
+                       void *data)
 {
-    node->kv->ops->renew(node->kv, lease_id, receive_value,
-                         call_new(node, done, data));
+    node->kv->ops->renew_lease(node->kv, lease_id, receive_value,
+                               call_new(node, done, data));
 }
 
 /* See struct ch_kv_ops. */
 void
 ch_kv_call_end_lease(struct ch_node *node, uint64_t lease_id,
                      void (*done)(void *data,
-                                  const struct ch_kv_answer *answer),
+                                  const struct ch_kv_result *answer),
                      void *data)
 {
     node->kv->ops->end_lease(node->kv, lease_id, receive_value,
@@ -248,9 +250,10 @@
 ch_kv_call_put_leased(struct ch_node *node, const char *key, const void *value,
                       size_t length, uint64_t revision, uint64_t lease_id,
                       void (*done)(void *data,
-                                   const struct ch_kv_answer *answer),
+                                   const struct ch_kv_result *answer),
                       void *data)
 {
-    node->kv->ops->put_leased(node->kv, key, value, length, revision, lease_id,
-                              receive_value, call_new(node, done, data));
+    node->kv->ops->put_with_lease(node->kv, key, value, length, revision,
+                                  lease_id, receive_value,
+                                  call_new(node, done, data));
 }
--- a/libchestnuthitch/node/ledger_compose.c
+++ b/libchestnuthitch/node/ledger_compose.c
@@ -8,22 +8,23 @@
 /* Discards the pending version with the orders that were to follow its
  * write. */
 void
-ledger_drop_writing(struct ch_ledger_holding *ledger)
+ledger_discard_pending(struct ch_upstream_ledger *ledger)
 {
-    ch_ledger_free(ledger->writing);
-    ledger->writing = NULL;
-    g_clear_pointer(&ledger->bytes, g_free);
-    if (ledger->outgoing != NULL) {
-        g_ptr_array_unref(ledger->outgoing);
-        ledger->outgoing = NULL;
+    ch_ledger_free(ledger->pending_version);
+    ledger->pending_version = NULL;
+    g_clear_pointer(&ledger->pending_text, g_free);
+    if (ledger->pending_orders != NULL) {
+        g_ptr_array_unref(ledger->pending_orders);
+        ledger->pending_orders = NULL;
     }
 }
 
 /* A new ID that no other order or write of any process has. */
 char *
-ledger_new_mark(struct ch_ledger_office *context)
+ledger_create_id(struct ch_ledger_context *context)
 {
-    uint64_t number = __atomic_add_fetch(&context->marks, 1, __ATOMIC_RELAXED);
+    uint64_t number =
+        __atomic_add_fetch(&context->last_id, 1, __ATOMIC_RELAXED);
     return g_strdup_printf("%016" G_GINT64_MODIFIER "x-%" G_GINT64_MODIFIER
                            "x",
                            ch_hash_string(context->sender), number);
@@ -33,17 +34,18 @@
  * that was requested after their end, and all once this node is no longer
  * home. */
 static bool
-apply_ended_sends(struct ch_ledger_holding *ledger, struct ch_ledger *next)
+apply_ended_sends(struct ch_upstream_ledger *ledger, struct ch_ledger *next)
 {
     bool changed = false;
-    for (guint i = ledger->endings->len; i-- > 0;) {
-        struct ending *ended =
-            &g_array_index(ledger->endings, struct ending, i);
-        if (!ended->ripe && !ended->refused && ledger->engine != NULL) {
+    for (guint i = ledger->ended_sends->len; i-- > 0;) {
+        struct ended_send *ended =
+            &g_array_index(ledger->ended_sends, struct ended_send, i);
+        if (!ended->report_after_end && !ended->refused &&
+            ledger->engine != NULL) {
             continue;
         }
-        changed |= ch_ledger_end_send(next, ended->order,
-                                      ledger->office->sender, ended->refused);
+        changed |= ch_ledger_end_send(next, ended->order_id,
+                                      ledger->context->sender, ended->refused);
     }
     return changed;
 }
@@ -53,15 +55,16 @@
  * ended together with the read, a report requested before its end could settle
  * the order (found by tests/spec/ledger.pml, MUTATION_ADOPT_ENDED). */
 static bool
-is_tracked_send(const struct ch_ledger_holding *ledger, const char *order_id)
+is_tracked_send(const struct ch_upstream_ledger *ledger, const char *order_id)
 {
-    for (guint i = 0; i < ledger->endings->len; i++) {
-        if (strcmp(g_array_index(ledger->endings, struct ending, i).order,
+    for (guint i = 0; i < ledger->ended_sends->len; i++) {
+        if (strcmp(g_array_index(ledger->ended_sends, struct ended_send, i)
+                       .order_id,
                    order_id) == 0) {
             return true;
         }
     }
-    return g_hash_table_contains(ledger->inflight, order_id);
+    return g_hash_table_contains(ledger->in_flight, order_id);
 }
 
 /* After a read: records as ended the sends that the ledger lists for this
@@ -69,9 +72,9 @@
  * them in a write whose outcome it did not learn, or an earlier process of
  * this node's name did. */
 static bool
-end_untracked_sends(struct ch_ledger_holding *ledger, struct ch_ledger *next)
+end_untracked_sends(struct ch_upstream_ledger *ledger, struct ch_ledger *next)
 {
-    const char *sender = ledger->office->sender;
+    const char *sender = ledger->context->sender;
     bool changed = ch_ledger_end_earlier_sends(next, sender);
     for (size_t i = 0; i < next->send_count; i++) {
         const struct ch_ledger_send *sending = &next->sends[i];
@@ -86,26 +89,27 @@
 
 /* Applies the pending report. */
 static bool
-apply_report(const struct ch_ledger_holding *ledger, struct ch_ledger *next)
+apply_report(const struct ch_upstream_ledger *ledger, struct ch_ledger *next)
 {
-    const struct ch_report *report = ledger->report;
-    if (report == NULL || report->boot == NULL) {
+    const struct ch_engine_report *report = ledger->report;
+    if (report == NULL || report->boot_id == NULL) {
         return false;
     }
     g_autofree const char **names =
-        g_new0(const char *, report->resident_count + 1);
-    g_autofree uint32_t *memory = g_new0(uint32_t, report->resident_count + 1);
-    for (size_t i = 0; i < report->resident_count; i++) {
-        names[i] = report->resident[i].name;
-        memory[i] = report->resident[i].memory_mb;
+        g_new0(const char *, report->resident_item_count + 1);
+    g_autofree uint32_t *memory =
+        g_new0(uint32_t, report->resident_item_count + 1);
+    for (size_t i = 0; i < report->resident_item_count; i++) {
+        names[i] = report->resident_items[i].name;
+        memory[i] = report->resident_items[i].memory_mb;
     }
     const struct ch_ledger_report evidence = {
-        .boot_id = report->boot,
+        .boot_id = report->boot_id,
         .resident_items = names,
         .resident_mb = memory,
-        .resident_count = report->resident_count,
-        .done_order_ids = (const char *const *)report->orders_done,
-        .done_order_count = report->orders_done_count,
+        .resident_count = report->resident_item_count,
+        .done_order_ids = (const char *const *)report->done_order_ids,
+        .done_order_count = report->done_order_count,
         .requested_after_ends = true,
     };
     return ch_ledger_apply_report(next, &evidence);
@@ -114,21 +118,21 @@
 /* Applies one intent.  False with intent->code set when it can't be carried
  * out. */
 static bool
-apply_intent(struct ch_ledger_holding *ledger, struct ch_ledger *next,
+apply_intent(struct ch_upstream_ledger *ledger, struct ch_ledger *next,
              struct intent *intent)
 {
     struct ch_error error = {0};
     const char *item = g_quark_to_string(intent->item);
-    g_autofree char *order_id = ledger_new_mark(ledger->office);
+    g_autofree char *order_id = ledger_create_id(ledger->context);
     bool applied =
         intent->kind == CH_ACTION_LOAD
             ? ch_ledger_reserve(next, item, intent->memory_mb, order_id,
-                                ledger->office->sender, &error)
+                                ledger->context->sender, &error)
             : ch_ledger_release(next, item, order_id, &error);
     intent->code = error.code;
     if (applied) {
-        g_hash_table_remove(ledger->resends, item);
-        ledger_add_outgoing(ledger, ch_ledger_find_entry(next, item));
+        g_hash_table_remove(ledger->retries, item);
+        ledger_add_pending_order(ledger, ch_ledger_find_entry(next, item));
     }
     return applied;
 }
@@ -136,7 +140,7 @@
 /* Applies every intent; those that can't be carried out are added to
  * failed. */
 static bool
-apply_intents(struct ch_ledger_holding *ledger, struct ch_ledger *next,
+apply_intents(struct ch_upstream_ledger *ledger, struct ch_ledger *next,
               GArray *failed)
 {
     bool changed = false;
@@ -155,9 +159,9 @@
 
 /* Records another send of each order that is due. */
 static bool
-apply_retries(struct ch_ledger_holding *ledger, struct ch_ledger *next)
+apply_retries(struct ch_upstream_ledger *ledger, struct ch_ledger *next)
 {
-    int64_t now = ch_client_now(ledger->office->node->client);
+    int64_t now = ch_client_get_time(ledger->context->node->client);
     bool changed = false;
     for (size_t i = 0; i < next->entry_count; i++) {
         const char *item = next->entries[i].item;
@@ -165,14 +169,14 @@
             ch_ledger_find_open_order(next, item) == NULL) {
             continue;
         }
-        const struct resend *retry =
-            g_hash_table_lookup(ledger->resends, item);
+        const struct order_retry *retry =
+            g_hash_table_lookup(ledger->retries, item);
         if (retry == NULL) {
-            ledger_delay_resend(ledger, item, RESEND_LOST);
+            ledger_schedule_retry(ledger, item, ORDER_RETRY_LOST_US);
         }
-        else if (now >= retry->due &&
-                 ch_ledger_resend(next, item, ledger->office->sender, NULL)) {
-            ledger_add_outgoing(ledger, &next->entries[i]);
+        else if (now >= retry->due_at &&
+                 ch_ledger_resend(next, item, ledger->context->sender, NULL)) {
+            ledger_add_pending_order(ledger, &next->entries[i]);
             changed = true;
         }
     }
@@ -189,13 +193,15 @@
  * Lock held.
  */
 bool
-ledger_compose(struct ch_ledger_holding *ledger, GArray *failed)
+ledger_build_next(struct ch_upstream_ledger *ledger, GArray *failed)
 {
-    g_autofree char *write_id = ledger_new_mark(ledger->office);
-    struct ch_ledger *next = ch_ledger_copy_next(ledger->ledger, write_id);
+    g_autofree char *write_id = ledger_create_id(ledger->context);
+    struct ch_ledger *next =
+        ch_ledger_copy_next(ledger->current_version, write_id);
     bool changed = false;
-    ledger->outgoing = g_ptr_array_new_with_free_func(ledger_outgoing_free);
-    if (!ledger->adopted) {
+    ledger->pending_orders =
+        g_ptr_array_new_with_free_func(ledger_outgoing_free);
+    if (!ledger->own_sends_checked) {
         changed |= end_untracked_sends(ledger, next);
     }
     changed |= apply_ended_sends(ledger, next);
@@ -203,7 +209,7 @@
         changed |= next->capacity_mb != ledger->capacity_mb;
         next->capacity_mb = ledger->capacity_mb;
         changed |= apply_report(ledger, next);
-        if (g_hash_table_size(ledger->inflight) == 0 &&
+        if (g_hash_table_size(ledger->in_flight) == 0 &&
             next->boot_id != NULL) {
             changed |= apply_intents(ledger, next, failed);
             g_array_set_size(ledger->intents, 0);
@@ -212,26 +218,27 @@
     }
     if (!changed) {
         ch_ledger_free(next);
-        ledger_drop_writing(ledger);
+        ledger_discard_pending(ledger);
         return false;
     }
-    ledger->writing = next;
-    ledger->bytes = ch_ledger_print(next);
+    ledger->pending_version = next;
+    ledger->pending_text = ch_ledger_print(next);
     return true;
 }
 
 /* Discards what the new version contains.  Lock held. */
 void
-ledger_consume(struct ch_ledger_holding *ledger)
+ledger_discard_applied(struct ch_upstream_ledger *ledger)
 {
-    for (guint i = ledger->endings->len; i-- > 0;) {
-        const struct ending *ended =
-            &g_array_index(ledger->endings, struct ending, i);
-        if (ended->ripe || ended->refused || ledger->engine == NULL) {
-            g_array_remove_index(ledger->endings, i);
+    for (guint i = ledger->ended_sends->len; i-- > 0;) {
+        const struct ended_send *ended =
+            &g_array_index(ledger->ended_sends, struct ended_send, i);
+        if (ended->report_after_end || ended->refused ||
+            ledger->engine == NULL) {
+            g_array_remove_index(ledger->ended_sends, i);
         }
     }
-    ch_report_free(ledger->report);
+    ch_engine_report_free(ledger->report);
     ledger->report = NULL;
-    ledger->adopted = true;
+    ledger->own_sends_checked = true;
 }
--- a/libchestnuthitch/node/ledger_internal.h
+++ b/libchestnuthitch/node/ledger_internal.h
@@ -3,8 +3,8 @@
 
 /*
  * Parts of an upstream's ledger that upstream_ledger.c (steps, reads and
- * writes), ledger_compose.c (the next version) and ledger_orders.c (orders to
- * the engine) share.
+ * writes), ledger_build_next.c (the next version) and ledger_orders.c (orders
+ * to the engine) share.
  */
 
 #include "node/ledger_holding.h"
@@ -18,9 +18,9 @@
      * accepted (a load waits for the weight store).  The delay doubles up to a
      * minute.
      */
-    RESEND_LOST = 1000 * 1000,
-    RESEND_ACCEPTED = 5 * 1000 * 1000,
-    MOST_RESEND = 60 * 1000 * 1000,
+    ORDER_RETRY_LOST_US = 1000 * 1000,
+    ORDER_RETRY_ACCEPTED_US = 5 * 1000 * 1000,
+    MAX_ORDER_RETRY_US = 60 * 1000 * 1000,
 };
 
 struct intent {
@@ -32,30 +32,30 @@
 
 /* A send of an order that has ended, which is not yet recorded in the
    ledger. */
-struct ending {
-    char order[40];
+struct ended_send {
+    char order_id[40];
     bool refused;
     bool report_seen; /* a report arrived after the send ended */
     /* A report requested after the send ended has arrived. */
-    bool ripe;
+    bool report_after_end;
 };
 
 /* When an item's open order is sent again. */
-struct resend {
-    int64_t due;
+struct order_retry {
+    int64_t due_at;
     int64_t delay;
 };
 
 /* An order to be sent once the write that records it has succeeded. */
-struct outgoing {
+struct outgoing_order {
     struct ch_order order;
     char *model;
     char *adapter;
     char *item;
 };
 
-struct ch_ledger_holding {
-    struct ch_ledger_office *office;
+struct ch_upstream_ledger {
+    struct ch_ledger_context *context;
     GQuark upstream;
     char *key;
     pthread_mutex_t lock;
@@ -63,64 +63,64 @@
     pthread_cond_t idle;
     int references;
     struct ch_upstream *engine; /* NULL when closed */
-    unsigned sending;           /* threads that are using engine */
+    unsigned sending_threads;   /* threads that are using engine */
     uint32_t capacity_mb;
     bool stopped;
-    bool busy;   /* a step is under way */
-    bool reread; /* the ledger must be read (again) */
+    bool step_running; /* a step is under way */
+    bool must_read;    /* the ledger must be read (again) */
     /* Sends recorded for this process were checked after the last read. */
-    bool adopted;
+    bool own_sends_checked;
     bool skip_report; /* the next report may be older than the ledger */
-    struct ch_ledger *ledger; /* NULL: not known */
+    struct ch_ledger *current_version; /* NULL: not known */
     uint64_t revision;
-    struct ch_ledger *writing;
-    char *bytes;         /* pending_version as text */
-    GPtrArray *outgoing; /* sent when pending_version is written */
+    struct ch_ledger *pending_version;
+    char *pending_text;        /* pending_version as text */
+    GPtrArray *pending_orders; /* sent when pending_version is written */
     GArray *intents;
-    GArray *endings;
+    GArray *ended_sends;
     /* IDs of orders that were sent and have not ended. */
-    GHashTable *inflight;
-    GHashTable *resends;      /* item to struct order_retry */
-    struct ch_report *report; /* not yet applied; NULL: none */
-    int64_t pause;
-    int64_t not_before;
-    uint64_t timer;
+    GHashTable *in_flight;
+    GHashTable *retries;             /* item to struct order_retry */
+    struct ch_engine_report *report; /* not yet applied; NULL: none */
+    int64_t backoff;
+    int64_t next_call_at;
+    uint64_t backoff_timer;
 };
 
 /* ---- upstream_ledger.c ---- */
 
 /* Has a pool worker run the next step. */
-void ledger_submit_step(struct ch_ledger_holding *ledger);
+void ledger_submit_step(struct ch_upstream_ledger *ledger);
 /* Calls the handler of failed orders for each intent, with no lock held, and
    frees the list. */
-void ledger_tell_failed(struct ch_ledger_holding *ledger, GArray *failed);
+void ledger_notify_failed(struct ch_upstream_ledger *ledger, GArray *failed);
 
-/* ---- ledger_compose.c ---- */
+/* ---- ledger_build_next.c ---- */
 
 /* Builds the next version in ledger->pending_version; false when nothing has
    changed.  Intents that can't be carried out are added to failed.  Lock
    held. */
-bool ledger_compose(struct ch_ledger_holding *ledger, GArray *failed);
+bool ledger_build_next(struct ch_upstream_ledger *ledger, GArray *failed);
 /* Discards what the new version contains.  Lock held. */
-void ledger_consume(struct ch_ledger_holding *ledger);
+void ledger_discard_applied(struct ch_upstream_ledger *ledger);
 /* Discards the pending version with the orders that were to follow its
    write. */
-void ledger_drop_writing(struct ch_ledger_holding *ledger);
+void ledger_discard_pending(struct ch_upstream_ledger *ledger);
 /* A new ID that no other order or write of any process has; free with
    g_free. */
-char *ledger_new_mark(struct ch_ledger_office *context);
+char *ledger_create_id(struct ch_ledger_context *context);
 
 /* ---- ledger_orders.c ---- */
 
 /* Sends the orders recorded by a successful write. */
-void ledger_send_orders(struct ch_ledger_holding *ledger, GPtrArray *orders);
+void ledger_send_orders(struct ch_upstream_ledger *ledger, GPtrArray *orders);
 /* Adds an entry's order to those sent after the write. */
-void ledger_add_outgoing(struct ch_ledger_holding *ledger,
-                         const struct ch_ledger_entry *entry);
+void ledger_add_pending_order(struct ch_upstream_ledger *ledger,
+                              const struct ch_ledger_entry *entry);
 void ledger_outgoing_free(void *data);
 /* Schedules the next send of an item's order, with a doubled delay of at least
    min_delay.  Lock held. */
-void ledger_delay_resend(struct ch_ledger_holding *ledger, const char *item,
-                         int64_t min_delay);
+void ledger_schedule_retry(struct ch_upstream_ledger *ledger, const char *item,
+                           int64_t min_delay);
 
 #endif
--- a/libchestnuthitch/node/ledger_keeper.c
+++ b/libchestnuthitch/node/ledger_keeper.c
@@ -10,8 +10,8 @@
     MAX_STOP_WAIT_S = 3,
 };
 
-struct ch_ledger_keeper {
-    struct ch_ledger_office office;
+struct ch_ledger_manager {
+    struct ch_ledger_context office;
     pthread_mutex_t lock;
     /* GQuark of the upstream to struct ch_upstream_ledger. */
     GHashTable *ledgers;
@@ -21,16 +21,16 @@
 static void
 unref_ledger(void *data)
 {
-    ch_ledger_holding_unref(data);
+    ch_upstream_ledger_unref(data);
 }
 
 /* Creates an empty keeper; node must outlive it.  The handlers run on pool
  * workers. */
-struct ch_ledger_keeper *
-ch_ledger_keeper_new(struct ch_node *node,
-                     const struct ch_ledger_handlers *handlers, void *data)
+struct ch_ledger_manager *
+ch_ledger_manager_new(struct ch_node *node,
+                      const struct ch_ledger_handlers *handlers, void *data)
 {
-    struct ch_ledger_keeper *keeper = g_new0(struct ch_ledger_keeper, 1);
+    struct ch_ledger_manager *keeper = g_new0(struct ch_ledger_manager, 1);
     keeper->office.node = node;
     keeper->office.handlers = *handlers;
     keeper->office.data = data;
@@ -44,19 +44,19 @@
 
 /* A reference to an upstream's ledger.  NULL if there is none and create is
  * false, or after a stop. */
-static struct ch_ledger_holding *
-find_ledger(struct ch_ledger_keeper *keeper, GQuark upstream, bool create)
+static struct ch_upstream_ledger *
+find_ledger(struct ch_ledger_manager *keeper, GQuark upstream, bool create)
 {
     pthread_mutex_lock(&keeper->lock);
-    struct ch_ledger_holding *ledger =
+    struct ch_upstream_ledger *ledger =
         g_hash_table_lookup(keeper->ledgers, GUINT_TO_POINTER(upstream));
     if (ledger == NULL && create && !keeper->stopped) {
-        ledger = ch_ledger_holding_new(&keeper->office, upstream);
+        ledger = ch_upstream_ledger_new(&keeper->office, upstream);
         g_hash_table_insert(keeper->ledgers, GUINT_TO_POINTER(upstream),
                             ledger);
     }
     if (ledger != NULL) {
-        ch_ledger_holding_ref(ledger);
+        ch_upstream_ledger_ref(ledger);
     }
     pthread_mutex_unlock(&keeper->lock);
     return ledger;
@@ -65,32 +65,32 @@
 /* Closes every ledger, waits up to MAX_STOP_WAIT_S for sends under way, and
  * stops: no calls are started afterwards. */
 void
-ch_ledger_keeper_stop(struct ch_ledger_keeper *keeper)
+ch_ledger_manager_stop(struct ch_ledger_manager *keeper)
 {
     pthread_mutex_lock(&keeper->lock);
     keeper->stopped = true;
     GList *ledgers = g_hash_table_get_values(keeper->ledgers);
     for (GList *link = ledgers; link != NULL; link = link->next) {
-        ch_ledger_holding_ref(link->data);
+        ch_upstream_ledger_ref(link->data);
     }
     pthread_mutex_unlock(&keeper->lock);
     struct timespec deadline;
     clock_gettime(CLOCK_MONOTONIC, &deadline);
     deadline.tv_sec += MAX_STOP_WAIT_S;
     for (GList *link = ledgers; link != NULL; link = link->next) {
-        ch_ledger_holding_close(link->data);
+        ch_upstream_ledger_close(link->data);
     }
     for (GList *link = ledgers; link != NULL; link = link->next) {
-        ch_ledger_holding_settle(link->data, &deadline);
-        ch_ledger_holding_stop(link->data);
-        ch_ledger_holding_unref(link->data);
+        ch_upstream_ledger_wait_recorded(link->data, &deadline);
+        ch_upstream_ledger_stop(link->data);
+        ch_upstream_ledger_unref(link->data);
     }
     g_list_free(ledgers);
 }
 
 /* Frees the keeper after the HTTP loop and the pool have finished all jobs. */
 void
-ch_ledger_keeper_free(struct ch_ledger_keeper *keeper)
+ch_ledger_manager_free(struct ch_ledger_manager *keeper)
 {
     if (keeper == NULL) {
         return;
@@ -103,61 +103,63 @@
 
 /* Called when this node becomes home of the upstream; see node.h. */
 void
-ch_ledger_keeper_open(struct ch_ledger_keeper *keeper, GQuark upstream,
-                      struct ch_upstream *engine, uint32_t capacity_mb)
+ch_ledger_manager_open(struct ch_ledger_manager *keeper, GQuark upstream,
+                       struct ch_upstream *engine, uint32_t capacity_mb)
 {
-    struct ch_ledger_holding *ledger = find_ledger(keeper, upstream, true);
+    struct ch_upstream_ledger *ledger = find_ledger(keeper, upstream, true);
     if (ledger != NULL) {
-        ch_ledger_holding_open(ledger, engine, capacity_mb);
-        ch_ledger_holding_unref(ledger);
+        ch_upstream_ledger_open(ledger, engine, capacity_mb);
+        ch_upstream_ledger_unref(ledger);
     }
 }
 
 /* Called when this node is no longer home of the upstream; see node.h. */
 void
-ch_ledger_keeper_close(struct ch_ledger_keeper *keeper, GQuark upstream)
+ch_ledger_manager_close(struct ch_ledger_manager *keeper, GQuark upstream)
 {
-    struct ch_ledger_holding *ledger = find_ledger(keeper, upstream, false);
+    struct ch_upstream_ledger *ledger = find_ledger(keeper, upstream, false);
     if (ledger != NULL) {
-        ch_ledger_holding_close(ledger);
-        ch_ledger_holding_unref(ledger);
+        ch_upstream_ledger_close(ledger);
+        ch_upstream_ledger_unref(ledger);
     }
 }
 
 /* Requests that an item be loaded; the `changed` or `failed` handler reports
  * the result. */
 void
-ch_ledger_keeper_load(struct ch_ledger_keeper *keeper, GQuark upstream,
-                      GQuark item, uint32_t memory_mb)
+ch_ledger_manager_load(struct ch_ledger_manager *keeper, GQuark upstream,
+                       GQuark item, uint32_t memory_mb)
 {
-    struct ch_ledger_holding *ledger = find_ledger(keeper, upstream, false);
+    struct ch_upstream_ledger *ledger = find_ledger(keeper, upstream, false);
     if (ledger != NULL) {
-        ch_ledger_holding_intend(ledger, item, CH_ACTION_LOAD, memory_mb);
-        ch_ledger_holding_unref(ledger);
+        ch_upstream_ledger_request_change(ledger, item, CH_ACTION_LOAD,
+                                          memory_mb);
+        ch_upstream_ledger_unref(ledger);
     }
 }
 
 /* Requests that an item be unloaded; the `changed` or `failed` handler reports
  * the result. */
 void
-ch_ledger_keeper_unload(struct ch_ledger_keeper *keeper, GQuark upstream,
-                        GQuark item)
+ch_ledger_manager_unload(struct ch_ledger_manager *keeper, GQuark upstream,
+                         GQuark item)
 {
-    struct ch_ledger_holding *ledger = find_ledger(keeper, upstream, false);
+    struct ch_upstream_ledger *ledger = find_ledger(keeper, upstream, false);
     if (ledger != NULL) {
-        ch_ledger_holding_intend(ledger, item, CH_ACTION_UNLOAD, 0);
-        ch_ledger_holding_unref(ledger);
+        ch_upstream_ledger_request_change(ledger, item, CH_ACTION_UNLOAD, 0);
+        ch_upstream_ledger_unref(ledger);
     }
 }
 
 /* Applies an engine's report.  The caller requests one report at a time. */
 void
-ch_ledger_keeper_report(struct ch_ledger_keeper *keeper, GQuark upstream,
-                        const struct ch_report *report)
+ch_ledger_manager_handle_report(struct ch_ledger_manager *keeper,
+                                GQuark upstream,
+                                const struct ch_engine_report *report)
 {
-    struct ch_ledger_holding *ledger = find_ledger(keeper, upstream, false);
+    struct ch_upstream_ledger *ledger = find_ledger(keeper, upstream, false);
     if (ledger != NULL) {
-        ch_ledger_holding_report(ledger, report);
-        ch_ledger_holding_unref(ledger);
+        ch_upstream_ledger_apply_report(ledger, report);
+        ch_upstream_ledger_unref(ledger);
     }
 }
--- a/libchestnuthitch/node/ledger_orders.c
+++ b/libchestnuthitch/node/ledger_orders.c
@@ -8,7 +8,7 @@
 void
 ledger_outgoing_free(void *data)
 {
-    struct outgoing *pending = data;
+    struct outgoing_order *pending = data;
     g_free(pending->model);
     g_free(pending->adapter);
     g_free(pending->item);
@@ -16,7 +16,7 @@
 }
 
 struct sent_order {
-    struct ch_ledger_holding *ledger;
+    struct ch_upstream_ledger *ledger;
     char order[40];
     char *item;
     enum ch_action_kind kind;
@@ -25,16 +25,17 @@
 /* Schedules the next send of an item's order, with a doubled delay of at least
  * min_delay.  Lock held. */
 void
-ledger_delay_resend(struct ch_ledger_holding *ledger, const char *item,
-                    int64_t min_delay)
+ledger_schedule_retry(struct ch_upstream_ledger *ledger, const char *item,
+                      int64_t min_delay)
 {
-    struct resend *retry = g_hash_table_lookup(ledger->resends, item);
+    struct order_retry *retry = g_hash_table_lookup(ledger->retries, item);
     if (retry == NULL) {
-        retry = g_new0(struct resend, 1);
-        g_hash_table_insert(ledger->resends, g_strdup(item), retry);
+        retry = g_new0(struct order_retry, 1);
+        g_hash_table_insert(ledger->retries, g_strdup(item), retry);
     }
-    retry->delay = CLAMP(retry->delay * 2, min_delay, MOST_RESEND);
-    retry->due = ch_client_now(ledger->office->node->client) + retry->delay;
+    retry->delay = CLAMP(retry->delay * 2, min_delay, MAX_ORDER_RETRY_US);
+    retry->due_at =
+        ch_client_get_time(ledger->context->node->client) + retry->delay;
 }
 
 /* Logs how a send of an order ended, and counts a refusal for an old fencing
@@ -42,32 +43,33 @@
 static void
 log_order_end(const struct sent_order *sent_order, enum ch_code code)
 {
-    const struct ch_client *client = sent_order->ledger->office->node->client;
+    const struct ch_client *client = sent_order->ledger->context->node->client;
     if (code == CH_STALE_FENCE && client->metrics != NULL) {
-        ch_metrics_count(client->metrics, CH_COUNT_ORDERS_REFUSED, 1);
+        ch_metrics_add_count(client->metrics, CH_COUNT_ORDERS_REFUSED, 1);
     }
     ch_log(
         client, code == CH_OK ? CH_LOG_INFO : CH_LOG_WARNING, "order-ended",
         CH_F_STR("upstream", g_quark_to_string(sent_order->ledger->upstream)),
         CH_F_STR("item", sent_order->item),
         CH_F_STR("order", sent_order->order),
-        CH_F_STR("code", ch_code_name(code)), CH_F_END);
+        CH_F_STR("code", ch_code_get_name(code)), CH_F_END);
 }
 
 /* Runs on a pool worker when a send of an order has ended. */
 static void
 handle_order_end(struct sent_order *sent_order, enum ch_code code)
 {
-    struct ch_ledger_holding *ledger = sent_order->ledger;
-    bool refused = code != CH_OK && ch_code_outcome(code) == CH_NOT_RUN;
-    struct ending ended = {.refused = refused};
-    g_strlcpy(ended.order, sent_order->order, sizeof(ended.order));
+    struct ch_upstream_ledger *ledger = sent_order->ledger;
+    bool refused = code != CH_OK && ch_code_get_outcome(code) == CH_NOT_RUN;
+    struct ended_send ended = {.refused = refused};
+    g_strlcpy(ended.order_id, sent_order->order, sizeof(ended.order_id));
     log_order_end(sent_order, code);
     pthread_mutex_lock(&ledger->lock);
-    g_hash_table_remove(ledger->inflight, sent_order->order);
-    g_array_append_val(ledger->endings, ended);
-    ledger_delay_resend(ledger, sent_order->item,
-                        code == CH_OK ? RESEND_ACCEPTED : RESEND_LOST);
+    g_hash_table_remove(ledger->in_flight, sent_order->order);
+    g_array_append_val(ledger->ended_sends, ended);
+    ledger_schedule_retry(ledger, sent_order->item,
+                          code == CH_OK ? ORDER_RETRY_ACCEPTED_US
+                                        : ORDER_RETRY_LOST_US);
     bool open = ledger->engine != NULL;
     pthread_mutex_unlock(&ledger->lock);
     if (refused && open) {
@@ -76,10 +78,10 @@
                                 .kind = sent_order->kind,
                                 .code = code};
         g_array_append_val(failed, intent);
-        ledger_tell_failed(ledger, failed);
+        ledger_notify_failed(ledger, failed);
     }
     ledger_submit_step(ledger);
-    ch_ledger_holding_unref(ledger);
+    ch_upstream_ledger_unref(ledger);
     g_free(sent_order->item);
     g_free(sent_order);
 }
@@ -105,7 +107,7 @@
     struct order_reply *reply = g_new(struct order_reply, 1);
     reply->sent_order = sent_order;
     reply->code = code;
-    ch_pool_submit(sent_order->ledger->office->node->pool, run_order_reply,
+    ch_pool_submit(sent_order->ledger->context->node->pool, run_order_reply,
                    reply);
 }
 
@@ -117,15 +119,15 @@
     if (metrics == NULL) {
         return;
     }
-    ch_metrics_count(metrics, CH_COUNT_ORDERS, 1);
+    ch_metrics_add_count(metrics, CH_COUNT_ORDERS, 1);
     if (order->action == CH_ORDER_LOAD) {
-        ch_metrics_count(metrics,
-                         order->adapter == NULL ? CH_COUNT_MODEL_LOADS
-                                                : CH_COUNT_ADAPTER_LOADS,
-                         1);
+        ch_metrics_add_count(metrics,
+                             order->adapter == NULL ? CH_COUNT_MODEL_LOADS
+                                                    : CH_COUNT_ADAPTER_LOADS,
+                             1);
     }
     else if (order->adapter == NULL) {
-        ch_metrics_count(metrics, CH_COUNT_MODEL_UNLOADS, 1);
+        ch_metrics_add_count(metrics, CH_COUNT_MODEL_UNLOADS, 1);
     }
 }
 
@@ -135,20 +137,20 @@
  * sent, and the next home sends it again.
  */
 void
-ledger_send_orders(struct ch_ledger_holding *ledger, GPtrArray *orders)
+ledger_send_orders(struct ch_upstream_ledger *ledger, GPtrArray *orders)
 {
     pthread_mutex_lock(&ledger->lock);
     struct ch_upstream *engine = ledger->engine;
-    ledger->sending++;
+    ledger->sending_threads++;
     for (guint i = 0; i < orders->len; i++) {
-        const struct outgoing *pending = g_ptr_array_index(orders, i);
-        g_hash_table_add(ledger->inflight, g_strdup(pending->order.id));
+        const struct outgoing_order *pending = g_ptr_array_index(orders, i);
+        g_hash_table_add(ledger->in_flight, g_strdup(pending->order.id));
     }
     pthread_mutex_unlock(&ledger->lock);
     for (guint i = 0; i < orders->len; i++) {
-        const struct outgoing *pending = g_ptr_array_index(orders, i);
+        const struct outgoing_order *pending = g_ptr_array_index(orders, i);
         struct sent_order *sent_order = g_new0(struct sent_order, 1);
-        sent_order->ledger = ch_ledger_holding_ref(ledger);
+        sent_order->ledger = ch_upstream_ledger_ref(ledger);
         sent_order->item = g_strdup(pending->item);
         sent_order->kind = pending->order.action == CH_ORDER_LOAD
                                ? CH_ACTION_LOAD
@@ -159,31 +161,31 @@
             submit_order_reply(sent_order, CH_UPSTREAM_CONNECT);
             continue;
         }
-        count_order(ledger->office->node, &pending->order);
-        engine->ops->order(engine, &pending->order, submit_order_reply,
-                           sent_order);
+        count_order(ledger->context->node, &pending->order);
+        engine->ops->send_order(engine, &pending->order, submit_order_reply,
+                                sent_order);
     }
     pthread_mutex_lock(&ledger->lock);
-    ledger->sending--;
+    ledger->sending_threads--;
     pthread_cond_broadcast(&ledger->idle);
     pthread_mutex_unlock(&ledger->lock);
 }
 
 /* Adds an entry's order to those sent after the write. */
 void
-ledger_add_outgoing(struct ch_ledger_holding *ledger,
-                    const struct ch_ledger_entry *entry)
+ledger_add_pending_order(struct ch_upstream_ledger *ledger,
+                         const struct ch_ledger_entry *entry)
 {
-    struct outgoing *pending = g_new0(struct outgoing, 1);
+    struct outgoing_order *pending = g_new0(struct outgoing_order, 1);
     g_auto(GStrv) parts = g_strsplit(entry->item, "/", 2);
     pending->item = g_strdup(entry->item);
     pending->model = g_strdup(parts[0]);
     pending->adapter = g_strdup(parts[1]);
     g_strlcpy(pending->order.id, entry->order_id, sizeof(pending->order.id));
-    pending->order.fence = entry->fencing_token;
+    pending->order.fencing_token = entry->fencing_token;
     pending->order.action =
         entry->state == CH_LEDGER_UNLOADING ? CH_ORDER_UNLOAD : CH_ORDER_LOAD;
     pending->order.model = pending->model;
     pending->order.adapter = pending->adapter;
-    g_ptr_array_add(ledger->outgoing, pending);
+    g_ptr_array_add(ledger->pending_orders, pending);
 }
--- a/libchestnuthitch/node/listener.c
+++ b/libchestnuthitch/node/listener.c
@@ -121,7 +121,7 @@
 
 /* See listener.h. */
 int
-ch_listener_port(const struct ch_listener *listener)
+ch_listener_get_port(const struct ch_listener *listener)
 {
     return listener->port;
 }
--- a/libchestnuthitch/node/listener.h
+++ b/libchestnuthitch/node/listener.h
@@ -23,7 +23,7 @@
     void (*accepted)(void *data, int fd, const struct sockaddr_in *from),
     void *data, struct ch_error *error);
 /* The port in use, also when the kernel chose it. */
-int ch_listener_port(const struct ch_listener *listener);
+int ch_listener_get_port(const struct ch_listener *listener);
 /* Passes on the connections that are already established, closes the socket
  * and joins the thread. */
 void ch_listener_free(struct ch_listener *listener);
--- a/libchestnuthitch/node/local.c
+++ b/libchestnuthitch/node/local.c
@@ -7,22 +7,22 @@
 
 /* Sends a response; takes ownership of body. */
 static void
-send_response(struct ch_reply *response, int status, const char *type,
+send_response(struct ch_response *response, int status, const char *type,
               char *body)
 {
-    const struct ch_reply_answer whole = {
+    const struct ch_response_data whole = {
         .status = status,
         .content_type = type,
         .outcome = CH_RAN,
         .body = body,
-        .length = strlen(body),
+        .body_length = strlen(body),
     };
-    ch_reply_whole(response, &whole);
+    ch_response_send(response, &whole);
 }
 
 /* Answers 200 whenever the process is alive. */
 static void
-serve_health(struct ch_front *frontend, struct ch_reply *response)
+serve_health(struct ch_frontend *frontend, struct ch_response *response)
 {
     (void)frontend;
     send_response(response, 200, "text/plain", g_strdup("ok\n"));
@@ -31,36 +31,37 @@
 /* Answers whether the load balancer should send requests here, and if not,
  * why. */
 static void
-serve_ready(struct ch_front *frontend, struct ch_reply *response)
+serve_ready(struct ch_frontend *frontend, struct ch_response *response)
 {
     pthread_mutex_lock(&frontend->lock);
     bool stopping = frontend->stopping;
     pthread_mutex_unlock(&frontend->lock);
-    if (ch_node_ready(frontend->node)) {
+    if (ch_node_is_ready(frontend->node)) {
         send_response(response, 200, "application/json",
                       g_strdup("{\"ready\":true}\n"));
         return;
     }
     send_response(response, 503, "application/json",
                   g_strdup_printf("{\"ready\":false,\"reason\":\"%s\"}\n",
-                                  stopping ? ch_code_meaning(CH_STOPPING)
-                                           : ch_code_meaning(CH_NOT_READY)));
+                                  stopping
+                                      ? ch_code_get_meaning(CH_STOPPING)
+                                      : ch_code_get_meaning(CH_NOT_READY)));
 }
 
 /* Answers with counters and histograms. */
 static void
-serve_metrics(struct ch_front *frontend, struct ch_reply *response)
+serve_metrics(struct ch_frontend *frontend, struct ch_response *response)
 {
     GString *text = g_string_new(NULL);
     ch_metrics_render(frontend->node->client->metrics, text);
-    ch_peers_render(frontend->node->peers, text);
+    ch_peers_render_metrics(frontend->node->peers, text);
     send_response(response, 200, "text/plain; version=0.0.4",
                   g_string_free(text, FALSE));
 }
 
 static const struct {
     const char *path;
-    void (*serve)(struct ch_front *frontend, struct ch_reply *response);
+    void (*serve)(struct ch_frontend *frontend, struct ch_response *response);
 } paths[] = {
     {"/healthz", serve_health},
     {"/readyz", serve_ready},
@@ -69,7 +70,8 @@
 
 /* See local.h. */
 bool
-ch_local_serve(struct ch_front *frontend, const struct ch_intake *incoming)
+ch_local_serve(struct ch_frontend *frontend,
+               const struct ch_incoming_request *incoming)
 {
     if (strcmp(incoming->method, "GET") != 0 &&
         strcmp(incoming->method, "HEAD") != 0) {
@@ -79,7 +81,7 @@
     for (size_t i = 0; i < G_N_ELEMENTS(paths); i++) {
         if (strlen(paths[i].path) == length &&
             strncmp(paths[i].path, incoming->uri, length) == 0) {
-            paths[i].serve(frontend, incoming->reply);
+            paths[i].serve(frontend, incoming->response);
             return true;
         }
     }
@@ -112,8 +114,8 @@
 {
     for (size_t i = 0; i < declaration->model_count; i++) {
         const struct ch_model *model = &declaration->models[i];
-        if (!class->every_model &&
-            (class->models == NULL || class->models[i] == 0)) {
+        if (!class->allows_every_model &&
+            (class->allowed_models == NULL || class->allowed_models[i] == 0)) {
             continue;
         }
         add_model(builder, model->name, NULL);
@@ -125,10 +127,11 @@
 
 /* Answers with {"object": "list", "data": [...]}. */
 void
-ch_local_models(const struct ch_declaration *declaration,
-                const struct ch_request *request, struct ch_reply *response)
+ch_local_send_models(const struct ch_declaration *declaration,
+                     const struct ch_request *request,
+                     struct ch_response *response)
 {
-    int index = ch_declaration_class(declaration, request->class_name);
+    int index = ch_declaration_find_class(declaration, request->class_name);
     JsonBuilder *builder = json_builder_new_immutable();
     json_builder_begin_object(builder);
     json_builder_set_member_name(builder, "object");
@@ -140,5 +143,6 @@
     }
     json_builder_end_array(builder);
     json_builder_end_object(builder);
-    send_response(response, 200, "application/json", ch_json_print(builder));
+    send_response(response, 200, "application/json",
+                  ch_json_to_string(builder));
 }
--- a/libchestnuthitch/node/local.h
+++ b/libchestnuthitch/node/local.h
@@ -6,11 +6,11 @@
 #include "node/intake.h"
 
 /* True when the path is one of the node's own, which is then answered. */
-bool ch_local_serve(struct ch_front *frontend,
-                    const struct ch_intake *incoming);
+bool ch_local_serve(struct ch_frontend *frontend,
+                    const struct ch_incoming_request *incoming);
 /* Answers GET /v1/models with the models that the request's class may use. */
-void ch_local_models(const struct ch_declaration *declaration,
-                     const struct ch_request *request,
-                     struct ch_reply *response);
+void ch_local_send_models(const struct ch_declaration *declaration,
+                          const struct ch_request *request,
+                          struct ch_response *response);
 
 #endif
--- a/libchestnuthitch/node/model_body.c
+++ b/libchestnuthitch/node/model_body.c
@@ -27,8 +27,8 @@
 };
 
 static const struct number_rule number_rules[] = {
-    {"max_tokens", 1, CH_REQUEST_MOST_TOKENS, true},
-    {"max_completion_tokens", 1, CH_REQUEST_MOST_TOKENS, true},
+    {"max_tokens", 1, CH_REQUEST_MAX_TOKENS, true},
+    {"max_completion_tokens", 1, CH_REQUEST_MAX_TOKENS, true},
     {"n", 1, 1, true},
     {"temperature", 0, 2, false},
     {"top_p", 0, 1, false},
@@ -209,7 +209,7 @@
             return (uint32_t)json_node_get_int(node);
         }
     }
-    return CH_REQUEST_USUAL_TOKENS;
+    return CH_REQUEST_DEFAULT_TOKENS;
 }
 
 /* Extracts what is needed from the body's JSON object. */
@@ -219,10 +219,10 @@
 {
     JsonNode *model = json_object_get_member(object, "model");
     if (!is_string(model) || json_node_get_string(model)[0] == '\0' ||
-        strlen(json_node_get_string(model)) > CH_REQUEST_MOST_NAME) {
+        strlen(json_node_get_string(model)) > CH_REQUEST_MAX_NAME_BYTES) {
         ch_fault_set(fault, CH_BAD_FIELD, "model",
                      "model is not a string of 1 to %d bytes",
-                     CH_REQUEST_MOST_NAME);
+                     CH_REQUEST_MAX_NAME_BYTES);
         return false;
     }
     for (size_t i = 0; i < G_N_ELEMENTS(number_rules); i++) {
@@ -239,9 +239,9 @@
         body->model = g_strdup(json_node_get_string(model));
         body->output_tokens = get_output_tokens(object);
         body->prompt_tokens = (uint32_t)(bytes / BYTES_PER_TOKEN) + 1;
-        body->prefix = start->len < MIN_PREFIX_BYTES
-                           ? 0
-                           : ch_hash(start->str, start->len);
+        body->prefix_hash = start->len < MIN_PREFIX_BYTES
+                                ? 0
+                                : ch_hash(start->str, start->len);
     }
     g_string_free(start, TRUE);
     return good;
@@ -256,7 +256,7 @@
     size_t members = 0;
     *body = (struct ch_model_body){.model = NULL};
     if (length == 0 || !g_utf8_validate(text, (gssize)length, NULL) ||
-        !ch_json_shape(text, length, MAX_DEPTH, &members)) {
+        !ch_json_check_shape(text, length, MAX_DEPTH, &members)) {
         ch_fault_set(
             fault, CH_BAD_JSON, "body",
             "the body is not one whole JSON object in UTF-8, nested at "
--- a/libchestnuthitch/node/node.c
+++ b/libchestnuthitch/node/node.c
@@ -18,12 +18,12 @@
 static void
 free_node(struct ch_node *node)
 {
-    ch_front_free(node->front);
+    ch_frontend_free(node->frontend);
     ch_admin_free(node->admin);
-    ch_config_keeper_free(node->config);
-    ch_once_keeper_free(node->once);
-    ch_ledger_keeper_free(node->ledger);
-    ch_crash_keeper_free(node->crashes);
+    ch_config_manager_free(node->config);
+    ch_once_manager_free(node->once);
+    ch_ledger_manager_free(node->ledger);
+    ch_crash_guard_free(node->crash_guard);
     if (node->router != NULL) {
         node->router->ops->free(node->router);
     }
@@ -46,8 +46,8 @@
     node->pool = ch_pool_new(settings->workers);
     node->timers = ch_timers_new(node->pool);
     node->http = ch_http_new(node->client);
-    ch_http_idle_limit(node->http,
-                       (int64_t)settings->idle_connection_ms * 1000);
+    ch_http_set_idle_timeout(node->http,
+                             (int64_t)settings->idle_connection_ms * 1000);
     int64_t kv_limit = (int64_t)settings->kv_timeout_ms * 1000;
     if (node->dialect != NULL) {
         node->kv = node->dialect->kv_new(node->client, node->http,
@@ -56,24 +56,24 @@
     else {
         node->kv =
             ch_kv_http_new(node->client, node->http, settings->kv, kv_limit);
-        node->hosts = ch_hosts_http_new(node->client, node->http,
-                                        settings->hosts, LIST_TIMEOUT_US);
+        node->hosts = ch_host_source_http_new(
+            node->client, node->http, settings->hosts, LIST_TIMEOUT_US);
     }
     node->peers = ch_peers_new(node, error);
     if (node->peers == NULL) {
         return false;
     }
-    node->crashes = ch_crash_keeper_new(node);
-    node->config = ch_config_keeper_new(node);
-    node->once = ch_once_keeper_new(node);
+    node->crash_guard = ch_crash_guard_new(node);
+    node->config = ch_config_manager_new(node);
+    node->once = ch_once_manager_new(node);
     if (node->dialect != NULL) {
         node->router = ch_balancer_new(node);
         return true;
     }
     node->homes = ch_homes_new(node);
-    node->router = ch_homes_router(node->homes);
+    node->router = ch_homes_get_router(node->homes);
     node->ledger =
-        ch_ledger_keeper_new(node, home_ledger_handlers(), node->homes);
+        ch_ledger_manager_new(node, home_ledger_handlers(), node->homes);
     return true;
 }
 
@@ -110,13 +110,13 @@
         return NULL;
     }
     ch_peers_start(node->peers);
-    ch_config_keeper_start(node->config);
-    ch_crash_keeper_start(node->crashes);
+    ch_config_manager_start(node->config);
+    ch_crash_guard_start(node->crash_guard);
     node->router->ops->start(node->router);
     /* Stored atomically: the front end's threads may call ch_node_is_ready()
      * before this assignment. */
-    ck_pr_store_ptr(&node->front, ch_front_new(node, error));
-    node->admin = node->front != NULL ? ch_admin_new(node, error) : NULL;
+    ck_pr_store_ptr(&node->frontend, ch_frontend_new(node, error));
+    node->admin = node->frontend != NULL ? ch_admin_new(node, error) : NULL;
     if (node->admin == NULL) {
         ch_node_stop(node);
         return NULL;
@@ -131,19 +131,19 @@
 {
     ch_log(node->client, CH_LOG_NOTICE, "stopping", CH_F_END);
     node->router->ops->drain(node->router);
-    if (node->front != NULL) {
-        ch_front_stop(node->front);
+    if (node->frontend != NULL) {
+        ch_frontend_stop(node->frontend);
     }
     if (node->admin != NULL) {
         ch_admin_stop(node->admin);
     }
     node->router->ops->stop(node->router);
-    ch_once_keeper_stop(node->once);
+    ch_once_manager_stop(node->once);
     if (node->ledger != NULL) {
-        ch_ledger_keeper_stop(node->ledger);
+        ch_ledger_manager_stop(node->ledger);
     }
-    ch_config_keeper_stop(node->config);
-    ch_crash_keeper_stop(node->crashes);
+    ch_config_manager_stop(node->config);
+    ch_crash_guard_stop(node->crash_guard);
     stop_threads(node);
     ch_log(node->client, CH_LOG_NOTICE, "stopped", CH_F_END);
     free_node(node);
