--- a/libchestnuthitch/node/node.h
+++ b/libchestnuthitch/node/node.h
@@ -27,7 +27,7 @@
 
 #include <json-glib/json-glib.h>
 
-struct ch_crash_keeper;
+struct ch_crash_guard;
 struct ch_dialect;
 struct ch_router;
 
@@ -40,19 +40,19 @@
     struct ch_timers *timers;
     struct ch_http *http;
     struct ch_kv *kv;
-    struct ch_hosts *hosts;
+    struct ch_host_source *hosts;
     struct ch_peers *peers;
-    struct ch_config_keeper *config;
-    struct ch_once_keeper *once;
-    struct ch_ledger_keeper *ledger;
-    struct ch_crash_keeper *crashes;
+    struct ch_config_manager *config;
+    struct ch_once_manager *once;
+    struct ch_ledger_manager *ledger;
+    struct ch_crash_guard *crash_guard;
     struct ch_homes *homes; /* NULL where each node routes by its own view of
                                the upstreams */
     struct ch_router *router;
-    struct ch_front *front;
+    struct ch_frontend *frontend;
     struct ch_admin *admin;
-    int returns; /* atomic: the host list still names an earlier process of
-                    this host */
+    int predecessor_listed; /* atomic: the host list still names an earlier
+                    process of this host */
 };
 
 /* Starts all components; NULL with an error. settings and dialect (NULL:
@@ -98,25 +98,24 @@
                     Chestnuthitch__Wire__Frame *frame);
 /* Sets the handler of replies to requests that have already ended; the handler
  * runs on a pool worker. */
-void ch_peers_handle_late(
+void ch_peers_set_late_reply_handler(
     struct ch_peers *peers,
     void (*handle)(void *data, const Chestnuthitch__Wire__Frame *frame),
     void *data);
 /* Sets the handler of frames with one body case; the handler runs on a pool
  * worker. To be called before ch_peers_start() only. */
-void ch_peers_handle(struct ch_peers *peers,
-                     Chestnuthitch__Wire__Frame__BodyCase body,
-                     void (*handle)(void *data,
-                                    const Chestnuthitch__Wire__Frame *frame),
-                     void *data);
+void ch_peers_set_handler(
+    struct ch_peers *peers, Chestnuthitch__Wire__Frame__BodyCase body,
+    void (*handle)(void *data, const Chestnuthitch__Wire__Frame *frame),
+    void *data);
 /* The live node that is the home node of a key, in one data centre (NULL: in
  * all). A new string; this node's own name when no other node is live. */
-char *ch_peers_home(struct ch_peers *peers, uint64_t key,
-                    const char *data_centre);
+char *ch_peers_find_home(struct ch_peers *peers, uint64_t key,
+                         const char *data_centre);
 /* The home node of an upstream: in its data centre, else in its region, else
  * anywhere. A new string. */
-char *ch_peers_upstream_home(struct ch_peers *peers, uint64_t key,
-                             const char *region, const char *data_centre);
+char *ch_peers_find_upstream_home(struct ch_peers *peers, uint64_t key,
+                                  const char *region, const char *data_centre);
 /* Whether this node is the home node of an upstream. *becomes: whether this
  * node should become its home node; false while this node is not ready and
  * another node still serves the upstream. */
@@ -125,117 +124,120 @@
 /* This node's rank for a role among itself and the live nodes of a data centre
  * and a region (NULL for either: all). 0 is first; hosts with more capacity
  * rank before others. Defined in peers_role.c, like ch_peers_has_role(). */
-size_t ch_peers_rank(struct ch_peers *peers, uint64_t key,
-                     const char *data_centre, const char *region);
+size_t ch_peers_get_rank(struct ch_peers *peers, uint64_t key,
+                         const char *data_centre, const char *region);
 /* Whether this node ranks among the first `count` nodes for a role: a task
  * that few nodes do for all. region: the nodes to rank (NULL: all nodes). */
 bool ch_peers_has_role(struct ch_peers *peers, const char *role,
                        unsigned count, const char *region);
 /* Whether a node is in this node's region; true when the node or its region is
  * unknown. */
-bool ch_peers_is_near(struct ch_peers *peers, const char *name);
+bool ch_peers_is_same_region(struct ch_peers *peers, const char *name);
 /* A number that changes whenever the home node of any key may have changed. */
-uint64_t ch_peers_version(struct ch_peers *peers);
+uint64_t ch_peers_get_version(struct ch_peers *peers);
 /* Updates the known nodes from a complete host list of the platform. */
-void ch_peers_list(struct ch_peers *peers, const struct ch_host_list *list);
+void ch_peers_update_list(struct ch_peers *peers,
+                          const struct ch_host_list *list);
 /* Whether any host list has arrived. Until then this node does not know the
  * others, so it must not take a role because it ranks first or seems to be
  * alone. */
-bool ch_peers_listed(struct ch_peers *peers);
+bool ch_peers_has_list(struct ch_peers *peers);
 /* Whether a node can decompress messages, as every node that reports its
  * capacity can. */
-bool ch_peers_unpacks(struct ch_peers *peers, const char *name);
+bool ch_peers_can_decompress(struct ch_peers *peers, const char *name);
 /* When the last message came from the node; 0: the node is unknown.
  * *incarnation (may be NULL) is set to that of its process. */
-int64_t ch_peers_heard(struct ch_peers *peers, const char *name,
-                       uint64_t *incarnation);
+int64_t ch_peers_get_last_heard(struct ch_peers *peers, const char *name,
+                                uint64_t *incarnation);
 /* Adds the names of silent nodes, to be sent in gossip. */
-void ch_peers_hints(struct ch_peers *peers, GPtrArray *silent_names);
+void ch_peers_collect_hints(struct ch_peers *peers, GPtrArray *silent_names);
 /* Updates the known nodes from the gossip of another node. */
-void ch_peers_told(struct ch_peers *peers,
-                   const Chestnuthitch__Wire__Gossip *gossip);
+void ch_peers_handle_gossip(struct ch_peers *peers,
+                            const Chestnuthitch__Wire__Gossip *gossip);
 /* The port in use, also when the kernel chose it. */
-uint16_t ch_peers_port(const struct ch_peers *peers);
+uint16_t ch_peers_get_port(const struct ch_peers *peers);
 /* Marks this node as stopping: it is no longer the home node of any key,
  * unless no other node is live. */
-void ch_peers_stopping(struct ch_peers *peers);
+void ch_peers_set_stopping(struct ch_peers *peers);
 /* Adds the names of the other live nodes, as new strings in the order of names
  * that begins after this node's own: those in this node's data centre to
  * `local`, the rest to `remote`. */
-void ch_peers_others(struct ch_peers *peers, GPtrArray *local,
-                     GPtrArray *remote);
+void ch_peers_list_others(struct ch_peers *peers, GPtrArray *local,
+                          GPtrArray *remote);
 /* Calls each() for every other live node, with the peers' lock held. */
-void ch_peers_each_other(struct ch_peers *peers,
-                         void (*each)(void *data, const char *name,
-                                      const char *data_centre,
-                                      const char *region),
-                         void *data);
+void ch_peers_foreach_other(struct ch_peers *peers,
+                            void (*each)(void *data, const char *name,
+                                         const char *data_centre,
+                                         const char *region),
+                            void *data);
 /* Sorted names of all live nodes including this one; free with g_strfreev().
  */
-char **ch_peers_live(struct ch_peers *peers);
+char **ch_peers_list_live(struct ch_peers *peers);
 
 /* ---- the configuration in force ---- */
 
-struct ch_config_keeper;
+struct ch_config_manager;
 
-struct ch_config_keeper *ch_config_keeper_new(struct ch_node *node);
-void ch_config_keeper_start(struct ch_config_keeper *manager);
-void ch_config_keeper_stop(struct ch_config_keeper *manager);
-void ch_config_keeper_free(struct ch_config_keeper *manager);
+struct ch_config_manager *ch_config_manager_new(struct ch_node *node);
+void ch_config_manager_start(struct ch_config_manager *manager);
+void ch_config_manager_stop(struct ch_config_manager *manager);
+void ch_config_manager_free(struct ch_config_manager *manager);
 /* A new reference to the configuration in force; NULL while none is known. */
-struct ch_config *ch_config_keeper_current(struct ch_config_keeper *manager);
+struct ch_config *
+ch_config_manager_get_current(struct ch_config_manager *manager);
 /* Reports a revision seen in a frame; a higher one than this node's is fetched
  * from that node. */
-void ch_config_keeper_learn(struct ch_config_keeper *manager,
-                            uint64_t revision, const char *from);
+void ch_config_manager_note_revision(struct ch_config_manager *manager,
+                                     uint64_t revision, const char *from);
 /* Writes a new declaration by compare-and-swap against revision `base`. The
  * error code is OK, KV_CONFLICT (config is then the one in force),
  * KV_UNREACHABLE, KV_AMBIGUOUS or the code of the declaration's fault. */
-void ch_config_keeper_apply(struct ch_config_keeper *manager, const char *text,
-                            const char *author, uint64_t base,
-                            void (*done)(void *data,
-                                         const struct ch_error *error,
-                                         struct ch_config *config),
-                            void *data);
+void
+ch_config_manager_apply(struct ch_config_manager *manager, const char *text,
+                        const char *author, uint64_t base,
+                        void (*done)(void *data, const struct ch_error *error,
+                                     struct ch_config *config),
+                        void *data);
 
 /* ---- at-most-once records ---- */
 
-struct ch_once_answer {
+struct ch_once_result {
     enum ch_once_state state;
     uint64_t attempt; /* to be passed to ch_once_manager_finish() */
-    bool kept;
+    bool response_stored;
     int status;
     const char *content_type;
     const void *body;
-    size_t length;
+    size_t body_length;
 };
 
-struct ch_once_keeper;
+struct ch_once_manager;
 
-struct ch_once_keeper *ch_once_keeper_new(struct ch_node *node);
-void ch_once_keeper_stop(struct ch_once_keeper *manager);
-void ch_once_keeper_free(struct ch_once_keeper *manager);
+struct ch_once_manager *ch_once_manager_new(struct ch_node *node);
+void ch_once_manager_stop(struct ch_once_manager *manager);
+void ch_once_manager_free(struct ch_once_manager *manager);
 /* Calls done exactly once, on a pool worker. fingerprint: hash of method, path
  * and body. */
-void ch_once_keeper_begin(struct ch_once_keeper *manager, const char *caller,
-                          const char *key, uint64_t fingerprint,
-                          void (*done)(void *data,
-                                       const struct ch_once_answer *answer),
-                          void *data);
+void ch_once_manager_begin(struct ch_once_manager *manager, const char *caller,
+                           const char *key, uint64_t fingerprint,
+                           void (*done)(void *data,
+                                        const struct ch_once_result *answer),
+                           void *data);
 /* Ends a request for which ch_once_manager_begin() gave CREATED: stores the
  * whole response, or, with not_run, frees the key again because the request
  * certainly did not run. Without this call the record stays in progress and
  * the outcome unknown. done (may be NULL) runs after the response was stored
  * or could not be stored. */
-void ch_once_keeper_finish(struct ch_once_keeper *manager, const char *caller,
-                           const char *key, uint64_t attempt, bool not_run,
-                           int status, const char *content_type,
-                           const void *body, size_t length,
-                           void (*done)(void *data, bool kept), void *data);
+void ch_once_manager_finish(struct ch_once_manager *manager,
+                            const char *caller, const char *key,
+                            uint64_t attempt, bool not_run, int status,
+                            const char *content_type, const void *body,
+                            size_t length, void (*done)(void *data, bool kept),
+                            void *data);
 
 /* ---- ledgers of the upstreams whose home node this is ---- */
 
-struct ch_ledger_keeper;
+struct ch_ledger_manager;
 
 /* changed: the ledger as now known, after every change; failed: a load or
  * unload order that will not be carried out. Both run on a pool worker. */
@@ -246,40 +248,42 @@
                    enum ch_action_kind kind, enum ch_code code);
 };
 
-struct ch_ledger_keeper *
-ch_ledger_keeper_new(struct ch_node *node,
-                     const struct ch_ledger_handlers *handlers, void *data);
-void ch_ledger_keeper_stop(struct ch_ledger_keeper *manager);
-void ch_ledger_keeper_free(struct ch_ledger_keeper *manager);
+struct ch_ledger_manager *
+ch_ledger_manager_new(struct ch_node *node,
+                      const struct ch_ledger_handlers *handlers, void *data);
+void ch_ledger_manager_stop(struct ch_ledger_manager *manager);
+void ch_ledger_manager_free(struct ch_ledger_manager *manager);
 /* Open and close a ledger when this node becomes the home node of an upstream
  * and ceases to be. engine must live until close returns. */
-void ch_ledger_keeper_open(struct ch_ledger_keeper *manager, GQuark upstream,
-                           struct ch_upstream *engine, uint32_t capacity_mb);
-void ch_ledger_keeper_close(struct ch_ledger_keeper *manager, GQuark upstream);
+void ch_ledger_manager_open(struct ch_ledger_manager *manager, GQuark upstream,
+                            struct ch_upstream *engine, uint32_t capacity_mb);
+void ch_ledger_manager_close(struct ch_ledger_manager *manager,
+                             GQuark upstream);
 /* Reserves the memory by compare-and-swap, then sends the load order;
  * `changed` shows the result. */
-void ch_ledger_keeper_load(struct ch_ledger_keeper *manager, GQuark upstream,
-                           GQuark item, uint32_t memory_mb);
-void ch_ledger_keeper_unload(struct ch_ledger_keeper *manager, GQuark upstream,
-                             GQuark item);
+void ch_ledger_manager_load(struct ch_ledger_manager *manager, GQuark upstream,
+                            GQuark item, uint32_t memory_mb);
+void ch_ledger_manager_unload(struct ch_ledger_manager *manager,
+                              GQuark upstream, GQuark item);
 /* Updates the ledger from a report of the engine's state. */
-void ch_ledger_keeper_report(struct ch_ledger_keeper *manager, GQuark upstream,
-                             const struct ch_report *report);
+void ch_ledger_manager_handle_report(struct ch_ledger_manager *manager,
+                                     GQuark upstream,
+                                     const struct ch_engine_report *report);
 
 /* ---- routers: which upstream a request goes to, and when ---- */
 
 struct ch_grant {
     uint64_t handle; /* of the request; to be passed to release */
     GQuark upstream;
-    uint64_t boot;              /* of the upstream; 0: unknown */
+    uint64_t boot_id;           /* of the upstream; 0: unknown */
     struct ch_upstream *client; /* valid until release */
     const char *address; /* "ip:port", valid until release; NULL: unknown */
     uint32_t priority;
     bool other_region;
-    int64_t token; /* measured time of a token there; 0: none yet */
+    int64_t token_time; /* measured time of a token there; 0: none yet */
     /* Predicted time until the first byte of the response, from the upstream's
      * known load; 0: its load is unknown. */
-    int64_t expected;
+    int64_t expected_latency;
 };
 
 /* Exactly one of the two handlers runs, once, on a pool worker. */
@@ -292,7 +296,7 @@
 struct ch_router_ops {
     void (*start)(struct ch_router *router);
     /* True once this node knows enough of the upstreams to route. */
-    bool (*ready)(struct ch_router *router);
+    bool (*is_ready)(struct ch_router *router);
     /* The request info is copied. excluded: GQuarks of upstreams not to use
      * (may be NULL). One of the handlers runs once, unless the request is
      * withdrawn. */
@@ -305,7 +309,7 @@
     bool (*withdraw)(struct ch_router *router, uint64_t handle);
     /* Reports the first event of a granted request's response; the operation
      * may be NULL. */
-    void (*first)(struct ch_router *router, uint64_t handle);
+    void (*record_first_byte)(struct ch_router *router, uint64_t handle);
     /* Exactly once for each grant. */
     void (*release)(struct ch_router *router, uint64_t handle,
                     const struct ch_timing_sample *sample);
@@ -315,7 +319,7 @@
     void (*stop)(struct ch_router *router);
     void (*free)(struct ch_router *router);
     /* Adds JSON members to an open object. */
-    void (*status)(struct ch_router *router, JsonBuilder *builder);
+    void (*write_status)(struct ch_router *router, JsonBuilder *builder);
 };
 
 struct ch_router {
@@ -327,14 +331,14 @@
 struct ch_homes;
 
 /* The homes as a router, valid until ch_homes_free(). */
-struct ch_router *ch_homes_router(struct ch_homes *homes);
+struct ch_router *ch_homes_get_router(struct ch_homes *homes);
 
 struct ch_homes *ch_homes_new(struct ch_node *node);
 void ch_homes_start(struct ch_homes *homes);
 void ch_homes_stop(struct ch_homes *homes);
 void ch_homes_free(struct ch_homes *homes);
 /* True once this node knows enough of the upstreams to route. */
-bool ch_homes_ready(struct ch_homes *homes);
+bool ch_homes_is_ready(struct ch_homes *homes);
 /* As `request` in struct ch_router_ops. */
 uint64_t ch_homes_request(struct ch_homes *homes,
                           const struct ch_request_info *info,
@@ -352,29 +356,30 @@
                       const struct ch_timing_sample *sample);
 /* Adds upstreams, their home nodes and their resident items as JSON members to
  * an open object. */
-void ch_homes_status(struct ch_homes *homes, JsonBuilder *builder);
-void ch_peers_status(struct ch_peers *peers, JsonBuilder *builder);
+void ch_homes_write_status(struct ch_homes *homes, JsonBuilder *builder);
+void ch_peers_write_status(struct ch_peers *peers, JsonBuilder *builder);
 /* Frames and bytes to and from other nodes, by kind: as Prometheus text, and
  * as the array "traffic" of an open object. */
-void ch_peers_render(const struct ch_peers *peers, GString *out);
-void ch_peers_traffic_status(const struct ch_peers *peers,
-                             JsonBuilder *builder);
+void ch_peers_render_metrics(const struct ch_peers *peers, GString *out);
+void ch_peers_write_traffic(const struct ch_peers *peers,
+                            JsonBuilder *builder);
 
 /* ---- front end: the callers' listener, and exchanges ---- */
 
-struct ch_front;
+struct ch_frontend;
 
-struct ch_front *ch_front_new(struct ch_node *node, struct ch_error *error);
+struct ch_frontend *ch_frontend_new(struct ch_node *node,
+                                    struct ch_error *error);
 /* Makes the node not ready at once; keeps serving for settings->drain_ms, then
  * refuses new requests with STOPPING; returns when no request is open. */
-void ch_front_stop(struct ch_front *frontend);
+void ch_frontend_stop(struct ch_frontend *frontend);
 /* Abandons the running exchanges of requests that have been barred meanwhile.
  */
-void ch_front_drop_barred(struct ch_front *frontend);
-void ch_front_free(struct ch_front *frontend);
+void ch_frontend_abandon_barred(struct ch_frontend *frontend);
+void ch_frontend_free(struct ch_frontend *frontend);
 /* True when a configuration and the upstreams are known and the node is not
    stopping. */
-bool ch_node_ready(struct ch_node *node);
+bool ch_node_is_ready(struct ch_node *node);
 
 /* ---- admin (admin.c): the listener for operators and the platform ---- */
 
--- a/libchestnuthitch/node/once_home.c
+++ b/libchestnuthitch/node/once_home.c
@@ -53,7 +53,7 @@
 
 /* See once_home.h. */
 uint32_t
-ch_once_slot_of(const char *caller, const char *key, uint32_t slot_count)
+ch_once_slot_for_key(const char *caller, const char *key, uint32_t slot_count)
 {
     return (
         uint32_t)(ch_hash_pair(ch_hash_string(caller), ch_hash_string(key)) %
@@ -62,15 +62,15 @@
 
 /* See once_home.h. */
 char *
-ch_once_slot_home(struct ch_node *node, uint32_t slot)
+ch_once_slot_find_home(struct ch_node *node, uint32_t slot)
 {
-    return ch_peers_home(node->peers,
-                         ch_hash_pair(ch_hash_string("once"), slot), NULL);
+    return ch_peers_find_home(
+        node->peers, ch_hash_pair(ch_hash_string("once"), slot), NULL);
 }
 
 /* See once_home.h. */
 char *
-ch_once_slot_prefix(uint32_t slot)
+ch_once_slot_format_prefix(uint32_t slot)
 {
     return g_strdup_printf("once/%u/", slot);
 }
@@ -78,7 +78,7 @@
 /* The sequence is padded with zeros so that a list comes in order of
  * sequence. */
 char *
-ch_once_batch_key(uint32_t slot, uint64_t sequence)
+ch_once_batch_format_key(uint32_t slot, uint64_t sequence)
 {
     return g_strdup_printf("once/%u/%012" G_GUINT64_FORMAT, slot, sequence);
 }
@@ -94,7 +94,7 @@
 
 /* See once_home.h. */
 GArray *
-ch_once_listed_new(const struct ch_kv_entry *entries, size_t count)
+ch_once_batch_entries_new(const struct ch_kv_entry *entries, size_t count)
 {
     GArray *batches =
         g_array_new(FALSE, TRUE, sizeof(struct ch_once_batch_entry));
@@ -138,7 +138,7 @@
     g_free(waiter);
 }
 
-/* Frees a waiter that gets no reply; for ch_table_each. */
+/* Frees a waiter that gets no reply; for ch_table_foreach. */
 static void
 free_unanswered_waiter(void *item, uint64_t handle, void *data)
 {
@@ -162,7 +162,7 @@
     if (g_atomic_int_add(&home->references, -count) != count) {
         return;
     }
-    ch_table_each(home->waiters, free_unanswered_waiter, NULL);
+    ch_table_foreach(home->waiters, free_unanswered_waiter, NULL);
     ch_table_free(home->waiters);
     g_hash_table_destroy(home->slots);
     pthread_mutex_destroy(&home->lock);
@@ -201,7 +201,7 @@
 /* The batch with a stored response was read: replies with the response, or,
  * when the batch can't be read, only with the state "done". */
 static void
-handle_stored_response(void *data, const struct ch_kv_answer *value)
+handle_stored_response(void *data, const struct ch_kv_result *value)
 {
     struct stored_call *call = data;
     Chestnuthitch__Wire__OnceAnswer answer =
@@ -248,7 +248,7 @@
         call->waiter = waiter;
         call->attempt = action->completed_by_attempt;
         g_autofree char *key =
-            ch_once_batch_key(slot, action->completed_sequence);
+            ch_once_batch_format_key(slot, action->completed_sequence);
         ch_kv_call_get(home->node, key, handle_stored_response, call);
         return;
     }
@@ -303,49 +303,51 @@
 {
     struct home_slot *slot = data;
     struct ch_once_actions actions;
-    GArray *batches = ch_once_listed_new(entries, count);
+    GArray *batches = ch_once_batch_entries_new(entries, count);
     begin_event(slot, &actions);
     ch_once_slot_handle_list(
         slot->machine, code,
         (const struct ch_once_batch_entry *)(void *)batches->data,
-        batches->len, ch_client_now(slot->home->node->client), &actions);
+        batches->len, ch_client_get_time(slot->home->node->client), &actions);
     end_event(slot, &actions, true);
     g_array_free(batches, TRUE);
 }
 
 /* Handles the reply to CH_ONCE_PUT. */
 static void
-handle_put(void *data, const struct ch_kv_answer *answer)
+handle_put(void *data, const struct ch_kv_result *answer)
 {
     struct home_slot *slot = data;
     struct ch_once_actions actions;
     begin_event(slot, &actions);
     ch_once_slot_handle_put(slot->machine, answer->code, answer->revision,
-                            ch_client_now(slot->home->node->client), &actions);
+                            ch_client_get_time(slot->home->node->client),
+                            &actions);
     end_event(slot, &actions, true);
 }
 
 /* Handles the reply to CH_ONCE_GET. */
 static void
-handle_get(void *data, const struct ch_kv_answer *answer)
+handle_get(void *data, const struct ch_kv_result *answer)
 {
     struct home_slot *slot = data;
     struct ch_once_actions actions;
     begin_event(slot, &actions);
     ch_once_slot_handle_get(slot->machine, answer->code, answer->value,
                             answer->length, answer->revision,
-                            ch_client_now(slot->home->node->client), &actions);
+                            ch_client_get_time(slot->home->node->client),
+                            &actions);
     end_event(slot, &actions, true);
 }
 
 /* Handles the reply to CH_ONCE_REMOVE: the next expired batch may be removed
  * at once. */
 static void
-handle_remove(void *data, const struct ch_kv_answer *answer)
+handle_remove(void *data, const struct ch_kv_result *answer)
 {
     struct home_slot *slot = data;
     struct ch_once_actions actions;
-    int64_t now = ch_client_now(slot->home->node->client);
+    int64_t now = ch_client_get_time(slot->home->node->client);
     begin_event(slot, &actions);
     ch_once_slot_handle_remove(slot->machine, answer->code, now, &actions);
     ch_once_slot_tick(slot->machine, answer->code == CH_OK, now, &actions);
@@ -359,8 +361,9 @@
 run_call(struct home_slot *slot, const struct ch_once_action *action)
 {
     struct ch_node *node = slot->home->node;
-    g_autofree char *prefix = ch_once_slot_prefix(slot->number);
-    g_autofree char *key = ch_once_batch_key(slot->number, action->sequence);
+    g_autofree char *prefix = ch_once_slot_format_prefix(slot->number);
+    g_autofree char *key =
+        ch_once_batch_format_key(slot->number, action->sequence);
     pthread_mutex_lock(&slot->home->lock);
     bool stopped = slot->home->stopped;
     slot->pending_calls += !stopped;
@@ -413,7 +416,7 @@
     slot->timer_due = INT64_MAX;
     slot->timer = 0;
     ch_once_slot_tick(slot->machine, false,
-                      ch_client_now(slot->home->node->client), &actions);
+                      ch_client_get_time(slot->home->node->client), &actions);
     end_event(slot, &actions, true);
 }
 
@@ -433,9 +436,9 @@
         home_add_reference(home);
     }
     slot->timer_due = due;
-    slot->timer = ch_timers_after(home->node->timers,
-                                  due - ch_client_now(home->node->client),
-                                  handle_timer, slot);
+    slot->timer = ch_timers_add(home->node->timers,
+                                due - ch_client_get_time(home->node->client),
+                                handle_timer, slot);
 }
 
 /* ---- messages ---- */
@@ -453,10 +456,10 @@
         slot->home = home;
         slot->number = number;
         slot->timer_due = INT64_MAX;
-        slot->machine =
-            ch_once_slot_new(ch_hash_pair(home->write_id, number),
-                             (int64_t)settings->once_gather_ms * 1000,
-                             (int64_t)settings->once_keep_s * G_USEC_PER_SEC);
+        slot->machine = ch_once_slot_new(
+            ch_hash_pair(home->write_id, number),
+            (int64_t)settings->once_batch_delay_ms * 1000,
+            (int64_t)settings->once_retention_s * G_USEC_PER_SEC);
         g_hash_table_insert(home->slots, GUINT_TO_POINTER(number), slot);
     }
     return slot;
@@ -486,7 +489,7 @@
         ch_once_event_free(event);
         return;
     }
-    int64_t now = ch_client_now(home->node->client);
+    int64_t now = ch_client_get_time(home->node->client);
     slot->last_used_at = now;
     ch_once_actions_init(&actions);
     ch_once_slot_add_event(slot->machine, event,
@@ -540,7 +543,7 @@
 static bool
 is_home(struct ch_once_home *home, uint32_t number)
 {
-    g_autofree char *name = ch_once_slot_home(home->node, number);
+    g_autofree char *name = ch_once_slot_find_home(home->node, number);
     return g_strcmp0(name, home->node->settings->name) == 0;
 }
 
@@ -568,7 +571,7 @@
 {
     struct ch_once_actions actions;
     bool own = is_home(home, number);
-    int64_t now = ch_client_now(home->node->client);
+    int64_t now = ch_client_get_time(home->node->client);
     pthread_mutex_lock(&home->lock);
     struct home_slot *slot =
         g_hash_table_lookup(home->slots, GUINT_TO_POINTER(number));
@@ -602,7 +605,7 @@
     bool again = !home->stopped;
     if (again) {
         home->sweep_timer =
-            ch_timers_after(home->node->timers, SWEEP_PERIOD_US, sweep, home);
+            ch_timers_add(home->node->timers, SWEEP_PERIOD_US, sweep, home);
     }
     pthread_mutex_unlock(&home->lock);
     if (!again) {
@@ -626,13 +629,15 @@
     home->slots =
         g_hash_table_new_full(g_direct_hash, g_direct_equal, NULL, slot_free);
     home->waiters = ch_table_new();
-    ch_peers_handle(node->peers, CHESTNUTHITCH__WIRE__FRAME__BODY_ONCE_BEGIN,
-                    handle_begin, home);
-    ch_peers_handle(node->peers, CHESTNUTHITCH__WIRE__FRAME__BODY_ONCE_FINISH,
-                    handle_finish, home);
+    ch_peers_set_handler(node->peers,
+                         CHESTNUTHITCH__WIRE__FRAME__BODY_ONCE_BEGIN,
+                         handle_begin, home);
+    ch_peers_set_handler(node->peers,
+                         CHESTNUTHITCH__WIRE__FRAME__BODY_ONCE_FINISH,
+                         handle_finish, home);
     pthread_mutex_lock(&home->lock);
     home->sweep_timer =
-        ch_timers_after(node->timers, SWEEP_PERIOD_US, sweep, home);
+        ch_timers_add(node->timers, SWEEP_PERIOD_US, sweep, home);
     pthread_mutex_unlock(&home->lock);
     return home;
 }
--- a/libchestnuthitch/node/once_keeper.c
+++ b/libchestnuthitch/node/once_keeper.c
@@ -42,7 +42,7 @@
     FINISH_MAX_ATTEMPTS = 5,
 };
 
-struct ch_once_keeper {
+struct ch_once_manager {
     struct ch_node *node;
     struct ch_once_home *home;
     pthread_mutex_t lock;
@@ -55,7 +55,7 @@
 };
 
 struct begin {
-    struct ch_once_keeper *keeper;
+    struct ch_once_manager *keeper;
     int references;
     char *caller;
     char *key;
@@ -67,12 +67,12 @@
     bool may_be_written;   /* the attempt may have been written to the log */
     bool finished;
     uint64_t timer;
-    void (*done)(void *data, const struct ch_once_answer *answer);
+    void (*done)(void *data, const struct ch_once_result *answer);
     void *data;
 };
 
 struct finish {
-    struct ch_once_keeper *keeper;
+    struct ch_once_manager *keeper;
     uint32_t slot;
     char *caller;
     char *key;
@@ -92,8 +92,8 @@
 /* ---- ownership ---- */
 
 /* Adds a reference, for a call or timer in progress. */
-static struct ch_once_keeper *
-keeper_add_reference(struct ch_once_keeper *keeper)
+static struct ch_once_manager *
+keeper_add_reference(struct ch_once_manager *keeper)
 {
     g_atomic_int_inc(&keeper->references);
     return keeper;
@@ -101,7 +101,7 @@
 
 /* Drops a reference; frees the keeper with the last one. */
 static void
-keeper_drop_reference(struct ch_once_keeper *keeper)
+keeper_drop_reference(struct ch_once_manager *keeper)
 {
     if (!g_atomic_int_dec_and_test(&keeper->references)) {
         return;
@@ -144,10 +144,10 @@
 
 /* Increments a counter, if the client has metrics. */
 static void
-count_event(struct ch_once_keeper *keeper, enum ch_counter counter)
+count_event(struct ch_once_manager *keeper, enum ch_counter counter)
 {
     if (keeper->node->client->metrics != NULL) {
-        ch_metrics_count(keeper->node->client->metrics, counter, 1);
+        ch_metrics_add_count(keeper->node->client->metrics, counter, 1);
     }
 }
 
@@ -182,7 +182,7 @@
 static bool
 finish_retry_later(struct finish *finish)
 {
-    struct ch_once_keeper *keeper = finish->keeper;
+    struct ch_once_manager *keeper = finish->keeper;
     int64_t delay = (int64_t)G_USEC_PER_SEC << finish->attempts_made;
     pthread_mutex_lock(&keeper->lock);
     bool again =
@@ -190,7 +190,7 @@
     if (again) {
         g_hash_table_add(keeper->waiting_finishes, finish);
         finish->timer =
-            ch_timers_after(keeper->node->timers, delay, finish_send, finish);
+            ch_timers_add(keeper->node->timers, delay, finish_send, finish);
     }
     pthread_mutex_unlock(&keeper->lock);
     return again;
@@ -239,14 +239,14 @@
     body.body.len = finish->length;
     frame.body_case = CHESTNUTHITCH__WIRE__FRAME__BODY_ONCE_FINISH;
     frame.once_finish = &body;
-    g_autofree char *home = ch_once_slot_home(node, finish->slot);
+    g_autofree char *home = ch_once_slot_find_home(node, finish->slot);
     ch_peers_request(node->peers, home, &frame, FINISH_TIMEOUT_US,
                      finish_handle_reply, finish);
 }
 
 /* Creates a finish without a stored response. */
 static struct finish *
-finish_new(struct ch_once_keeper *keeper, const char *caller, const char *key,
+finish_new(struct ch_once_manager *keeper, const char *caller, const char *key,
            uint64_t attempt, uint32_t slot)
 {
     struct finish *finish = g_new0(struct finish, 1);
@@ -261,18 +261,18 @@
 
 /* See node.h. */
 void
-ch_once_keeper_finish(struct ch_once_keeper *keeper, const char *caller,
-                      const char *key, uint64_t attempt, bool not_run,
-                      int status, const char *content_type, const void *body,
-                      size_t length, void (*done)(void *data, bool kept),
-                      void *data)
+ch_once_manager_finish(struct ch_once_manager *keeper, const char *caller,
+                       const char *key, uint64_t attempt, bool not_run,
+                       int status, const char *content_type, const void *body,
+                       size_t length, void (*done)(void *data, bool kept),
+                       void *data)
 {
     pthread_mutex_lock(&keeper->lock);
     uint32_t slot_count = keeper->slot_count;
     pthread_mutex_unlock(&keeper->lock);
     struct finish *finish =
         finish_new(keeper, caller, key, attempt,
-                   ch_once_slot_of(caller, key, slot_count));
+                   ch_once_slot_for_key(caller, key, slot_count));
     finish->not_run = not_run;
     finish->kept = !not_run && length <= CH_ONCE_MAX_BODY_BYTES;
     finish->status = status;
@@ -307,9 +307,9 @@
  * was told that the request did not run.
  */
 static void
-begin_end(struct begin *begin, struct ch_once_answer *answer)
+begin_end(struct begin *begin, struct ch_once_result *answer)
 {
-    struct ch_once_keeper *keeper = begin->keeper;
+    struct ch_once_manager *keeper = begin->keeper;
     static const enum ch_counter counters[] = {
         [CH_ONCE_CREATED] = CH_COUNT_ONCE_CREATED,
         [CH_ONCE_DONE] = CH_COUNT_ONCE_REPEATED,
@@ -343,7 +343,7 @@
 static void
 begin_end_state(struct begin *begin, enum ch_once_state state)
 {
-    struct ch_once_answer answer = {.state = state};
+    struct ch_once_result answer = {.state = state};
     begin_end(begin, &answer);
 }
 
@@ -366,7 +366,7 @@
 begin_end_by_record(struct begin *begin, const struct ch_once_record *record,
                     const GArray *batches)
 {
-    struct ch_once_answer answer = {
+    struct ch_once_result answer = {
         .state = ch_once_record_get_state(record, begin->attempt,
                                           begin->fingerprint),
     };
@@ -385,11 +385,11 @@
                       : ch_once_batch_find_completion(
                             batch, begin->caller, begin->key, record->attempt);
     if (event != NULL && event->response_stored) {
-        answer.kept = true;
+        answer.response_stored = true;
         answer.status = event->status;
         answer.content_type = event->content_type;
         answer.body = event->body;
-        answer.length = event->body_length;
+        answer.body_length = event->body_length;
     }
     begin_end(begin, &answer);
     ch_once_batch_free(batch);
@@ -403,7 +403,7 @@
            size_t entry_count)
 {
     struct begin *begin = data;
-    GArray *batches = ch_once_listed_new(entries, entry_count);
+    GArray *batches = ch_once_batch_entries_new(entries, entry_count);
     struct ch_once_log *log = ch_once_log_new();
     const struct ch_once_record *record = NULL;
     bool readable =
@@ -431,7 +431,7 @@
 static void
 read_log(struct begin *begin)
 {
-    g_autofree char *prefix = ch_once_slot_prefix(begin->slot);
+    g_autofree char *prefix = ch_once_slot_format_prefix(begin->slot);
     ch_kv_call_list(begin->keeper->node, prefix, handle_log,
                     begin_add_reference(begin));
 }
@@ -444,13 +444,13 @@
 begin_end_by_reply(struct begin *begin,
                    const Chestnuthitch__Wire__OnceAnswer *reply)
 {
-    struct ch_once_answer answer = {
+    struct ch_once_result answer = {
         .state = CH_ONCE_REFUSED,
-        .kept = reply->kept,
+        .response_stored = reply->kept,
         .status = (int)reply->status,
         .content_type = reply->content_type,
         .body = reply->body.data,
-        .length = reply->body.len,
+        .body_length = reply->body.len,
     };
     if (reply->state <= CH_ONCE_REFUSED) {
         answer.state = (enum ch_once_state)reply->state;
@@ -482,8 +482,8 @@
 static int64_t
 compute_delay(struct begin *begin)
 {
-    struct ch_once_keeper *keeper = begin->keeper;
-    int64_t now = ch_client_now(keeper->node->client);
+    struct ch_once_manager *keeper = begin->keeper;
+    int64_t now = ch_client_get_time(keeper->node->client);
     pthread_mutex_lock(&keeper->lock);
     int64_t delay = begin->last_asked_at + LOST_HOME_DELAY_US - now;
     pthread_mutex_unlock(&keeper->lock);
@@ -504,8 +504,8 @@
         begin_end_state(begin, CH_ONCE_REFUSED);
     }
     else {
-        ch_timers_after(begin->keeper->node->timers, compute_delay(begin),
-                        handle_delay_end, begin_add_reference(begin));
+        ch_timers_add(begin->keeper->node->timers, compute_delay(begin),
+                      handle_delay_end, begin_add_reference(begin));
     }
     begin_drop_reference(begin);
 }
@@ -524,7 +524,7 @@
     bool allowed =
         !begin->finished && begin->attempts_made < BEGIN_MAX_ATTEMPTS;
     begin->attempts_made += allowed;
-    begin->last_asked_at = ch_client_now(node->client);
+    begin->last_asked_at = ch_client_get_time(node->client);
     begin->may_be_written |= allowed;
     pthread_mutex_unlock(&begin->keeper->lock);
     if (!allowed) {
@@ -539,7 +539,7 @@
     body.attempt = begin->attempt;
     frame.body_case = CHESTNUTHITCH__WIRE__FRAME__BODY_ONCE_BEGIN;
     frame.once_begin = &body;
-    g_autofree char *home = ch_once_slot_home(node, begin->slot);
+    g_autofree char *home = ch_once_slot_find_home(node, begin->slot);
     ch_peers_request(node->peers, home, &frame, BEGIN_TIMEOUT_US,
                      handle_home_reply, begin_add_reference(begin));
 }
@@ -552,7 +552,7 @@
 static void
 set_slot_count(struct begin *begin, uint32_t slot_count)
 {
-    struct ch_once_keeper *keeper = begin->keeper;
+    struct ch_once_manager *keeper = begin->keeper;
     pthread_mutex_lock(&keeper->lock);
     keeper->slot_count = slot_count;
     pthread_mutex_unlock(&keeper->lock);
@@ -561,14 +561,14 @@
                CH_F_INT("in_use", slot_count),
                CH_F_INT("set", keeper->node->settings->once_slots), CH_F_END);
     }
-    begin->slot = ch_once_slot_of(begin->caller, begin->key, slot_count);
+    begin->slot = ch_once_slot_for_key(begin->caller, begin->key, slot_count);
     ask_home(begin);
 }
 
 /* Handles the write of the number of slots, which fails with a conflict when
  * another node wrote it first. */
 static void
-handle_slot_count_write(void *data, const struct ch_kv_answer *answer)
+handle_slot_count_write(void *data, const struct ch_kv_result *answer)
 {
     struct begin *begin = data;
     if (answer->code == CH_OK) {
@@ -586,7 +586,7 @@
 /* Handles the read of the number of slots; the first node of the fleet writes
  * its own setting. */
 static void
-handle_slot_count(void *data, const struct ch_kv_answer *answer)
+handle_slot_count(void *data, const struct ch_kv_result *answer)
 {
     struct begin *begin = data;
     struct ch_node *node = begin->keeper->node;
@@ -629,11 +629,11 @@
 /* Begins an attempt for a caller's key; see node.h. The result comes within
  * BEGIN_TIMEOUT_US. */
 void
-ch_once_keeper_begin(struct ch_once_keeper *keeper, const char *caller,
-                     const char *key, uint64_t fingerprint,
-                     void (*done)(void *data,
-                                  const struct ch_once_answer *answer),
-                     void *data)
+ch_once_manager_begin(struct ch_once_manager *keeper, const char *caller,
+                      const char *key, uint64_t fingerprint,
+                      void (*done)(void *data,
+                                   const struct ch_once_result *answer),
+                      void *data)
 {
     struct begin *begin = g_new0(struct begin, 1);
     begin->keeper = keeper_add_reference(keeper);
@@ -647,14 +647,14 @@
     uint32_t slot_count = keeper->slot_count;
     begin->attempt =
         ch_hash_pair(keeper->incarnation_id, ++keeper->attempt_count);
-    begin->timer = ch_timers_after(keeper->node->timers, BEGIN_TIMEOUT_US,
-                                   begin_handle_timeout, begin);
+    begin->timer = ch_timers_add(keeper->node->timers, BEGIN_TIMEOUT_US,
+                                 begin_handle_timeout, begin);
     pthread_mutex_unlock(&keeper->lock);
     if (slot_count == 0) {
         read_slot_count(begin);
     }
     else {
-        begin->slot = ch_once_slot_of(caller, key, slot_count);
+        begin->slot = ch_once_slot_for_key(caller, key, slot_count);
         ask_home(begin);
     }
     begin_drop_reference(begin);
@@ -662,10 +662,10 @@
 
 /* Creates a keeper and registers its message handlers with the node's peers;
  * node outlives the keeper. */
-struct ch_once_keeper *
-ch_once_keeper_new(struct ch_node *node)
+struct ch_once_manager *
+ch_once_manager_new(struct ch_node *node)
 {
-    struct ch_once_keeper *keeper = g_new0(struct ch_once_keeper, 1);
+    struct ch_once_manager *keeper = g_new0(struct ch_once_manager, 1);
     keeper->node = node;
     keeper->references = 1;
     keeper->incarnation_id =
@@ -679,7 +679,7 @@
 /* Drops finishes that wait for another attempt; calls in progress run to their
  * end. */
 void
-ch_once_keeper_stop(struct ch_once_keeper *keeper)
+ch_once_manager_stop(struct ch_once_manager *keeper)
 {
     pthread_mutex_lock(&keeper->lock);
     keeper->stopped = true;
@@ -703,7 +703,7 @@
 /* Drops the node's reference; the peers deliver no messages any more by
  * then. */
 void
-ch_once_keeper_free(struct ch_once_keeper *keeper)
+ch_once_manager_free(struct ch_once_manager *keeper)
 {
     if (keeper != NULL) {
         ch_once_home_unref(keeper->home);
--- a/libchestnuthitch/node/pack.c
+++ b/libchestnuthitch/node/pack.c
@@ -17,7 +17,7 @@
 
 /* See pack.h. */
 GBytes *
-ch_pack(const void *bytes, size_t length)
+ch_compress(const void *bytes, size_t length)
 {
     GZlibCompressor *compressor = g_zlib_compressor_new(
         G_ZLIB_COMPRESSOR_FORMAT_ZLIB, COMPRESSION_LEVEL);
@@ -67,8 +67,8 @@
 
 /* See pack.h. */
 char *
-ch_unpack(const void *bytes, size_t length, size_t max_bytes,
-          size_t *text_length, struct ch_error *error)
+ch_decompress(const void *bytes, size_t length, size_t max_bytes,
+              size_t *text_length, struct ch_error *error)
 {
     GZlibDecompressor *decompressor =
         g_zlib_decompressor_new(G_ZLIB_COMPRESSOR_FORMAT_ZLIB);
--- a/libchestnuthitch/node/peers.c
+++ b/libchestnuthitch/node/peers.c
@@ -26,22 +26,23 @@
     if (!ch_address_parse(address_text, &address, error)) {
         return false;
     }
-    peers->listener =
+    peers->listener_fd =
         socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     int one = 1;
-    setsockopt(peers->listener, SOL_SOCKET, SO_REUSEADDR, &one, sizeof(one));
-    if (peers->listener < 0 ||
-        bind(peers->listener, (struct sockaddr *)&address, length) != 0 ||
-        listen(peers->listener, SOMAXCONN) != 0 ||
-        getsockname(peers->listener, (struct sockaddr *)&address, &length) !=
-            0) {
+    setsockopt(peers->listener_fd, SOL_SOCKET, SO_REUSEADDR, &one,
+               sizeof(one));
+    if (peers->listener_fd < 0 ||
+        bind(peers->listener_fd, (struct sockaddr *)&address, length) != 0 ||
+        listen(peers->listener_fd, SOMAXCONN) != 0 ||
+        getsockname(peers->listener_fd, (struct sockaddr *)&address,
+                    &length) != 0) {
         ch_error_set(error, CH_SYSTEM, "[listen] peers %s: %s", address_text,
                      g_strerror(errno));
         return false;
     }
     peers->port = ntohs(address.sin_port);
     struct epoll_event event = {.events = EPOLLIN, .data.ptr = peers};
-    epoll_ctl(peers->epoll, EPOLL_CTL_ADD, peers->listener, &event);
+    epoll_ctl(peers->epoll_fd, EPOLL_CTL_ADD, peers->listener_fd, &event);
     return true;
 }
 
@@ -53,16 +54,17 @@
     const struct ch_settings *settings = node->settings;
     struct ch_peers *peers = g_new0(struct ch_peers, 1);
     peers->node = node;
-    peers->listener = -1;
+    peers->listener_fd = -1;
     pthread_mutex_init(&peers->lock, NULL);
-    peers->epoll = epoll_create1(EPOLL_CLOEXEC);
-    peers->wake = eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK);
-    struct epoll_event event = {.events = EPOLLIN, .data.ptr = &peers->wake};
-    epoll_ctl(peers->epoll, EPOLL_CTL_ADD, peers->wake, &event);
+    peers->epoll_fd = epoll_create1(EPOLL_CLOEXEC);
+    peers->wake_fd = eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK);
+    struct epoll_event event = {.events = EPOLLIN,
+                                .data.ptr = &peers->wake_fd};
+    epoll_ctl(peers->epoll_fd, EPOLL_CTL_ADD, peers->wake_fd, &event);
     peers->members = ch_members_new(
         settings->name, settings->region, settings->data_centre,
         ch_hash_pair(node->incarnation, ch_hash_string(settings->name)),
-        (int64_t)settings->peer_silent_ms * 1000);
+        (int64_t)settings->peer_timeout_ms * 1000);
     peers->connections = g_ptr_array_new();
     peers->outbound = g_hash_table_new(g_str_hash, g_str_equal);
     peers->inbound = g_hash_table_new(g_str_hash, g_str_equal);
@@ -79,7 +81,7 @@
 void
 ch_peers_start(struct ch_peers *peers)
 {
-    if (pthread_create(&peers->thread, NULL, peers_run, peers) != 0) {
+    if (pthread_create(&peers->thread, NULL, peers_run_thread, peers) != 0) {
         g_error("cannot create the thread for connections between nodes");
     }
     peers->started = true;
@@ -100,7 +102,7 @@
     }
     pthread_mutex_lock(&peers->lock);
     while (peers->connections->len > 0) {
-        connection_drop(peers, g_ptr_array_index(peers->connections, 0));
+        connection_close(peers, g_ptr_array_index(peers->connections, 0));
     }
     pthread_mutex_unlock(&peers->lock);
 }
@@ -112,11 +114,11 @@
     if (peers == NULL) {
         return;
     }
-    if (peers->listener >= 0) {
-        close(peers->listener);
+    if (peers->listener_fd >= 0) {
+        close(peers->listener_fd);
     }
-    close(peers->epoll);
-    close(peers->wake);
+    close(peers->epoll_fd);
+    close(peers->wake_fd);
     ch_members_free(peers->members);
     g_ptr_array_free(peers->connections, TRUE);
     g_hash_table_destroy(peers->outbound);
@@ -133,20 +135,22 @@
     if (peers->node->config == NULL) {
         return;
     }
-    struct ch_config *config = ch_config_keeper_current(peers->node->config);
+    struct ch_config *config =
+        ch_config_manager_get_current(peers->node->config);
     if (config != NULL) {
-        ck_pr_store_64(&peers->revision, config->revision);
+        ck_pr_store_64(&peers->config_revision, config->revision);
         ch_config_unref(config);
     }
 }
 
 /* See peers_internal.h. */
 void
-peers_stamp(const struct ch_peers *peers, Chestnuthitch__Wire__Frame *frame)
+peers_fill_header(const struct ch_peers *peers,
+                  Chestnuthitch__Wire__Frame *frame)
 {
     frame->version = CH_WIRE_VERSION;
     frame->from = (char *)peers->node->settings->name;
-    frame->config_revision = ck_pr_load_64(&peers->revision);
+    frame->config_revision = ck_pr_load_64(&peers->config_revision);
     frame->ready = ck_pr_load_uint(&peers->ready) != 0;
 }
 
@@ -162,7 +166,7 @@
 copy_as_received(const struct ch_peers *peers,
                  Chestnuthitch__Wire__Frame *frame)
 {
-    peers_stamp(peers, frame);
+    peers_fill_header(peers, frame);
     size_t length = chestnuthitch__wire__frame__get_packed_size(frame);
     uint8_t *bytes = g_malloc(length);
     chestnuthitch__wire__frame__pack(frame, bytes);
@@ -178,7 +182,7 @@
 ch_peers_send(struct ch_peers *peers, const char *to,
               Chestnuthitch__Wire__Frame *frame)
 {
-    int64_t now = ch_client_now(peers->node->client);
+    int64_t now = ch_client_get_time(peers->node->client);
     peers_refresh_revision(peers);
     if (peers_is_self(peers, to)) {
         peers_submit_frame(peers, copy_as_received(peers, frame));
@@ -186,9 +190,9 @@
     }
     pthread_mutex_lock(&peers->lock);
     struct connection *connection =
-        peers->stopping ? NULL : connection_outbound(peers, to, now);
+        peers->stopping ? NULL : connection_get_outbound(peers, to, now);
     if (connection != NULL) {
-        connection_put(peers, connection, frame, now);
+        connection_send_frame(peers, connection, frame, now);
     }
     pthread_mutex_unlock(&peers->lock);
 }
@@ -201,14 +205,15 @@
              int64_t now)
 {
     struct connection *connection =
-        peers->stopping ? NULL : connection_outbound(peers, to, now);
-    if (connection == NULL || !connection_put(peers, connection, frame, now)) {
+        peers->stopping ? NULL : connection_get_outbound(peers, to, now);
+    if (connection == NULL ||
+        !connection_send_frame(peers, connection, frame, now)) {
         return false;
     }
     request->connection = connection;
-    connection->awaited++;
-    if (connection->awaited == 1) {
-        connection->pinged = now;
+    connection->pending_requests++;
+    if (connection->pending_requests == 1) {
+        connection->last_ping_at = now;
     }
     return true;
 }
@@ -222,15 +227,15 @@
                               const Chestnuthitch__Wire__Frame *reply),
                  void *data)
 {
-    int64_t now = ch_client_now(peers->node->client);
+    int64_t now = ch_client_get_time(peers->node->client);
     peers_refresh_revision(peers);
     struct request *request = g_new0(struct request, 1);
-    request->limit = timeout;
-    request->due = timeout > 0 ? now + timeout : 0;
+    request->timeout = timeout;
+    request->deadline = timeout > 0 ? now + timeout : 0;
     request->done = done;
     request->data = data;
     pthread_mutex_lock(&peers->lock);
-    request->id = ++peers->last_id;
+    request->id = ++peers->last_request_id;
     uint64_t id = request->id;
     frame->id = id;
     bool is_self = peers_is_self(peers, to);
@@ -238,7 +243,7 @@
         g_hash_table_insert(peers->requests, &request->id, request);
     }
     else {
-        peers_submit_end(peers, request, CH_PEER_LOST, NULL);
+        peers_submit_result(peers, request, CH_PEER_LOST, NULL);
         g_free(request);
     }
     pthread_mutex_unlock(&peers->lock);
@@ -258,7 +263,7 @@
     struct request *request = g_hash_table_lookup(peers->requests, &copy->id);
     if (request != NULL && request->connection == NULL) {
         uint64_t id = copy->id; /* a worker may free the copy from here on */
-        peers_submit_end(peers, request, CH_OK, copy);
+        peers_submit_result(peers, request, CH_OK, copy);
         g_hash_table_remove(peers->requests, &id);
         copy = NULL;
     }
@@ -284,19 +289,19 @@
     pthread_mutex_lock(&peers->lock);
     struct connection *connection = g_hash_table_lookup(peers->inbound, to);
     bool sent = connection != NULL &&
-                connection_put(peers, connection, frame,
-                               ch_client_now(peers->node->client));
+                connection_send_frame(peers, connection, frame,
+                                      ch_client_get_time(peers->node->client));
     pthread_mutex_unlock(&peers->lock);
     return sent;
 }
 
 /* Sets the handler for one kind of frame; only before ch_peers_start. */
 void
-ch_peers_handle(struct ch_peers *peers,
-                Chestnuthitch__Wire__Frame__BodyCase body,
-                void (*handle)(void *data,
-                               const Chestnuthitch__Wire__Frame *frame),
-                void *data)
+ch_peers_set_handler(struct ch_peers *peers,
+                     Chestnuthitch__Wire__Frame__BodyCase body,
+                     void (*handle)(void *data,
+                                    const Chestnuthitch__Wire__Frame *frame),
+                     void *data)
 {
     peers->handlers[body].handle = handle;
     peers->handlers[body].data = data;
@@ -305,11 +310,11 @@
 /* Sets the handler for replies whose request has already ended; only before
  * ch_peers_start. */
 void
-ch_peers_handle_late(struct ch_peers *peers,
-                     void (*handle)(void *data,
-                                    const Chestnuthitch__Wire__Frame *frame),
-                     void *data)
+ch_peers_set_late_reply_handler(
+    struct ch_peers *peers,
+    void (*handle)(void *data, const Chestnuthitch__Wire__Frame *frame),
+    void *data)
 {
-    peers->late.handle = handle;
-    peers->late.data = data;
+    peers->late_reply_handler.handle = handle;
+    peers->late_reply_handler.data = data;
 }
--- a/libchestnuthitch/node/peers_connection.c
+++ b/libchestnuthitch/node/peers_connection.c
@@ -25,7 +25,7 @@
 peers_wake(struct ch_peers *peers)
 {
     uint64_t one = 1;
-    ssize_t written = write(peers->wake, &one, sizeof(one));
+    ssize_t written = write(peers->wake_fd, &one, sizeof(one));
     (void)written;
 }
 
@@ -34,17 +34,17 @@
 static void
 update_events(struct ch_peers *peers, struct connection *connection)
 {
-    bool wants_out =
-        connection->connecting || connection->out_sent < connection->out->len;
-    if (wants_out == connection->wants_out) {
+    bool wants_out = connection->connecting ||
+                     connection->bytes_sent < connection->send_buffer->len;
+    if (wants_out == connection->wants_write) {
         return;
     }
-    connection->wants_out = wants_out;
+    connection->wants_write = wants_out;
     struct epoll_event event = {
         .events = EPOLLIN | (wants_out ? EPOLLOUT : 0U),
         .data.ptr = connection,
     };
-    epoll_ctl(peers->epoll, EPOLL_CTL_MOD, connection->fd, &event);
+    epoll_ctl(peers->epoll_fd, EPOLL_CTL_MOD, connection->fd, &event);
 }
 
 /* Adds a socket, which the connection owns from now on; name NULL: not known
@@ -57,19 +57,19 @@
     connection->fd = fd;
     connection->outbound = outbound;
     connection->connecting = outbound;
-    connection->wants_out = outbound;
+    connection->wants_write = outbound;
     connection->name = g_strdup(name);
     connection->decoder = ch_wire_decoder_new();
-    connection->out = g_byte_array_new();
-    connection->opened = now;
-    connection->heard = now;
-    connection->used = now;
+    connection->send_buffer = g_byte_array_new();
+    connection->opened_at = now;
+    connection->last_received_at = now;
+    connection->last_used_at = now;
     g_ptr_array_add(peers->connections, connection);
     struct epoll_event event = {
         .events = EPOLLIN | (outbound ? EPOLLOUT : 0U),
         .data.ptr = connection,
     };
-    epoll_ctl(peers->epoll, EPOLL_CTL_ADD, fd, &event);
+    epoll_ctl(peers->epoll_fd, EPOLL_CTL_ADD, fd, &event);
     return connection;
 }
 
@@ -77,10 +77,11 @@
 void
 connection_flush(struct ch_peers *peers, struct connection *connection)
 {
-    while (connection->out_sent < connection->out->len) {
+    while (connection->bytes_sent < connection->send_buffer->len) {
         ssize_t sent =
-            send(connection->fd, connection->out->data + connection->out_sent,
-                 connection->out->len - connection->out_sent,
+            send(connection->fd,
+                 connection->send_buffer->data + connection->bytes_sent,
+                 connection->send_buffer->len - connection->bytes_sent,
                  MSG_NOSIGNAL | MSG_DONTWAIT);
         if (sent < 0) {
             if (errno != EAGAIN && errno != EINTR) {
@@ -88,34 +89,37 @@
             }
             break;
         }
-        ch_metrics_count(peers->node->client->metrics,
-                         CH_COUNT_FRAME_BYTES_SENT, (uint64_t)sent);
-        connection->out_sent += (size_t)sent;
+        ch_metrics_add_count(peers->node->client->metrics,
+                             CH_COUNT_FRAME_BYTES_SENT, (uint64_t)sent);
+        connection->bytes_sent += (size_t)sent;
     }
-    if (connection->out_sent == connection->out->len) {
-        g_byte_array_set_size(connection->out, 0);
-        connection->out_sent = 0;
+    if (connection->bytes_sent == connection->send_buffer->len) {
+        g_byte_array_set_size(connection->send_buffer, 0);
+        connection->bytes_sent = 0;
     }
     update_events(peers, connection);
 }
 
 /* See peers_internal.h. */
 bool
-connection_put(struct ch_peers *peers, struct connection *connection,
-               Chestnuthitch__Wire__Frame *frame, int64_t now)
+connection_send_frame(struct ch_peers *peers, struct connection *connection,
+                      Chestnuthitch__Wire__Frame *frame, int64_t now)
 {
     struct ch_error error = {0};
-    guint previous_length = connection->out->len;
-    peers_stamp(peers, frame);
+    guint previous_length = connection->send_buffer->len;
+    peers_fill_header(peers, frame);
     if (connection->failure != CH_OK ||
-        connection->out->len - connection->out_sent > MAX_SEND_BUFFER_BYTES ||
-        !ch_wire_encode(frame, connection->out, &error)) {
+        connection->send_buffer->len - connection->bytes_sent >
+            MAX_SEND_BUFFER_BYTES ||
+        !ch_wire_encode(frame, connection->send_buffer, &error)) {
         return false;
     }
-    ch_metrics_count(peers->node->client->metrics, CH_COUNT_FRAMES_SENT, 1);
-    peers_count(peers, PEERS_SENT, frame->body_case, connection->other_region,
-                connection->out->len - previous_length);
-    connection->used = now;
+    ch_metrics_add_count(peers->node->client->metrics, CH_COUNT_FRAMES_SENT,
+                         1);
+    peers_count_frame(peers, PEERS_SENT, frame->body_case,
+                      connection->other_region,
+                      connection->send_buffer->len - previous_length);
+    connection->last_used_at = now;
     if (!connection->connecting) {
         connection_flush(peers, connection);
     }
@@ -128,8 +132,8 @@
 
 /* Sends this node's identity: the first frame on every connection. */
 void
-connection_hello(struct ch_peers *peers, struct connection *connection,
-                 int64_t now)
+connection_send_hello(struct ch_peers *peers, struct connection *connection,
+                      int64_t now)
 {
     Chestnuthitch__Wire__Hello hello = WIRE(HELLO__INIT);
     Chestnuthitch__Wire__Frame frame = WIRE(FRAME__INIT);
@@ -139,23 +143,23 @@
     hello.address = peers->node->settings->peers;
     frame.body_case = WIRE(FRAME__BODY_HELLO);
     frame.hello = &hello;
-    connection_put(peers, connection, &frame, now);
+    connection_send_frame(peers, connection, &frame, now);
 }
 
 /* Sends a ping; its pong shows that the other process still runs. */
 void
-connection_ping(struct ch_peers *peers, struct connection *connection,
-                int64_t now)
+connection_send_ping(struct ch_peers *peers, struct connection *connection,
+                     int64_t now)
 {
     Chestnuthitch__Wire__Ping ping = WIRE(PING__INIT);
     Chestnuthitch__Wire__Frame frame = WIRE(FRAME__INIT);
     frame.body_case = WIRE(FRAME__BODY_PING);
     frame.ping = &ping;
-    connection->pinged = now;
-    if (connection->asked == 0) {
-        connection->asked = now;
+    connection->last_ping_at = now;
+    if (connection->unanswered_ping_at == 0) {
+        connection->unanswered_ping_at = now;
     }
-    connection_put(peers, connection, &frame, now);
+    connection_send_frame(peers, connection, &frame, now);
 }
 
 /* Starts a connection to a member; NULL when that fails at once. */
@@ -187,13 +191,13 @@
     connection->other_region =
         g_strcmp0(member->region, peers->node->settings->region) != 0;
     g_hash_table_insert(peers->outbound, connection->name, connection);
-    connection_hello(peers, connection, now);
+    connection_send_hello(peers, connection, now);
     return connection;
 }
 
 /* See peers_internal.h. */
 struct connection *
-connection_outbound(struct ch_peers *peers, const char *name, int64_t now)
+connection_get_outbound(struct ch_peers *peers, const char *name, int64_t now)
 {
     struct connection *connection = g_hash_table_lookup(peers->outbound, name);
     if (connection != NULL && connection->failure == CH_OK) {
@@ -223,7 +227,7 @@
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const struct request *request = value;
         if (request->connection == connection) {
-            peers_submit_end(peers, request, CH_PEER_LOST, NULL);
+            peers_submit_result(peers, request, CH_PEER_LOST, NULL);
             g_hash_table_iter_remove(&iterator);
         }
     }
@@ -231,7 +235,7 @@
 
 /* See peers_internal.h. */
 void
-connection_drop(struct ch_peers *peers, struct connection *connection)
+connection_close(struct ch_peers *peers, struct connection *connection)
 {
     fail_requests(peers, connection);
     if (connection->name != NULL) {
@@ -241,10 +245,10 @@
             g_hash_table_remove(table, connection->name);
         }
     }
-    epoll_ctl(peers->epoll, EPOLL_CTL_DEL, connection->fd, NULL);
+    epoll_ctl(peers->epoll_fd, EPOLL_CTL_DEL, connection->fd, NULL);
     close(connection->fd);
     ch_wire_decoder_free(connection->decoder);
-    g_byte_array_free(connection->out, TRUE);
+    g_byte_array_free(connection->send_buffer, TRUE);
     g_free(connection->name);
     g_ptr_array_remove_fast(peers->connections, connection);
     g_free(connection);
--- a/libchestnuthitch/node/peers_job.c
+++ b/libchestnuthitch/node/peers_job.c
@@ -17,8 +17,8 @@
                 const Chestnuthitch__Wire__Frame *frame)
 {
     if (frame->config_revision > 0 && peers->node->config != NULL) {
-        ch_config_keeper_learn(peers->node->config, frame->config_revision,
-                               frame->from);
+        ch_config_manager_note_revision(peers->node->config,
+                                        frame->config_revision, frame->from);
     }
 }
 
@@ -36,13 +36,14 @@
         job->done(job->data, job->code, job->frame);
     }
     else if (job->frame != NULL && job->frame->reply) {
-        if (peers->late.handle != NULL) {
-            peers->late.handle(peers->late.data, job->frame);
+        if (peers->late_reply_handler.handle != NULL) {
+            peers->late_reply_handler.handle(peers->late_reply_handler.data,
+                                             job->frame);
         }
     }
-    else if (job->frame != NULL &&
-             (unsigned)job->frame->body_case < (unsigned)PEERS_BODY_CASES) {
-        const struct handler *handler =
+    else if (job->frame != NULL && (unsigned)job->frame->body_case <
+                                       (unsigned)PEERS_BODY_CASE_COUNT) {
+        const struct frame_handler *handler =
             &peers->handlers[job->frame->body_case];
         if (handler->handle != NULL) {
             handler->handle(handler->data, job->frame);
@@ -64,8 +65,8 @@
 
 /* See peers_internal.h. */
 void
-peers_submit_end(struct ch_peers *peers, const struct request *request,
-                 enum ch_code code, Chestnuthitch__Wire__Frame *reply)
+peers_submit_result(struct ch_peers *peers, const struct request *request,
+                    enum ch_code code, Chestnuthitch__Wire__Frame *reply)
 {
     struct job *job = g_new0(struct job, 1);
     job->peers = peers;
--- a/libchestnuthitch/node/peers_loop.c
+++ b/libchestnuthitch/node/peers_loop.c
@@ -44,7 +44,7 @@
                     const Chestnuthitch__Wire__Frame *frame, int64_t now)
 {
     const Chestnuthitch__Wire__Hello *hello = frame->hello;
-    if (peers->listed || !ch_address_check(hello->address, NULL)) {
+    if (peers->members_listed || !ch_address_check(hello->address, NULL)) {
         return;
     }
     ch_members_update_member(peers->members, frame->from, hello->address,
@@ -67,7 +67,7 @@
     connection->other_region =
         strcmp(frame->hello->region, peers->node->settings->region) != 0;
     g_hash_table_replace(peers->inbound, connection->name, connection);
-    connection_hello(peers, connection, now);
+    connection_send_hello(peers, connection, now);
 }
 
 /* Passes a reply to its waiting request; a late reply goes to the late
@@ -78,14 +78,14 @@
 {
     struct request *request = g_hash_table_lookup(peers->requests, &frame->id);
     if (request == NULL || request->connection != connection) {
-        ch_metrics_count(peers->node->client->metrics, CH_COUNT_LATE_ANSWERS,
-                         1);
+        ch_metrics_add_count(peers->node->client->metrics,
+                             CH_COUNT_LATE_ANSWERS, 1);
         peers_submit_frame(peers, frame);
         return;
     }
-    connection->awaited--;
+    connection->pending_requests--;
     uint64_t id = frame->id; /* a worker may free the frame from here on */
-    peers_submit_end(peers, request, CH_OK, frame);
+    peers_submit_result(peers, request, CH_OK, frame);
     g_hash_table_remove(peers->requests, &id);
 }
 
@@ -95,7 +95,7 @@
 static void
 finish_frame(struct ch_peers *peers, Chestnuthitch__Wire__Frame *frame)
 {
-    if (frame->config_revision > ck_pr_load_64(&peers->revision)) {
+    if (frame->config_revision > ck_pr_load_64(&peers->config_revision)) {
         peers_submit_frame(peers, frame);
         return;
     }
@@ -108,15 +108,15 @@
 handle_frame(struct ch_peers *peers, struct connection *connection,
              Chestnuthitch__Wire__Frame *frame, int64_t now)
 {
-    ch_metrics_count(peers->node->client->metrics, CH_COUNT_FRAMES_RECEIVED,
-                     1);
-    peers_count(peers, PEERS_RECEIVED, frame->body_case,
-                connection->other_region,
-                ch_wire_decoder_length(connection->decoder));
+    ch_metrics_add_count(peers->node->client->metrics,
+                         CH_COUNT_FRAMES_RECEIVED, 1);
+    peers_count_frame(peers, PEERS_RECEIVED, frame->body_case,
+                      connection->other_region,
+                      ch_wire_decoder_get_frame_length(connection->decoder));
     ch_members_record_message(peers->members, frame->from, now);
     ch_members_set_ready(peers->members, frame->from, frame->ready);
-    connection->heard = now;
-    connection->asked = 0;
+    connection->last_received_at = now;
+    connection->unanswered_ping_at = 0;
     if (connection->name != NULL &&
         strcmp(connection->name, frame->from) != 0) {
         connection->failure = CH_FRAME_DAMAGED;
@@ -133,7 +133,7 @@
         Chestnuthitch__Wire__Frame pong_frame = WIRE(FRAME__INIT);
         pong_frame.body_case = WIRE(FRAME__BODY_PONG);
         pong_frame.pong = &pong;
-        connection_put(peers, connection, &pong_frame, now);
+        connection_send_frame(peers, connection, &pong_frame, now);
         finish_frame(peers, frame);
         return;
     }
@@ -147,7 +147,7 @@
         handle_reply(peers, connection, frame);
         return;
     }
-    connection->used = now;
+    connection->last_used_at = now;
     peers_submit_frame(peers, frame);
 }
 
@@ -168,7 +168,7 @@
         return;
     }
     connection->failure = error.code != CH_OK ? error.code : CH_FRAME_DAMAGED;
-    ch_metrics_count(peers->node->client->metrics, CH_COUNT_FRAMES_BAD, 1);
+    ch_metrics_add_count(peers->node->client->metrics, CH_COUNT_FRAMES_BAD, 1);
     ch_log(peers->node->client, CH_LOG_WARNING, "bad-frame",
            CH_F_STR("peer", connection->name ? connection->name : "?"),
            CH_F_INT("code", connection->failure),
@@ -187,10 +187,10 @@
 static void
 record_bytes(struct connection *connection, int64_t now)
 {
-    if (connection->asked > 0) {
-        connection->asked = now;
+    if (connection->unanswered_ping_at > 0) {
+        connection->unanswered_ping_at = now;
     }
-    connection->heard = now;
+    connection->last_received_at = now;
 }
 
 /* Reads once, so that a busy peer does not delay the others. True when more
@@ -211,8 +211,8 @@
         connection->failure = CH_PEER_LOST;
         return false;
     }
-    ch_metrics_count(peers->node->client->metrics,
-                     CH_COUNT_FRAME_BYTES_RECEIVED, (uint64_t)count);
+    ch_metrics_add_count(peers->node->client->metrics,
+                         CH_COUNT_FRAME_BYTES_RECEIVED, (uint64_t)count);
     record_bytes(connection, now);
     ch_wire_decoder_feed(connection->decoder, bytes, (size_t)count);
     handle_frames(peers, connection, now);
@@ -236,7 +236,7 @@
         return;
     }
     connection->connecting = false;
-    connection->heard = now;
+    connection->last_received_at = now;
     connection_flush(peers, connection);
 }
 
@@ -247,7 +247,7 @@
     for (;;) {
         struct sockaddr_in from;
         socklen_t length = sizeof(from);
-        int fd = accept4(peers->listener, (struct sockaddr *)&from, &length,
+        int fd = accept4(peers->listener_fd, (struct sockaddr *)&from, &length,
                          SOCK_NONBLOCK | SOCK_CLOEXEC);
         if (fd < 0) {
             return;
@@ -288,9 +288,9 @@
         if (events[i].data.ptr == peers) {
             accept_connections(peers, now);
         }
-        else if (events[i].data.ptr == &peers->wake) {
+        else if (events[i].data.ptr == &peers->wake_fd) {
             uint64_t drained = 0;
-            ssize_t got = read(peers->wake, &drained, sizeof(drained));
+            ssize_t got = read(peers->wake_fd, &drained, sizeof(drained));
             (void)got;
         }
         else {
@@ -315,28 +315,31 @@
                  int64_t now)
 {
     int64_t silence_limit =
-        (int64_t)peers->node->settings->peer_silent_ms * 1000;
+        (int64_t)peers->node->settings->peer_timeout_ms * 1000;
     if (connection->connecting) {
-        if (now - connection->opened > silence_limit) {
+        if (now - connection->opened_at > silence_limit) {
             connection->failure = CH_PEER_LOST;
         }
         return;
     }
-    if (connection->asked > 0 && now - connection->asked > silence_limit) {
-        ch_metrics_count(peers->node->client->metrics, CH_COUNT_PEERS_SILENT,
-                         1);
+    if (connection->unanswered_ping_at > 0 &&
+        now - connection->unanswered_ping_at > silence_limit) {
+        ch_metrics_add_count(peers->node->client->metrics,
+                             CH_COUNT_PEERS_SILENT, 1);
         connection->failure = CH_PEER_TIMEOUT;
         return;
     }
-    if (connection->awaited > 0 &&
-        now - MAX(connection->heard, connection->pinged) >
+    if (connection->pending_requests > 0 &&
+        now - MAX(connection->last_received_at, connection->last_ping_at) >
             silence_limit / PINGS_PER_SILENCE_LIMIT) {
-        connection_ping(peers, connection, ch_client_now(peers->node->client));
+        connection_send_ping(peers, connection,
+                             ch_client_get_time(peers->node->client));
     }
     int64_t idle_limit =
         (int64_t)peers->node->settings->idle_connection_ms * 1000;
-    if (connection->awaited == 0 && connection->asked == 0 &&
-        now - connection->used >
+    if (connection->pending_requests == 0 &&
+        connection->unanswered_ping_at == 0 &&
+        now - connection->last_used_at >
             (connection->outbound ? idle_limit : 2 * idle_limit)) {
         connection->failure = CH_PEER_LOST;
     }
@@ -353,7 +356,8 @@
         if (connection->failure == CH_OK) {
             continue;
         }
-        bool is_idle = connection->awaited == 0 && connection->asked == 0 &&
+        bool is_idle = connection->pending_requests == 0 &&
+                       connection->unanswered_ping_at == 0 &&
                        !connection->connecting;
         if (connection->outbound && !is_idle &&
             ch_members_record_lost_connection(peers->members, connection->name,
@@ -362,7 +366,7 @@
                    CH_F_STR("peer", connection->name),
                    CH_F_INT("code", connection->failure), CH_F_END);
         }
-        connection_drop(peers, connection);
+        connection_close(peers, connection);
     }
 }
 
@@ -375,11 +379,11 @@
     g_hash_table_iter_init(&iterator, peers->requests);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const struct request *request = value;
-        if (request->due > 0 && request->due <= now) {
+        if (request->deadline > 0 && request->deadline <= now) {
             if (request->connection != NULL) {
-                request->connection->awaited--;
+                request->connection->pending_requests--;
             }
-            peers_submit_end(peers, request, CH_PEER_TIMEOUT, NULL);
+            peers_submit_result(peers, request, CH_PEER_TIMEOUT, NULL);
             g_hash_table_iter_remove(&iterator);
         }
     }
@@ -394,10 +398,10 @@
                                             MAX_PROBES_PER_TICK);
     for (size_t i = 0; i < count; i++) {
         struct connection *connection =
-            connection_outbound(peers, names[i], now);
+            connection_get_outbound(peers, names[i], now);
         if (connection != NULL) {
-            connection_ping(peers, connection,
-                            ch_client_now(peers->node->client));
+            connection_send_ping(peers, connection,
+                                 ch_client_get_time(peers->node->client));
         }
     }
 }
@@ -424,18 +428,19 @@
     for (guint i = 0; i < peers->connections->len; i++) {
         struct connection *connection =
             g_ptr_array_index(peers->connections, i);
-        if (connection->asked > 0) {
-            connection->asked = exclude_pause(connection->asked, gap, now);
+        if (connection->unanswered_ping_at > 0) {
+            connection->unanswered_ping_at =
+                exclude_pause(connection->unanswered_ping_at, gap, now);
         }
-        connection->opened = exclude_pause(connection->opened, gap, now);
+        connection->opened_at = exclude_pause(connection->opened_at, gap, now);
     }
     g_hash_table_iter_init(&iterator, peers->requests);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct request *request = value;
-        if (request->due > 0) {
-            request->due =
-                request->limit +
-                exclude_pause(request->due - request->limit, gap, now);
+        if (request->deadline > 0) {
+            request->deadline =
+                request->timeout +
+                exclude_pause(request->deadline - request->timeout, gap, now);
         }
     }
 }
@@ -444,11 +449,12 @@
 static void
 tick(struct ch_peers *peers, int64_t now)
 {
-    int64_t gap = now - peers->last_tick;
-    if (peers->last_tick > 0 && gap > MIN_PAUSE_US + TICK_MS * INT64_C(1000)) {
+    int64_t gap = now - peers->last_tick_at;
+    if (peers->last_tick_at > 0 &&
+        gap > MIN_PAUSE_US + TICK_MS * INT64_C(1000)) {
         apply_pause(peers, gap, now);
     }
-    peers->last_tick = now;
+    peers->last_tick_at = now;
     ch_members_set_self_ready(peers->members,
                               ck_pr_load_uint(&peers->ready) != 0);
     for (guint i = 0; i < peers->connections->len; i++) {
@@ -466,8 +472,9 @@
 {
     peers_refresh_revision(peers);
     if (ck_pr_load_uint(&peers->ready) == 0 &&
-        ck_pr_load_64(&peers->revision) > 0 && peers->node->router != NULL &&
-        peers->node->router->ops->ready(peers->node->router)) {
+        ck_pr_load_64(&peers->config_revision) > 0 &&
+        peers->node->router != NULL &&
+        peers->node->router->ops->is_ready(peers->node->router)) {
         ck_pr_store_uint(&peers->ready, 1);
     }
 }
@@ -476,7 +483,7 @@
 static int
 get_ms_until_tick(const struct ch_peers *peers, int64_t now)
 {
-    int64_t left = peers->last_tick + TICK_MS * INT64_C(1000) - now;
+    int64_t left = peers->last_tick_at + TICK_MS * INT64_C(1000) - now;
     return (int)CLAMP((left + 999) / 1000, 0, TICK_MS);
 }
 
@@ -492,17 +499,18 @@
 {
     struct epoll_event events[MAX_EVENTS];
     const struct ch_client *client = peers->node->client;
-    int64_t before = ch_client_now(client);
+    int64_t before = ch_client_get_time(client);
     int wait = get_ms_until_tick(peers, before);
-    int count = epoll_wait(peers->epoll, events, MAX_EVENTS, wait);
-    int64_t now = ch_client_now(client);
+    int count = epoll_wait(peers->epoll_fd, events, MAX_EVENTS, wait);
+    int64_t now = ch_client_get_time(client);
     int64_t read_up_to =
         count == 0 ? MIN(before + wait * INT64_C(1000), now) : before;
     pthread_mutex_lock(&peers->lock);
     bool more_left = handle_events(peers, events, count, now);
-    peers->behind = more_left ? (peers->behind + 1) % MAX_POLLS_BEHIND : 0;
-    if (peers->behind == 0 &&
-        read_up_to - peers->last_tick >= TICK_MS * INT64_C(1000)) {
+    peers->polls_behind =
+        more_left ? (peers->polls_behind + 1) % MAX_POLLS_BEHIND : 0;
+    if (peers->polls_behind == 0 &&
+        read_up_to - peers->last_tick_at >= TICK_MS * INT64_C(1000)) {
         tick(peers, read_up_to);
     }
     close_failed_connections(peers, read_up_to);
@@ -520,7 +528,7 @@
 
 /* See peers_internal.h. */
 void *
-peers_run(void *data)
+peers_run_thread(void *data)
 {
     struct ch_peers *peers = data;
     while (!is_stopping(peers)) {
--- a/libchestnuthitch/node/peers_members.c
+++ b/libchestnuthitch/node/peers_members.c
@@ -13,8 +13,8 @@
 
 /* The node to ask as home node of an upstream; a new string. */
 char *
-ch_peers_upstream_home(struct ch_peers *peers, uint64_t key,
-                       const char *region, const char *data_centre)
+ch_peers_find_upstream_home(struct ch_peers *peers, uint64_t key,
+                            const char *region, const char *data_centre)
 {
     pthread_mutex_lock(&peers->lock);
     char *home = g_strdup(
@@ -50,7 +50,7 @@
 
 /* Whether a node is in this node's region; true for an unknown node. */
 bool
-ch_peers_is_near(struct ch_peers *peers, const char *name)
+ch_peers_is_same_region(struct ch_peers *peers, const char *name)
 {
     pthread_mutex_lock(&peers->lock);
     const struct ch_member *member = ch_members_find(peers->members, name);
@@ -62,7 +62,7 @@
 
 /* See node.h. */
 bool
-ch_peers_unpacks(struct ch_peers *peers, const char *name)
+ch_peers_can_decompress(struct ch_peers *peers, const char *name)
 {
     pthread_mutex_lock(&peers->lock);
     const struct ch_member *member = ch_members_find(peers->members, name);
@@ -73,7 +73,7 @@
 
 /* Changes when a home node may have moved; see ch_members_get_version. */
 uint64_t
-ch_peers_version(struct ch_peers *peers)
+ch_peers_get_version(struct ch_peers *peers)
 {
     pthread_mutex_lock(&peers->lock);
     uint64_t version = ch_members_get_version(peers->members);
@@ -85,7 +85,8 @@
  * NULL; a new string. The node need not be ready: its work for the key needs
  * only the key-value store. */
 char *
-ch_peers_home(struct ch_peers *peers, uint64_t key, const char *data_centre)
+ch_peers_find_home(struct ch_peers *peers, uint64_t key,
+                   const char *data_centre)
 {
     pthread_mutex_lock(&peers->lock);
     char *home = g_strdup(home_or_self(
@@ -96,7 +97,7 @@
 
 /* The sorted names of the live nodes and this node; free with g_strfreev. */
 char **
-ch_peers_live(struct ch_peers *peers)
+ch_peers_list_live(struct ch_peers *peers)
 {
     GPtrArray *names = g_ptr_array_new();
     const char *self = peers->node->settings->name;
@@ -123,7 +124,8 @@
 /* The other live nodes, beginning with the name that follows this node's own:
  * so nodes that start at the same time do not all begin with the same node. */
 void
-ch_peers_others(struct ch_peers *peers, GPtrArray *local, GPtrArray *remote)
+ch_peers_list_others(struct ch_peers *peers, GPtrArray *local,
+                     GPtrArray *remote)
 {
     const struct ch_settings *settings = peers->node->settings;
     pthread_mutex_lock(&peers->lock);
@@ -148,10 +150,11 @@
 
 /* See node.h. */
 void
-ch_peers_each_other(struct ch_peers *peers,
-                    void (*each)(void *data, const char *name,
-                                 const char *data_centre, const char *region),
-                    void *data)
+ch_peers_foreach_other(struct ch_peers *peers,
+                       void (*each)(void *data, const char *name,
+                                    const char *data_centre,
+                                    const char *region),
+                       void *data)
 {
     pthread_mutex_lock(&peers->lock);
     for (size_t i = 0; i < ch_members_get_count(peers->members); i++) {
@@ -165,9 +168,9 @@
 
 /* Updates the members from the host list; only entry hosts count. */
 void
-ch_peers_list(struct ch_peers *peers, const struct ch_host_list *list)
+ch_peers_update_list(struct ch_peers *peers, const struct ch_host_list *list)
 {
-    int64_t now = ch_client_now(peers->node->client);
+    int64_t now = ch_client_get_time(peers->node->client);
     pthread_mutex_lock(&peers->lock);
     ch_members_begin_update(peers->members);
     for (size_t i = 0; i < list->count; i++) {
@@ -175,36 +178,37 @@
         if (host->kind == CH_HOST_ENTRY) {
             ch_members_update_member(peers->members, host->name, host->address,
                                      host->region, host->data_centre,
-                                     host->leaving, now);
+                                     host->draining, now);
             ch_members_set_capacity(peers->members, host->name,
                                     host->capacity);
         }
     }
     ch_members_end_update(peers->members);
-    peers->listed = true;
+    peers->members_listed = true;
     pthread_mutex_unlock(&peers->lock);
 }
 
 /* See node.h. */
 bool
-ch_peers_listed(struct ch_peers *peers)
+ch_peers_has_list(struct ch_peers *peers)
 {
     pthread_mutex_lock(&peers->lock);
-    bool listed = peers->listed;
+    bool listed = peers->members_listed;
     pthread_mutex_unlock(&peers->lock);
     return listed;
 }
 
 /* When a frame last came from a node, by the client's clock; 0: unknown. */
 int64_t
-ch_peers_heard(struct ch_peers *peers, const char *name, uint64_t *incarnation)
+ch_peers_get_last_heard(struct ch_peers *peers, const char *name,
+                        uint64_t *incarnation)
 {
     int64_t heard = 0;
     if (peers_is_self(peers, name)) {
         if (incarnation != NULL) {
             *incarnation = peers->node->incarnation;
         }
-        return ch_client_now(peers->node->client);
+        return ch_client_get_time(peers->node->client);
     }
     pthread_mutex_lock(&peers->lock);
     const struct ch_member *member = ch_members_find(peers->members, name);
@@ -220,9 +224,9 @@
 
 /* Adds the names (new strings) of members recently found silent. */
 void
-ch_peers_hints(struct ch_peers *peers, GPtrArray *silent_names)
+ch_peers_collect_hints(struct ch_peers *peers, GPtrArray *silent_names)
 {
-    int64_t now = ch_client_now(peers->node->client);
+    int64_t now = ch_client_get_time(peers->node->client);
     pthread_mutex_lock(&peers->lock);
     for (size_t i = 0; i < ch_members_get_count(peers->members); i++) {
         const struct ch_member *member = ch_members_get(peers->members, i);
@@ -237,10 +241,10 @@
 /* Applies the member states from another node's gossip: a silent member, which
  * this node then probes, or the sender's notice that it is stopping. */
 void
-ch_peers_told(struct ch_peers *peers,
-              const Chestnuthitch__Wire__Gossip *gossip)
+ch_peers_handle_gossip(struct ch_peers *peers,
+                       const Chestnuthitch__Wire__Gossip *gossip)
 {
-    int64_t now = ch_client_now(peers->node->client);
+    int64_t now = ch_client_get_time(peers->node->client);
     pthread_mutex_lock(&peers->lock);
     for (size_t i = 0; i < gossip->n_members; i++) {
         const Chestnuthitch__Wire__MemberState *state = gossip->members[i];
@@ -259,7 +263,7 @@
 /* Marks this node as stopping: no key has its home node here from now on,
  * unless this node is alone. */
 void
-ch_peers_stopping(struct ch_peers *peers)
+ch_peers_set_stopping(struct ch_peers *peers)
 {
     pthread_mutex_lock(&peers->lock);
     ch_members_stop_self(peers->members);
@@ -268,16 +272,16 @@
 
 /* The port of the listener. */
 uint16_t
-ch_peers_port(const struct ch_peers *peers)
+ch_peers_get_port(const struct ch_peers *peers)
 {
     return peers->port;
 }
 
 /* Writes the members as an array "nodes" into an open JSON object. */
 void
-ch_peers_status(struct ch_peers *peers, JsonBuilder *builder)
+ch_peers_write_status(struct ch_peers *peers, JsonBuilder *builder)
 {
-    int64_t now = ch_client_now(peers->node->client);
+    int64_t now = ch_client_get_time(peers->node->client);
     json_builder_set_member_name(builder, "nodes");
     json_builder_begin_array(builder);
     pthread_mutex_lock(&peers->lock);
@@ -302,5 +306,5 @@
     }
     pthread_mutex_unlock(&peers->lock);
     json_builder_end_array(builder);
-    ch_peers_traffic_status(peers, builder);
+    ch_peers_write_traffic(peers, builder);
 }
--- a/libchestnuthitch/node/peers_role.c
+++ b/libchestnuthitch/node/peers_role.c
@@ -16,14 +16,14 @@
 
 /* See node.h. */
 size_t
-ch_peers_rank(struct ch_peers *peers, uint64_t key, const char *data_centre,
-              const char *region)
+ch_peers_get_rank(struct ch_peers *peers, uint64_t key,
+                  const char *data_centre, const char *region)
 {
     const struct ch_settings *settings = peers->node->settings;
     GArray *nodes = g_array_new(FALSE, FALSE, sizeof(struct ch_rank_node));
     const struct ch_rank_node self = {
         .hash = ch_hash_string(settings->name),
-        .capacity = ch_settings_capacity(settings),
+        .capacity = ch_settings_get_capacity(settings),
     };
     g_array_append_val(nodes, self);
     pthread_mutex_lock(&peers->lock);
@@ -48,5 +48,6 @@
 ch_peers_has_role(struct ch_peers *peers, const char *role, unsigned count,
                   const char *region)
 {
-    return ch_peers_rank(peers, ch_hash_string(role), NULL, region) < count;
+    return ch_peers_get_rank(peers, ch_hash_string(role), NULL, region) <
+           count;
 }
--- a/libchestnuthitch/node/peers_traffic.c
+++ b/libchestnuthitch/node/peers_traffic.c
@@ -8,7 +8,7 @@
 
 #define WIRE(name) CHESTNUTHITCH__WIRE__##name
 
-static const char *const direction_names[PEERS_DIRECTIONS] = {
+static const char *const direction_names[PEERS_DIRECTION_COUNT] = {
     [PEERS_SENT] = "sent",
     [PEERS_RECEIVED] = "received",
 };
@@ -29,14 +29,14 @@
 
 /* See peers_internal.h. */
 void
-peers_count(struct ch_peers *peers, enum peers_direction direction,
-            Chestnuthitch__Wire__Frame__BodyCase body, bool other_region,
-            size_t bytes)
+peers_count_frame(struct ch_peers *peers, enum peers_direction direction,
+                  Chestnuthitch__Wire__Frame__BodyCase body, bool other_region,
+                  size_t bytes)
 {
-    if ((unsigned)body >= (unsigned)PEERS_BODY_CASES) {
+    if ((unsigned)body >= (unsigned)PEERS_BODY_CASE_COUNT) {
         return;
     }
-    struct traffic *traffic =
+    struct traffic_counters *traffic =
         &peers->traffic[body][direction][other_region ? 1 : 0];
     ck_pr_add_64(&traffic->frames, 1);
     ck_pr_add_64(&traffic->bytes, bytes);
@@ -50,11 +50,12 @@
                              uint64_t frames, uint64_t bytes),
                 void *data)
 {
-    for (unsigned kind = 0; kind < PEERS_BODY_CASES; kind++) {
+    for (unsigned kind = 0; kind < PEERS_BODY_CASE_COUNT; kind++) {
         const char *name = get_kind_name(kind);
-        for (unsigned i = 0; name != NULL && i < PEERS_DIRECTIONS; i++) {
+        for (unsigned i = 0; name != NULL && i < PEERS_DIRECTION_COUNT; i++) {
             for (unsigned j = 0; j < G_N_ELEMENTS(way_names); j++) {
-                const struct traffic *traffic = &peers->traffic[kind][i][j];
+                const struct traffic_counters *traffic =
+                    &peers->traffic[kind][i][j];
                 uint64_t frames = ck_pr_load_64(&traffic->frames);
                 if (frames > 0) {
                     each(data, name, direction_names[i], way_names[j], frames,
@@ -86,7 +87,7 @@
 
 /* Appends the counters in the Prometheus text exposition format. */
 void
-ch_peers_render(const struct ch_peers *peers, GString *out)
+ch_peers_render_metrics(const struct ch_peers *peers, GString *out)
 {
     struct metric_rendering rendering = {out, false};
     if (peers == NULL) {
@@ -127,7 +128,7 @@
 
 /* Writes the counters as an array "traffic" into an open JSON object. */
 void
-ch_peers_traffic_status(const struct ch_peers *peers, JsonBuilder *builder)
+ch_peers_write_traffic(const struct ch_peers *peers, JsonBuilder *builder)
 {
     json_builder_set_member_name(builder, "traffic");
     json_builder_begin_array(builder);
--- a/libchestnuthitch/node/refusal.h
+++ b/libchestnuthitch/node/refusal.h
@@ -15,6 +15,6 @@
 
 /* Returns {"error": {...}} as described in docs/INTERFACES.md; the caller
  * frees the string. */
-char *ch_refusal_print(const struct ch_refusal *refusal);
+char *ch_refusal_to_json(const struct ch_refusal *refusal);
 
 #endif
--- a/libchestnuthitch/node/reply.c
+++ b/libchestnuthitch/node/reply.c
@@ -18,9 +18,9 @@
     STREAM_BLOCK_BYTES = 2 * 1024,
 };
 
-struct ch_reply {
+struct ch_response {
     int references;
-    char id[CH_REPLY_MOST_ID + 1];
+    char id[CH_RESPONSE_MAX_ID_BYTES + 1];
     const char *id_header; /* NULL: Chestnuthitch's headers are sent */
     int fd;
     pthread_mutex_t lock;
@@ -31,19 +31,19 @@
     bool ended;   /* no more events will be added */
     bool aborted; /* the connection is to be closed without ending the
                           stream */
-    struct ch_reply_answer data; /* owns its strings */
+    struct ch_response_data data; /* owns its strings */
     GByteArray *unsent;
     size_t taken; /* bytes at the start of unsent that the library has taken */
-    struct ch_reply_watcher watcher;
+    struct ch_response_watcher watcher;
     void *watcher_data;
 };
 
 /* Creates the response for a connection of the library; request_id is copied.
  */
-struct ch_reply *
-ch_reply_new(struct MHD_Connection *connection, const char *request_id)
+struct ch_response *
+ch_response_new(struct MHD_Connection *connection, const char *request_id)
 {
-    struct ch_reply *response = g_new0(struct ch_reply, 1);
+    struct ch_response *response = g_new0(struct ch_response, 1);
     response->references = 1;
     response->connection = connection;
     response->fd = -1;
@@ -58,15 +58,15 @@
     return response;
 }
 
-struct ch_reply *
-ch_reply_ref(struct ch_reply *response)
+struct ch_response *
+ch_response_ref(struct ch_response *response)
 {
     g_atomic_int_inc(&response->references);
     return response;
 }
 
 static void
-free_headers(struct ch_reply *response)
+free_headers(struct ch_response *response)
 {
     for (size_t i = 0; i < response->data.header_count; i++) {
         g_free((char *)response->data.headers[i].name);
@@ -77,8 +77,8 @@
 
 /* Copies the upstream's headers.  Lock held. */
 static void
-copy_headers(struct ch_reply *response, const struct ch_http_header *headers,
-             size_t count)
+copy_headers(struct ch_response *response,
+             const struct ch_http_header *headers, size_t count)
 {
     struct ch_http_header *copy = g_new0(struct ch_http_header, count + 1);
     for (size_t i = 0; i < count; i++) {
@@ -91,13 +91,13 @@
 
 /* Releases a reference; the last one frees the response. */
 void
-ch_reply_unref(struct ch_reply *response)
+ch_response_unref(struct ch_response *response)
 {
     if (!g_atomic_int_dec_and_test(&response->references)) {
         return;
     }
-    if (response->watcher.drop != NULL) {
-        response->watcher.drop(response->watcher_data);
+    if (response->watcher.unref_data != NULL) {
+        response->watcher.unref_data(response->watcher_data);
     }
     g_free((char *)response->data.content_type);
     g_free((char *)response->data.allow);
@@ -110,7 +110,7 @@
 
 /* The request's ID as sent to the caller. */
 const char *
-ch_reply_id(const struct ch_reply *response)
+ch_response_get_id(const struct ch_response *response)
 {
     return response->id;
 }
@@ -118,14 +118,15 @@
 /* The caller's socket; valid until the library has finished with the request.
  */
 int
-ch_reply_fd(const struct ch_reply *response)
+ch_response_get_fd(const struct ch_response *response)
 {
     return response->fd;
 }
 
 /* See response.h. */
 void
-ch_reply_own_id(struct ch_reply *response, const char *header, const char *id)
+ch_response_use_caller_id(struct ch_response *response, const char *header,
+                          const char *id)
 {
     response->id_header = header;
     if (id != NULL) {
@@ -135,8 +136,8 @@
 
 /* See response.h. */
 void
-ch_reply_watch(struct ch_reply *response,
-               const struct ch_reply_watcher *watcher, void *data)
+ch_response_set_watcher(struct ch_response *response,
+                        const struct ch_response_watcher *watcher, void *data)
 {
     pthread_mutex_lock(&response->lock);
     response->watcher = *watcher;
@@ -146,7 +147,7 @@
 
 /* Resumes the connection if it is suspended. Lock held. */
 static void
-resume_connection(struct ch_reply *response)
+resume_connection(struct ch_response *response)
 {
     if (response->suspended && response->connection != NULL) {
         response->suspended = false;
@@ -156,7 +157,8 @@
 
 /* Gives a complete response; a second one is ignored. */
 void
-ch_reply_whole(struct ch_reply *response, const struct ch_reply_answer *data)
+ch_response_send(struct ch_response *response,
+                 const struct ch_response_data *data)
 {
     pthread_mutex_lock(&response->lock);
     if (response->answered) {
@@ -175,8 +177,8 @@
 
 /* See response.h. */
 void
-ch_reply_begin(struct ch_reply *response, const struct ch_http_header *headers,
-               size_t count)
+ch_response_start_stream(struct ch_response *response,
+                         const struct ch_http_header *headers, size_t count)
 {
     pthread_mutex_lock(&response->lock);
     if (!response->answered) {
@@ -195,7 +197,7 @@
  * waiting for a caller that does not read, and would not notice the flag. Lock
  * held. */
 static void
-abort_stream(struct ch_reply *response)
+abort_stream(struct ch_response *response)
 {
     response->aborted = true;
     if (response->connection != NULL && response->fd >= 0) {
@@ -206,7 +208,7 @@
 
 /* See response.h. */
 void
-ch_reply_cut(struct ch_reply *response)
+ch_response_abort(struct ch_response *response)
 {
     pthread_mutex_lock(&response->lock);
     abort_stream(response);
@@ -218,13 +220,14 @@
  * take memory from the other callers, and waiting for it would stall the
  * thread that serves them. */
 bool
-ch_reply_event(struct ch_reply *response, const char *bytes, size_t length)
+ch_response_add_event(struct ch_response *response, const char *bytes,
+                      size_t length)
 {
     pthread_mutex_lock(&response->lock);
     bool good =
         response->connection != NULL && !response->aborted && !response->ended;
     if (good && response->unsent->len - response->taken + length >
-                    CH_REPLY_MOST_UNSENT) {
+                    CH_RESPONSE_MAX_UNSENT_BYTES) {
         abort_stream(response);
         good = false;
     }
@@ -239,7 +242,7 @@
 
 /* Ends the stream once the stored events are sent. */
 void
-ch_reply_end(struct ch_reply *response)
+ch_response_end_stream(struct ch_response *response)
 {
     pthread_mutex_lock(&response->lock);
     response->ended = true;
@@ -249,7 +252,7 @@
 
 /* Copies up to max unsent bytes to out and returns their number. Lock held. */
 static size_t
-take_unsent(struct ch_reply *response, char *out, size_t max)
+take_unsent(struct ch_response *response, char *out, size_t max)
 {
     size_t length = MIN(max, response->unsent->len - response->taken);
     memcpy(out, response->unsent->data + response->taken, length);
@@ -258,7 +261,7 @@
         g_byte_array_set_size(response->unsent, 0);
         response->taken = 0;
     }
-    else if (response->taken > CH_REPLY_MOST_UNSENT / 16) {
+    else if (response->taken > CH_RESPONSE_MAX_UNSENT_BYTES / 16) {
         g_byte_array_remove_range(response->unsent, 0, (guint)response->taken);
         response->taken = 0;
     }
@@ -271,7 +274,7 @@
 read_stream(void *data, uint64_t position, char *out, size_t max)
 {
     (void)position;
-    struct ch_reply *response = data;
+    struct ch_response *response = data;
     ssize_t result = 0;
     pthread_mutex_lock(&response->lock);
     if (response->aborted) {
@@ -295,16 +298,16 @@
 static void
 release_stream(void *data)
 {
-    ch_reply_unref(data);
+    ch_response_unref(data);
 }
 
 /* Adds the headers for a caller that uses its own request ID: those of the
  * upstream, or the few of a refusal. */
 static void
 add_forwarded_headers(struct MHD_Response *library_response,
-                      const struct ch_reply *response, bool stopping)
+                      const struct ch_response *response, bool stopping)
 {
-    const struct ch_reply_answer *data = &response->data;
+    const struct ch_response_data *data = &response->data;
     char seconds[G_ASCII_DTOSTR_BUF_SIZE];
     for (size_t i = 0; i < data->header_count; i++) {
         MHD_add_response_header(library_response, data->headers[i].name,
@@ -332,18 +335,18 @@
  * ones that apply. */
 static void
 add_headers(struct MHD_Response *library_response,
-            const struct ch_reply *response, bool stopping)
+            const struct ch_response *response, bool stopping)
 {
     if (response->id_header != NULL) {
         add_forwarded_headers(library_response, response, stopping);
         return;
     }
-    const struct ch_reply_answer *data = &response->data;
+    const struct ch_response_data *data = &response->data;
     char number[24];
     MHD_add_response_header(library_response, "Chestnuthitch-Request-Id",
                             response->id);
     MHD_add_response_header(library_response, "Chestnuthitch-Outcome",
-                            ch_outcome_name(data->outcome));
+                            ch_outcome_get_name(data->outcome));
     if (data->content_type != NULL) {
         MHD_add_response_header(library_response, "Content-Type",
                                 data->content_type);
@@ -369,17 +372,18 @@
 
 /* Creates the library's object for the response that was given. */
 static struct MHD_Response *
-create_library_response(struct ch_reply *response, bool stopping)
+create_library_response(struct ch_response *response, bool stopping)
 {
     struct MHD_Response *library_response = NULL;
     if (response->streams) {
         library_response = MHD_create_response_from_callback(
             MHD_SIZE_UNKNOWN, STREAM_BLOCK_BYTES, read_stream,
-            ch_reply_ref(response), release_stream);
+            ch_response_ref(response), release_stream);
     }
     else {
         library_response = MHD_create_response_from_buffer(
-            response->data.length, response->data.body, MHD_RESPMEM_MUST_FREE);
+            response->data.body_length, response->data.body,
+            MHD_RESPMEM_MUST_FREE);
         response->data.body = NULL;
     }
     if (library_response != NULL) {
@@ -392,7 +396,7 @@
  * response's own lock when it calls read_stream(). The lock is not needed,
  * because a response that was given does not change any more. */
 static enum MHD_Result
-queue_response(struct ch_reply *response, struct MHD_Connection *connection,
+queue_response(struct ch_response *response, struct MHD_Connection *connection,
                bool stopping)
 {
     struct MHD_Response *library_response =
@@ -409,7 +413,7 @@
 /* Called by the library's handler once the whole request has arrived, and
  * again after each resume. */
 enum MHD_Result
-ch_reply_serve(struct ch_reply *response, bool stopping)
+ch_response_queue(struct ch_response *response, bool stopping)
 {
     pthread_mutex_lock(&response->lock);
     struct MHD_Connection *connection = response->connection;
@@ -428,11 +432,11 @@
 
 /* Notifies the watcher, once. */
 static void
-notify_disconnected(struct ch_reply *response)
+notify_disconnected(struct ch_response *response)
 {
     pthread_mutex_lock(&response->lock);
-    void (*gone)(void *data) = response->watcher.gone;
-    response->watcher.gone = NULL;
+    void (*gone)(void *data) = response->watcher.disconnected;
+    response->watcher.disconnected = NULL;
     pthread_mutex_unlock(&response->lock);
     if (gone != NULL) {
         gone(response->watcher_data);
@@ -443,7 +447,7 @@
  * close the connection. A response that is being sent is left to the library.
  */
 void
-ch_reply_hang_up(struct ch_reply *response)
+ch_response_handle_disconnect(struct ch_response *response)
 {
     pthread_mutex_lock(&response->lock);
     if (response->answered) {
@@ -459,7 +463,7 @@
 
 /* See response.h. */
 void
-ch_reply_detach(struct ch_reply *response)
+ch_response_detach(struct ch_response *response)
 {
     pthread_mutex_lock(&response->lock);
     response->connection = NULL;
--- a/libchestnuthitch/node/reply.h
+++ b/libchestnuthitch/node/reply.h
@@ -1,5 +1,5 @@
-#ifndef CH_NODE_REPLY_H
-#define CH_NODE_REPLY_H
+#ifndef CH_NODE_RESPONSE_H
+#define CH_NODE_RESPONSE_H
 
 /*
  * The response to one caller's request, written from any thread and sent by
@@ -13,18 +13,18 @@
 #include <microhttpd.h>
 
 enum {
-    CH_REPLY_ID = 40,
-    CH_REPLY_MOST_ID = 200, /* bytes; of a caller's own request ID */
+    CH_RESPONSE_ID_SIZE = 40,
+    CH_RESPONSE_MAX_ID_BYTES = 200, /* bytes; of a caller's own request ID */
     /* Limit of one stream's unsent bytes. A token's event has about 200 bytes,
      * so the limit is about 5,000 tokens, more than any usual response: a
      * caller that is so far behind has stopped reading. 1,000 such callers
      * take 1 GB at most. */
-    CH_REPLY_MOST_UNSENT = 1024 * 1024,
+    CH_RESPONSE_MAX_UNSENT_BYTES = 1024 * 1024,
 };
 
 /* A complete response. The strings are copied; the response takes ownership of
  * the body. */
-struct ch_reply_answer {
+struct ch_response_data {
     int status;
     const char *content_type; /* NULL: not sent */
     enum ch_outcome outcome;
@@ -32,66 +32,69 @@
     int64_t retry_after; /* microseconds, for Retry-After; 0: none */
     const char *allow;   /* Allow header of status 405; NULL: none */
     char *body;          /* g_malloc'ed, or NULL */
-    size_t length;
+    size_t body_length;
     /* The upstream's headers, sent instead of Chestnuthitch's; copied. */
     const struct ch_http_header *headers;
     size_t header_count;
 };
 
-struct ch_reply;
+struct ch_response;
 
 /* Called when the caller has disconnected: at most once, on any thread,
  * without a lock held. */
-struct ch_reply_watcher {
-    void (*gone)(void *data);
-    void (*drop)(void *data); /* releases the reference to data; called once */
+struct ch_response_watcher {
+    void (*disconnected)(void *data);
+    void (*unref_data)(
+        void *data); /* releases the reference to data; called once */
 };
 
-struct ch_reply *ch_reply_new(struct MHD_Connection *connection,
-                              const char *request_id);
-struct ch_reply *ch_reply_ref(struct ch_reply *response);
-void ch_reply_unref(struct ch_reply *response);
-const char *ch_reply_id(const struct ch_reply *response);
-int ch_reply_fd(const struct ch_reply *response);
+struct ch_response *ch_response_new(struct MHD_Connection *connection,
+                                    const char *request_id);
+struct ch_response *ch_response_ref(struct ch_response *response);
+void ch_response_unref(struct ch_response *response);
+const char *ch_response_get_id(const struct ch_response *response);
+int ch_response_get_fd(const struct ch_response *response);
 /* Sends the caller's own request ID (NULL: the generated one) in the given
  * header, and omits all of Chestnuthitch's headers. header must outlive the
  * response. To be called before any part of the response is given. */
-void ch_reply_own_id(struct ch_reply *response, const char *header,
-                     const char *id);
+void ch_response_use_caller_id(struct ch_response *response,
+                               const char *header, const char *id);
 /* Sets who is notified when the caller disconnects; data belongs to the
  * watcher. To be called once, before any part of the response is given. A
  * disconnect just before the call is reported when the library closes the
  * connection. */
-void ch_reply_watch(struct ch_reply *response,
-                    const struct ch_reply_watcher *watcher, void *data);
+void ch_response_set_watcher(struct ch_response *response,
+                             const struct ch_response_watcher *watcher,
+                             void *data);
 
 /* ---- for the writer; a second complete response or stream start is ignored
  * ---- */
 
-void ch_reply_whole(struct ch_reply *response,
-                    const struct ch_reply_answer *data);
+void ch_response_send(struct ch_response *response,
+                      const struct ch_response_data *data);
 /* Starts a stream of server-sent events with status 200. headers: the
  * upstream's, which are copied, or NULL. */
-void ch_reply_begin(struct ch_reply *response,
-                    const struct ch_http_header *headers, size_t count);
+void ch_response_start_stream(struct ch_response *response,
+                              const struct ch_http_header *headers,
+                              size_t count);
 /* Closes the connection without ending the stream, so that the caller does not
  * take the part sent for a complete response. */
-void ch_reply_cut(struct ch_reply *response);
+void ch_response_abort(struct ch_response *response);
 /* Appends an event to the stream. False when the caller has disconnected or is
  * too far behind; the stream is then aborted. */
-bool ch_reply_event(struct ch_reply *response, const char *bytes,
-                    size_t length);
-void ch_reply_end(struct ch_reply *response);
+bool ch_response_add_event(struct ch_response *response, const char *bytes,
+                           size_t length);
+void ch_response_end_stream(struct ch_response *response);
 
 /* ---- for libmicrohttpd's callbacks ---- */
 
 /* Queues the response, or suspends the connection until there is one.
  * stopping: asks the caller to close the connection. */
-enum MHD_Result ch_reply_serve(struct ch_reply *response, bool stopping);
+enum MHD_Result ch_response_queue(struct ch_response *response, bool stopping);
 /* The caller has closed the connection. */
-void ch_reply_hang_up(struct ch_reply *response);
+void ch_response_handle_disconnect(struct ch_response *response);
 /* The library has finished with the request; its connection is not used from
  * here on. */
-void ch_reply_detach(struct ch_reply *response);
+void ch_response_detach(struct ch_response *response);
 
 #endif
--- a/libchestnuthitch/node/request.c
+++ b/libchestnuthitch/node/request.c
@@ -109,7 +109,7 @@
 {
     const char *name = uri + sizeof(service_prefix) - 1;
     size_t length = strcspn(name, "/?");
-    if (length == 0 || length > CH_REQUEST_MOST_NAME) {
+    if (length == 0 || length > CH_REQUEST_MAX_NAME_BYTES) {
         ch_fault_set(fault, CH_UNKNOWN_SERVICE, "path",
                      "the path names no service");
         return false;
@@ -159,14 +159,14 @@
              struct ch_fault *fault)
 {
     const char *caller = input->caller == NULL ? "anonymous" : input->caller;
-    if (!is_printable(caller, CH_REQUEST_MOST_NAME, true)) {
+    if (!is_printable(caller, CH_REQUEST_MAX_NAME_BYTES, true)) {
         ch_fault_set(fault, CH_BAD_FIELD, "Chestnuthitch-Caller",
                      "the caller's name is not 1 to %d printable characters",
-                     CH_REQUEST_MOST_NAME);
+                     CH_REQUEST_MAX_NAME_BYTES);
         return false;
     }
     request->caller = g_strdup(caller);
-    request->work.tenant = ch_hash_string(caller);
+    request->info.tenant = ch_hash_string(caller);
     return true;
 }
 
@@ -177,10 +177,10 @@
     if (input->key == NULL) {
         return true;
     }
-    if (!is_printable(input->key, CH_REQUEST_MOST_KEY, true)) {
+    if (!is_printable(input->key, CH_REQUEST_MAX_KEY_BYTES, true)) {
         ch_fault_set(fault, CH_BAD_KEY, "Idempotency-Key",
                      "the key is not 1 to %d printable ASCII characters",
-                     CH_REQUEST_MOST_KEY);
+                     CH_REQUEST_MAX_KEY_BYTES);
         return false;
     }
     request->key = g_strdup(input->key);
@@ -198,11 +198,10 @@
         return true;
     }
     if (!g_ascii_string_to_unsigned(input->deadline_ms, 10, 1,
-                                    CH_REQUEST_MOST_DEADLINE_MS, &wait,
-                                    NULL)) {
+                                    CH_REQUEST_MAX_DEADLINE_MS, &wait, NULL)) {
         ch_fault_set(fault, CH_BAD_FIELD, "Chestnuthitch-Deadline-Ms",
                      "the deadline is not a whole number from 1 to %d",
-                     CH_REQUEST_MOST_DEADLINE_MS);
+                     CH_REQUEST_MAX_DEADLINE_MS);
         return false;
     }
     request->deadline = now + (int64_t)wait * 1000;
@@ -216,10 +215,11 @@
              const struct ch_declaration *declaration,
              const struct ch_request_input *input, struct ch_fault *fault)
 {
-    int declared = ch_declaration_caller_class(declaration, request->caller);
+    int declared =
+        ch_declaration_find_caller_class(declaration, request->caller);
     int index = declared;
     if (input->class_name != NULL) {
-        index = ch_declaration_class(declaration, input->class_name);
+        index = ch_declaration_find_class(declaration, input->class_name);
         if (index < 0) {
             ch_fault_set(fault, CH_UNKNOWN_CLASS, "Chestnuthitch-Class",
                          "no such class");
@@ -237,11 +237,11 @@
      * bound: only declared callers are counted as tenants of their own. */
     request->tenant = g_strdup(declared >= 0 ? request->caller : "other");
     request->class_name = g_strdup(class->name);
-    request->first_token = class->first_token;
-    request->between_tokens = class->between_tokens;
-    request->whole_answer = class->whole_answer;
-    request->work.class_name = g_quark_from_string(class->name);
-    request->work.idempotent = class->idempotent;
+    request->first_token_target = class->first_token_target;
+    request->token_target = class->token_target;
+    request->answer_target = class->response_target;
+    request->info.class_name = g_quark_from_string(class->name);
+    request->info.idempotent = class->idempotent;
     return class;
 }
 
@@ -255,30 +255,30 @@
               struct ch_fault *fault)
 {
     int adapter = -1;
-    int index = ch_declaration_model(declaration, name);
+    int index = ch_declaration_find_model(declaration, name);
     if (index < 0) {
-        index = ch_declaration_adapter(declaration, name, &adapter);
+        index = ch_declaration_find_adapter(declaration, name, &adapter);
     }
     if (index < 0) {
         ch_fault_set(fault, CH_UNKNOWN_MODEL, "model",
                      "no such model or adapter");
         return false;
     }
-    if (!class->every_model &&
-        (class->models == NULL || class->models[index] == 0)) {
+    if (!class->allows_every_model &&
+        (class->allowed_models == NULL || class->allowed_models[index] == 0)) {
         ch_fault_set(fault, CH_MODEL_FORBIDDEN, "model",
                      "class %s may not use this model", class->name);
         return false;
     }
     const struct ch_model *model = &declaration->models[index];
     request->model = g_strdup(model->name);
-    request->work.model = g_quark_from_string(model->name);
-    request->work.model_mb = model->memory_mb;
+    request->info.model = g_quark_from_string(model->name);
+    request->info.model_mb = model->memory_mb;
     if (adapter >= 0) {
         request->adapter = g_strdup(model->adapters[adapter]);
         char *full = g_strconcat(model->name, "/", request->adapter, NULL);
-        request->work.adapter = g_quark_from_string(full);
-        request->work.adapter_mb = model->adapter_memory_mb;
+        request->info.adapter = g_quark_from_string(full);
+        request->info.adapter_mb = model->adapter_memory_mb;
         g_free(full);
     }
     return true;
@@ -290,18 +290,19 @@
                 const struct ch_declaration *declaration,
                 const struct ch_class *class, struct ch_fault *fault)
 {
-    int index = ch_declaration_service(declaration, request->model);
+    int index = ch_declaration_find_service(declaration, request->model);
     if (index < 0) {
         ch_fault_set(fault, CH_UNKNOWN_SERVICE, "path", "no such service");
         return false;
     }
-    if (class->services == NULL || class->services[index] == 0) {
+    if (class->allowed_services == NULL ||
+        class->allowed_services[index] == 0) {
         ch_fault_set(fault, CH_MODEL_FORBIDDEN, "path",
                      "class %s may not use this service", class->name);
         return false;
     }
-    request->work.model = g_quark_from_string(request->model);
-    request->work.is_service = true;
+    request->info.model = g_quark_from_string(request->model);
+    request->info.is_service = true;
     return true;
 }
 
@@ -314,14 +315,15 @@
 {
     struct ch_model_body body;
     bool chat = g_str_has_prefix(request->path, "/v1/chat/");
-    if (!ch_model_body_parse(input->body, input->length, chat, &body, fault)) {
+    if (!ch_model_body_parse(input->body, input->body_length, chat, &body,
+                             fault)) {
         return false;
     }
     bool good = resolve_model(request, declaration, class, body.model, fault);
     request->stream = body.stream;
-    request->work.prompt_tokens = body.prompt_tokens;
-    request->work.max_output_tokens = body.output_tokens;
-    request->work.prefix_hash = body.prefix;
+    request->info.prompt_tokens = body.prompt_tokens;
+    request->info.max_output_tokens = body.output_tokens;
+    request->info.prefix_hash = body.prefix_hash;
     g_free(body.model);
     return good;
 }
@@ -333,16 +335,16 @@
 static void
 set_targets(struct ch_request *request, int64_t now)
 {
-    struct ch_request_info *info = &request->work;
-    int64_t first = request->first_token;
+    struct ch_request_info *info = &request->info;
+    int64_t first = request->first_token_target;
     if (first == 0 || info->is_service) {
-        first = request->whole_answer > 0 ? request->whole_answer : first;
+        first = request->answer_target > 0 ? request->answer_target : first;
     }
     info->arrived_at = now;
     info->first_token_deadline = now + (first > 0 ? first : DEFAULT_TARGET_US);
-    info->token_target = request->between_tokens;
+    info->token_target = request->token_target;
     info->answer_deadline =
-        request->whole_answer > 0 ? now + request->whole_answer : 0;
+        request->answer_target > 0 ? now + request->answer_target : 0;
     if (request->deadline != 0) {
         info->first_token_deadline =
             MIN(info->first_token_deadline, request->deadline);
@@ -360,16 +362,16 @@
 {
     request->method = g_strdup(input->method);
     request->content_type = g_strdup(input->content_type);
-    request->length = input->length;
-    request->body = g_malloc(input->length + 1);
-    if (input->length > 0) {
-        memcpy(request->body, input->body, input->length);
+    request->body_length = input->body_length;
+    request->body = g_malloc(input->body_length + 1);
+    if (input->body_length > 0) {
+        memcpy(request->body, input->body, input->body_length);
     }
-    request->body[input->length] = '\0';
-    request->fingerprint =
-        ch_hash_pair(ch_hash_string(input->method),
-                     ch_hash_pair(ch_hash_string(input->uri),
-                                  ch_hash(request->body, request->length)));
+    request->body[input->body_length] = '\0';
+    request->fingerprint = ch_hash_pair(
+        ch_hash_string(input->method),
+        ch_hash_pair(ch_hash_string(input->uri),
+                     ch_hash(request->body, request->body_length)));
 }
 
 /* Fills in the request; false with *fault at the first fault found. */
--- a/libchestnuthitch/node/request.h
+++ b/libchestnuthitch/node/request.h
@@ -11,15 +11,15 @@
 #include "net/net.h"
 
 enum {
-    CH_REQUEST_MOST_KEY = 200,
-    CH_REQUEST_MOST_NAME =
+    CH_REQUEST_MAX_KEY_BYTES = 200,
+    CH_REQUEST_MAX_NAME_BYTES =
         200, /* bytes; of a caller, class, model or service */
-    CH_REQUEST_MOST_TOKENS = 128 * 1024,
-    CH_REQUEST_USUAL_TOKENS = 256, /* when the caller sets no limit */
-    CH_REQUEST_MOST_DEADLINE_MS = 24 * 60 * 60 * 1000,
-    CH_REQUEST_MOST_CONTEXT =
-        16 * 1024 * 1024,       /* no engine has a larger context */
-    CH_REQUEST_MOST_PARTS = 64, /* of a prompt; callers send a handful */
+    CH_REQUEST_MAX_TOKENS = 128 * 1024,
+    CH_REQUEST_DEFAULT_TOKENS = 256, /* when the caller sets no limit */
+    CH_REQUEST_MAX_DEADLINE_MS = 24 * 60 * 60 * 1000,
+    CH_REQUEST_MAX_CONTEXT_TOKENS =
+        16 * 1024 * 1024,      /* no engine has a larger context */
+    CH_REQUEST_MAX_PARTS = 64, /* of a prompt; callers send a handful */
 };
 
 /* A request as received over HTTP. Header values are NULL when the header was
@@ -33,7 +33,7 @@
     const char *key;
     const char *content_type;
     const void *body;
-    size_t length;
+    size_t body_length;
     /* Of a request whose class is chosen by host and path. */
     const char *host;
     const char *request_id; /* the caller's own */
@@ -41,9 +41,10 @@
     const char *resume_id;  /* ID of the last event that the caller received */
     uint32_t prompt_tokens;
     uint32_t output_tokens;
-    struct ch_prompt_part parts[CH_REQUEST_MOST_PARTS];
+    struct ch_prompt_part parts[CH_REQUEST_MAX_PARTS];
     size_t part_count;
-    GArray *passed; /* struct ch_http_header, forwarded to the upstream */
+    GArray *forwarded_headers; /* struct ch_http_header, forwarded to the
+                                  upstream */
 };
 
 enum ch_request_kind {
@@ -59,19 +60,19 @@
     char *content_type;
     char *key;
     char *body;
-    size_t length;
+    size_t body_length;
     char *caller;
     char *tenant; /* the caller when it is declared, else "other" */
     char *class_name;
-    int64_t first_token; /* the class's target for the first token */
-    int64_t between_tokens;
-    int64_t whole_answer;
+    int64_t first_token_target; /* the class's target for the first token */
+    int64_t token_target;
+    int64_t answer_target;
     char *model; /* or the name of a plain service */
     char *adapter;
     bool stream;
     int64_t deadline;     /* when the caller stops waiting; 0: none given */
     uint64_t fingerprint; /* of method, path and body */
-    struct ch_request_info work;
+    struct ch_request_info info;
     /* Of a request whose class is chosen by host and path. */
     bool routed;
     char *request_id;
@@ -80,7 +81,7 @@
     struct ch_http_header *headers; /* forwarded to the upstream */
     size_t header_count;
     struct ch_prompt_part *parts;
-    int64_t gap;              /* target for the longest pause between events */
+    int64_t event_gap_target; /* target for the longest pause between events */
     int64_t first_byte_limit; /* 0: the node's */
     int64_t stall_limit;      /* 0: the node's */
 };
@@ -120,7 +121,7 @@
     bool stream;
     uint32_t prompt_tokens; /* estimated from the prompt's length */
     uint32_t output_tokens;
-    uint64_t prefix;
+    uint64_t prefix_hash;
 };
 
 /* False with *fault, and then body->model is NULL. The caller frees
--- a/libchestnuthitch/node/request_route.c
+++ b/libchestnuthitch/node/request_route.c
@@ -36,7 +36,7 @@
         total += class->shares[i].weight;
     }
     if (total == 0) {
-        return class->share_count > 0 ? class->shares[0].service : -1;
+        return class->share_count > 0 ? class->shares[0].service_index : -1;
     }
     uint64_t point = ch_hash_string(request_id) % total;
     size_t share = 0;
@@ -44,7 +44,7 @@
         point -= class->shares[share].weight;
         share++;
     }
-    return class->shares[share].service;
+    return class->shares[share].service_index;
 }
 
 /* Finds the class by host and path; NULL with *fault. */
@@ -58,8 +58,8 @@
         return NULL;
     }
     char *host = g_strndup(input->host, strcspn(input->host, ":"));
-    int index = ch_declaration_route(declaration, host, input->uri,
-                                     strcspn(input->uri, "?"));
+    int index = ch_declaration_find_route(declaration, host, input->uri,
+                                          strcspn(input->uri, "?"));
     g_free(host);
     if (index < 0) {
         ch_fault_set(fault, CH_UNKNOWN_PATH, "path",
@@ -72,14 +72,14 @@
     request->caller = g_strdup("");
     request->tenant = g_strdup("other");
     request->stream = class->stream;
-    request->first_token = class->first_token;
-    request->between_tokens = class->between_tokens;
-    request->whole_answer = class->whole_answer;
-    request->gap = class->gap;
-    request->work.class_name = g_quark_from_string(class->name);
-    request->work.idempotent = class->idempotent;
-    request->work.max_attempts = MAX(class->tries, 1);
-    request->work.priority = class->priority;
+    request->first_token_target = class->first_token_target;
+    request->token_target = class->token_target;
+    request->answer_target = class->response_target;
+    request->event_gap_target = class->event_gap_target;
+    request->info.class_name = g_quark_from_string(class->name);
+    request->info.idempotent = class->idempotent;
+    request->info.max_attempts = MAX(class->max_attempts, 1);
+    request->info.priority = class->priority;
     return class;
 }
 
@@ -95,28 +95,28 @@
     }
     size_t length = strcspn(input->model, "/");
     request->model = g_strndup(input->model, length);
-    int index = ch_declaration_model(declaration, request->model);
+    int index = ch_declaration_find_model(declaration, request->model);
     const struct ch_model *model =
         index < 0 ? NULL : &declaration->models[index];
-    if (model == NULL || !model->services[service]) {
+    if (model == NULL || !model->allowed_services[service]) {
         ch_fault_set(fault, CH_UNKNOWN_MODEL, "model",
                      "the service has no such model");
         return false;
     }
     request->kind = CH_REQUEST_MODEL_CALL;
-    request->work.model = g_quark_from_string(model->name);
-    request->work.model_mb = model->memory_mb;
+    request->info.model = g_quark_from_string(model->name);
+    request->info.model_mb = model->memory_mb;
     if (input->model[length] == '\0') {
         return true;
     }
     request->adapter = g_strdup(input->model + length + 1);
-    if (!ch_declaration_numbered(model, request->adapter)) {
+    if (!ch_model_has_numbered_adapter(model, request->adapter)) {
         ch_fault_set(fault, CH_UNKNOWN_MODEL, "model",
                      "the model has no such adapter");
         return false;
     }
-    request->work.adapter = g_quark_from_string(input->model);
-    request->work.adapter_mb = model->adapter_memory_mb;
+    request->info.adapter = g_quark_from_string(input->model);
+    request->info.adapter_mb = model->adapter_memory_mb;
     return true;
 }
 
@@ -134,14 +134,14 @@
         return false;
     }
     const struct ch_service *service = &declaration->services[index];
-    request->work.required_service = g_quark_from_string(service->name);
+    request->info.required_service = g_quark_from_string(service->name);
     if (service->memory_mb > 0) {
         return resolve_model(request, declaration, index, input, fault);
     }
     request->kind = CH_REQUEST_SERVICE_CALL;
     request->model = g_strdup(service->name);
-    request->work.is_service = true;
-    request->work.model = request->work.required_service;
+    request->info.is_service = true;
+    request->info.model = request->info.required_service;
     return true;
 }
 
@@ -151,13 +151,14 @@
 set_times(struct ch_request *request, const struct ch_class *class,
           int64_t now)
 {
-    struct ch_request_info *info = &request->work;
+    struct ch_request_info *info = &request->info;
     int64_t limit =
         class->time_limit > 0 ? class->time_limit : DEFAULT_TIME_LIMIT_US;
     request->deadline = request->deadline == 0
                             ? now + limit
                             : MIN(request->deadline, now + limit);
-    int64_t target = class->stream ? class->first_token : class->whole_answer;
+    int64_t target =
+        class->stream ? class->first_token_target : class->response_target;
     info->arrived_at = now;
     info->first_token_deadline = target > 0 ? now + target : request->deadline;
     info->first_token_deadline =
@@ -165,11 +166,12 @@
     info->answer_deadline = request->deadline;
     request->first_byte_limit = request->deadline - now;
     request->stall_limit = request->deadline - now;
-    if (class->idempotent && class->tries > 1 && target > 0) {
+    if (class->idempotent && class->max_attempts > 1 && target > 0) {
         request->first_byte_limit =
             CLAMP(target * FIRST_BYTE_TARGET_TENTHS / 10, MIN_FIRST_BYTE_US,
                   MAX_FIRST_BYTE_US);
-        request->stall_limit = MAX(class->gap * STALL_GAPS, MIN_STALL_US);
+        request->stall_limit =
+            MAX(class->event_gap_target * STALL_GAPS, MIN_STALL_US);
     }
 }
 
@@ -184,11 +186,10 @@
         return true;
     }
     if (!g_ascii_string_to_unsigned(input->deadline_ms, 10, 0,
-                                    CH_REQUEST_MOST_DEADLINE_MS, &wait,
-                                    NULL)) {
+                                    CH_REQUEST_MAX_DEADLINE_MS, &wait, NULL)) {
         ch_fault_set(fault, CH_BAD_FIELD, "deadline",
                      "the deadline is not a whole number up to %d",
-                     CH_REQUEST_MOST_DEADLINE_MS);
+                     CH_REQUEST_MAX_DEADLINE_MS);
         return false;
     }
     request->deadline = now + MAX((int64_t)wait, 1) * 1000;
@@ -200,11 +201,12 @@
 copy_forwarded(struct ch_request *request,
                const struct ch_request_input *input)
 {
-    request->header_count = input->passed->len;
-    request->headers = g_new0(struct ch_http_header, input->passed->len + 1);
-    for (guint i = 0; i < input->passed->len; i++) {
+    request->header_count = input->forwarded_headers->len;
+    request->headers =
+        g_new0(struct ch_http_header, input->forwarded_headers->len + 1);
+    for (guint i = 0; i < input->forwarded_headers->len; i++) {
         const struct ch_http_header *header =
-            &g_array_index(input->passed, struct ch_http_header, i);
+            &g_array_index(input->forwarded_headers, struct ch_http_header, i);
         request->headers[i].name = g_strdup(header->name);
         request->headers[i].value = g_strdup(header->value);
     }
@@ -212,10 +214,10 @@
     request->host = g_strdup(input->host);
     request->parts = g_memdup2(input->parts, sizeof(struct ch_prompt_part) *
                                                  MAX(input->part_count, 1));
-    request->work.parts = request->parts;
-    request->work.part_count = input->part_count;
-    request->work.prompt_tokens = input->prompt_tokens;
-    request->work.max_output_tokens = input->output_tokens;
+    request->info.parts = request->parts;
+    request->info.part_count = input->part_count;
+    request->info.prompt_tokens = input->prompt_tokens;
+    request->info.max_output_tokens = input->output_tokens;
 }
 
 /* Fills in the request; false with *fault at the first fault found. */
@@ -229,10 +231,10 @@
         return false;
     }
     if (input->request_id == NULL || input->request_id[0] == '\0' ||
-        strlen(input->request_id) > CH_REQUEST_MOST_NAME) {
+        strlen(input->request_id) > CH_REQUEST_MAX_NAME_BYTES) {
         ch_fault_set(fault, CH_BAD_FIELD, "request id",
                      "the request has no id of 1 to %d bytes",
-                     CH_REQUEST_MOST_NAME);
+                     CH_REQUEST_MAX_NAME_BYTES);
         return false;
     }
     request->request_id = g_strdup(input->request_id);
--- a/libchestnuthitch/node/roster.c
+++ b/libchestnuthitch/node/roster.c
@@ -96,9 +96,9 @@
     if (!g_atomic_int_dec_and_test(&roster->references)) {
         return;
     }
-    feed_clear(&roster->upstreams);
-    feed_clear(&roster->nodes);
-    g_hash_table_destroy(roster->strangers);
+    roster_list_clear(&roster->upstreams);
+    roster_list_clear(&roster->nodes);
+    g_hash_table_destroy(roster->unreadable_keys);
     pthread_mutex_destroy(&roster->lock);
     g_free(roster);
 }
@@ -116,17 +116,17 @@
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, roster->nodes.entries);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        const struct entry *entry = value;
+        const struct roster_entry *entry = value;
         list.hosts[list.count++] = entry->host; /* borrows the strings */
     }
-    ch_peers_list(roster->node->peers, &list);
+    ch_peers_update_list(roster->node->peers, &list);
     pthread_mutex_unlock(&roster->lock);
     g_free(list.hosts);
 }
 
 /* See roster_internal.h. */
 void
-roster_tell_users(struct feed *list)
+roster_notify_users(struct roster_list *list)
 {
     if (list == &list->roster->nodes) {
         update_peers(list->roster);
@@ -144,15 +144,15 @@
     return ch_peers_has_role(node->peers, "roster-watch", WATCHER_COUNT, NULL);
 }
 
-static void start_call(struct feed *list, bool watcher);
+static void start_call(struct roster_list *list, bool watcher);
 
 /* Records the result of a call and when the next may start. Lock held. */
 static void
-record_call_result(struct feed *list, enum ch_code code, int64_t now)
+record_call_result(struct roster_list *list, enum ch_code code, int64_t now)
 {
-    list->calling = false;
+    list->call_in_flight = false;
     if (code == CH_OK || code == CH_KV_MISSING) {
-        list->pause = 0;
+        list->backoff = 0;
         return;
     }
     /*
@@ -161,28 +161,28 @@
      * from a revision before the gap without an error: an upstream that began
      * to drain within the gap would get requests until it is gone.
      */
-    list->at = 0;
+    list->revision = 0;
     if (code == CH_KV_HISTORY_GONE) {
         return;
     }
-    if (list->troubled == 0 || list->pause == 0) {
+    if (list->last_failure_at == 0 || list->backoff == 0) {
         ch_log(list->roster->node->client, CH_LOG_WARNING, "list-unreachable",
                CH_F_STR("prefix", list->prefix), CH_F_INT("code", code),
                CH_F_END);
     }
-    list->troubled = now;
-    list->pause = CLAMP(list->pause * 2, MIN_BACKOFF_US, MAX_BACKOFF_US);
-    list->not_before = now + list->pause;
+    list->last_failure_at = now;
+    list->backoff = CLAMP(list->backoff * 2, MIN_BACKOFF_US, MAX_BACKOFF_US);
+    list->next_call_at = now + list->backoff;
 }
 
 /* Time to wait after a watch that returned changes. Lock held. */
 static int64_t
-get_batch_delay(struct feed *list, int64_t now)
+get_batch_delay(struct roster_list *list, int64_t now)
 {
-    if (!feed_has_news_for_all(list)) {
+    if (!roster_list_has_change_for_all(list)) {
         return BATCH_DELAY_US;
     }
-    return ch_token_bucket_take(&list->watches, 1, now)
+    return ch_token_bucket_take(&list->watch_bucket, 1, now)
                ? 0
                : (int64_t)(G_USEC_PER_SEC / WATCHES_PER_S);
 }
@@ -190,25 +190,26 @@
 /* Applies the result of a range call (is_full_read) or a watch, and starts the
  * next call; on the pool. */
 static void
-handle_call_result(struct feed *list, const struct ch_kv_range *range,
+handle_call_result(struct roster_list *list, const struct ch_kv_range *range,
                    bool is_full_read)
 {
     struct ch_roster *roster = list->roster;
-    int64_t now = ch_client_now(roster->node->client);
+    int64_t now = ch_client_get_time(roster->node->client);
     bool is_current = range->code == CH_OK || range->code == CH_KV_MISSING;
     pthread_mutex_lock(&roster->lock);
     if (is_full_read && range->code == CH_OK) {
-        bool read_before_listed = !list->known && roster->listed_at == 0;
-        list->not_before = read_before_listed ? now + FIRST_WATCH_DELAY_US : 0;
-        list->heard = now;
-        feed_take_all(list, range, now);
+        bool read_before_listed = !list->known && roster->first_listed_at == 0;
+        list->next_call_at =
+            read_before_listed ? now + FIRST_WATCH_DELAY_US : 0;
+        list->last_update_at = now;
+        roster_list_apply_range(list, range, now);
     }
     else if (range->code == CH_OK) {
-        feed_take_changes(list, range, now);
-        list->not_before = now + get_batch_delay(list, now);
+        roster_list_apply_changes(list, range, now);
+        list->next_call_at = now + get_batch_delay(list, now);
     }
     if (is_current) {
-        list->at = MAX(list->at, range->at);
+        list->revision = MAX(list->revision, range->revision);
     }
     record_call_result(list, range->code, now);
     pthread_mutex_unlock(&roster->lock);
@@ -236,40 +237,40 @@
 
 /* Whether a list that is not known yet may be read now. Lock held. */
 static bool
-may_read_first(const struct feed *list, bool watcher, int64_t now)
+may_read_first(const struct roster_list *list, bool watcher, int64_t now)
 {
     const struct ch_roster *roster = list->roster;
     if (list == &roster->nodes) {
-        return roster->returns ||
-               (roster->listed_at != 0 &&
-                now - roster->listed_at >= FIRST_READ_DELAY_US) ||
-               now - roster->started >= MAX_FIRST_READ_DELAY_US;
+        return roster->restarted ||
+               (roster->first_listed_at != 0 &&
+                now - roster->first_listed_at >= FIRST_READ_DELAY_US) ||
+               now - roster->started_at >= MAX_FIRST_READ_DELAY_US;
     }
     return (roster->nodes.known && watcher) ||
-           now - roster->started >= FIRST_MESSAGE_TIMEOUT_US;
+           now - roster->started_at >= FIRST_MESSAGE_TIMEOUT_US;
 }
 
 /* Starts a range call when the list is unknown or no message was received for
  * too long, or a watch on a watcher; unless a call is in progress or a backoff
  * or delay has not ended. */
 static void
-start_call(struct feed *list, bool watcher)
+start_call(struct roster_list *list, bool watcher)
 {
     struct ch_roster *roster = list->roster;
-    int64_t now = ch_client_now(roster->node->client);
+    int64_t now = ch_client_get_time(roster->node->client);
     pthread_mutex_lock(&roster->lock);
-    bool becomes_watcher = watcher && !list->watched && list->known;
+    bool becomes_watcher = watcher && !list->was_watcher && list->known;
     if (becomes_watcher ||
-        (!watcher && now - list->heard >= MESSAGE_TIMEOUT_US)) {
-        list->at = 0; /* a range call returns whatever was missed */
+        (!watcher && now - list->last_update_at >= MESSAGE_TIMEOUT_US)) {
+        list->revision = 0; /* a range call returns whatever was missed */
     }
-    list->watched = watcher;
-    uint64_t revision = list->at;
-    bool may_start = !roster->stopped && !list->calling &&
-                     now >= list->not_before && (watcher || revision == 0) &&
+    list->was_watcher = watcher;
+    uint64_t revision = list->revision;
+    bool may_start = !roster->stopped && !list->call_in_flight &&
+                     now >= list->next_call_at && (watcher || revision == 0) &&
                      (list->known || may_read_first(list, watcher, now));
     if (may_start) {
-        list->calling = true;
+        list->call_in_flight = true;
         roster_ref(roster);
     }
     pthread_mutex_unlock(&roster->lock);
@@ -280,9 +281,10 @@
         ch_kv_call_range(roster->node, list->prefix, handle_range, list);
     }
     else {
-        ch_kv_call_changes(roster->node, list->prefix, revision,
-                           g_random_int_range(MIN_WATCH_US, MAX_WATCH_US),
-                           handle_changes, list);
+        ch_kv_call_watch_changes(
+            roster->node, list->prefix, revision,
+            g_random_int_range(MIN_WATCH_US, MAX_WATCH_US), handle_changes,
+            list);
     }
 }
 
@@ -291,11 +293,11 @@
 /* The list to request from another node because this node does not know it;
  * NULL: none. Watchers read the store instead, unless it does not respond.
  * Lock held. */
-static struct feed *
+static struct roster_list *
 find_list_to_request(struct ch_roster *roster, bool watcher, int64_t now)
 {
-    bool store_timed_out = now - roster->started >= STORE_TIMEOUT_US;
-    if (roster->stopped || now < roster->ask_at) {
+    bool store_timed_out = now - roster->started_at >= STORE_TIMEOUT_US;
+    if (roster->stopped || now < roster->next_list_request_at) {
         return NULL;
     }
     if (!roster->nodes.known) {
@@ -313,9 +315,9 @@
 request_unknown_list(struct ch_roster *roster, bool watcher, int64_t now)
 {
     pthread_mutex_lock(&roster->lock);
-    struct feed *list = find_list_to_request(roster, watcher, now);
+    struct roster_list *list = find_list_to_request(roster, watcher, now);
     if (list != NULL) {
-        roster->ask_at = now + PEER_REQUEST_INTERVAL_US;
+        roster->next_list_request_at = now + PEER_REQUEST_INTERVAL_US;
     }
     pthread_mutex_unlock(&roster->lock);
     if (list == NULL) {
@@ -323,11 +325,11 @@
     }
     GPtrArray *local = g_ptr_array_new_with_free_func(g_free);
     GPtrArray *remote = g_ptr_array_new_with_free_func(g_free);
-    ch_peers_others(roster->node->peers, local, remote);
+    ch_peers_list_others(roster->node->peers, local, remote);
     const GPtrArray *candidates = local->len > 0 ? local : remote;
     if (candidates->len > 0) {
         guint index = (guint)g_random_int_range(0, (gint32)candidates->len);
-        feed_pull(list, g_ptr_array_index(candidates, index));
+        roster_list_request(list, g_ptr_array_index(candidates, index));
     }
     g_ptr_array_free(local, TRUE);
     g_ptr_array_free(remote, TRUE);
@@ -339,21 +341,22 @@
 tick(void *data)
 {
     struct ch_roster *roster = data;
-    int64_t now = ch_client_now(roster->node->client);
+    int64_t now = ch_client_get_time(roster->node->client);
     bool watcher = is_watcher(roster);
     start_call(&roster->upstreams, watcher);
     start_call(&roster->nodes, watcher);
     request_unknown_list(roster, watcher, now);
-    roster_tell(&roster->upstreams, watcher, now);
-    roster_tell(&roster->nodes, watcher, now);
-    roster_keep_own(roster, now);
+    roster_publish(&roster->upstreams, watcher, now);
+    roster_publish(&roster->nodes, watcher, now);
+    roster_update_own_entry(roster, now);
     pthread_mutex_lock(&roster->lock);
-    bool upstreams_removed = feed_drop_gone(&roster->upstreams, now);
-    bool nodes_removed = feed_drop_gone(&roster->nodes, now);
+    bool upstreams_removed =
+        roster_list_remove_expired(&roster->upstreams, now);
+    bool nodes_removed = roster_list_remove_expired(&roster->nodes, now);
     bool continues = !roster->stopped;
     if (continues) {
         roster->timer =
-            ch_timers_after(roster->node->timers, TICK_US, tick, roster);
+            ch_timers_add(roster->node->timers, TICK_US, tick, roster);
     }
     pthread_mutex_unlock(&roster->lock);
     if (nodes_removed) {
@@ -371,7 +374,7 @@
 
 /* See roster.h. */
 bool
-ch_roster_known(struct ch_roster *roster)
+ch_roster_is_known(struct ch_roster *roster)
 {
     pthread_mutex_lock(&roster->lock);
     bool known = roster->upstreams.known;
@@ -381,16 +384,16 @@
 
 /* See roster.h. */
 void
-ch_roster_each(struct ch_roster *roster,
-               void (*each)(void *data, const struct ch_host *host),
-               void *data)
+ch_roster_foreach(struct ch_roster *roster,
+                  void (*each)(void *data, const struct ch_host *host),
+                  void *data)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
     pthread_mutex_lock(&roster->lock);
     g_hash_table_iter_init(&iterator, roster->upstreams.entries);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        const struct entry *entry = value;
+        const struct roster_entry *entry = value;
         each(data, &entry->host);
     }
     pthread_mutex_unlock(&roster->lock);
@@ -398,11 +401,12 @@
 
 /* See roster.h. */
 void
-ch_roster_set_orderers(struct ch_roster *roster,
-                       void (*names)(void *data, GPtrArray *names), void *data)
+ch_roster_set_lease_holders(struct ch_roster *roster,
+                            void (*names)(void *data, GPtrArray *names),
+                            void *data)
 {
-    roster->orderers = names;
-    roster->orderers_data = data;
+    roster->list_lease_holders = names;
+    roster->lease_holders_data = data;
 }
 
 /* See roster.h. */
@@ -410,7 +414,7 @@
 ch_roster_refresh(struct ch_roster *roster)
 {
     pthread_mutex_lock(&roster->lock);
-    roster->upstreams.at = 0;
+    roster->upstreams.revision = 0;
     pthread_mutex_unlock(&roster->lock);
 }
 
@@ -425,17 +429,18 @@
     roster->changed = changed;
     roster->data = data;
     roster->references = 1;
-    roster->strangers =
+    roster->unreadable_keys =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     pthread_mutex_init(&roster->lock, NULL);
-    feed_init(&roster->upstreams, roster, node->dialect->hosts_prefix,
-              EXPIRED_UPSTREAM_GRACE_US);
-    feed_init(&roster->nodes, roster, NODES_PREFIX, EXPIRED_NODE_GRACE_US);
-    ch_token_bucket_init(&roster->upstreams.watches, WATCHES_PER_S,
-                         WATCH_BURST, ch_client_now(node->client));
-    ch_token_bucket_init(&roster->nodes.watches, WATCHES_PER_S, WATCH_BURST,
-                         ch_client_now(node->client));
-    roster_tell_init(roster);
+    roster_list_init(&roster->upstreams, roster, node->dialect->hosts_prefix,
+                     EXPIRED_UPSTREAM_GRACE_US);
+    roster_list_init(&roster->nodes, roster, NODES_PREFIX,
+                     EXPIRED_NODE_GRACE_US);
+    ch_token_bucket_init(&roster->upstreams.watch_bucket, WATCHES_PER_S,
+                         WATCH_BURST, ch_client_get_time(node->client));
+    ch_token_bucket_init(&roster->nodes.watch_bucket, WATCHES_PER_S,
+                         WATCH_BURST, ch_client_get_time(node->client));
+    roster_publish_init(roster);
     return roster;
 }
 
@@ -443,7 +448,7 @@
 void
 ch_roster_start(struct ch_roster *roster)
 {
-    roster->started = ch_client_now(roster->node->client);
+    roster->started_at = ch_client_get_time(roster->node->client);
     ch_pool_submit(roster->node->pool, tick, roster_ref(roster));
 }
 
--- a/libchestnuthitch/node/roster.h
+++ b/libchestnuthitch/node/roster.h
@@ -16,26 +16,26 @@
                                 void (*changed)(void *data), void *data);
 void ch_roster_start(struct ch_roster *roster);
 /* Removes this node's entry from the key-value store. */
-void ch_roster_leave(struct ch_roster *roster);
+void ch_roster_unregister(struct ch_roster *roster);
 void ch_roster_stop(struct ch_roster *roster);
 void ch_roster_free(struct ch_roster *roster);
 /* True once the upstreams have been read. */
-bool ch_roster_known(struct ch_roster *roster);
+bool ch_roster_is_known(struct ch_roster *roster);
 /*
  * Sets a function that adds the names of the lease holders, which may include
  * this node. Lease holders receive every change; all other nodes receive only
  * changes of which upstreams they may use, and how. Only before
  * ch_roster_start; names is called without the roster's lock.
  */
-void ch_roster_set_orderers(struct ch_roster *roster,
-                            void (*names)(void *data, GPtrArray *names),
-                            void *data);
+void ch_roster_set_lease_holders(struct ch_roster *roster,
+                                 void (*names)(void *data, GPtrArray *names),
+                                 void *data);
 /* Reads the upstreams again, to include changes that were not sent to this
    node. */
 void ch_roster_refresh(struct ch_roster *roster);
 /* Calls each(data, host) for every upstream, with the roster's lock held. */
-void ch_roster_each(struct ch_roster *roster,
-                    void (*each)(void *data, const struct ch_host *host),
-                    void *data);
+void ch_roster_foreach(struct ch_roster *roster,
+                       void (*each)(void *data, const struct ch_host *host),
+                       void *data);
 
 #endif
--- a/libchestnuthitch/node/roster_entries.c
+++ b/libchestnuthitch/node/roster_entries.c
@@ -14,7 +14,7 @@
 static void
 free_entry(void *data)
 {
-    struct entry *entry = data;
+    struct roster_entry *entry = data;
     ch_host_clear(&entry->host);
     g_free(entry->value);
     g_free(entry);
@@ -24,33 +24,34 @@
 static void
 clear_change(void *data)
 {
-    struct news *change = data;
+    struct unpublished_change *change = data;
     g_free(change->key);
 }
 
 void
-feed_clear(struct feed *list)
+roster_list_clear(struct roster_list *list)
 {
     g_hash_table_destroy(list->entries);
-    g_hash_table_destroy(list->removed);
-    g_array_free(list->news, TRUE);
+    g_hash_table_destroy(list->removal_revisions);
+    g_array_free(list->unpublished, TRUE);
     g_free(list->prefix);
 }
 
 /* An empty list; grace in microseconds. */
 void
-feed_init(struct feed *list, struct ch_roster *roster, const char *prefix,
-          int64_t grace)
+roster_list_init(struct roster_list *list, struct ch_roster *roster,
+                 const char *prefix, int64_t grace)
 {
     list->roster = roster;
     list->prefix = g_strdup(prefix);
-    list->grace = grace;
+    list->removal_grace = grace;
     list->entries =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_entry);
-    list->removed =
+    list->removal_revisions =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    list->news = g_array_new(FALSE, FALSE, sizeof(struct news));
-    g_array_set_clear_func(list->news, clear_change);
+    list->unpublished =
+        g_array_new(FALSE, FALSE, sizeof(struct unpublished_change));
+    g_array_set_clear_func(list->unpublished, clear_change);
 }
 
 /* ---- parsing ---- */
@@ -61,14 +62,14 @@
            struct ch_host *host, struct ch_error *error)
 {
     g_autoptr(JsonParser) parser = NULL;
-    JsonObject *object = ch_json_object(value, length, &parser);
+    JsonObject *object = ch_json_parse_object(value, length, &parser);
     if (object == NULL) {
         ch_error_set(error, CH_BAD_JSON, "not one JSON object");
         return false;
     }
-    const char *address = ch_json_text(object, "address");
-    const char *data_centre = ch_json_text(object, "data_centre");
-    const char *region = ch_json_text(object, "region");
+    const char *address = ch_json_get_string(object, "address");
+    const char *data_centre = ch_json_get_string(object, "data_centre");
+    const char *region = ch_json_get_string(object, "region");
     if (data_centre == NULL || region == NULL || address == NULL ||
         !ch_address_check(address, error)) {
         ch_error_set(error, CH_BAD_FIELD, "not a node's entry");
@@ -80,8 +81,8 @@
         .address = g_strdup(address),
         .data_centre = g_strdup(data_centre),
         .region = g_strdup(region),
-        .capacity = (uint32_t)CLAMP(ch_json_integer(object, "capacity", 0), 0,
-                                    MAX_CAPACITY),
+        .capacity = (uint32_t)CLAMP(ch_json_get_integer(object, "capacity", 0),
+                                    0, MAX_CAPACITY),
     };
     return true;
 }
@@ -89,7 +90,7 @@
 /* Parses the entry of an upstream or a node. Logs an unreadable entry only
  * once for each key. Lock held. */
 static bool
-parse_entry(struct feed *list, const struct ch_kv_entry *source,
+parse_entry(struct roster_list *list, const struct ch_kv_entry *source,
             struct ch_host *host)
 {
     struct ch_roster *roster = list->roster;
@@ -101,15 +102,15 @@
                               &error);
     }
     else {
-        is_valid = node->dialect->host_parse(source->key, source->value,
+        is_valid = node->dialect->parse_host(source->key, source->value,
                                              source->length, host, &error);
         if (is_valid) {
             host->region =
-                ch_settings_region(node->settings, host->data_centre);
+                ch_settings_get_region(node->settings, host->data_centre);
         }
     }
     if (!is_valid &&
-        g_hash_table_add(roster->strangers, g_strdup(source->key))) {
+        g_hash_table_add(roster->unreadable_keys, g_strdup(source->key))) {
         ch_log(node->client, CH_LOG_WARNING, "entry-unreadable",
                CH_F_STR("key", source->key),
                CH_F_STR("message", error.message), CH_F_END);
@@ -121,17 +122,18 @@
 
 /* Logs a change of an upstream or a node. Lock held. */
 static void
-log_entry(const struct feed *list, const struct ch_host *host,
-          const char *state, enum ch_level level)
+log_entry(const struct roster_list *list, const struct ch_host *host,
+          const char *state, enum ch_log_level level)
 {
-    char *resident = host->resident == NULL
+    char *resident = host->resident_items == NULL
                          ? NULL
-                         : g_strjoinv(" ", (char **)host->resident);
-    char *local_copies =
-        host->copies == NULL ? NULL : g_strjoinv(" ", (char **)host->copies);
+                         : g_strjoinv(" ", (char **)host->resident_items);
+    char *local_copies = host->local_copies == NULL
+                             ? NULL
+                             : g_strjoinv(" ", (char **)host->local_copies);
     ch_log(list->roster->node->client, level, "listed",
            CH_F_STR("host", host->name), CH_F_STR("state", state),
-           CH_F_BOOL("leaving", host->leaving),
+           CH_F_BOOL("leaving", host->draining),
            CH_F_STR("data_centre", host->data_centre),
            CH_F_STR("service", host->service), CH_F_STR("resident", resident),
            CH_F_STR("copies", local_copies), CH_F_END);
@@ -142,20 +144,21 @@
 /* Records a change to publish, in place of an earlier one for the same key.
  * Lock held. */
 static void
-record_change(struct feed *list, const char *key, uint64_t removed,
+record_change(struct roster_list *list, const char *key, uint64_t removed,
               bool for_all)
 {
-    list->changes++;
-    for (guint i = 0; i < list->news->len; i++) {
-        struct news *change = &g_array_index(list->news, struct news, i);
+    list->change_count++;
+    for (guint i = 0; i < list->unpublished->len; i++) {
+        struct unpublished_change *change =
+            &g_array_index(list->unpublished, struct unpublished_change, i);
         if (strcmp(change->key, key) == 0) {
-            change->removed = removed;
-            change->for_all = change->for_all || for_all;
+            change->removal_revision = removed;
+            change->for_all_nodes = change->for_all_nodes || for_all;
             return;
         }
     }
-    const struct news change = {g_strdup(key), removed, for_all};
-    g_array_append_val(list->news, change);
+    const struct unpublished_change change = {g_strdup(key), removed, for_all};
+    g_array_append_val(list->unpublished, change);
 }
 
 /*
@@ -172,28 +175,30 @@
            g_strcmp0(old_host->data_centre, new_host->data_centre) != 0 ||
            g_strcmp0(old_host->service, new_host->service) != 0 ||
            old_host->kind != new_host->kind ||
-           old_host->leaving != new_host->leaving ||
-           old_host->boot != new_host->boot ||
-           old_host->batch != new_host->batch ||
+           old_host->draining != new_host->draining ||
+           old_host->boot_id != new_host->boot_id ||
+           old_host->max_batch != new_host->max_batch ||
            old_host->memory_mb != new_host->memory_mb ||
            old_host->capacity != new_host->capacity;
 }
 
 /* Records the latest removal of a key. Lock held. */
 static void
-record_removal(struct feed *list, const char *key, uint64_t revision)
+record_removal(struct roster_list *list, const char *key, uint64_t revision)
 {
     uint64_t *copy = g_new(uint64_t, 1);
     *copy = revision;
-    g_hash_table_replace(list->removed, g_strdup(key), copy);
+    g_hash_table_replace(list->removal_revisions, g_strdup(key), copy);
 }
 
 /* Whether this revision or a later one of the key is known. Lock held. */
 static bool
-knows_revision(const struct feed *list, const char *key, uint64_t revision)
+knows_revision(const struct roster_list *list, const char *key,
+               uint64_t revision)
 {
-    const struct entry *entry = g_hash_table_lookup(list->entries, key);
-    const uint64_t *removed = g_hash_table_lookup(list->removed, key);
+    const struct roster_entry *entry = g_hash_table_lookup(list->entries, key);
+    const uint64_t *removed =
+        g_hash_table_lookup(list->removal_revisions, key);
     return (entry != NULL && entry->revision >= revision) ||
            (removed != NULL && *removed >= revision);
 }
@@ -202,12 +207,13 @@
  * of its key kept, since another program may have written over it. Lock held.
  */
 void
-feed_put(struct feed *list, const struct ch_kv_entry *source)
+roster_list_put(struct roster_list *list, const struct ch_kv_entry *source)
 {
     struct ch_host host = {0};
-    struct entry *previous = g_hash_table_lookup(list->entries, source->key);
+    struct roster_entry *previous =
+        g_hash_table_lookup(list->entries, source->key);
     if (previous != NULL && previous->revision == source->revision) {
-        previous->gone_at = 0; /* the entry was not deleted after all */
+        previous->remove_at = 0; /* the entry was not deleted after all */
     }
     if (knows_revision(list, source->key, source->revision) ||
         !parse_entry(list, source, &host)) {
@@ -215,9 +221,9 @@
     }
     bool for_all = previous == NULL || needs_all_nodes(&previous->host, &host);
     log_entry(list, &host, "there", for_all ? CH_LOG_INFO : CH_LOG_DEBUG);
-    struct entry *entry = g_new0(struct entry, 1);
+    struct roster_entry *entry = g_new0(struct roster_entry, 1);
     entry->host = host;
-    entry->host.read_at = ch_client_now(list->roster->node->client);
+    entry->host.received_at = ch_client_get_time(list->roster->node->client);
     entry->revision = source->revision;
     entry->length = source->length;
     entry->value = g_memdup2(source->value, source->length);
@@ -227,7 +233,7 @@
 
 /* Removes an entry for good. Lock held. */
 static void
-remove_for_good(struct feed *list, const char *key, uint64_t revision)
+remove_for_good(struct roster_list *list, const char *key, uint64_t revision)
 {
     g_autofree char *copy = g_strdup(key); /* key may belong to the table */
     record_removal(list, copy, revision);
@@ -239,31 +245,31 @@
  * may only have expired, and stays in use for a while; nodes' entries always
  * do. Lock held. */
 static void
-handle_deletion(struct feed *list, const char *key, uint64_t revision,
+handle_deletion(struct roster_list *list, const char *key, uint64_t revision,
                 int64_t now)
 {
-    struct entry *entry = g_hash_table_lookup(list->entries, key);
+    struct roster_entry *entry = g_hash_table_lookup(list->entries, key);
     if (entry == NULL || entry->revision > revision) {
         return;
     }
-    bool may_return =
-        list == &list->roster->nodes ||
-        (list->troubled != 0 && now - list->troubled < list->grace);
+    bool may_return = list == &list->roster->nodes ||
+                      (list->last_failure_at != 0 &&
+                       now - list->last_failure_at < list->removal_grace);
     log_entry(list, &entry->host, may_return ? "vanished" : "gone",
               CH_LOG_INFO);
     if (!may_return) {
         remove_for_good(list, key, revision);
         return;
     }
-    if (entry->gone_at == 0) {
-        entry->gone_at = now + list->grace;
-        entry->gone = revision;
+    if (entry->remove_at == 0) {
+        entry->remove_at = now + list->removal_grace;
+        entry->deleted_revision = revision;
     }
 }
 
 /* See roster_internal.h. */
 bool
-feed_drop_gone(struct feed *list, int64_t now)
+roster_list_remove_expired(struct roster_list *list, int64_t now)
 {
     GPtrArray *expired = g_ptr_array_new();
     GHashTableIter iterator;
@@ -271,15 +277,16 @@
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, list->entries);
     while (g_hash_table_iter_next(&iterator, &key, &value)) {
-        const struct entry *entry = value;
-        if (entry->gone_at != 0 && entry->gone_at <= now) {
+        const struct roster_entry *entry = value;
+        if (entry->remove_at != 0 && entry->remove_at <= now) {
             g_ptr_array_add(expired, key);
         }
     }
     for (guint i = 0; i < expired->len; i++) {
         const char *name = g_ptr_array_index(expired, i);
-        const struct entry *entry = g_hash_table_lookup(list->entries, name);
-        remove_for_good(list, name, entry->gone);
+        const struct roster_entry *entry =
+            g_hash_table_lookup(list->entries, name);
+        remove_for_good(list, name, entry->deleted_revision);
     }
     bool removed = expired->len > 0;
     g_ptr_array_free(expired, TRUE);
@@ -288,12 +295,13 @@
 
 /* See roster_internal.h. */
 void
-feed_take_all(struct feed *list, const struct ch_kv_range *range, int64_t now)
+roster_list_apply_range(struct roster_list *list,
+                        const struct ch_kv_range *range, int64_t now)
 {
     GHashTable *present = g_hash_table_new(g_str_hash, g_str_equal);
     for (size_t i = 0; i < range->count; i++) {
         g_hash_table_add(present, range->entries[i].key);
-        feed_put(list, &range->entries[i]);
+        roster_list_put(list, &range->entries[i]);
     }
     GPtrArray *missing = g_ptr_array_new_with_free_func(g_free);
     GHashTableIter iterator;
@@ -305,7 +313,8 @@
         }
     }
     for (guint i = 0; i < missing->len; i++) {
-        handle_deletion(list, g_ptr_array_index(missing, i), range->at, now);
+        handle_deletion(list, g_ptr_array_index(missing, i), range->revision,
+                        now);
     }
     g_ptr_array_free(missing, TRUE);
     g_hash_table_destroy(present);
@@ -314,8 +323,8 @@
 
 /* See roster_internal.h. */
 void
-feed_take_changes(struct feed *list, const struct ch_kv_range *range,
-                  int64_t now)
+roster_list_apply_changes(struct roster_list *list,
+                          const struct ch_kv_range *range, int64_t now)
 {
     for (size_t i = 0; i < range->count; i++) {
         const struct ch_kv_entry *entry = &range->entries[i];
@@ -323,16 +332,17 @@
             handle_deletion(list, entry->key, entry->revision, now);
         }
         else {
-            feed_put(list, entry);
+            roster_list_put(list, entry);
         }
     }
 }
 
 /* See roster_internal.h. */
 void
-feed_take_removal(struct feed *list, const char *key, uint64_t revision)
+roster_list_apply_removal(struct roster_list *list, const char *key,
+                          uint64_t revision)
 {
-    const struct entry *entry = g_hash_table_lookup(list->entries, key);
+    const struct roster_entry *entry = g_hash_table_lookup(list->entries, key);
     if (entry != NULL && entry->revision <= revision) {
         log_entry(list, &entry->host, "gone", CH_LOG_INFO);
         remove_for_good(list, key, revision);
@@ -341,10 +351,11 @@
 
 /* See roster_internal.h. */
 bool
-feed_has_news_for_all(const struct feed *list)
+roster_list_has_change_for_all(const struct roster_list *list)
 {
-    for (guint i = 0; i < list->news->len; i++) {
-        if (g_array_index(list->news, struct news, i).for_all) {
+    for (guint i = 0; i < list->unpublished->len; i++) {
+        if (g_array_index(list->unpublished, struct unpublished_change, i)
+                .for_all_nodes) {
             return true;
         }
     }
--- a/libchestnuthitch/node/roster_internal.h
+++ b/libchestnuthitch/node/roster_internal.h
@@ -17,72 +17,80 @@
 #define NODES_PREFIX "nodes/"
 
 /* The entry of one upstream or node. */
-struct entry {
+struct roster_entry {
     struct ch_host host;
     uint64_t revision;
     char *value; /* as stored in the key-value store */
     size_t length;
-    int64_t gone_at; /* when to remove the entry; 0: its key exists */
-    uint64_t gone;   /* revision in which its key was deleted */
+    int64_t remove_at; /* when to remove the entry; 0: its key exists */
+    uint64_t deleted_revision; /* revision in which its key was deleted */
 };
 
 /* A changed entry, or a removal, that other nodes have not received yet. */
-struct news {
+struct unpublished_change {
     char *key;
-    uint64_t removed; /* revision of the removal; 0: an entry that exists */
-    bool for_all;     /* false: only lease holders need it */
+    uint64_t removal_revision; /* revision of the removal; 0: an entry that
+                                  exists */
+    bool for_all_nodes;        /* false: only lease holders need it */
 };
 
 /* The entries below one key prefix. */
-struct feed {
+struct roster_list {
     struct ch_roster *roster;
     char *prefix;
-    GHashTable *entries;  /* key to struct entry */
-    GHashTable *removed;  /* key to the revision of its latest removal */
-    GArray *news;         /* of struct unpublished_change */
-    uint64_t changes;     /* number of changes recorded so far */
-    uint64_t told_at;     /* revision up to which all nodes have the changes */
-    uint64_t orderers_at; /* the same for lease holders */
-    int64_t tell_at;      /* next time to publish to all nodes */
-    bool watched;         /* this node was a watcher at the last tick */
-    int64_t heard;        /* last message received, or successful read */
-    bool pulling;
-    uint64_t at; /* revision up to which changes are known; 0: unknown */
+    GHashTable *entries; /* key to struct entry */
+    GHashTable
+        *removal_revisions; /* key to the revision of its latest removal */
+    GArray *unpublished;    /* of struct unpublished_change */
+    uint64_t change_count;  /* number of changes recorded so far */
+    uint64_t published_revision; /* revision up to which all nodes have the
+                                    changes */
+    uint64_t holders_revision;   /* the same for lease holders */
+    int64_t next_publish_at;     /* next time to publish to all nodes */
+    bool was_watcher;            /* this node was a watcher at the last tick */
+    int64_t last_update_at; /* last message received, or successful read */
+    bool pull_in_flight;
+    uint64_t revision; /* revision up to which changes are known; 0: unknown */
     bool known;
-    bool calling;
-    int64_t pause;
-    int64_t not_before;
-    struct ch_token_bucket watches; /* limits watches that return changes */
-    int64_t troubled;               /* when the store last failed; 0: never */
-    int64_t grace; /* time that an entry stays in use after its key is gone */
+    bool call_in_flight;
+    int64_t backoff;
+    int64_t next_call_at;
+    struct ch_token_bucket
+        watch_bucket;        /* limits watches that return changes */
+    int64_t last_failure_at; /* when the store last failed; 0: never */
+    int64_t removal_grace; /* time that an entry stays in use after its key is
+                              gone */
 };
 
 struct ch_roster {
     struct ch_node *node;
     void (*changed)(void *data);
     void *data;
-    void (*orderers)(void *data, GPtrArray *names); /* NULL: there are none */
-    void *orderers_data;
+    void (*list_lease_holders)(void *data,
+                               GPtrArray *names); /* NULL: there are none */
+    void *lease_holders_data;
     pthread_mutex_t lock;
     int references;
     bool stopped;
-    bool leaving;
+    bool unregistering;
     uint64_t timer;
-    struct feed upstreams;
-    struct feed nodes;
-    GHashTable *strangers; /* keys logged as unreadable */
+    struct roster_list upstreams;
+    struct roster_list nodes;
+    GHashTable *unreadable_keys; /* keys logged as unreadable */
     /* This node's own entry. */
-    bool writing;
-    uint64_t lease;
-    bool listed;
-    uint64_t own_revision; /* of an earlier process's entry; 0: none */
-    int64_t renewed;
-    int64_t started;
-    int64_t listed_at; /* when the own entry was first written; 0: not yet */
-    int64_t ask_at; /* when other nodes may next be asked for unknown lists */
-    bool returns;   /* an earlier process of this host left its entry */
-    int64_t own_pause; /* 0: the last call for the own entry was answered */
-    int64_t own_not_before;
+    bool own_call_in_flight;
+    uint64_t kv_lease_id;
+    bool own_entry_listed;
+    uint64_t conflicting_revision; /* of an earlier process's entry; 0: none */
+    int64_t lease_renewed_at;
+    int64_t started_at;
+    int64_t
+        first_listed_at; /* when the own entry was first written; 0: not yet */
+    int64_t next_list_request_at; /* when other nodes may next be asked for
+                                     unknown lists */
+    bool restarted;      /* an earlier process of this host left its entry */
+    int64_t own_backoff; /* 0: the last call for the own entry was answered */
+    int64_t next_own_call_at;
 };
 
 /* ---- roster.c; lock not held ---- */
@@ -92,40 +100,41 @@
 /* Drops a reference; the last one frees the roster. */
 void roster_unref(struct ch_roster *roster);
 /* Notifies the users of a list of a change. */
-void roster_tell_users(struct feed *list);
+void roster_notify_users(struct roster_list *list);
 
 /* ---- roster_entries.c; lock held ---- */
 
-void feed_init(struct feed *list, struct ch_roster *roster, const char *prefix,
-               int64_t grace);
-void feed_clear(struct feed *list);
+void roster_list_init(struct roster_list *list, struct ch_roster *roster,
+                      const char *prefix, int64_t grace);
+void roster_list_clear(struct roster_list *list);
 /* Adds or replaces an entry, unless a later revision of its key is known. */
-void feed_put(struct feed *list, const struct ch_kv_entry *from);
+void roster_list_put(struct roster_list *list, const struct ch_kv_entry *from);
 /* Applies another node's message that an entry was removed for good. */
-void feed_take_removal(struct feed *list, const char *key, uint64_t revision);
+void roster_list_apply_removal(struct roster_list *list, const char *key,
+                               uint64_t revision);
 /* Replaces the list by the result of a range call. */
-void feed_take_all(struct feed *list, const struct ch_kv_range *range,
-                   int64_t now);
+void roster_list_apply_range(struct roster_list *list,
+                             const struct ch_kv_range *range, int64_t now);
 /* Applies the changes that a watch returned, in order. */
-void feed_take_changes(struct feed *list, const struct ch_kv_range *range,
-                       int64_t now);
+void roster_list_apply_changes(struct roster_list *list,
+                               const struct ch_kv_range *range, int64_t now);
 /* Removes the entries whose grace has ended; true when there were any. */
-bool feed_drop_gone(struct feed *list, int64_t now);
+bool roster_list_remove_expired(struct roster_list *list, int64_t now);
 /* Whether an unpublished change is for all nodes. */
-bool feed_has_news_for_all(const struct feed *list);
+bool roster_list_has_change_for_all(const struct roster_list *list);
 
 /* ---- roster_publish.c; lock not held ---- */
 
 /* Sets the handlers of messages from other nodes. */
-void roster_tell_init(struct ch_roster *roster);
+void roster_publish_init(struct ch_roster *roster);
 /* Requests the whole list from another node, preferably a watcher. */
-void feed_pull(struct feed *list, const char *from);
+void roster_list_request(struct roster_list *list, const char *from);
 /* On a watcher, sends the unpublished changes that are due to other nodes. */
-void roster_tell(struct feed *list, bool watcher, int64_t now);
+void roster_publish(struct roster_list *list, bool watcher, int64_t now);
 
 /* ---- roster_own.c; lock not held ---- */
 
 /* Starts the next call for this node's entry, if one is due. */
-void roster_keep_own(struct ch_roster *roster, int64_t now);
+void roster_update_own_entry(struct ch_roster *roster, int64_t now);
 
 #endif
--- a/libchestnuthitch/node/roster_own.c
+++ b/libchestnuthitch/node/roster_own.c
@@ -36,9 +36,9 @@
     json_builder_set_member_name(builder, "region");
     json_builder_add_string_value(builder, settings->region);
     json_builder_set_member_name(builder, "capacity");
-    json_builder_add_int_value(builder, ch_settings_capacity(settings));
+    json_builder_add_int_value(builder, ch_settings_get_capacity(settings));
     json_builder_end_object(builder);
-    return ch_json_print(builder);
+    return ch_json_to_string(builder);
 }
 
 /* Records the result of a call for the own entry, and when the next call may
@@ -47,41 +47,41 @@
 static void
 record_own_result(struct ch_roster *roster, enum ch_code code)
 {
-    roster->writing = false;
+    roster->own_call_in_flight = false;
     if (code == CH_OK || code == CH_KV_CONFLICT || code == CH_KV_MISSING) {
-        roster->own_pause = 0;
+        roster->own_backoff = 0;
         return;
     }
     struct ch_node *node = roster->node;
-    g_auto(GStrv) live = ch_peers_live(node->peers);
+    g_auto(GStrv) live = ch_peers_list_live(node->peers);
     int64_t max_backoff = (int64_t)BACKOFF_US_PER_NODE * g_strv_length(live);
     max_backoff = CLAMP(max_backoff, MAX_BACKOFF_US, NODE_RENEWAL_INTERVAL_US);
-    roster->own_pause =
-        CLAMP(roster->own_pause * 2, MIN_BACKOFF_US, max_backoff);
-    roster->own_not_before =
-        ch_client_now(node->client) +
-        (int64_t)(g_random_double_range(0.5, 1.5) * (double)roster->own_pause);
+    roster->own_backoff =
+        CLAMP(roster->own_backoff * 2, MIN_BACKOFF_US, max_backoff);
+    roster->next_own_call_at = ch_client_get_time(node->client) +
+                               (int64_t)(g_random_double_range(0.5, 1.5) *
+                                         (double)roster->own_backoff);
 }
 
 /* Handles the result of writing the own entry. On a conflict an earlier
  * process of this node left its entry, which the next write replaces. */
 static void
-handle_own_write(void *data, const struct ch_kv_answer *answer)
+handle_own_write(void *data, const struct ch_kv_result *answer)
 {
     struct ch_roster *roster = data;
     pthread_mutex_lock(&roster->lock);
     record_own_result(roster, answer->code);
-    roster->listed = answer->code == CH_OK;
-    if (roster->listed && roster->listed_at == 0) {
-        roster->listed_at = ch_client_now(roster->node->client);
+    roster->own_entry_listed = answer->code == CH_OK;
+    if (roster->own_entry_listed && roster->first_listed_at == 0) {
+        roster->first_listed_at = ch_client_get_time(roster->node->client);
     }
     if (answer->code == CH_KV_CONFLICT) {
-        roster->own_revision = answer->revision;
-        roster->returns = true;
-        g_atomic_int_set(&roster->node->returns, 1);
+        roster->conflicting_revision = answer->revision;
+        roster->restarted = true;
+        g_atomic_int_set(&roster->node->predecessor_listed, 1);
     }
     else if (answer->code == CH_KV_MISSING) {
-        roster->lease = 0;
+        roster->kv_lease_id = 0;
     }
     pthread_mutex_unlock(&roster->lock);
     roster_unref(roster);
@@ -89,20 +89,20 @@
 
 /* Handles the result of granting or renewing the key-value lease. */
 static void
-handle_own_lease(void *data, const struct ch_kv_answer *answer)
+handle_own_lease(void *data, const struct ch_kv_result *answer)
 {
     struct ch_roster *roster = data;
     pthread_mutex_lock(&roster->lock);
     record_own_result(roster, answer->code);
     if (answer->code == CH_OK) {
-        roster->renewed = ch_client_now(roster->node->client);
+        roster->lease_renewed_at = ch_client_get_time(roster->node->client);
         if (answer->revision != 0) {
-            roster->lease = answer->revision;
-            roster->listed = false;
+            roster->kv_lease_id = answer->revision;
+            roster->own_entry_listed = false;
         }
     }
     else if (answer->code == CH_KV_MISSING) {
-        roster->lease = 0;
+        roster->kv_lease_id = 0;
     }
     pthread_mutex_unlock(&roster->lock);
     roster_unref(roster);
@@ -111,19 +111,22 @@
 /* Starts the next call for this node's entry, if one is due: a grant of the
  * key-value lease, a write of the entry, or a renewal. Lock not held. */
 void
-roster_keep_own(struct ch_roster *roster, int64_t now)
+roster_update_own_entry(struct ch_roster *roster, int64_t now)
 {
     struct ch_node *node = roster->node;
     pthread_mutex_lock(&roster->lock);
-    bool renewal_due = now - roster->renewed >= NODE_RENEWAL_INTERVAL_US;
-    bool in_backoff = roster->own_pause > 0 && now < roster->own_not_before;
-    bool due = !roster->writing && !roster->leaving && !in_backoff &&
-               (roster->lease == 0 || !roster->listed || renewal_due);
-    uint64_t kv_lease_id = roster->lease;
-    uint64_t revision = roster->own_revision;
-    bool is_listed = roster->listed;
+    bool renewal_due =
+        now - roster->lease_renewed_at >= NODE_RENEWAL_INTERVAL_US;
+    bool in_backoff =
+        roster->own_backoff > 0 && now < roster->next_own_call_at;
+    bool due =
+        !roster->own_call_in_flight && !roster->unregistering && !in_backoff &&
+        (roster->kv_lease_id == 0 || !roster->own_entry_listed || renewal_due);
+    uint64_t kv_lease_id = roster->kv_lease_id;
+    uint64_t revision = roster->conflicting_revision;
+    bool is_listed = roster->own_entry_listed;
     if (due) {
-        roster->writing = true;
+        roster->own_call_in_flight = true;
         roster_ref(roster);
     }
     pthread_mutex_unlock(&roster->lock);
@@ -131,7 +134,8 @@
         return;
     }
     if (kv_lease_id == 0) {
-        ch_kv_call_lease(node, NODE_LEASE_TTL_US, handle_own_lease, roster);
+        ch_kv_call_create_lease(node, NODE_LEASE_TTL_US, handle_own_lease,
+                                roster);
     }
     else if (!is_listed) {
         g_autofree char *key =
@@ -141,14 +145,14 @@
                               kv_lease_id, handle_own_write, roster);
     }
     else {
-        ch_kv_call_renew(node, kv_lease_id, handle_own_lease, roster);
+        ch_kv_call_renew_lease(node, kv_lease_id, handle_own_lease, roster);
     }
 }
 
 /* A failure to end the key-value lease does no harm: the lease expires by
  * itself. */
 static void
-handle_own_lease_end(void *data, const struct ch_kv_answer *answer)
+handle_own_lease_end(void *data, const struct ch_kv_result *answer)
 {
     (void)answer;
     roster_unref(data);
@@ -156,11 +160,11 @@
 
 /* See roster.h. */
 void
-ch_roster_leave(struct ch_roster *roster)
+ch_roster_unregister(struct ch_roster *roster)
 {
     pthread_mutex_lock(&roster->lock);
-    roster->leaving = true;
-    uint64_t kv_lease_id = roster->lease;
+    roster->unregistering = true;
+    uint64_t kv_lease_id = roster->kv_lease_id;
     pthread_mutex_unlock(&roster->lock);
     if (kv_lease_id != 0) {
         ch_kv_call_end_lease(roster->node, kv_lease_id, handle_own_lease_end,
--- a/libchestnuthitch/node/roster_tell.c
+++ b/libchestnuthitch/node/roster_tell.c
@@ -24,16 +24,16 @@
 {
     struct ch_error error = {0};
     size_t length = 0;
-    char *bytes = ch_unpack(packed->data, packed->len, CH_WIRE_MOST_BYTES,
-                            &length, &error);
+    char *bytes = ch_decompress(packed->data, packed->len,
+                                CH_WIRE_MAX_FRAME_BYTES, &length, &error);
     Chestnuthitch__Wire__Roster *entries = NULL;
     if (bytes != NULL) {
         entries = chestnuthitch__wire__roster__unpack(NULL, length,
                                                       (uint8_t *)bytes);
     }
     if (entries == NULL) {
-        ch_metrics_count(roster->node->client->metrics, CH_COUNT_FRAMES_BAD,
-                         1);
+        ch_metrics_add_count(roster->node->client->metrics,
+                             CH_COUNT_FRAMES_BAD, 1);
         ch_log(roster->node->client, CH_LOG_WARNING, "bad-entries",
                CH_F_STR("message", bytes == NULL
                                        ? error.message
@@ -46,13 +46,15 @@
 
 /* Applies the entries of a message. Lock held. */
 static void
-apply_entries(struct feed *list, const Chestnuthitch__Wire__Roster *roster)
+apply_entries(struct roster_list *list,
+              const Chestnuthitch__Wire__Roster *roster)
 {
     for (size_t i = 0; i < roster->n_entries; i++) {
         const Chestnuthitch__Wire__RosterEntry *wire_entry =
             roster->entries[i];
         if (wire_entry->removed) {
-            feed_take_removal(list, wire_entry->key, wire_entry->revision);
+            roster_list_apply_removal(list, wire_entry->key,
+                                      wire_entry->revision);
             continue;
         }
         const struct ch_kv_entry entry = {
@@ -61,7 +63,7 @@
             .length = wire_entry->value.len,
             .revision = wire_entry->revision,
         };
-        feed_put(list, &entry);
+        roster_list_put(list, &entry);
     }
 }
 
@@ -74,10 +76,10 @@
 
 /* Applies a message from another node. Lock held. */
 static enum apply_result
-apply_message(struct feed *list, const Chestnuthitch__Wire__Roster *roster,
-              int64_t now)
+apply_message(struct roster_list *list,
+              const Chestnuthitch__Wire__Roster *roster, int64_t now)
 {
-    uint64_t previous_changes = list->changes;
+    uint64_t previous_changes = list->change_count;
     if (roster->packed.len > 0) {
         Chestnuthitch__Wire__Roster *entries =
             unpack_entries(list->roster, &roster->packed);
@@ -88,12 +90,13 @@
         chestnuthitch__wire__roster__free_unpacked(entries, NULL);
     }
     apply_entries(list, roster);
-    list->heard = now;
-    return list->changes > previous_changes ? APPLY_CHANGED : APPLY_UNCHANGED;
+    list->last_update_at = now;
+    return list->change_count > previous_changes ? APPLY_CHANGED
+                                                 : APPLY_UNCHANGED;
 }
 
 /* The list with a prefix; NULL: there is none. */
-static struct feed *
+static struct roster_list *
 find_list(struct ch_roster *roster, const char *prefix)
 {
     if (strcmp(prefix, roster->upstreams.prefix) == 0) {
@@ -107,7 +110,7 @@
 handle_pull_reply(void *data, enum ch_code code,
                   const Chestnuthitch__Wire__Frame *reply)
 {
-    struct feed *list = data;
+    struct roster_list *list = data;
     struct ch_roster *roster = list->roster;
     /* Revision 0: that node does not know the list yet. */
     bool is_valid =
@@ -116,31 +119,31 @@
         reply->roster->at != 0;
     enum apply_result result = APPLY_UNCHANGED;
     pthread_mutex_lock(&roster->lock);
-    list->pulling = false;
+    list->pull_in_flight = false;
     if (is_valid) {
         result = apply_message(list, reply->roster,
-                               ch_client_now(roster->node->client));
+                               ch_client_get_time(roster->node->client));
     }
     if (is_valid && result != APPLY_DAMAGED) {
-        list->at = MAX(list->at, reply->roster->at);
+        list->revision = MAX(list->revision, reply->roster->at);
         list->known = true;
     }
     pthread_mutex_unlock(&roster->lock);
     if (result == APPLY_CHANGED) {
-        roster_tell_users(list);
+        roster_notify_users(list);
     }
     roster_unref(roster);
 }
 
 /* See roster_internal.h. */
 void
-feed_pull(struct feed *list, const char *from)
+roster_list_request(struct roster_list *list, const char *from)
 {
     struct ch_roster *roster = list->roster;
     pthread_mutex_lock(&roster->lock);
-    bool may_start = !list->pulling && !roster->stopped;
+    bool may_start = !list->pull_in_flight && !roster->stopped;
     if (may_start) {
-        list->pulling = true;
+        list->pull_in_flight = true;
         roster_ref(roster);
     }
     pthread_mutex_unlock(&roster->lock);
@@ -165,25 +168,25 @@
 {
     struct ch_roster *roster = data;
     const Chestnuthitch__Wire__Roster *message = frame->roster;
-    struct feed *list = find_list(roster, message->prefix);
+    struct roster_list *list = find_list(roster, message->prefix);
     if (list == NULL ||
         strcmp(frame->from, roster->node->settings->name) == 0) {
         return;
     }
     pthread_mutex_lock(&roster->lock);
     enum apply_result result =
-        apply_message(list, message, ch_client_now(roster->node->client));
-    bool missed =
-        !list->known || message->since > list->at || result == APPLY_DAMAGED;
+        apply_message(list, message, ch_client_get_time(roster->node->client));
+    bool missed = !list->known || message->since > list->revision ||
+                  result == APPLY_DAMAGED;
     if (!missed) {
-        list->at = MAX(list->at, message->at);
+        list->revision = MAX(list->revision, message->at);
     }
     pthread_mutex_unlock(&roster->lock);
     if (result == APPLY_CHANGED) {
-        roster_tell_users(list);
+        roster_notify_users(list);
     }
     if (missed) {
-        feed_pull(list, frame->from);
+        roster_list_request(list, frame->from);
     }
 }
 
@@ -191,7 +194,7 @@
  * held. */
 static void
 fill_entry(Chestnuthitch__Wire__RosterEntry *wire_entry, const char *key,
-           const struct entry *entry, uint64_t removed)
+           const struct roster_entry *entry, uint64_t removed)
 {
     chestnuthitch__wire__roster_entry__init(wire_entry);
     wire_entry->key = (char *)key;
@@ -215,7 +218,7 @@
 
 /* An empty message with space for max_entries. */
 static void
-message_init(struct roster_message *message, const struct feed *list,
+message_init(struct roster_message *message, const struct roster_list *list,
              size_t max_entries)
 {
     chestnuthitch__wire__roster__init(&message->roster);
@@ -227,7 +230,7 @@
         message->pointers[i] = &message->entries[i];
     }
     message->roster.prefix = list->prefix;
-    message->roster.at = list->at;
+    message->roster.at = list->revision;
     message->roster.entries = message->pointers;
 }
 
@@ -256,7 +259,7 @@
     }
     uint8_t *bytes = g_malloc(length);
     chestnuthitch__wire__roster__pack(&entries, bytes);
-    message->bytes = ch_pack(bytes, length);
+    message->bytes = ch_compress(bytes, length);
     g_free(bytes);
     message->packed.n_entries = 0;
     message->packed.entries = NULL;
@@ -270,7 +273,7 @@
 handle_pull(void *data, const Chestnuthitch__Wire__Frame *frame)
 {
     struct ch_roster *roster = data;
-    struct feed *list = find_list(roster, frame->roster_pull->prefix);
+    struct roster_list *list = find_list(roster, frame->roster_pull->prefix);
     if (list == NULL) {
         return;
     }
@@ -281,7 +284,7 @@
     gpointer value = NULL;
     pthread_mutex_lock(&roster->lock);
     message_init(&message, list, g_hash_table_size(list->entries));
-    message.roster.at = list->known ? list->at : 0;
+    message.roster.at = list->known ? list->revision : 0;
     g_hash_table_iter_init(&iterator, list->entries);
     while (g_hash_table_iter_next(&iterator, &key, &value)) {
         fill_entry(&message.entries[message.roster.n_entries++], key, value,
@@ -298,21 +301,23 @@
 
 /* Adds the unpublished changes for all nodes or lease holders. Lock held. */
 static void
-message_fill(struct roster_message *message, const struct feed *list,
+message_fill(struct roster_message *message, const struct roster_list *list,
              bool for_all)
 {
-    message_init(message, list, list->news->len);
-    message->roster.since = for_all ? list->told_at : list->orderers_at;
-    for (guint i = 0; i < list->news->len; i++) {
-        const struct news *change = &g_array_index(list->news, struct news, i);
-        const struct entry *entry =
-            change->removed != 0
+    message_init(message, list, list->unpublished->len);
+    message->roster.since =
+        for_all ? list->published_revision : list->holders_revision;
+    for (guint i = 0; i < list->unpublished->len; i++) {
+        const struct unpublished_change *change =
+            &g_array_index(list->unpublished, struct unpublished_change, i);
+        const struct roster_entry *entry =
+            change->removal_revision != 0
                 ? NULL
                 : g_hash_table_lookup(list->entries, change->key);
-        if ((entry != NULL || change->removed != 0) &&
-            (change->for_all || !for_all)) {
+        if ((entry != NULL || change->removal_revision != 0) &&
+            (change->for_all_nodes || !for_all)) {
             fill_entry(&message->entries[message->roster.n_entries++],
-                       change->key, entry, change->removed);
+                       change->key, entry, change->removal_revision);
         }
     }
     message_pack(message);
@@ -325,14 +330,14 @@
              const struct ch_roster *roster, GPtrArray *lease_holders,
              bool for_all)
 {
-    char **live = ch_peers_live(roster->node->peers);
+    char **live = ch_peers_list_live(roster->node->peers);
     for (size_t i = 0; live[i] != NULL; i++) {
         Chestnuthitch__Wire__Frame frame = CHESTNUTHITCH__WIRE__FRAME__INIT;
         bool is_lease_holder = g_ptr_array_find_with_equal_func(
             lease_holders, live[i], g_str_equal, NULL);
         frame.body_case = CHESTNUTHITCH__WIRE__FRAME__BODY_ROSTER;
         frame.roster =
-            (Chestnuthitch__Wire__Roster *)(ch_peers_unpacks(
+            (Chestnuthitch__Wire__Roster *)(ch_peers_can_decompress(
                                                 roster->node->peers, live[i])
                                                 ? &message->packed
                                                 : &message->roster);
@@ -348,44 +353,46 @@
  * due; only on watchers. Other nodes need not send: they received the changes
  * from watchers. Lock held. */
 static void
-publish_changes(struct feed *list, GPtrArray *lease_holders, int64_t now)
+publish_changes(struct roster_list *list, GPtrArray *lease_holders,
+                int64_t now)
 {
     struct roster_message message;
-    bool publish_to_all = now >= list->tell_at || feed_has_news_for_all(list);
-    if (publish_to_all || list->news->len > 0) {
+    bool publish_to_all =
+        now >= list->next_publish_at || roster_list_has_change_for_all(list);
+    if (publish_to_all || list->unpublished->len > 0) {
         message_fill(&message, list, false);
         message_send(&message, list->roster, lease_holders, false);
         message_clear(&message);
-        list->orderers_at = list->at;
+        list->holders_revision = list->revision;
     }
     if (publish_to_all) {
         message_fill(&message, list, true);
         message_send(&message, list->roster, lease_holders, true);
         message_clear(&message);
-        list->told_at = list->at;
-        list->tell_at = now + HEARTBEAT_INTERVAL_US;
+        list->published_revision = list->revision;
+        list->next_publish_at = now + HEARTBEAT_INTERVAL_US;
     }
 }
 
 /* See roster_internal.h. */
 void
-roster_tell(struct feed *list, bool watcher, int64_t now)
+roster_publish(struct roster_list *list, bool watcher, int64_t now)
 {
     struct ch_roster *roster = list->roster;
     GPtrArray *lease_holders = g_ptr_array_new_with_free_func(g_free);
-    if (watcher && roster->orderers != NULL) {
-        roster->orderers(roster->orderers_data, lease_holders);
+    if (watcher && roster->list_lease_holders != NULL) {
+        roster->list_lease_holders(roster->lease_holders_data, lease_holders);
     }
     pthread_mutex_lock(&roster->lock);
     if (!watcher) {
-        list->told_at = list->at;
-        list->orderers_at = list->at;
+        list->published_revision = list->revision;
+        list->holders_revision = list->revision;
     }
     else if (list->known) {
         publish_changes(list, lease_holders, now);
     }
     if (!watcher || list->known) {
-        g_array_set_size(list->news, 0);
+        g_array_set_size(list->unpublished, 0);
     }
     pthread_mutex_unlock(&roster->lock);
     g_ptr_array_free(lease_holders, TRUE);
@@ -393,11 +400,11 @@
 
 /* See roster_internal.h. */
 void
-roster_tell_init(struct ch_roster *roster)
+roster_publish_init(struct ch_roster *roster)
 {
     struct ch_peers *peers = roster->node->peers;
-    ch_peers_handle(peers, CHESTNUTHITCH__WIRE__FRAME__BODY_ROSTER,
-                    handle_roster, roster);
-    ch_peers_handle(peers, CHESTNUTHITCH__WIRE__FRAME__BODY_ROSTER_PULL,
-                    handle_pull, roster);
+    ch_peers_set_handler(peers, CHESTNUTHITCH__WIRE__FRAME__BODY_ROSTER,
+                         handle_roster, roster);
+    ch_peers_set_handler(peers, CHESTNUTHITCH__WIRE__FRAME__BODY_ROSTER_PULL,
+                         handle_pull, roster);
 }
--- a/libchestnuthitch/node/site.c
+++ b/libchestnuthitch/node/site.c
@@ -6,7 +6,7 @@
 
 /* Starts with no upstreams. */
 void
-site_init(struct ch_homes *homes)
+upstream_list_init(struct ch_homes *homes)
 {
     homes->upstreams = g_ptr_array_new();
     homes->regions = g_ptr_array_new_with_free_func(g_free);
@@ -27,7 +27,7 @@
 
 /* Frees all upstreams.  Requests and tickets have been freed before. */
 void
-site_clear(struct ch_homes *homes)
+upstream_list_clear(struct ch_homes *homes)
 {
     for (size_t i = 0; i < homes->fleet.count; i++) {
         clear_view(&homes->fleet.upstreams[i]);
@@ -60,7 +60,7 @@
         upstream->client->ops->free(upstream->client);
     }
     ch_home_free(upstream->home);
-    g_array_free(upstream->items, TRUE);
+    g_array_free(upstream->known_items, TRUE);
     g_free(upstream->address);
     g_free(upstream->region);
     g_free(upstream->data_centre);
@@ -82,9 +82,10 @@
 
 /* The listed upstream of that name, or NULL. */
 struct upstream *
-site_find(const struct ch_homes *homes, GQuark name)
+upstream_list_find(const struct ch_homes *homes, GQuark name)
 {
-    return name == 0 ? NULL : site_find_name(homes, g_quark_to_string(name));
+    return name == 0 ? NULL
+                     : upstream_list_find_name(homes, g_quark_to_string(name));
 }
 
 static int
@@ -95,7 +96,7 @@
 
 /* The listed upstream of that name, or NULL. */
 struct upstream *
-site_find_name(const struct ch_homes *homes, const char *name)
+upstream_list_find_name(const struct ch_homes *homes, const char *name)
 {
     guint low = 0;
     guint high = homes->upstreams->len;
@@ -119,7 +120,7 @@
 
 /* The fleet view of an upstream; NULL when it is no longer listed. */
 struct ch_upstream_view *
-site_view(struct ch_homes *homes, const struct upstream *upstream)
+upstream_list_get_view(struct ch_homes *homes, const struct upstream *upstream)
 {
     return ch_fleet_find_upstream(&homes->fleet, upstream->name);
 }
@@ -151,7 +152,7 @@
     upstream->region = g_strdup(host->region);
     upstream->data_centre = g_strdup(host->data_centre);
     upstream->client = make_client(homes, host);
-    upstream->items = g_array_new(FALSE, FALSE, sizeof(GQuark));
+    upstream->known_items = g_array_new(FALSE, FALSE, sizeof(GQuark));
     return upstream;
 }
 
@@ -160,10 +161,10 @@
 apply_host_data(struct upstream *upstream, const struct ch_host *host)
 {
     upstream->listed = true;
-    upstream->leaving = host->leaving;
+    upstream->draining = host->draining;
     upstream->capacity_mb = host->memory_mb;
     upstream->accelerators = MAX(host->accelerators, 1);
-    upstream->batch = host->batch;
+    upstream->max_batch = host->max_batch;
     upstream->service =
         host->service != NULL ? g_quark_from_string(host->service) : 0;
 }
@@ -230,8 +231,8 @@
         view->accelerators = upstream->accelerators;
         view->capacity_mb = upstream->capacity_mb;
         view->max_batch =
-            view->max_batch > 0 ? view->max_batch : upstream->batch;
-        view->draining = view->draining || upstream->leaving;
+            view->max_batch > 0 ? view->max_batch : upstream->max_batch;
+        view->draining = view->draining || upstream->draining;
     }
     for (size_t i = 0; i < old.count; i++) {
         clear_view(&old.upstreams[i]);
@@ -255,9 +256,9 @@
         .service = upstream->service,
         .capacity_mb = upstream->capacity_mb,
         .accelerators = upstream->accelerators,
-        .batch = upstream->batch,
-        .max_queue = homes->node->settings->max_queue,
-        .draining = upstream->leaving,
+        .batch = upstream->max_batch,
+        .max_queue = homes->node->settings->max_queue_length,
+        .draining = upstream->draining,
     };
     ch_home_set_config(upstream->home, &config);
 }
@@ -267,7 +268,7 @@
 apply_host(struct ch_homes *homes, const struct ch_host *host,
            struct effects *effects)
 {
-    struct upstream *upstream = site_find_name(homes, host->name);
+    struct upstream *upstream = upstream_list_find_name(homes, host->name);
     if (upstream != NULL && !is_same_process(upstream, host)) {
         home_close(homes, upstream, effects);
         g_ptr_array_remove(homes->upstreams, upstream);
@@ -287,8 +288,8 @@
 /* Applies a complete host list.  Upstreams that are no longer listed get no
  * new requests; requests that run there may finish. */
 void
-site_take_list(struct ch_homes *homes, const struct ch_host_list *list,
-               struct effects *effects)
+upstream_list_update(struct ch_homes *homes, const struct ch_host_list *list,
+                     struct effects *effects)
 {
     for (guint i = 0; i < homes->upstreams->len; i++) {
         struct upstream *upstream = g_ptr_array_index(homes->upstreams, i);
@@ -308,9 +309,9 @@
         }
     }
     rebuild_fleet(homes);
-    homes->rehome = true;
-    if (homes->listed_at == 0) {
-        homes->listed_at = ch_client_now(homes->node->client);
+    homes->rehome_needed = true;
+    if (homes->first_list_at == 0) {
+        homes->first_list_at = ch_client_get_time(homes->node->client);
     }
 }
 
@@ -335,17 +336,19 @@
  * the wall clock.  So a new home, which may have missed the last states of the
  * previous home, still supersedes them, even when their clocks differ. */
 void
-site_take_state(struct ch_homes *homes,
-                const Chestnuthitch__Wire__UpstreamState *state, int64_t now)
+upstream_list_apply_state(struct ch_homes *homes,
+                          const Chestnuthitch__Wire__UpstreamState *state,
+                          int64_t now)
 {
-    struct upstream *upstream = site_find_name(homes, state->upstream);
+    struct upstream *upstream =
+        upstream_list_find_name(homes, state->upstream);
     if (upstream == NULL || upstream->home != NULL) {
         return;
     }
     if (state->sequence <= upstream->sequence) {
         return;
     }
-    struct ch_upstream_view *view = site_view(homes, upstream);
+    struct ch_upstream_view *view = upstream_list_get_view(homes, upstream);
     upstream->incarnation = state->incarnation;
     upstream->sequence = state->sequence;
     view->running = state->running;
@@ -354,7 +357,7 @@
     view->token_time = (int64_t)state->token_us;
     view->free_mb = state->free_mb;
     view->max_batch = state->batch;
-    view->draining = state->leaving || upstream->leaving;
+    view->draining = state->leaving || upstream->draining;
     view->down = state->down;
     view->reported_at = now;
     view->sent_since_report = 0;
@@ -380,9 +383,10 @@
  * sending node is named once in the frame: repeated in each state, its name
  * would take 6 of 103 bytes. */
 Chestnuthitch__Wire__UpstreamState *
-site_make_state(struct ch_homes *homes, const struct upstream *upstream)
+upstream_make_state(struct ch_homes *homes, const struct upstream *upstream)
 {
-    const struct ch_upstream_view *view = site_view(homes, upstream);
+    const struct ch_upstream_view *view =
+        upstream_list_get_view(homes, upstream);
     if (view == NULL) {
         return NULL;
     }
@@ -413,7 +417,7 @@
 
 /* Frees a state made by upstream_make_state. */
 void
-site_free_state(Chestnuthitch__Wire__UpstreamState *state)
+upstream_free_state(Chestnuthitch__Wire__UpstreamState *state)
 {
     if (state == NULL) {
         return;
