--- a/libchestnuthitch/platform/hosts.c
+++ b/libchestnuthitch/platform/hosts.c
@@ -17,7 +17,7 @@
 static const char *
 require_string(JsonObject *object, const char *name, struct ch_error *error)
 {
-    const char *text = ch_json_text(object, name);
+    const char *text = ch_json_get_string(object, name);
     if (text == NULL) {
         ch_error_set(error, CH_BAD_JSON, "host list: '%s' is not a string",
                      name);
@@ -123,8 +123,8 @@
         !parse_kind(kind, &host->kind, error)) {
         return false;
     }
-    host->leaving = strcmp(state, "leaving") == 0;
-    if (!host->leaving && strcmp(state, "live") != 0) {
+    host->draining = strcmp(state, "leaving") == 0;
+    if (!host->draining && strcmp(state, "live") != 0) {
         ch_error_set(error, CH_BAD_FIELD, "host list: unknown state '%s'",
                      state);
         return false;
@@ -150,7 +150,7 @@
            parse_kind_and_state(object, host, error) &&
            parse_count(object, "memory_mb", &host->memory_mb, error) &&
            parse_count(object, "accelerators", &host->accelerators, error) &&
-           parse_count(object, "batch", &host->batch, error);
+           parse_count(object, "batch", &host->max_batch, error);
 }
 
 /* Parses every host and rejects duplicate names; false with an error. */
@@ -188,7 +188,7 @@
 ch_host_list_parse(const char *json, size_t length, struct ch_error *error)
 {
     g_autoptr(JsonParser) parser = NULL;
-    JsonObject *object = ch_json_object(json, length, &parser);
+    JsonObject *object = ch_json_parse_object(json, length, &parser);
     JsonNode *member =
         object == NULL ? NULL : json_object_get_member(object, "hosts");
     if (member == NULL || !JSON_NODE_HOLDS_ARRAY(member)) {
@@ -213,8 +213,8 @@
     g_free(host->region);
     g_free(host->data_centre);
     g_free(host->service);
-    g_strfreev(host->resident);
-    g_strfreev(host->copies);
+    g_strfreev(host->resident_items);
+    g_strfreev(host->local_copies);
 }
 
 /* Frees a list and its hosts; list may be NULL. */
--- a/libchestnuthitch/platform/hosts_http.c
+++ b/libchestnuthitch/platform/hosts_http.c
@@ -8,7 +8,7 @@
 };
 
 struct host_source_http {
-    struct ch_hosts hosts;
+    struct ch_host_source hosts;
     struct ch_client *client;
     struct ch_http *http;
     char *url;
@@ -26,23 +26,24 @@
  * unreadable list is not stored, so that the next fetch returns the whole list
  * again. */
 static void
-handle_list(void *data, const struct ch_http_answer *response)
+handle_list(void *data, const struct ch_http_response *response)
 {
     struct fetch_call *call = data;
     struct host_source_http *owner = call->owner;
     struct ch_error error = {0};
     struct ch_host_list *list = NULL;
-    bool complete = response->end.code == CH_OK;
+    bool complete = response->result.code == CH_OK;
     bool unchanged =
-        complete && response->end.status == 304 && owner->etag != NULL;
-    if (complete && response->end.status == 200) {
-        list = ch_host_list_parse(response->body, response->length, &error);
+        complete && response->result.status == 304 && owner->etag != NULL;
+    if (complete && response->result.status == 200) {
+        list =
+            ch_host_list_parse(response->body, response->body_length, &error);
         g_free(owner->etag);
         owner->etag = list != NULL ? g_strdup(response->etag) : NULL;
     }
     if (error.code != CH_OK) {
         ch_log(call->owner->client, CH_LOG_WARNING, "host-list-damaged",
-               CH_F_STR("code", ch_code_name(error.code)),
+               CH_F_STR("code", ch_code_get_name(error.code)),
                CH_F_STR("message", error.message), CH_F_END);
     }
     bool succeeded = list != NULL || unchanged;
@@ -57,7 +58,7 @@
  * unchanged list: the response is then a 304 without a body.
  */
 static void
-host_source_http_fetch(struct ch_hosts *hosts,
+host_source_http_fetch(struct ch_host_source *hosts,
                        void (*done)(void *data, enum ch_code code,
                                     struct ch_host_list *list),
                        void *data)
@@ -73,17 +74,17 @@
         .url = owner->url,
         .headers = &if_none_match,
         .header_count = owner->etag != NULL ? 1 : 0,
-        .connect_limit = owner->call_limit,
-        .first_byte_limit = owner->call_limit,
-        .stall_limit = owner->call_limit,
-        .total_limit = owner->call_limit,
+        .connect_timeout = owner->call_limit,
+        .first_byte_timeout = owner->call_limit,
+        .stall_timeout = owner->call_limit,
+        .total_timeout = owner->call_limit,
     };
     ch_http_fetch(owner->http, &request, MAX_LIST_BYTES, handle_list, call);
 }
 
 /* Must run only after the HTTP loop has ended the client's calls. */
 static void
-host_source_http_free(struct ch_hosts *hosts)
+host_source_http_free(struct ch_host_source *hosts)
 {
     struct host_source_http *owner = (struct host_source_http *)hosts;
     g_free(owner->url);
@@ -93,11 +94,11 @@
 
 /* Creates a client of the list at address ("ip:port").  client and http must
  * outlive it.  call_limit, in microseconds, limits each fetch. */
-struct ch_hosts *
-ch_hosts_http_new(struct ch_client *client, struct ch_http *http,
-                  const char *address, int64_t call_limit)
+struct ch_host_source *
+ch_host_source_http_new(struct ch_client *client, struct ch_http *http,
+                        const char *address, int64_t call_limit)
 {
-    static const struct ch_hosts_ops ops = {
+    static const struct ch_host_source_ops ops = {
         .fetch = host_source_http_fetch,
         .free = host_source_http_free,
     };
--- a/libchestnuthitch/platform/kv_http.c
+++ b/libchestnuthitch/platform/kv_http.c
@@ -29,7 +29,7 @@
 struct kv_call {
     struct kv_http *owner;
     bool is_write;
-    void (*done)(void *data, const struct ch_kv_answer *result);
+    void (*done)(void *data, const struct ch_kv_result *result);
     void (*list_done)(void *data, enum ch_code code,
                       const struct ch_kv_entry *entries, size_t count);
     void *data;
@@ -40,7 +40,7 @@
 count_call(const struct kv_http *owner, enum ch_counter counter)
 {
     if (owner->client->metrics != NULL) {
-        ch_metrics_count(owner->client->metrics, counter, 1);
+        ch_metrics_add_count(owner->client->metrics, counter, 1);
     }
 }
 
@@ -62,9 +62,10 @@
  * Reporting it as failed could let a second writer succeed as well.
  */
 static enum ch_code
-result_code(const struct kv_call *call, const struct ch_http_answer *response)
+result_code(const struct kv_call *call,
+            const struct ch_http_response *response)
 {
-    const struct ch_http_end *end = &response->end;
+    const struct ch_http_result *end = &response->result;
     bool complete = end->code == CH_OK;
     switch (end->status) {
     case 200:
@@ -98,18 +99,18 @@
 
 /* Handles the response to a call on one key. */
 static void
-handle_value(void *data, const struct ch_http_answer *response)
+handle_value(void *data, const struct ch_http_response *response)
 {
     struct kv_call *call = data;
-    struct ch_kv_answer result = {.code = result_code(call, response)};
+    struct ch_kv_result result = {.code = result_code(call, response)};
     if (result.code == CH_OK || result.code == CH_KV_CONFLICT) {
         result.revision = parse_etag(response->etag);
     }
     if (result.code == CH_OK && !call->is_write) {
         result.value = response->body;
-        result.length = response->length;
+        result.length = response->body_length;
         if (result.revision == 0) {
-            result = (struct ch_kv_answer){.code = CH_KV_UNREACHABLE};
+            result = (struct ch_kv_result){.code = CH_KV_UNREACHABLE};
         }
     }
     if (!is_definite_result(result.code)) {
@@ -159,7 +160,7 @@
 parse_list(const char *body, size_t length)
 {
     g_autoptr(JsonParser) parser = NULL;
-    JsonObject *object = ch_json_object(body, length, &parser);
+    JsonObject *object = ch_json_parse_object(body, length, &parser);
     JsonNode *member =
         object == NULL ? NULL : json_object_get_member(object, "entries");
     if (member == NULL || !JSON_NODE_HOLDS_ARRAY(member)) {
@@ -181,12 +182,12 @@
 
 /* Handles the response to a list call. */
 static void
-handle_list(void *data, const struct ch_http_answer *response)
+handle_list(void *data, const struct ch_http_response *response)
 {
     struct kv_call *call = data;
     GArray *entries = NULL;
-    if (response->end.code == CH_OK && response->end.status == 200) {
-        entries = parse_list(response->body, response->length);
+    if (response->result.code == CH_OK && response->result.status == 200) {
+        entries = parse_list(response->body, response->body_length);
     }
     if (entries == NULL) {
         count_call(call->owner, CH_COUNT_KV_ERRORS);
@@ -218,16 +219,16 @@
     struct ch_http_request request = {
         .method = "GET",
         .url = url,
-        .connect_limit = owner->call_limit,
-        .first_byte_limit = wait + owner->call_limit,
-        .stall_limit = owner->call_limit,
+        .connect_timeout = owner->call_limit,
+        .first_byte_timeout = wait + owner->call_limit,
+        .stall_timeout = owner->call_limit,
     };
     if (call->list_done != NULL) {
         ch_http_fetch(owner->http, &request, MAX_LIST_BYTES, handle_list,
                       call);
         return;
     }
-    request.total_limit = wait + owner->call_limit;
+    request.total_timeout = wait + owner->call_limit;
     ch_http_fetch(owner->http, &request, MAX_VALUE_BYTES, handle_value, call);
 }
 
@@ -257,10 +258,10 @@
         .header_count = G_N_ELEMENTS(headers),
         .body = value,
         .body_length = length,
-        .connect_limit = owner->call_limit,
-        .first_byte_limit = owner->call_limit,
-        .stall_limit = owner->call_limit,
-        .total_limit = owner->call_limit,
+        .connect_timeout = owner->call_limit,
+        .first_byte_timeout = owner->call_limit,
+        .stall_timeout = owner->call_limit,
+        .total_timeout = owner->call_limit,
         .fresh_connection = true,
     };
     count_call(owner, CH_COUNT_KV_WRITES);
@@ -270,7 +271,7 @@
 /* Allocates the state of a call; the handler of its response frees it. */
 static struct kv_call *
 call_new(struct kv_http *owner, bool is_write,
-         void (*done)(void *data, const struct ch_kv_answer *result),
+         void (*done)(void *data, const struct ch_kv_result *result),
          void *data)
 {
     struct kv_call *call = g_new0(struct kv_call, 1);
@@ -284,7 +285,7 @@
 /* Reads a value; see struct ch_kv_ops. */
 static void
 kv_http_get(struct ch_kv *kv, const char *key,
-            void (*done)(void *data, const struct ch_kv_answer *result),
+            void (*done)(void *data, const struct ch_kv_result *result),
             void *data)
 {
     struct kv_http *owner = (struct kv_http *)kv;
@@ -297,7 +298,7 @@
 static void
 kv_http_put(struct ch_kv *kv, const char *key, const void *value,
             size_t length, uint64_t revision,
-            void (*done)(void *data, const struct ch_kv_answer *result),
+            void (*done)(void *data, const struct ch_kv_result *result),
             void *data)
 {
     struct kv_http *owner = (struct kv_http *)kv;
@@ -308,7 +309,7 @@
 /* Removes by compare-and-swap; see struct ch_kv_ops. */
 static void
 kv_http_remove(struct ch_kv *kv, const char *key, uint64_t revision,
-               void (*done)(void *data, const struct ch_kv_answer *result),
+               void (*done)(void *data, const struct ch_kv_result *result),
                void *data)
 {
     struct kv_http *owner = (struct kv_http *)kv;
@@ -320,7 +321,7 @@
 static void
 kv_http_watch(struct ch_kv *kv, const char *key, uint64_t revision,
               int64_t wait,
-              void (*done)(void *data, const struct ch_kv_answer *result),
+              void (*done)(void *data, const struct ch_kv_result *result),
               void *data)
 {
     struct kv_http *owner = (struct kv_http *)kv;
--- a/libchestnuthitch/platform/platform.h
+++ b/libchestnuthitch/platform/platform.h
@@ -10,7 +10,7 @@
 
 /* ---- key-value store (kv_http.c: over HTTP) ---- */
 
-struct ch_kv_answer {
+struct ch_kv_result {
     enum ch_code code; /* OK, KV_MISSING, KV_CONFLICT, KV_UNREACHABLE (a write
                           certainly had no effect), KV_AMBIGUOUS (the response
                           to a write was lost: it may have taken effect) */
@@ -32,29 +32,29 @@
                           time), KV_HISTORY_GONE, KV_UNREACHABLE */
     const struct ch_kv_entry *entries; /* value NULL: the key was removed */
     size_t count;
-    uint64_t at; /* the store's revision */
+    uint64_t revision; /* the store's revision */
 };
 
 struct ch_kv;
 
 struct ch_kv_ops {
     void (*get)(struct ch_kv *kv, const char *key,
-                void (*done)(void *data, const struct ch_kv_answer *result),
+                void (*done)(void *data, const struct ch_kv_result *result),
                 void *data);
     /* Writes only if the value is still at revision; 0: only if the key is
        absent. */
     void (*put)(struct ch_kv *kv, const char *key, const void *value,
                 size_t length, uint64_t revision,
-                void (*done)(void *data, const struct ch_kv_answer *result),
+                void (*done)(void *data, const struct ch_kv_result *result),
                 void *data);
     void (*remove)(struct ch_kv *kv, const char *key, uint64_t revision,
-                   void (*done)(void *data, const struct ch_kv_answer *result),
+                   void (*done)(void *data, const struct ch_kv_result *result),
                    void *data);
     /* Completes when the value's revision exceeds revision, or with
        KV_MISSING after wait microseconds. */
     void (*watch)(struct ch_kv *kv, const char *key, uint64_t revision,
                   int64_t wait,
-                  void (*done)(void *data, const struct ch_kv_answer *result),
+                  void (*done)(void *data, const struct ch_kv_result *result),
                   void *data);
     /* Every key below prefix in order, with values. */
     void (*list)(struct ch_kv *kv, const char *prefix,
@@ -69,30 +69,32 @@
     void (*range)(struct ch_kv *kv, const char *prefix,
                   void (*done)(void *data, const struct ch_kv_range *range),
                   void *data);
-    void (*changes)(struct ch_kv *kv, const char *prefix, uint64_t after,
-                    int64_t wait,
-                    void (*done)(void *data, const struct ch_kv_range *range),
-                    void *data);
+    void (*watch_changes)(
+        struct ch_kv *kv, const char *prefix, uint64_t after, int64_t wait,
+        void (*done)(void *data, const struct ch_kv_range *range), void *data);
     /* Keys written under a lease are removed when the lease ends.  ttl, in
        microseconds, counts from when the store accepts the call.  The result
        has no value; its revision is the lease ID. */
-    void (*lease)(struct ch_kv *kv, int64_t ttl,
-                  void (*done)(void *data, const struct ch_kv_answer *result),
-                  void *data);
+    void (*create_lease)(struct ch_kv *kv, int64_t ttl,
+                         void (*done)(void *data,
+                                      const struct ch_kv_result *result),
+                         void *data);
     /* KV_MISSING: the lease has ended. */
-    void (*renew)(struct ch_kv *kv, uint64_t lease_id,
-                  void (*done)(void *data, const struct ch_kv_answer *result),
-                  void *data);
+    void (*renew_lease)(struct ch_kv *kv, uint64_t lease_id,
+                        void (*done)(void *data,
+                                     const struct ch_kv_result *result),
+                        void *data);
     void (*end_lease)(struct ch_kv *kv, uint64_t lease_id,
                       void (*done)(void *data,
-                                   const struct ch_kv_answer *result),
+                                   const struct ch_kv_result *result),
                       void *data);
     /* As put, under a lease; KV_MISSING: there is no such lease. */
-    void (*put_leased)(struct ch_kv *kv, const char *key, const void *value,
-                       size_t length, uint64_t revision, uint64_t lease_id,
-                       void (*done)(void *data,
-                                    const struct ch_kv_answer *result),
-                       void *data);
+    void (*put_with_lease)(struct ch_kv *kv, const char *key,
+                           const void *value, size_t length, uint64_t revision,
+                           uint64_t lease_id,
+                           void (*done)(void *data,
+                                        const struct ch_kv_result *result),
+                           void *data);
     void (*free)(struct ch_kv *kv);
 };
 
@@ -123,18 +125,19 @@
     char *service; /* a plain service's name; else NULL */
     uint32_t memory_mb;
     uint32_t accelerators;
-    uint32_t batch; /* maximum concurrent requests; 0: not stated */
-    bool leaving;
+    uint32_t max_batch; /* maximum concurrent requests; 0: not stated */
+    bool draining;
     /* What an engine reports of itself in the host list; empty where the list
        has no such data. */
-    uint64_t boot;     /* increases with each restart; 0: unknown */
-    int64_t leaves_in; /* time until the engine stops; 0: unknown */
-    int64_t slow_for;  /* for how much longer it is slow after its start */
-    char **resident;   /* "model" and "model/adapter"; NULL: none */
-    char **copies;     /* models of which the engine has a local copy */
-    uint32_t capacity; /* of an entry host; 0: unknown */
-    int64_t read_at;   /* when this entry arrived, by the node's clock; 0: not
-                          recorded */
+    uint64_t boot_id;       /* increases with each restart; 0: unknown */
+    int64_t remaining_time; /* time until the engine stops; 0: unknown */
+    int64_t
+        slow_time_left;    /* for how much longer it is slow after its start */
+    char **resident_items; /* "model" and "model/adapter"; NULL: none */
+    char **local_copies;   /* models of which the engine has a local copy */
+    uint32_t capacity;     /* of an entry host; 0: unknown */
+    int64_t received_at;   /* when this entry arrived, by the node's clock; 0:
+                          not   recorded */
 };
 
 /* Frees the members of a host, not the struct. */
@@ -150,27 +153,28 @@
                                         struct ch_error *error);
 void ch_host_list_free(struct ch_host_list *list);
 
-struct ch_hosts;
+struct ch_host_source;
 
-struct ch_hosts_ops {
+struct ch_host_source_ops {
     /* done takes ownership of the list.  list is NULL with an error code when
        the fetch failed, and NULL with OK when the list is unchanged since the
        last fetch.  Only one fetch may run at a time. */
-    void (*fetch)(struct ch_hosts *hosts,
+    void (*fetch)(struct ch_host_source *hosts,
                   void (*done)(void *data, enum ch_code code,
                                struct ch_host_list *list),
                   void *data);
-    void (*free)(struct ch_hosts *hosts);
+    void (*free)(struct ch_host_source *hosts);
 };
 
 /* A source of host lists. */
-struct ch_hosts {
-    const struct ch_hosts_ops *ops;
+struct ch_host_source {
+    const struct ch_host_source_ops *ops;
 };
 
 /* call_limit, in microseconds, limits each fetch. */
-struct ch_hosts *ch_hosts_http_new(struct ch_client *client,
-                                   struct ch_http *http, const char *address,
-                                   int64_t call_limit);
+struct ch_host_source *ch_host_source_http_new(struct ch_client *client,
+                                               struct ch_http *http,
+                                               const char *address,
+                                               int64_t call_limit);
 
 #endif
--- a/libchestnuthitch/replay/bound.c
+++ b/libchestnuthitch/replay/bound.c
@@ -33,8 +33,8 @@
     const struct ch_site_engine *engine = &site->engine;
     double best = 0;
     for (uint32_t n = 1; n <= batch; n++) {
-        double token =
-            (double)engine->token + (double)engine->token_per_request * n;
+        double token = (double)engine->token_time +
+                       (double)engine->token_time_per_request * n;
         if (n > 1 && token_target > 0 && token > (double)token_target) {
             break;
         }
@@ -50,13 +50,13 @@
 {
     int64_t token_target = 0;
     for (size_t i = 0; i < declaration->class_count; i++) {
-        token_target =
-            MAX(token_target, declaration->classes[i].between_tokens);
+        token_target = MAX(token_target, declaration->classes[i].token_target);
     }
     double sum = 0;
     for (size_t i = 0; i < site->upstream_count; i++) {
         if (site->upstreams[i].service == NULL) {
-            sum += engine_rate(site, site->upstreams[i].batch, token_target);
+            sum +=
+                engine_rate(site, site->upstreams[i].max_batch, token_target);
         }
     }
     return sum;
@@ -76,13 +76,13 @@
         }
         const struct ch_class *class =
             &declaration->classes[event->class_index];
-        if (class->first_token == 0 || class->between_tokens == 0) {
+        if (class->first_token_target == 0 || class->token_target == 0) {
             continue;
         }
         struct job job = {
             .from = event->at,
-            .due = event->at + class->first_token +
-                   class->between_tokens * (event->output_tokens - 1),
+            .due = event->at + class->first_token_target +
+                   class->token_target * (event->output_tokens - 1),
             .work = event->output_tokens,
         };
         g_array_append_val(jobs, job);
@@ -130,9 +130,9 @@
 
 /* Returns the attainment that no policy can exceed on this trace. */
 double
-ch_bound_attainment(const struct ch_site *site,
-                    const struct ch_declaration *declaration,
-                    const struct ch_trace *trace)
+ch_bound_compute_attainment(const struct ch_site *site,
+                            const struct ch_declaration *declaration,
+                            const struct ch_trace *trace)
 {
     size_t requests = 0;
     int64_t last = 0;
--- a/libchestnuthitch/replay/expect.c
+++ b/libchestnuthitch/replay/expect.c
@@ -48,7 +48,7 @@
 static double
 read_attainment(const struct scope *scope)
 {
-    return ch_result_attainment(scope->result);
+    return ch_result_get_attainment(scope->result);
 }
 
 /* Lowest attainment among the callers. */
@@ -121,7 +121,7 @@
 static double
 read_refusal(const struct scope *scope)
 {
-    return (double)ch_result_quantile(scope->result->refusal_times, 950) /
+    return (double)ch_result_get_quantile(scope->result->refusal_times, 950) /
            1000.0;
 }
 
@@ -145,21 +145,24 @@
 static double
 read_class_p50(const struct scope *scope)
 {
-    return (double)ch_result_quantile(scope->class->times, 500) / 1000.0;
+    return (double)ch_result_get_quantile(scope->class->response_times, 500) /
+           1000.0;
 }
 
 /* 95th percentile of the time to a complete response, in milliseconds. */
 static double
 read_class_p95(const struct scope *scope)
 {
-    return (double)ch_result_quantile(scope->class->times, 950) / 1000.0;
+    return (double)ch_result_get_quantile(scope->class->response_times, 950) /
+           1000.0;
 }
 
 /* 99th percentile of the time to a complete response, in milliseconds. */
 static double
 read_class_p99(const struct scope *scope)
 {
-    return (double)ch_result_quantile(scope->class->times, 990) / 1000.0;
+    return (double)ch_result_get_quantile(scope->class->response_times, 990) /
+           1000.0;
 }
 
 /* Returns the sum of the counts by second that are within a window. */
@@ -233,7 +236,7 @@
 {
     char *text = g_key_file_get_value(ini->file, group, key, NULL);
     if (text == NULL) {
-        ch_ini_fail(ini, group, key, CH_MISSING, error, "required here");
+        ch_ini_set_error(ini, group, key, CH_MISSING, error, "required here");
         return false;
     }
     char *end = NULL;
@@ -241,7 +244,7 @@
     *out = g_ascii_strtod(text, &end);
     bool fine = *text != '\0' && *end == '\0' && errno == 0 && isfinite(*out);
     if (!fine) {
-        ch_ini_fail(ini, group, key, CH_BAD_VALUE, error, "not a number");
+        ch_ini_set_error(ini, group, key, CH_BAD_VALUE, error, "not a number");
     }
     g_free(text);
     return fine;
@@ -275,8 +278,8 @@
         figure = find_figure(section, key, strlen(key) - suffix_length);
     }
     if (figure == NULL) {
-        ch_ini_fail(scope->ini, scope->group, key, CH_UNKNOWN_SETTING, error,
-                    "unknown expectation");
+        ch_ini_set_error(scope->ini, scope->group, key, CH_UNKNOWN_SETTING,
+                         error, "unknown expectation");
         return false;
     }
     double expected;
@@ -287,8 +290,8 @@
     if (is_minimum ? actual >= expected : actual <= expected) {
         return true;
     }
-    ch_ini_fail(scope->ini, scope->group, key, CH_EXPECTATION, error,
-                "stated %g, found %g", expected, actual);
+    ch_ini_set_error(scope->ini, scope->group, key, CH_EXPECTATION, error,
+                     "stated %g, found %g", expected, actual);
     return false;
 }
 
@@ -316,8 +319,8 @@
     *group = g_strdup_printf("window %s", name);
     g_free(name);
     if (!g_key_file_has_group(scope->ini->file, *group)) {
-        ch_ini_fail(scope->ini, scope->group, "share-of", CH_BAD_VALUE, error,
-                    "there is no [%s]", *group);
+        ch_ini_set_error(scope->ini, scope->group, "share-of", CH_BAD_VALUE,
+                         error, "there is no [%s]", *group);
         return false;
     }
     *other = *scope;
@@ -370,8 +373,8 @@
     if (g_str_has_prefix(group, "class ")) {
         scope.class = find_class(result, group);
         if (scope.class == NULL) {
-            ch_ini_fail(ini, group, NULL, CH_UNKNOWN_CLASS, error,
-                        "unknown class");
+            ch_ini_set_error(ini, group, NULL, CH_UNKNOWN_CLASS, error,
+                             "unknown class");
             return false;
         }
         return check_keys(&scope, "class", error);
@@ -385,7 +388,8 @@
         g_free(other_group);
         return fine;
     }
-    ch_ini_fail(ini, group, NULL, CH_UNKNOWN_GROUP, error, "unknown group");
+    ch_ini_set_error(ini, group, NULL, CH_UNKNOWN_GROUP, error,
+                     "unknown group");
     return false;
 }
 
--- a/libchestnuthitch/replay/replay.h
+++ b/libchestnuthitch/replay/replay.h
@@ -30,7 +30,7 @@
     char *service; /* plain service's name; NULL: an engine */
     uint32_t memory_mb;
     uint32_t accelerators;
-    uint32_t batch;
+    uint32_t max_batch;
 };
 
 struct ch_site_entry {
@@ -41,13 +41,13 @@
 /* Simulated engine.  A token of each running request takes token_time, plus
  * token_time_per_request for each request that runs. */
 struct ch_site_engine {
-    int64_t token;             /* fixed part of a token's time */
-    int64_t token_per_request; /* added per request in the batch */
-    double prefill_per_s;      /* prompt tokens a second */
-    uint32_t cache_tokens;     /* capacity of the prefix cache */
+    int64_t token_time;             /* fixed part of a token's time */
+    int64_t token_time_per_request; /* added per request in the batch */
+    double prefill_tokens_per_s;    /* prompt tokens a second */
+    uint32_t cache_tokens;          /* capacity of the prefix cache */
     uint32_t prefix_tokens;    /* shared tokens of a prompt with a prefix */
-    int64_t report;            /* time between load reports */
-    int64_t service;           /* mean time of a call of a plain service */
+    int64_t report_period;     /* time between load reports */
+    int64_t mean_service_time; /* mean time of a call of a plain service */
     uint32_t token_bytes;      /* bytes of a response's token on the link */
     bool fencing;              /* rejects orders with an old fencing token */
 };
@@ -63,12 +63,12 @@
     size_t entry_count;
     struct ch_site_engine engine;
     double loads_per_s;
-    unsigned loads_parallel;
-    unsigned adapters_parallel;
+    unsigned max_parallel_loads;
+    unsigned max_parallel_adapter_loads;
     double load_mb_per_s; /* speed of a load that has no competition */
-    int64_t adapter_least;
-    int64_t adapter_most;
-    double link_mbit;
+    int64_t min_adapter_load_time;
+    int64_t max_adapter_load_time;
+    double link_mbit_per_s;
     int64_t region_delay;      /* one way, between regions */
     int64_t data_centre_delay; /* one way, within a region */
 };
@@ -79,7 +79,7 @@
 struct ch_site *ch_site_parse(const char *text, const char *path,
                               struct ch_error *error);
 void ch_site_free(struct ch_site *site);
-uint32_t ch_site_accelerators(const struct ch_site *site);
+uint32_t ch_site_count_accelerators(const struct ch_site *site);
 
 /* ---- the trace (trace.c, trace_log.c) ---- */
 
@@ -88,7 +88,7 @@
     CH_TRACE_SLOW,
     CH_TRACE_DOWN,
     CH_TRACE_UP,
-    CH_TRACE_LEAVE,
+    CH_TRACE_DRAIN,
     CH_TRACE_KV_DOWN,
     CH_TRACE_KV_UP,
     CH_TRACE_LINK_DOWN,
@@ -137,7 +137,8 @@
     uint64_t requests;
     uint64_t met;
     uint64_t refused;
-    GArray *times; /* int64_t: time to the whole response, at the caller */
+    GArray *response_times; /* int64_t: time to the whole response, at the
+                               caller */
 };
 
 struct ch_result {
@@ -170,8 +171,8 @@
 void ch_result_free(struct ch_result *result);
 /* The quantile in thousandths (500: median) of an array of int64_t, which is
  * sorted in place; 0 if the array is empty. */
-int64_t ch_result_quantile(GArray *times, unsigned per_mille);
-double ch_result_attainment(const struct ch_result *result);
+int64_t ch_result_get_quantile(GArray *times, unsigned per_mille);
+double ch_result_get_attainment(const struct ch_result *result);
 /* Appends one JSON object and a newline. */
 void ch_result_print(struct ch_result *result, GString *out);
 
@@ -181,9 +182,9 @@
                                 const struct ch_declaration *declaration,
                                 const struct ch_trace *trace,
                                 const struct ch_policy *policy, uint64_t seed);
-double ch_bound_attainment(const struct ch_site *site,
-                           const struct ch_declaration *declaration,
-                           const struct ch_trace *trace);
+double ch_bound_compute_attainment(const struct ch_site *site,
+                                   const struct ch_declaration *declaration,
+                                   const struct ch_trace *trace);
 
 /* ---- expected results (expect.c) ---- */
 
--- a/libchestnuthitch/replay/result.c
+++ b/libchestnuthitch/replay/result.c
@@ -24,7 +24,7 @@
     result->classes = g_new0(struct ch_result_class, result->class_count);
     for (size_t i = 0; i < result->class_count; i++) {
         result->classes[i].name = g_strdup(declaration->classes[i].name);
-        result->classes[i].times = new_times();
+        result->classes[i].response_times = new_times();
     }
     return result;
 }
@@ -38,7 +38,7 @@
     }
     for (size_t i = 0; i < result->class_count; i++) {
         g_free(result->classes[i].name);
-        g_array_unref(result->classes[i].times);
+        g_array_unref(result->classes[i].response_times);
     }
     g_array_unref(result->refusal_times);
     g_array_unref(result->goodput);
@@ -58,7 +58,7 @@
 /* Returns the quantile in thousandths; 0 if the array is empty.  Sorts the
  * array. */
 int64_t
-ch_result_quantile(GArray *times, unsigned per_mille)
+ch_result_get_quantile(GArray *times, unsigned per_mille)
 {
     if (times->len == 0) {
         return 0;
@@ -70,7 +70,7 @@
 
 /* Returns the share of requests that met their target; 1 without requests. */
 double
-ch_result_attainment(const struct ch_result *result)
+ch_result_get_attainment(const struct ch_result *result)
 {
     return result->requests == 0
                ? 1.0
@@ -108,9 +108,12 @@
         "    \"%s\": {\"requests\": %" PRIu64 ", \"met\": %" PRIu64
         ", \"refused\": %" PRIu64 ", ",
         class->name, class->requests, class->met, class->refused);
-    append_ms(out, "p50_ms", ch_result_quantile(class->times, 500), ", ");
-    append_ms(out, "p95_ms", ch_result_quantile(class->times, 950), ", ");
-    append_ms(out, "p99_ms", ch_result_quantile(class->times, 990), "}");
+    append_ms(out, "p50_ms",
+              ch_result_get_quantile(class->response_times, 500), ", ");
+    append_ms(out, "p95_ms",
+              ch_result_get_quantile(class->response_times, 950), ", ");
+    append_ms(out, "p99_ms",
+              ch_result_get_quantile(class->response_times, 990), "}");
     g_string_append(out, last ? "\n" : ",\n");
 }
 
@@ -119,7 +122,7 @@
 void
 ch_result_print(struct ch_result *result, GString *out)
 {
-    double attainment = ch_result_attainment(result);
+    double attainment = ch_result_get_attainment(result);
     uint32_t accelerators = MAX(result->accelerators, 1);
     g_string_append(out, "{\n");
     append_count(out, "requests", result->requests);
@@ -152,5 +155,5 @@
     append_number(out, "bound", result->bound);
     g_string_append(out, "  ");
     append_ms(out, "refusal_p95_ms",
-              ch_result_quantile(result->refusal_times, 950), "\n}\n");
+              ch_result_get_quantile(result->refusal_times, 950), "\n}\n");
 }
--- a/libchestnuthitch/replay/sim.h
+++ b/libchestnuthitch/replay/sim.h
@@ -15,7 +15,7 @@
 /* A scheduled event; the comment of each handler describes a, b and c. */
 struct sim_event {
     int64_t at;
-    uint64_t order; /* among events of the same time, lowest first */
+    uint64_t sequence; /* among events of the same time, lowest first */
     void (*handle)(struct sim *sim, const struct sim_event *event);
     uint64_t a;
     uint64_t b;
@@ -41,64 +41,64 @@
 /* One request in an engine, with the engine progress at which it advances. */
 struct sim_job {
     uint64_t dispatch;
-    double first; /* engine progress at the first token */
-    double end;
-    bool first_out;
+    double first_token_progress; /* engine progress at the first token */
+    double end_progress;
+    bool first_token_sent;
     uint32_t tokens;
 };
 
 struct sim_engine {
-    bool service;
+    bool is_service;
     uint32_t capacity_mb;
-    uint32_t batch;
-    double slow;
-    double progress; /* tokens of a request that had run all the time */
-    int64_t at;      /* time of the latest update of progress */
-    uint64_t turn;   /* step events with an older version are ignored */
-    GArray *running; /* struct sim_job */
-    GArray *waiting; /* struct sim_job, progress relative to its start */
-    GArray *items;   /* struct sim_item */
-    GArray *cache;   /* uint64_t: prefixes, least recently used first */
-    GPtrArray *done; /* IDs of completed orders */
-    unsigned boot;
+    uint32_t max_batch;
+    double slowdown;
+    double progress;       /* tokens of a request that had run all the time */
+    int64_t progress_at;   /* time of the latest update of progress */
+    uint64_t step_version; /* step events with an older version are ignored */
+    GArray *running;       /* struct sim_job */
+    GArray *waiting;       /* struct sim_job, progress relative to its start */
+    GArray *items;         /* struct sim_item */
+    GArray *prefix_cache;  /* uint64_t: prefixes, least recently used first */
+    GPtrArray *completed_orders; /* IDs of completed orders */
+    unsigned boot_id;
     bool down;
-    bool leaving;
-    int64_t left_at;
+    bool draining;
+    int64_t draining_since;
 };
 
 void sim_engine_init(struct sim *sim, size_t upstream);
 void sim_engine_clear(struct sim_engine *engine);
 void sim_engine_accept(struct sim *sim, size_t upstream, uint64_t dispatch);
 void sim_engine_cancel(struct sim *sim, size_t upstream, uint64_t dispatch);
-void sim_engine_fail(struct sim *sim, size_t upstream);
-void sim_engine_set_slow(struct sim *sim, size_t upstream, double slow);
-bool sim_engine_has(const struct sim_engine *engine, GQuark item);
+void sim_engine_crash(struct sim *sim, size_t upstream);
+void sim_engine_set_slowdown(struct sim *sim, size_t upstream, double slow);
+bool sim_engine_has_item(const struct sim_engine *engine, GQuark item);
 void sim_engine_load(struct sim *sim, size_t upstream, GQuark item,
                      uint32_t memory_mb, const char *order);
 void sim_engine_unload(struct sim *sim, size_t upstream, GQuark item,
                        const char *order);
-void sim_engine_loaded(struct sim *sim, size_t upstream, GQuark item,
-                       unsigned boot);
+void sim_engine_finish_load(struct sim *sim, size_t upstream, GQuark item,
+                            unsigned boot);
 
 /* ---- weight store and link (sim_store.c) ---- */
 
 struct sim_load {
     size_t upstream;
-    unsigned boot;
+    unsigned boot_id;
     GQuark item;
     double left_mb;
 };
 
 struct sim_store {
     GArray *loads; /* struct sim_load */
-    int64_t at;
-    uint64_t turn;
-    unsigned adapters;
+    int64_t updated_at;
+    uint64_t step_version;
+    unsigned adapter_load_count;
 };
 
 void sim_store_load(struct sim *sim, size_t upstream, GQuark item,
                     uint32_t memory_mb);
-void sim_store_adapter(struct sim *sim, size_t upstream, GQuark item);
+void sim_store_load_adapter(struct sim *sim, size_t upstream, GQuark item);
 /* Returns the microseconds to send bytes from one region to another, and
  * counts the bytes if the regions differ. */
 int64_t sim_link_send(struct sim *sim, size_t from, size_t to, uint64_t bytes);
@@ -106,7 +106,7 @@
 /* ---- home nodes of upstreams (sim_homes.c) ---- */
 
 enum {
-    SIM_NOBODY = -1,
+    SIM_NO_HOST = -1,
 };
 
 struct sim_upstream {
@@ -117,19 +117,20 @@
     struct ch_home *home;
     int host; /* entry node that is the home node; SIM_NO_HOST: none */
     struct ch_ledger *ledger;
-    GHashTable *told; /* GQuark to the item state the home node has, plus 1 */
+    GHashTable *published_states; /* GQuark to the item state the home node
+                                     has, plus 1 */
 };
 
 void sim_home_init(struct sim *sim, size_t upstream);
 void sim_home_clear(struct sim_upstream *upstream);
-void sim_home_ask(struct sim *sim, const struct sim_event *event);
-void sim_home_release(struct sim *sim, const struct sim_event *event);
+void sim_home_handle_ask(struct sim *sim, const struct sim_event *event);
+void sim_home_handle_release(struct sim *sim, const struct sim_event *event);
 void sim_home_tick(struct sim *sim, const struct sim_event *event);
-void sim_home_report(struct sim *sim, const struct sim_event *event);
-void sim_home_move(struct sim *sim, size_t upstream);
-void sim_home_forget(struct sim *sim, size_t upstream, uint64_t ask);
+void sim_home_handle_report(struct sim *sim, const struct sim_event *event);
+void sim_home_assign(struct sim *sim, size_t upstream);
+void sim_home_withdraw(struct sim *sim, size_t upstream, uint64_t ask);
 void sim_home_gossip(struct sim *sim, const struct sim_event *event);
-int sim_home_host(const struct sim *sim, size_t upstream);
+int sim_home_get_host(const struct sim *sim, size_t upstream);
 
 /* ---- entry nodes and requests (sim_entries.c) ---- */
 
@@ -138,16 +139,16 @@
     size_t region;
     bool up;
     struct ch_fleet fleet;
-    uint32_t *asked; /* by upstream: asks without a reply so far */
-    struct ch_retry_budget budget;
-    struct ch_token_bucket link;
-    struct ch_token_bucket loads;
+    uint32_t *pending_asks; /* by upstream: asks without a reply so far */
+    struct ch_retry_budget retry_budget;
+    struct ch_token_bucket link_budget;
+    struct ch_token_bucket load_budget;
 };
 
 enum sim_state {
     SIM_ASKING,
     SIM_RUNNING,
-    SIM_OVER,
+    SIM_FINISHED,
 };
 
 struct sim_request {
@@ -155,19 +156,19 @@
     struct ch_request_info work;
     size_t entry;
     enum sim_state state;
-    unsigned asks;        /* asks since the latest dispatch */
-    uint64_t ask;         /* number of the valid ask */
-    int upstream;         /* upstream of the valid ask */
-    GArray *excluded;     /* GQuark: failures first, then refusals */
-    guint failed;         /* number of failures in excluded */
-    enum ch_code refusal; /* latest refusal by a home node; OK: none */
-    int64_t arrived;      /* time at which the caller sent the request */
-    int64_t sent;         /* time of the latest dispatch */
-    int64_t first;        /* first byte at the entry node; 0: none yet */
-    int64_t this_first;   /* first byte of the latest dispatch */
-    uint32_t given;       /* tokens that the caller received */
-    uint32_t dispatches;
-    bool ran;
+    unsigned asks_since_dispatch; /* asks since the latest dispatch */
+    uint64_t current_ask;         /* number of the valid ask */
+    int upstream;                 /* upstream of the valid ask */
+    GArray *excluded;             /* GQuark: failures first, then refusals */
+    guint failed_count;           /* number of failures in excluded */
+    enum ch_code last_refusal;    /* latest refusal by a home node; OK: none */
+    int64_t sent_by_caller_at; /* time at which the caller sent the request */
+    int64_t dispatched_at;     /* time of the latest dispatch */
+    int64_t first_byte_at;     /* first byte at the entry node; 0: none yet */
+    int64_t dispatch_first_byte_at; /* first byte of the latest dispatch */
+    uint32_t tokens_delivered;      /* tokens that the caller received */
+    uint32_t dispatch_count;
+    bool has_run;
 };
 
 /* An ask: a request asks an upstream's home node for a grant.  Its index in
@@ -180,22 +181,25 @@
 void sim_entry_init(struct sim *sim, size_t entry);
 void sim_entry_clear(struct sim *sim, struct sim_entry *entry);
 void sim_request_arrive(struct sim *sim, const struct sim_event *event);
-void sim_request_answer(struct sim *sim, const struct sim_event *event);
+void sim_request_handle_reply(struct sim *sim, const struct sim_event *event);
 void sim_request_dispatch(struct sim *sim, const struct sim_event *event);
-void sim_request_first(struct sim *sim, const struct sim_event *event);
-void sim_request_done(struct sim *sim, const struct sim_event *event);
-void sim_request_fail(struct sim *sim, const struct sim_event *event);
-void sim_entry_down(struct sim *sim, size_t entry);
-void sim_link_cut(struct sim *sim);
+void sim_request_handle_first_byte(struct sim *sim,
+                                   const struct sim_event *event);
+void sim_request_handle_completion(struct sim *sim,
+                                   const struct sim_event *event);
+void sim_request_handle_failure(struct sim *sim,
+                                const struct sim_event *event);
+void sim_entry_stop(struct sim *sim, size_t entry);
+void sim_link_interrupt(struct sim *sim);
 /* Returns the request of an ask, or NULL if the ask is no longer valid. */
-struct sim_request *sim_request_of(struct sim *sim, uint64_t ask);
+struct sim_request *sim_request_find_by_ask(struct sim *sim, uint64_t ask);
 /* Returns the one-way delay in microseconds between two data centres. */
-int64_t sim_delay(const struct sim *sim, size_t centre_a, size_t centre_b);
+int64_t sim_get_delay(const struct sim *sim, size_t centre_a, size_t centre_b);
 
 /* ---- the simulation ---- */
 
 /* State of the key of a non-idempotent request. */
-enum sim_key {
+enum sim_key_state {
     SIM_KEY_RUNNING = 1,
     SIM_KEY_DONE,
     SIM_KEY_UNKNOWN,
@@ -209,25 +213,26 @@
     uint64_t seed;
     int64_t now;
     GArray *heap; /* struct sim_event */
-    uint64_t scheduled;
+    uint64_t next_sequence;
     struct sim_upstream *upstreams;
     struct sim_entry *entries;
     struct sim_store store;
-    GArray **first_items; /* by upstream: struct sim_item at the start */
-    int64_t client_delay; /* longest delay from a caller to an entry node */
-    int64_t *link_free;   /* by region: when its outgoing link is free */
-    struct sim_request *requests; /* by index in the trace */
-    GArray *asks;                 /* struct sim_ask */
-    GHashTable *keys;             /* key to enum sim_key_state */
-    GHashTable *key_runs;         /* key to number of dispatches */
-    uint64_t open;                /* requests not finished */
+    GArray **initial_items; /* by upstream: struct sim_item at the start */
+    int64_t
+        max_client_delay;  /* longest delay from a caller to an entry node */
+    int64_t *link_free_at; /* by region: when its outgoing link is free */
+    struct sim_request *requests;    /* by index in the trace */
+    GArray *asks;                    /* struct sim_ask */
+    GHashTable *keys;                /* key to enum sim_key_state */
+    GHashTable *key_dispatch_counts; /* key to number of dispatches */
+    uint64_t open_requests;          /* requests not finished */
     bool kv_down;
     bool link_down;
-    int64_t link_changed;
-    int64_t end; /* later events are not run */
+    int64_t link_changed_at;
+    int64_t end_at; /* later events are not run */
     struct ch_result *result;
-    uint8_t *model_asked;
-    uint8_t *model_run;
+    uint8_t *model_requested;
+    uint8_t *model_served;
     GHashTable *tenants; /* caller to struct sim_tenant */
 };
 
--- a/libchestnuthitch/replay/sim_engine.c
+++ b/libchestnuthitch/replay/sim_engine.c
@@ -34,16 +34,16 @@
 {
     const struct ch_site_upstream *site = &sim->site->upstreams[upstream];
     sim->upstreams[upstream].engine = (struct sim_engine){
-        .service = site->service != NULL,
+        .is_service = site->service != NULL,
         .capacity_mb = site->memory_mb,
-        .batch = site->batch,
-        .slow = 1.0,
+        .max_batch = site->max_batch,
+        .slowdown = 1.0,
         .running = new_jobs(),
         .waiting = new_jobs(),
         .items = g_array_new(FALSE, TRUE, sizeof(struct sim_item)),
-        .cache = g_array_new(FALSE, FALSE, sizeof(uint64_t)),
-        .done = g_ptr_array_new_with_free_func(g_free),
-        .boot = 1,
+        .prefix_cache = g_array_new(FALSE, FALSE, sizeof(uint64_t)),
+        .completed_orders = g_ptr_array_new_with_free_func(g_free),
+        .boot_id = 1,
     };
 }
 
@@ -54,39 +54,40 @@
     g_array_unref(engine->running);
     g_array_unref(engine->waiting);
     g_array_unref(engine->items);
-    g_array_unref(engine->cache);
-    g_ptr_array_unref(engine->done);
+    g_array_unref(engine->prefix_cache);
+    g_ptr_array_unref(engine->completed_orders);
 }
 
 /* Returns the microseconds for one unit of progress at the current batch. */
 static double
 step_time(const struct sim *sim, const struct sim_engine *engine)
 {
-    if (engine->service) {
-        return engine->slow;
+    if (engine->is_service) {
+        return engine->slowdown;
     }
     const struct ch_site_engine *model = &sim->site->engine;
-    return ((double)model->token +
-            (double)model->token_per_request * engine->running->len) *
-           engine->slow;
+    return ((double)model->token_time +
+            (double)model->token_time_per_request * engine->running->len) *
+           engine->slowdown;
 }
 
 /* Updates the progress to the current time. */
 static void
 advance(struct sim *sim, struct sim_engine *engine)
 {
-    if (engine->running->len > 0 && sim->now > engine->at) {
+    if (engine->running->len > 0 && sim->now > engine->progress_at) {
         engine->progress +=
-            (double)(sim->now - engine->at) / step_time(sim, engine);
+            (double)(sim->now - engine->progress_at) / step_time(sim, engine);
     }
-    engine->at = sim->now;
+    engine->progress_at = sim->now;
 }
 
 /* Returns the progress at which a job's next event is due. */
 static double
 next_progress(const struct sim_job *job)
 {
-    return job->first_out ? job->end : job->first;
+    return job->first_token_sent ? job->end_progress
+                                 : job->first_token_progress;
 }
 
 static void step(struct sim *sim, const struct sim_event *event);
@@ -97,7 +98,7 @@
 schedule_step(struct sim *sim, size_t upstream)
 {
     struct sim_engine *engine = &sim->upstreams[upstream].engine;
-    engine->turn++;
+    engine->step_version++;
     double next = INFINITY;
     for (guint i = 0; i < engine->running->len; i++) {
         next = MIN(next, next_progress(&g_array_index(engine->running,
@@ -107,7 +108,7 @@
         double left =
             MAX(next - engine->progress, 0.0) * step_time(sim, engine);
         sim_schedule(sim, sim->now + (int64_t)ceil(left), step, upstream,
-                     engine->turn, 0);
+                     engine->step_version, 0);
     }
 }
 
@@ -119,16 +120,16 @@
 {
     const struct ch_site_engine *model = &sim->site->engine;
     bool found = false;
-    for (guint i = 0; !found && i < engine->cache->len; i++) {
-        if (g_array_index(engine->cache, uint64_t, i) == prefix) {
-            g_array_remove_index(engine->cache, i);
+    for (guint i = 0; !found && i < engine->prefix_cache->len; i++) {
+        if (g_array_index(engine->prefix_cache, uint64_t, i) == prefix) {
+            g_array_remove_index(engine->prefix_cache, i);
             found = true;
         }
     }
-    g_array_append_val(engine->cache, prefix);
+    g_array_append_val(engine->prefix_cache, prefix);
     guint max = model->cache_tokens / MAX(model->prefix_tokens, 1);
-    if (engine->cache->len > max) {
-        g_array_remove_index(engine->cache, 0);
+    if (engine->prefix_cache->len > max) {
+        g_array_remove_index(engine->prefix_cache, 0);
     }
     return found;
 }
@@ -137,13 +138,13 @@
 static struct sim_job
 make_job(struct sim *sim, struct sim_engine *engine, uint64_t dispatch)
 {
-    const struct sim_request *request = sim_request_of(sim, dispatch);
+    const struct sim_request *request = sim_request_find_by_ask(sim, dispatch);
     struct sim_job job = {.dispatch = dispatch, .tokens = 1};
     const struct ch_site_engine *model = &sim->site->engine;
-    if (engine->service) {
+    if (engine->is_service) {
         double factor = 0.5 + sim_random(sim, dispatch, 11);
-        job.first = factor * (double)model->service;
-        job.end = job.first;
+        job.first_token_progress = factor * (double)model->mean_service_time;
+        job.end_progress = job.first_token_progress;
         return job;
     }
     uint32_t prompt = request->work.prompt_tokens;
@@ -154,12 +155,12 @@
     /* Prefill is converted to progress: the number of tokens that an engine
      * with a single request generates in the prefill time. */
     double single_token_time =
-        (double)(model->token + model->token_per_request);
-    double prefill = (double)prompt / model->prefill_per_s * G_USEC_PER_SEC /
-                     single_token_time;
+        (double)(model->token_time + model->token_time_per_request);
+    double prefill = (double)prompt / model->prefill_tokens_per_s *
+                     G_USEC_PER_SEC / single_token_time;
     job.tokens = request->work.max_output_tokens;
-    job.first = prefill + 1.0;
-    job.end = prefill + MAX(job.tokens, 1);
+    job.first_token_progress = prefill + 1.0;
+    job.end_progress = prefill + MAX(job.tokens, 1);
     return job;
 }
 
@@ -167,11 +168,12 @@
 static void
 start_waiting(struct sim_engine *engine)
 {
-    while (engine->waiting->len > 0 && engine->running->len < engine->batch) {
+    while (engine->waiting->len > 0 &&
+           engine->running->len < engine->max_batch) {
         struct sim_job job = g_array_index(engine->waiting, struct sim_job, 0);
         g_array_remove_index(engine->waiting, 0);
-        job.first += engine->progress;
-        job.end += engine->progress;
+        job.first_token_progress += engine->progress;
+        job.end_progress += engine->progress;
         g_array_append_val(engine->running, job);
     }
 }
@@ -182,10 +184,11 @@
 response_delay(struct sim *sim, size_t upstream, uint64_t dispatch,
                uint64_t bytes)
 {
-    const struct sim_request *request = sim_request_of(sim, dispatch);
+    const struct sim_request *request = sim_request_find_by_ask(sim, dispatch);
     const struct sim_upstream *from = &sim->upstreams[upstream];
     const struct sim_entry *entry = &sim->entries[request->entry];
-    return sim_delay(sim, from->site->data_centre, entry->site->data_centre) +
+    return sim_get_delay(sim, from->site->data_centre,
+                         entry->site->data_centre) +
            sim_link_send(sim, from->region, entry->region, bytes);
 }
 
@@ -194,15 +197,16 @@
 notify_entry(struct sim *sim, size_t upstream, const struct sim_job *job,
              bool end)
 {
-    if (sim_request_of(sim, job->dispatch) == NULL) {
+    if (sim_request_find_by_ask(sim, job->dispatch) == NULL) {
         return;
     }
     uint64_t token_bytes = sim->site->engine.token_bytes;
     uint64_t bytes = end ? token_bytes * job->tokens : token_bytes;
     int64_t delay = response_delay(sim, upstream, job->dispatch, bytes);
     sim_schedule(sim, sim->now + delay,
-                 end ? sim_request_done : sim_request_first, job->dispatch,
-                 job->tokens, 0);
+                 end ? sim_request_handle_completion
+                     : sim_request_handle_first_byte,
+                 job->dispatch, job->tokens, 0);
 }
 
 /* Handles the jobs that are due.  a: upstream, b: step version. */
@@ -211,20 +215,21 @@
 {
     size_t upstream = (size_t)event->a;
     struct sim_engine *engine = &sim->upstreams[upstream].engine;
-    if (event->b != engine->turn) {
+    if (event->b != engine->step_version) {
         return;
     }
     advance(sim, engine);
     for (guint i = 0; i < engine->running->len;) {
         struct sim_job *job =
             &g_array_index(engine->running, struct sim_job, i);
-        if (!job->first_out &&
-            job->first <= engine->progress + PROGRESS_TOLERANCE) {
-            job->first_out = true;
+        if (!job->first_token_sent &&
+            job->first_token_progress <=
+                engine->progress + PROGRESS_TOLERANCE) {
+            job->first_token_sent = true;
             notify_entry(sim, upstream, job, false);
         }
-        if (job->first_out &&
-            job->end <= engine->progress + PROGRESS_TOLERANCE) {
+        if (job->first_token_sent &&
+            job->end_progress <= engine->progress + PROGRESS_TOLERANCE) {
             notify_entry(sim, upstream, job, true);
             g_array_remove_index(engine->running, i);
             continue;
@@ -240,12 +245,12 @@
 fail_dispatch(struct sim *sim, size_t upstream, uint64_t dispatch,
               enum ch_code code, bool may_have_run)
 {
-    if (sim_request_of(sim, dispatch) == NULL) {
+    if (sim_request_find_by_ask(sim, dispatch) == NULL) {
         return;
     }
     int64_t delay = response_delay(sim, upstream, dispatch, 0);
-    sim_schedule(sim, sim->now + delay, sim_request_fail, dispatch, code,
-                 may_have_run ? 1 : 0);
+    sim_schedule(sim, sim->now + delay, sim_request_handle_failure, dispatch,
+                 code, may_have_run ? 1 : 0);
 }
 
 /* Accepts a request that reached the upstream, or fails it: the engine is
@@ -254,17 +259,17 @@
 sim_engine_accept(struct sim *sim, size_t upstream, uint64_t dispatch)
 {
     struct sim_engine *engine = &sim->upstreams[upstream].engine;
-    const struct sim_request *request = sim_request_of(sim, dispatch);
+    const struct sim_request *request = sim_request_find_by_ask(sim, dispatch);
     if (engine->down) {
         fail_dispatch(sim, upstream, dispatch, CH_UPSTREAM_CONNECT, false);
         return;
     }
     bool drained =
-        engine->leaving && sim->now - engine->left_at > DRAIN_GRACE_US;
-    bool absent =
-        !engine->service && (!sim_engine_has(engine, request->work.model) ||
-                             (request->work.adapter != 0 &&
-                              !sim_engine_has(engine, request->work.adapter)));
+        engine->draining && sim->now - engine->draining_since > DRAIN_GRACE_US;
+    bool absent = !engine->is_service &&
+                  (!sim_engine_has_item(engine, request->work.model) ||
+                   (request->work.adapter != 0 &&
+                    !sim_engine_has_item(engine, request->work.adapter)));
     if (drained || absent) {
         fail_dispatch(sim, upstream, dispatch, CH_UPSTREAM_REFUSED, false);
         return;
@@ -299,26 +304,27 @@
 static uint32_t
 tokens_out(const struct sim_engine *engine, const struct sim_job *job)
 {
-    if (!job->first_out) {
+    if (!job->first_token_sent) {
         return 0;
     }
-    double out = engine->progress - job->first + 1.0;
+    double out = engine->progress - job->first_token_progress + 1.0;
     return (uint32_t)CLAMP(out, 1.0, (double)job->tokens);
 }
 
 /* Crashes an engine: running requests are interrupted, the memory is lost and
  * the boot ID changes. */
 void
-sim_engine_fail(struct sim *sim, size_t upstream)
+sim_engine_crash(struct sim *sim, size_t upstream)
 {
     struct sim_engine *engine = &sim->upstreams[upstream].engine;
     advance(sim, engine);
     for (guint i = 0; i < engine->running->len; i++) {
         const struct sim_job *job =
             &g_array_index(engine->running, struct sim_job, i);
-        struct sim_request *request = sim_request_of(sim, job->dispatch);
+        struct sim_request *request =
+            sim_request_find_by_ask(sim, job->dispatch);
         if (request != NULL) {
-            request->given += tokens_out(engine, job);
+            request->tokens_delivered += tokens_out(engine, job);
         }
         fail_dispatch(sim, upstream, job->dispatch, CH_UPSTREAM_CUT, true);
     }
@@ -330,20 +336,20 @@
     g_array_set_size(engine->running, 0);
     g_array_set_size(engine->waiting, 0);
     g_array_set_size(engine->items, 0);
-    g_array_set_size(engine->cache, 0);
-    g_ptr_array_set_size(engine->done, 0);
-    engine->boot++;
-    engine->turn++;
+    g_array_set_size(engine->prefix_cache, 0);
+    g_ptr_array_set_size(engine->completed_orders, 0);
+    engine->boot_id++;
+    engine->step_version++;
     engine->down = true;
 }
 
 /* Sets the factor by which an engine's tokens take longer (1: none). */
 void
-sim_engine_set_slow(struct sim *sim, size_t upstream, double slow)
+sim_engine_set_slowdown(struct sim *sim, size_t upstream, double slow)
 {
     struct sim_engine *engine = &sim->upstreams[upstream].engine;
     advance(sim, engine);
-    engine->slow = slow;
+    engine->slowdown = slow;
     schedule_step(sim, upstream);
 }
 
@@ -361,7 +367,7 @@
 
 /* Returns whether an item is loaded. */
 bool
-sim_engine_has(const struct sim_engine *engine, GQuark item)
+sim_engine_has_item(const struct sim_engine *engine, GQuark item)
 {
     int index = find_item(engine, item);
     return index >= 0 &&
@@ -373,9 +379,9 @@
 static void
 record_completed(struct sim_engine *engine, const char *order)
 {
-    g_ptr_array_add(engine->done, g_strdup(order));
-    if (engine->done->len > MAX_REPORTED_ORDERS) {
-        g_ptr_array_remove_index(engine->done, 0);
+    g_ptr_array_add(engine->completed_orders, g_strdup(order));
+    if (engine->completed_orders->len > MAX_REPORTED_ORDERS) {
+        g_ptr_array_remove_index(engine->completed_orders, 0);
     }
 }
 
@@ -406,17 +412,18 @@
     }
     else {
         sim->result->adapter_loads++;
-        sim_store_adapter(sim, upstream, item);
+        sim_store_load_adapter(sim, upstream, item);
     }
 }
 
 /* Finishes a load, unless the engine restarted or dropped the item. */
 void
-sim_engine_loaded(struct sim *sim, size_t upstream, GQuark item, unsigned boot)
+sim_engine_finish_load(struct sim *sim, size_t upstream, GQuark item,
+                       unsigned boot)
 {
     struct sim_engine *engine = &sim->upstreams[upstream].engine;
     int index = find_item(engine, item);
-    if (engine->boot != boot || index < 0) {
+    if (engine->boot_id != boot || index < 0) {
         return;
     }
     struct sim_item *held =
--- a/libchestnuthitch/replay/sim_entries.c
+++ b/libchestnuthitch/replay/sim_entries.c
@@ -31,7 +31,7 @@
     host->site = &site->entries[entry];
     host->region = site->data_centres[centre].region;
     host->up = true;
-    host->asked = g_new0(uint32_t, site->upstream_count);
+    host->pending_asks = g_new0(uint32_t, site->upstream_count);
     host->fleet = (struct ch_fleet){
         .upstreams = g_new0(struct ch_upstream_view, site->upstream_count),
         .count = site->upstream_count,
@@ -44,11 +44,11 @@
         size_t other = site->entries[i].data_centre;
         neighbours += site->data_centres[other].region == host->region ? 1 : 0;
     }
-    double bytes = site->link_mbit * 1e6 / 8.0 * LINK_DATA_SHARE;
+    double bytes = site->link_mbit_per_s * 1e6 / 8.0 * LINK_DATA_SHARE;
     bytes /= (double)neighbours;
-    ch_token_bucket_init(&host->link, bytes, 2.0 * bytes, 0);
-    ch_token_bucket_init(&host->loads, site->loads_per_s, 3.0, 0);
-    ch_retry_budget_init(&host->budget, RETRIES_PER_REQUEST);
+    ch_token_bucket_init(&host->link_budget, bytes, 2.0 * bytes, 0);
+    ch_token_bucket_init(&host->load_budget, site->loads_per_s, 3.0, 0);
+    ch_retry_budget_init(&host->retry_budget, RETRIES_PER_REQUEST);
 }
 
 /* Frees the members of an entry node, but not the node itself. */
@@ -63,13 +63,13 @@
         }
     }
     g_free(entry->fleet.upstreams);
-    g_free(entry->asked);
+    g_free(entry->pending_asks);
 }
 
 /* Returns the one-way delay in microseconds between two data centres (200
  * within a data centre). */
 int64_t
-sim_delay(const struct sim *sim, size_t centre_a, size_t centre_b)
+sim_get_delay(const struct sim *sim, size_t centre_a, size_t centre_b)
 {
     const struct ch_site *site = sim->site;
     if (centre_a == centre_b) {
@@ -85,11 +85,13 @@
 /* Returns the unfinished request whose current ask has this number, or NULL.
  */
 struct sim_request *
-sim_request_of(struct sim *sim, uint64_t ask)
+sim_request_find_by_ask(struct sim *sim, uint64_t ask)
 {
     size_t index = g_array_index(sim->asks, struct sim_ask, ask).request;
     struct sim_request *request = &sim->requests[index];
-    return request->state != SIM_OVER && request->ask == ask ? request : NULL;
+    return request->state != SIM_FINISHED && request->current_ask == ask
+               ? request
+               : NULL;
 }
 
 /* Returns the region where a caller's requests arrive. */
@@ -133,7 +135,7 @@
             }
         }
     }
-    return SIM_NOBODY;
+    return SIM_NO_HOST;
 }
 
 /* Returns the key of sim.keys for a request; the caller frees it. */
@@ -154,7 +156,7 @@
 /* Sets the state of the request's key, if it has one. */
 static void
 set_key_state(struct sim *sim, const struct sim_request *request,
-              enum sim_key state)
+              enum sim_key_state state)
 {
     if (is_keyed(request)) {
         g_hash_table_replace(sim->keys, format_key(request),
@@ -184,15 +186,15 @@
 {
     const struct ch_class *class =
         &sim->declaration->classes[request->event->class_index];
-    if (class->first_token > 0 && first > class->first_token) {
+    if (class->first_token_target > 0 && first > class->first_token_target) {
         return false;
     }
-    if (class->whole_answer > 0 && last > class->whole_answer) {
+    if (class->response_target > 0 && last > class->response_target) {
         return false;
     }
     uint32_t tokens = request->event->output_tokens;
-    if (class->between_tokens > 0 && tokens > 1) {
-        return (last - first) / (tokens - 1) <= class->between_tokens;
+    if (class->token_target > 0 && tokens > 1) {
+        return (last - first) / (tokens - 1) <= class->token_target;
     }
     return true;
 }
@@ -218,18 +220,19 @@
         &result->classes[request->event->class_index];
     int64_t return_delay =
         sim->site->regions[sim->entries[request->entry].region].client_delay;
-    int64_t last = sim->now + return_delay - request->arrived;
-    int64_t first = request->first > 0
-                        ? request->first + return_delay - request->arrived
+    int64_t last = sim->now + return_delay - request->sent_by_caller_at;
+    int64_t first = request->first_byte_at > 0
+                        ? request->first_byte_at + return_delay -
+                              request->sent_by_caller_at
                         : last;
     struct sim_tenant *tenant = get_tenant(sim, request);
-    request->state = SIM_OVER;
-    sim->open--;
+    request->state = SIM_FINISHED;
+    sim->open_requests--;
     g_array_unref(request->excluded);
     request->excluded = NULL;
     if (code == CH_OK) {
         bool met = is_within_target(sim, request, first, last);
-        g_array_append_val(class->times, last);
+        g_array_append_val(class->response_times, last);
         result->met += met ? 1 : 0;
         class->met += met ? 1 : 0;
         tenant->met += met ? 1 : 0;
@@ -238,11 +241,11 @@
             count_second(result->goodput, request->event->at);
         }
         if (request->event->model >= 0) {
-            sim->model_run[request->event->model] = 1;
+            sim->model_served[request->event->model] = 1;
         }
         return;
     }
-    if (!request->ran && ch_code_outcome(code) == CH_NOT_RUN) {
+    if (!request->has_run && ch_code_get_outcome(code) == CH_NOT_RUN) {
         result->refused_not_run++;
         class->refused++;
         g_array_append_val(result->refusal_times, last);
@@ -261,44 +264,47 @@
 ask_home(struct sim *sim, struct sim_request *request)
 {
     struct sim_entry *entry = &sim->entries[request->entry];
-    request->ask = sim->asks->len;
-    request->work.id = request->ask;
+    request->current_ask = sim->asks->len;
+    request->work.id = request->current_ask;
     request->state = SIM_ASKING;
     entry->fleet.link_bytes_left =
-        (int64_t)ch_token_bucket_level(&entry->link, sim->now);
-    struct ch_route route =
-        ch_route_choose_retry(sim->policy, &entry->fleet, &request->work,
-                              request->excluded, request->failed, sim->now);
+        (int64_t)ch_token_bucket_level(&entry->link_budget, sim->now);
+    struct ch_route route = ch_route_choose_retry(
+        sim->policy, &entry->fleet, &request->work, request->excluded,
+        request->failed_count, sim->now);
     struct sim_ask record = {
         .request = (uint64_t)(request - sim->requests),
         .upstream = route.code == CH_OK ? route.upstream : 0,
     };
     g_array_append_val(sim->asks, record);
     if (route.code != CH_OK) {
-        set_key_state(sim, request, request->ran ? SIM_KEY_UNKNOWN : 0);
+        set_key_state(sim, request, request->has_run ? SIM_KEY_UNKNOWN : 0);
         /* The caller receives the last home node's refusal, as from a real
          * node. */
         finish(sim, request,
-               request->refusal != CH_OK ? request->refusal : route.code);
+               request->last_refusal != CH_OK ? request->last_refusal
+                                              : route.code);
         return;
     }
     request->upstream = (int)route.upstream;
-    request->asks++;
-    entry->asked[route.upstream]++;
+    request->asks_since_dispatch++;
+    entry->pending_asks[route.upstream]++;
     int host = sim->upstreams[route.upstream].host;
-    if (host == SIM_NOBODY) {
-        sim_schedule(sim, sim->now + 1000, sim_request_answer, request->ask,
-                     CH_PEER_LOST, 0);
+    if (host == SIM_NO_HOST) {
+        sim_schedule(sim, sim->now + 1000, sim_request_handle_reply,
+                     request->current_ask, CH_PEER_LOST, 0);
         return;
     }
     if (sim->link_down && sim->entries[host].region != entry->region) {
-        sim_schedule(sim, sim->now + SILENCE_LIMIT_US, sim_request_answer,
-                     request->ask, CH_PEER_TIMEOUT, 0);
+        sim_schedule(sim, sim->now + SILENCE_LIMIT_US,
+                     sim_request_handle_reply, request->current_ask,
+                     CH_PEER_TIMEOUT, 0);
         return;
     }
-    int64_t delay = sim_delay(sim, entry->site->data_centre,
-                              sim->entries[host].site->data_centre);
-    sim_schedule(sim, sim->now + delay, sim_home_ask, request->ask, 0, 0);
+    int64_t delay = sim_get_delay(sim, entry->site->data_centre,
+                                  sim->entries[host].site->data_centre);
+    sim_schedule(sim, sim->now + delay, sim_home_handle_ask,
+                 request->current_ask, 0, 0);
 }
 
 /* Fills in the part of a request on which decisions are based. */
@@ -309,8 +315,8 @@
     const struct ch_declaration *declaration = sim->declaration;
     const struct ch_class *class = &declaration->classes[event->class_index];
     struct ch_request_info *work = &request->work;
-    int64_t target =
-        class->first_token > 0 ? class->first_token : class->whole_answer;
+    int64_t target = class->first_token_target > 0 ? class->first_token_target
+                                                   : class->response_target;
     *work = (struct ch_request_info){
         .is_service =
             event->model<0, .class_name = g_quark_from_string(class->name),
@@ -321,9 +327,9 @@
                          .first_token_deadline = target> 0
                 ? sim->now + target
                 : 0,
-        .token_target = class->between_tokens,
+        .token_target = class->token_target,
         .answer_deadline =
-            class->whole_answer > 0 ? sim->now + class->whole_answer : 0,
+            class->response_target > 0 ? sim->now + class->response_target : 0,
         .idempotent = class->idempotent,
     };
     if (work->is_service) {
@@ -334,7 +340,7 @@
     const struct ch_model *model = &declaration->models[event->model];
     work->model = g_quark_from_string(model->name);
     work->model_mb = model->memory_mb;
-    sim->model_asked[event->model] = 1;
+    sim->model_requested[event->model] = 1;
     if (event->adapter >= 0) {
         char *name = g_strdup_printf("%s/%s", model->name,
                                      model->adapters[event->adapter]);
@@ -359,7 +365,7 @@
 ask_after_record(struct sim *sim, const struct sim_event *event)
 {
     struct sim_request *request = &sim->requests[event->a];
-    if (request->state != SIM_OVER) {
+    if (request->state != SIM_FINISHED) {
         ask_home(sim, request);
     }
 }
@@ -381,14 +387,14 @@
         finish(sim, request, CH_OK);
     }
     else if (state != 0) {
-        request->ran = true;
+        request->has_run = true;
         finish(sim, request,
                state == SIM_KEY_RUNNING ? CH_IN_PROGRESS : CH_OUTCOME_UNKNOWN);
     }
     else {
         set_key_state(sim, request, SIM_KEY_RUNNING);
         size_t centre = sim->entries[request->entry].site->data_centre;
-        int64_t delay = KV_WRITE_US + 2 * sim_delay(sim, centre, 0);
+        int64_t delay = KV_WRITE_US + 2 * sim_get_delay(sim, centre, 0);
         sim_schedule(sim, sim->now + delay, ask_after_record,
                      (uint64_t)(request - sim->requests), 0, 0);
     }
@@ -402,21 +408,21 @@
     const struct ch_trace_event *from = &sim->trace->events[event->a];
     int entry = pick_entry(sim, from->caller, event->a);
     request->event = from;
-    request->arrived = from->at;
-    request->entry = entry == SIM_NOBODY ? 0 : (size_t)entry;
-    request->upstream = SIM_NOBODY;
-    request->ask = G_MAXUINT64;
+    request->sent_by_caller_at = from->at;
+    request->entry = entry == SIM_NO_HOST ? 0 : (size_t)entry;
+    request->upstream = SIM_NO_HOST;
+    request->current_ask = G_MAXUINT64;
     request->excluded = g_array_new(FALSE, FALSE, sizeof(GQuark));
     fill_request_info(sim, request);
     get_tenant(sim, request)->requests++;
     sim->result->requests++;
     sim->result->classes[from->class_index].requests++;
     count_second(sim->result->offered, from->at);
-    if (entry == SIM_NOBODY) {
+    if (entry == SIM_NO_HOST) {
         finish(sim, request, CH_NO_UPSTREAM);
         return;
     }
-    ch_retry_budget_add_request(&sim->entries[entry].budget);
+    ch_retry_budget_add_request(&sim->entries[entry].retry_budget);
     if (is_keyed(request)) {
         start_keyed(sim, request);
         return;
@@ -434,15 +440,16 @@
         &g_array_index(sim->asks, struct sim_ask, ask);
     const struct sim_request *request = &sim->requests[record->request];
     int host = sim->upstreams[record->upstream].host;
-    if (host == SIM_NOBODY) {
+    if (host == SIM_NO_HOST) {
         return;
     }
     int64_t delay =
-        sim_delay(sim, sim->entries[request->entry].site->data_centre,
-                  sim->entries[host].site->data_centre);
+        sim_get_delay(sim, sim->entries[request->entry].site->data_centre,
+                      sim->entries[host].site->data_centre);
     uint64_t sample = ((uint64_t)MIN(first, UINT32_MAX) << 32) |
                       (uint64_t)MIN(token, UINT32_MAX);
-    sim_schedule(sim, sim->now + delay, sim_home_release, ask, code, sample);
+    sim_schedule(sim, sim->now + delay, sim_home_handle_release, ask, code,
+                 sample);
 }
 
 /* Sends a request to its upstream. */
@@ -452,24 +459,24 @@
     struct sim_entry *entry = &sim->entries[request->entry];
     const struct sim_upstream *to = &sim->upstreams[request->upstream];
     request->state = SIM_RUNNING;
-    request->sent = sim->now;
-    request->this_first = 0;
-    request->dispatches++;
+    request->dispatched_at = sim->now;
+    request->dispatch_first_byte_at = 0;
+    request->dispatch_count++;
     sim->result->dispatches++;
-    sim->result->retries += request->dispatches > 1 ? 1 : 0;
+    sim->result->retries += request->dispatch_count > 1 ? 1 : 0;
     int64_t delay =
-        sim_delay(sim, entry->site->data_centre, to->site->data_centre);
+        sim_get_delay(sim, entry->site->data_centre, to->site->data_centre);
     if (to->region != entry->region) {
         const struct ch_site_engine *model = &sim->site->engine;
         uint64_t bytes = 4ull * request->work.prompt_tokens;
         uint64_t response_bytes =
             (uint64_t)model->token_bytes * request->work.max_output_tokens;
-        ch_token_bucket_take(&entry->link, (double)(bytes + response_bytes),
-                             sim->now);
+        ch_token_bucket_take(&entry->link_budget,
+                             (double)(bytes + response_bytes), sim->now);
         delay += sim_link_send(sim, entry->region, to->region, bytes);
     }
-    sim_schedule(sim, sim->now + delay, sim_request_dispatch, request->ask, 0,
-                 0);
+    sim_schedule(sim, sim->now + delay, sim_request_dispatch,
+                 request->current_ask, 0, 0);
 }
 
 /* Returns whether another home node may still grant a request refused with
@@ -485,11 +492,11 @@
 /* Handles a home node's reply to an ask.  a: the ask, b: code, c: time after
  * which to retry. */
 void
-sim_request_answer(struct sim *sim, const struct sim_event *event)
+sim_request_handle_reply(struct sim *sim, const struct sim_event *event)
 {
     const struct sim_ask *record =
         &g_array_index(sim->asks, struct sim_ask, event->a);
-    struct sim_request *request = sim_request_of(sim, event->a);
+    struct sim_request *request = sim_request_find_by_ask(sim, event->a);
     enum ch_code code = (enum ch_code)event->b;
     if (request == NULL || request->state != SIM_ASKING) {
         if (code == CH_OK) {
@@ -497,24 +504,24 @@
         }
         return;
     }
-    sim->entries[request->entry].asked[record->upstream]--;
+    sim->entries[request->entry].pending_asks[record->upstream]--;
     if (code == CH_OK) {
         send_request(sim, request);
         return;
     }
     GQuark name = sim->upstreams[record->upstream].name;
     g_array_append_val(request->excluded, name);
-    if (ch_code_outcome(code) == CH_NOT_RUN) {
-        request->refusal = code;
+    if (ch_code_get_outcome(code) == CH_NOT_RUN) {
+        request->last_refusal = code;
     }
-    if (request->asks < MAX_ASKS && may_ask_other_home(code)) {
+    if (request->asks_since_dispatch < MAX_ASKS && may_ask_other_home(code)) {
         ask_home(sim, request);
         return;
     }
     if (code == CH_PEER_LOST || code == CH_PEER_TIMEOUT) {
         code = CH_NO_UPSTREAM; /* without a grant, nothing was dispatched */
     }
-    set_key_state(sim, request, request->ran ? SIM_KEY_UNKNOWN : 0);
+    set_key_state(sim, request, request->has_run ? SIM_KEY_UNKNOWN : 0);
     finish(sim, request, code);
 }
 
@@ -522,15 +529,17 @@
 void
 sim_request_dispatch(struct sim *sim, const struct sim_event *event)
 {
-    struct sim_request *request = sim_request_of(sim, event->a);
+    struct sim_request *request = sim_request_find_by_ask(sim, event->a);
     if (request == NULL) {
         return;
     }
     size_t upstream = (size_t)request->upstream;
     if (is_keyed(request) && !sim->upstreams[upstream].engine.down) {
         char *text = format_key(request);
-        int runs = GPOINTER_TO_INT(g_hash_table_lookup(sim->key_runs, text));
-        g_hash_table_replace(sim->key_runs, text, GINT_TO_POINTER(runs + 1));
+        int runs = GPOINTER_TO_INT(
+            g_hash_table_lookup(sim->key_dispatch_counts, text));
+        g_hash_table_replace(sim->key_dispatch_counts, text,
+                             GINT_TO_POINTER(runs + 1));
         sim->result->ran_twice += runs == 1 ? 1 : 0;
     }
     sim_engine_accept(sim, upstream, event->a);
@@ -538,32 +547,34 @@
 
 /* Handles the first token at the entry node.  a: the ask. */
 void
-sim_request_first(struct sim *sim, const struct sim_event *event)
+sim_request_handle_first_byte(struct sim *sim, const struct sim_event *event)
 {
-    struct sim_request *request = sim_request_of(sim, event->a);
+    struct sim_request *request = sim_request_find_by_ask(sim, event->a);
     if (request == NULL || request->state != SIM_RUNNING) {
         return;
     }
-    request->this_first = sim->now;
-    if (request->first == 0) {
-        request->first = sim->now;
+    request->dispatch_first_byte_at = sim->now;
+    if (request->first_byte_at == 0) {
+        request->first_byte_at = sim->now;
     }
 }
 
 /* Handles the end of a complete response.  a: the ask, b: tokens. */
 void
-sim_request_done(struct sim *sim, const struct sim_event *event)
+sim_request_handle_completion(struct sim *sim, const struct sim_event *event)
 {
-    struct sim_request *request = sim_request_of(sim, event->a);
+    struct sim_request *request = sim_request_find_by_ask(sim, event->a);
     if (request == NULL || request->state != SIM_RUNNING) {
         return;
     }
     int64_t first =
-        (request->this_first > 0 ? request->this_first : sim->now) -
-        request->sent;
+        (request->dispatch_first_byte_at > 0 ? request->dispatch_first_byte_at
+                                             : sim->now) -
+        request->dispatched_at;
     int64_t token = 0;
     if (event->b > 1 && !request->work.is_service) {
-        token = (sim->now - request->sent - first) / (int64_t)(event->b - 1);
+        token = (sim->now - request->dispatched_at - first) /
+                (int64_t)(event->b - 1);
     }
     release_grant(sim, event->a, CH_OK, first, token);
     set_key_state(sim, request, SIM_KEY_DONE);
@@ -573,46 +584,46 @@
 /* Handles a failed dispatch: retries the request or finishes it.  a: the ask,
  * b: code, c: 1 if the request may have run. */
 void
-sim_request_fail(struct sim *sim, const struct sim_event *event)
+sim_request_handle_failure(struct sim *sim, const struct sim_event *event)
 {
-    struct sim_request *request = sim_request_of(sim, event->a);
+    struct sim_request *request = sim_request_find_by_ask(sim, event->a);
     if (request == NULL || request->state != SIM_RUNNING) {
         return;
     }
     enum ch_code code = (enum ch_code)event->b;
     bool ran = event->c != 0;
-    request->ran = request->ran || ran;
+    request->has_run = request->has_run || ran;
     release_grant(sim, event->a, code, 0, 0);
     GQuark name = sim->upstreams[request->upstream].name;
-    g_array_set_size(request->excluded, request->failed);
+    g_array_set_size(request->excluded, request->failed_count);
     g_array_append_val(request->excluded, name);
-    request->failed++;
-    request->refusal = CH_OK;
+    request->failed_count++;
+    request->last_refusal = CH_OK;
     const struct ch_retry_failure failure = {
         .code = code,
         .may_have_run = ran,
         .is_resumable = !request->work.is_service,
-        .events_delivered = request->given,
+        .events_delivered = request->tokens_delivered,
     };
     bool retry_taken = false;
     enum ch_retry retry =
-        ch_retry_decide(&sim->entries[request->entry].budget, &retry_taken,
-                        &request->work, &failure, sim->now);
+        ch_retry_decide(&sim->entries[request->entry].retry_budget,
+                        &retry_taken, &request->work, &failure, sim->now);
     if (retry == CH_RETRY_NO) {
-        set_key_state(sim, request, request->ran ? SIM_KEY_UNKNOWN : 0);
+        set_key_state(sim, request, request->has_run ? SIM_KEY_UNKNOWN : 0);
         finish(sim, request, code);
         return;
     }
     if (retry == CH_RETRY_RESUME) {
         uint32_t all = request->event->output_tokens;
         request->work.max_output_tokens =
-            MAX(all - MIN(request->given, all), 1);
+            MAX(all - MIN(request->tokens_delivered, all), 1);
     }
     else {
-        request->given = 0;
+        request->tokens_delivered = 0;
     }
     request->work.attempt++;
-    request->asks = 0;
+    request->asks_since_dispatch = 0;
     ask_home(sim, request);
 }
 
@@ -622,43 +633,44 @@
 {
     size_t upstream =
         g_array_index(sim->asks, struct sim_ask, event->a).upstream;
-    sim_home_forget(sim, upstream, event->a);
+    sim_home_withdraw(sim, upstream, event->a);
 }
 
 /* Stops an entry node, which interrupts the connections of its callers. */
 void
-sim_entry_down(struct sim *sim, size_t entry)
+sim_entry_stop(struct sim *sim, size_t entry)
 {
     sim->entries[entry].up = false;
     for (size_t i = 0; i < sim->trace->count; i++) {
         struct sim_request *request = &sim->requests[i];
-        if (request->event == NULL || request->state == SIM_OVER ||
+        if (request->event == NULL || request->state == SIM_FINISHED ||
             request->entry != entry) {
             continue;
         }
         if (request->state == SIM_RUNNING) {
-            sim_engine_cancel(sim, (size_t)request->upstream, request->ask);
+            sim_engine_cancel(sim, (size_t)request->upstream,
+                              request->current_ask);
         }
-        if (request->upstream != SIM_NOBODY) {
+        if (request->upstream != SIM_NO_HOST) {
             sim_schedule(sim, sim->now + SILENCE_LIMIT_US, withdraw_ask,
-                         request->ask, 0, 0);
+                         request->current_ask, 0, 0);
         }
-        request->ran = true; /* the caller can't know whether it ran */
+        request->has_run = true; /* the caller can't know whether it ran */
         set_key_state(sim, request, SIM_KEY_UNKNOWN);
         finish(sim, request, CH_UPSTREAM_CUT);
     }
-    memset(sim->entries[entry].asked, 0,
+    memset(sim->entries[entry].pending_asks, 0,
            sim->site->upstream_count * sizeof(uint32_t));
 }
 
 /* Interrupts the link between regions: calls and asks across it stall. */
 void
-sim_link_cut(struct sim *sim)
+sim_link_interrupt(struct sim *sim)
 {
     for (size_t i = 0; i < sim->trace->count; i++) {
         struct sim_request *request = &sim->requests[i];
-        if (request->event == NULL || request->state == SIM_OVER ||
-            request->upstream == SIM_NOBODY) {
+        if (request->event == NULL || request->state == SIM_FINISHED ||
+            request->upstream == SIM_NO_HOST) {
             continue;
         }
         const struct sim_upstream *to = &sim->upstreams[request->upstream];
@@ -666,15 +678,18 @@
             continue;
         }
         if (request->state == SIM_RUNNING) {
-            sim_engine_cancel(sim, (size_t)request->upstream, request->ask);
-            sim_schedule(sim, sim->now + STALL_TIMEOUT_US, sim_request_fail,
-                         request->ask, CH_UPSTREAM_STALLED, 1);
+            sim_engine_cancel(sim, (size_t)request->upstream,
+                              request->current_ask);
+            sim_schedule(sim, sim->now + STALL_TIMEOUT_US,
+                         sim_request_handle_failure, request->current_ask,
+                         CH_UPSTREAM_STALLED, 1);
         }
         else {
-            sim_schedule(sim, sim->now + SILENCE_LIMIT_US, sim_request_answer,
-                         request->ask, CH_PEER_TIMEOUT, 0);
+            sim_schedule(sim, sim->now + SILENCE_LIMIT_US,
+                         sim_request_handle_reply, request->current_ask,
+                         CH_PEER_TIMEOUT, 0);
             sim_schedule(sim, sim->now + SILENCE_LIMIT_US, withdraw_ask,
-                         request->ask, 0, 0);
+                         request->current_ask, 0, 0);
         }
     }
 }
--- a/libchestnuthitch/replay/sim_homes.c
+++ b/libchestnuthitch/replay/sim_homes.c
@@ -22,14 +22,14 @@
  * rendezvous weight among the live entry nodes of its data centre, or if there
  * are none, of its region, or else of all regions. */
 int
-sim_home_host(const struct sim *sim, size_t upstream)
+sim_home_get_host(const struct sim *sim, size_t upstream)
 {
     const struct ch_site *site = sim->site;
     size_t centre = site->upstreams[upstream].data_centre;
     size_t region = site->data_centres[centre].region;
     uint64_t key = ch_hash_string(site->upstreams[upstream].name);
     for (int scope = 0; scope < 3; scope++) {
-        int best = SIM_NOBODY;
+        int best = SIM_NO_HOST;
         uint64_t best_weight = 0;
         for (size_t i = 0; i < site->entry_count; i++) {
             size_t entry_centre = site->entries[i].data_centre;
@@ -40,16 +40,16 @@
             uint64_t weight =
                 ch_hash_pair(key, ch_hash_string(site->entries[i].name));
             if (sim->entries[i].up && in_scope &&
-                (best == SIM_NOBODY || weight > best_weight)) {
+                (best == SIM_NO_HOST || weight > best_weight)) {
                 best = (int)i;
                 best_weight = weight;
             }
         }
-        if (best != SIM_NOBODY) {
+        if (best != SIM_NO_HOST) {
             return best;
         }
     }
-    return SIM_NOBODY;
+    return SIM_NO_HOST;
 }
 
 /* Returns an upstream's configuration as the host list would have it. */
@@ -64,7 +64,7 @@
                        : g_quark_from_string(upstream_state->site->service),
         .capacity_mb = upstream_state->site->memory_mb,
         .accelerators = upstream_state->site->accelerators,
-        .batch = upstream_state->site->batch,
+        .batch = upstream_state->site->max_batch,
         .max_queue = MAX_QUEUE_LENGTH,
     };
 }
@@ -76,9 +76,9 @@
 {
     struct sim_upstream *upstream_state = &sim->upstreams[upstream];
     struct ch_upstream_config config = get_config(sim, upstream);
-    upstream_state->host = sim_home_host(sim, upstream);
+    upstream_state->host = sim_home_get_host(sim, upstream);
     upstream_state->home = ch_home_new(sim->policy, &config, sim->now);
-    upstream_state->told = g_hash_table_new(NULL, NULL);
+    upstream_state->published_states = g_hash_table_new(NULL, NULL);
     if (upstream_state->ledger == NULL) {
         upstream_state->ledger = ch_ledger_new(
             upstream_state->site->name, upstream_state->site->memory_mb);
@@ -91,9 +91,9 @@
 sim_home_clear(struct sim_upstream *upstream)
 {
     ch_home_free(upstream->home);
-    g_hash_table_unref(upstream->told);
+    g_hash_table_unref(upstream->published_states);
     upstream->home = NULL;
-    upstream->told = NULL;
+    upstream->published_states = NULL;
 }
 
 /* Returns whether the home node reaches the key-value store, which is in the
@@ -104,7 +104,7 @@
     if (sim->kv_down) {
         return false;
     }
-    return !sim->link_down || upstream_state->host == SIM_NOBODY ||
+    return !sim->link_down || upstream_state->host == SIM_NO_HOST ||
            sim->entries[upstream_state->host].region == 0;
 }
 
@@ -132,8 +132,8 @@
             loading += strchr(name, '/') == NULL ? 1 : 0;
         }
     }
-    unsigned max_loads = sim->site->loads_parallel;
-    double level = ch_token_bucket_level(&host->loads, sim->now);
+    unsigned max_loads = sim->site->max_parallel_loads;
+    double level = ch_token_bucket_level(&host->load_budget, sim->now);
     unsigned left = loading < max_loads ? max_loads - loading : 0;
     host->fleet.store_loads_left = MIN(left, (unsigned)level);
     return &host->fleet;
@@ -155,25 +155,26 @@
             action->kind == CH_ACTION_UNLOAD) {
             bool load = action->kind == CH_ACTION_LOAD;
             if (load && strchr(g_quark_to_string(action->item), '/') == NULL) {
-                ch_token_bucket_take(&sim->entries[upstream_state->host].loads,
-                                     1.0, sim->now);
+                ch_token_bucket_take(
+                    &sim->entries[upstream_state->host].load_budget, 1.0,
+                    sim->now);
             }
             int64_t delay =
-                KV_WRITE_US + 2 * sim_delay(sim, host->data_centre, 0);
+                KV_WRITE_US + 2 * sim_get_delay(sim, host->data_centre, 0);
             sim_schedule(sim, sim->now + delay, send_order, upstream,
                          action->item,
                          ((uint64_t)action->memory_mb << 1) | (load ? 1 : 0));
             continue;
         }
         const struct sim_request *request =
-            sim_request_of(sim, action->request_id);
+            sim_request_find_by_ask(sim, action->request_id);
         int64_t delay = 0;
         if (request != NULL) {
             const struct sim_entry *entry = &sim->entries[request->entry];
-            delay =
-                sim_delay(sim, host->data_centre, entry->site->data_centre);
+            delay = sim_get_delay(sim, host->data_centre,
+                                  entry->site->data_centre);
         }
-        sim_schedule(sim, sim->now + delay, sim_request_answer,
+        sim_schedule(sim, sim->now + delay, sim_request_handle_reply,
                      action->request_id, action->code,
                      (uint64_t)action->retry_after);
     }
@@ -194,12 +195,12 @@
 {
     struct sim_upstream *upstream_state = &sim->upstreams[upstream];
     gpointer key = GUINT_TO_POINTER(item);
-    guint before =
-        GPOINTER_TO_UINT(g_hash_table_lookup(upstream_state->told, key));
+    guint before = GPOINTER_TO_UINT(
+        g_hash_table_lookup(upstream_state->published_states, key));
     if (before == (guint)state + 1) {
         return;
     }
-    g_hash_table_insert(upstream_state->told, key,
+    g_hash_table_insert(upstream_state->published_states, key,
                         GUINT_TO_POINTER((guint)state + 1));
     struct ch_actions out = new_actions();
     ch_home_set_item(upstream_state->home, item, state, memory_mb, sim->now,
@@ -217,10 +218,10 @@
         [CH_LEDGER_UNLOADING] = CH_ITEM_UNLOADING,
     };
     struct sim_upstream *upstream_state = &sim->upstreams[upstream];
-    if (upstream_state->host == SIM_NOBODY) {
+    if (upstream_state->host == SIM_NO_HOST) {
         return;
     }
-    GList *known = g_hash_table_get_keys(upstream_state->told);
+    GList *known = g_hash_table_get_keys(upstream_state->published_states);
     for (GList *list_item = known; list_item != NULL;
          list_item = list_item->next) {
         GQuark item = GPOINTER_TO_UINT(list_item->data);
@@ -295,7 +296,7 @@
     struct sim_upstream *upstream_state = &sim->upstreams[upstream];
     GQuark item = (GQuark)event->b;
     bool load = (event->c & 1) != 0;
-    if (upstream_state->host == SIM_NOBODY) {
+    if (upstream_state->host == SIM_NO_HOST) {
         return;
     }
     if (!may_order(sim, upstream_state)) {
@@ -303,7 +304,7 @@
         return;
     }
     char id[24];
-    g_snprintf(id, sizeof(id), "o-%" G_GUINT64_FORMAT, sim->scheduled);
+    g_snprintf(id, sizeof(id), "o-%" G_GUINT64_FORMAT, sim->next_sequence);
     struct ch_ledger *next =
         ch_ledger_copy_next(upstream_state->ledger, SENDER);
     const char *name = g_quark_to_string(item);
@@ -317,27 +318,27 @@
     }
     replace_ledger(upstream_state, next);
     sync_ledger(sim, upstream);
-    int64_t delay =
-        sim_delay(sim, sim->site->entries[upstream_state->host].data_centre,
-                  upstream_state->site->data_centre);
+    int64_t delay = sim_get_delay(
+        sim, sim->site->entries[upstream_state->host].data_centre,
+        upstream_state->site->data_centre);
     sim_schedule(sim, sim->now + delay, handle_order, upstream, item,
                  load ? 1 : 0);
 }
 
 /* Queues a request that asks for a grant.  a: the ask. */
 void
-sim_home_ask(struct sim *sim, const struct sim_event *event)
+sim_home_handle_ask(struct sim *sim, const struct sim_event *event)
 {
-    const struct sim_request *request = sim_request_of(sim, event->a);
+    const struct sim_request *request = sim_request_find_by_ask(sim, event->a);
     size_t upstream =
         g_array_index(sim->asks, struct sim_ask, event->a).upstream;
     struct sim_upstream *upstream_state = &sim->upstreams[upstream];
     if (request == NULL) {
         return;
     }
-    if (upstream_state->host == SIM_NOBODY) {
-        sim_schedule(sim, sim->now, sim_request_answer, event->a, CH_PEER_LOST,
-                     0);
+    if (upstream_state->host == SIM_NO_HOST) {
+        sim_schedule(sim, sim->now, sim_request_handle_reply, event->a,
+                     CH_PEER_LOST, 0);
         return;
     }
     struct ch_actions out = new_actions();
@@ -349,12 +350,12 @@
 /* Handles the release of a grant.  a: the ask, b: code, c: time to the first
  * byte (upper 32 bits) and time per token (lower 32 bits), in microseconds. */
 void
-sim_home_release(struct sim *sim, const struct sim_event *event)
+sim_home_handle_release(struct sim *sim, const struct sim_event *event)
 {
     size_t upstream =
         g_array_index(sim->asks, struct sim_ask, event->a).upstream;
     struct sim_upstream *upstream_state = &sim->upstreams[upstream];
-    if (upstream_state->host == SIM_NOBODY) {
+    if (upstream_state->host == SIM_NO_HOST) {
         return;
     }
     struct ch_timing_sample sample = {
@@ -370,10 +371,10 @@
 
 /* Withdraws an ask and releases its grant, since its entry node is lost. */
 void
-sim_home_forget(struct sim *sim, size_t upstream, uint64_t ask)
+sim_home_withdraw(struct sim *sim, size_t upstream, uint64_t ask)
 {
     struct sim_upstream *upstream_state = &sim->upstreams[upstream];
-    if (upstream_state->host == SIM_NOBODY) {
+    if (upstream_state->host == SIM_NO_HOST) {
         return;
     }
     struct ch_timing_sample sample = {.code = CH_PEER_LOST};
@@ -388,13 +389,13 @@
 sim_home_tick(struct sim *sim, const struct sim_event *event)
 {
     struct sim_upstream *upstream_state = &sim->upstreams[event->a];
-    if (upstream_state->host != SIM_NOBODY) {
+    if (upstream_state->host != SIM_NO_HOST) {
         struct ch_actions out = new_actions();
         ch_home_tick(upstream_state->home, update_fleet(sim, upstream_state),
                      sim->now, &out);
         apply_actions(sim, (size_t)event->a, &out);
     }
-    if (sim->open > 0) {
+    if (sim->open_requests > 0) {
         sim_schedule(sim, sim->now + CH_HOME_TICK_US, sim_home_tick, event->a,
                      0, 0);
     }
@@ -417,14 +418,14 @@
         }
     }
     char boot[24];
-    g_snprintf(boot, sizeof(boot), "b-%u", engine->boot);
+    g_snprintf(boot, sizeof(boot), "b-%u", engine->boot_id);
     struct ch_ledger_report evidence = {
         .boot_id = boot,
         .resident_items = (const char *const *)names->pdata,
         .resident_mb = (const uint32_t *)(const void *)sizes->data,
         .resident_count = names->len,
-        .done_order_ids = (const char *const *)engine->done->pdata,
-        .done_order_count = engine->done->len,
+        .done_order_ids = (const char *const *)engine->completed_orders->pdata,
+        .done_order_count = engine->completed_orders->len,
         .requested_after_ends = true,
     };
     struct ch_ledger *next =
@@ -443,34 +444,34 @@
 /* Handles an engine's report and schedules the next.  a: upstream, b: not 0 to
  * schedule none. */
 void
-sim_home_report(struct sim *sim, const struct sim_event *event)
+sim_home_handle_report(struct sim *sim, const struct sim_event *event)
 {
     struct sim_upstream *upstream_state = &sim->upstreams[event->a];
     const struct sim_engine *engine = &upstream_state->engine;
-    if (upstream_state->host != SIM_NOBODY) {
-        if (!engine->down && !engine->service &&
+    if (upstream_state->host != SIM_NO_HOST) {
+        if (!engine->down && !engine->is_service &&
             may_order(sim, upstream_state)) {
             observe_report(sim, (size_t)event->a);
         }
         struct ch_actions out = new_actions();
         ch_home_update_engine_state(upstream_state->home, engine->running->len,
-                                    engine->waiting->len, engine->leaving,
+                                    engine->waiting->len, engine->draining,
                                     engine->down, sim->now, &out);
         apply_actions(sim, (size_t)event->a, &out);
     }
-    if (sim->open > 0 && event->b == 0) {
-        sim_schedule(sim, sim->now + sim->site->engine.report, sim_home_report,
-                     event->a, 0, 0);
+    if (sim->open_requests > 0 && event->b == 0) {
+        sim_schedule(sim, sim->now + sim->site->engine.report_period,
+                     sim_home_handle_report, event->a, 0, 0);
     }
 }
 
 /* Assigns an upstream's home node anew.  If it changed, the queue is lost, the
  * counts start at zero, and the ledger stays. */
 void
-sim_home_move(struct sim *sim, size_t upstream)
+sim_home_assign(struct sim *sim, size_t upstream)
 {
     struct sim_upstream *upstream_state = &sim->upstreams[upstream];
-    int host = sim_home_host(sim, upstream);
+    int host = sim_home_get_host(sim, upstream);
     if (host == upstream_state->host) {
         return;
     }
@@ -481,8 +482,8 @@
         const struct sim_request *request = &sim->requests[i];
         if (request->event != NULL && request->state == SIM_ASKING &&
             request->upstream == (int)upstream) {
-            sim_schedule(sim, sim->now, sim_request_answer, request->ask,
-                         CH_PEER_LOST, 0);
+            sim_schedule(sim, sim->now, sim_request_handle_reply,
+                         request->current_ask, CH_PEER_LOST, 0);
         }
     }
 }
@@ -510,14 +511,14 @@
         sim->link_down && sim->entries[host].region != entry->region;
     if (unreachable) {
         own->down =
-            own->down || sim->now - sim->link_changed > SILENCE_LIMIT_US;
+            own->down || sim->now - sim->link_changed_at > SILENCE_LIMIT_US;
         return;
     }
     clear_view(own);
     *own = *view;
     g_array_ref(own->resident);
     g_array_ref(own->loading);
-    own->sent_since_report = entry->asked[upstream];
+    own->sent_since_report = entry->pending_asks[upstream];
 }
 
 /* Publishes the state of all home nodes to all entry nodes.  b: not 0 to run
@@ -527,7 +528,7 @@
 {
     for (size_t u = 0; u < sim->site->upstream_count; u++) {
         struct sim_upstream *upstream_state = &sim->upstreams[u];
-        if (upstream_state->host == SIM_NOBODY) {
+        if (upstream_state->host == SIM_NO_HOST) {
             continue;
         }
         struct ch_upstream_view view;
@@ -539,7 +540,7 @@
         }
         clear_view(&view);
     }
-    if (sim->open > 0 && event->b == 0) {
+    if (sim->open_requests > 0 && event->b == 0) {
         sim_schedule(sim, sim->now + GOSSIP_PERIOD_US, sim_home_gossip, 0, 0,
                      0);
     }
--- a/libchestnuthitch/replay/sim_run.c
+++ b/libchestnuthitch/replay/sim_run.c
@@ -18,7 +18,7 @@
 static bool
 is_before(const struct sim_event *a, const struct sim_event *b)
 {
-    return a->at < b->at || (a->at == b->at && a->order < b->order);
+    return a->at < b->at || (a->at == b->at && a->sequence < b->sequence);
 }
 
 /* Adds an event to the heap; a time in the past becomes the current time. */
@@ -29,7 +29,7 @@
 {
     struct sim_event event = {
         .at = MAX(at, sim->now),
-        .order = sim->scheduled++,
+        .sequence = sim->next_sequence++,
         .handle = handle,
         .a = a,
         .b = b,
@@ -112,8 +112,9 @@
     int best = -1;
     GQuark name = g_quark_from_string(model->name);
     for (size_t i = 0; i < sim->site->upstream_count; i++) {
-        if (sim->upstreams[i].engine.service || free_mb[i] < model_mb(model) ||
-            sim_engine_has(&sim->upstreams[i].engine, name)) {
+        if (sim->upstreams[i].engine.is_service ||
+            free_mb[i] < model_mb(model) ||
+            sim_engine_has_item(&sim->upstreams[i].engine, name)) {
             continue;
         }
         if (best < 0 || free_mb[i] > free_mb[best]) {
@@ -167,10 +168,10 @@
 {
     struct sim_engine *engine = &sim->upstreams[upstream].engine;
     engine->down = false;
-    engine->leaving = false;
-    engine->at = sim->now;
-    if (sim->policy->placement->fixed && !engine->service) {
-        const GArray *first = sim->first_items[upstream];
+    engine->draining = false;
+    engine->progress_at = sim->now;
+    if (sim->policy->placement->fixed && !engine->is_service) {
+        const GArray *first = sim->initial_items[upstream];
         g_array_set_size(engine->items, 0);
         g_array_append_vals(engine->items, first->data, first->len);
     }
@@ -182,7 +183,7 @@
 {
     (void)event;
     for (size_t i = 0; i < sim->site->upstream_count; i++) {
-        sim_home_move(sim, i);
+        sim_home_assign(sim, i);
     }
 }
 
@@ -194,10 +195,10 @@
     if (!sim->entries[entry].up) {
         return;
     }
-    sim_entry_down(sim, entry);
+    sim_entry_stop(sim, entry);
     for (size_t i = 0; i < sim->site->upstream_count; i++) {
         if (sim->upstreams[i].host == (int)entry) {
-            sim->upstreams[i].host = SIM_NOBODY;
+            sim->upstreams[i].host = SIM_NO_HOST;
         }
     }
     sim_schedule(sim, sim->now + NOTICE_DELAY_US, assign_homes, 0, 0, 0);
@@ -209,9 +210,9 @@
 {
     if (sim->link_down != down) {
         sim->link_down = down;
-        sim->link_changed = sim->now;
+        sim->link_changed_at = sim->now;
         if (down) {
-            sim_link_cut(sim);
+            sim_link_interrupt(sim);
         }
     }
 }
@@ -220,8 +221,8 @@
 static void
 drain_engine(struct sim *sim, size_t upstream)
 {
-    sim->upstreams[upstream].engine.leaving = true;
-    sim->upstreams[upstream].engine.left_at = sim->now;
+    sim->upstreams[upstream].engine.draining = true;
+    sim->upstreams[upstream].engine.draining_since = sim->now;
 }
 
 /* Runs an event of the trace and schedules the next.  a: index in the trace.
@@ -235,15 +236,15 @@
         sim_request_arrive(sim, event);
         break;
     case CH_TRACE_SLOW:
-        sim_engine_set_slow(sim, from->target, from->value);
+        sim_engine_set_slowdown(sim, from->target, from->value);
         break;
     case CH_TRACE_DOWN:
-        sim_engine_fail(sim, from->target);
+        sim_engine_crash(sim, from->target);
         break;
     case CH_TRACE_UP:
         start_engine(sim, from->target);
         break;
-    case CH_TRACE_LEAVE:
+    case CH_TRACE_DRAIN:
         drain_engine(sim, from->target);
         break;
     case CH_TRACE_KV_DOWN:
@@ -266,7 +267,7 @@
         const struct ch_trace_event *next = from + 1;
         int64_t delay = 0;
         if (next->kind == CH_TRACE_REQUEST) {
-            delay = sim->client_delay;
+            delay = sim->max_client_delay;
         }
         sim_schedule(sim, next->at + delay, run_trace_event, event->a + 1, 0,
                      0);
@@ -288,26 +289,27 @@
     sim->heap = g_array_new(FALSE, FALSE, sizeof(struct sim_event));
     sim->upstreams = g_new0(struct sim_upstream, site->upstream_count);
     sim->entries = g_new0(struct sim_entry, site->entry_count);
-    sim->first_items = g_new0(GArray *, site->upstream_count);
+    sim->initial_items = g_new0(GArray *, site->upstream_count);
     sim->store.loads = g_array_new(FALSE, FALSE, sizeof(struct sim_load));
-    sim->link_free = g_new0(int64_t, site->region_count);
+    sim->link_free_at = g_new0(int64_t, site->region_count);
     sim->requests = g_new0(struct sim_request, MAX(trace->count, 1));
     sim->asks = g_array_new(FALSE, FALSE, sizeof(struct sim_ask));
     sim->keys = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    sim->key_runs =
+    sim->key_dispatch_counts =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     sim->tenants =
         g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
-    sim->model_asked = g_new0(uint8_t, MAX(declaration->model_count, 1));
-    sim->model_run = g_new0(uint8_t, MAX(declaration->model_count, 1));
+    sim->model_requested = g_new0(uint8_t, MAX(declaration->model_count, 1));
+    sim->model_served = g_new0(uint8_t, MAX(declaration->model_count, 1));
     sim->result = ch_result_new(declaration);
-    sim->result->accelerators = ch_site_accelerators(site);
+    sim->result->accelerators = ch_site_count_accelerators(site);
     for (size_t i = 0; i < trace->count; i++) {
-        sim->open += trace->events[i].kind == CH_TRACE_REQUEST ? 1 : 0;
+        sim->open_requests +=
+            trace->events[i].kind == CH_TRACE_REQUEST ? 1 : 0;
     }
     for (size_t i = 0; i < site->region_count; i++) {
-        sim->client_delay =
-            MAX(sim->client_delay, site->regions[i].client_delay);
+        sim->max_client_delay =
+            MAX(sim->max_client_delay, site->regions[i].client_delay);
     }
     return sim;
 }
@@ -331,11 +333,11 @@
     place_initial(sim);
     for (size_t i = 0; i < site->upstream_count; i++) {
         const GArray *items = sim->upstreams[i].engine.items;
-        sim->first_items[i] =
+        sim->initial_items[i] =
             g_array_new(FALSE, FALSE, sizeof(struct sim_item));
-        g_array_append_vals(sim->first_items[i], items->data, items->len);
+        g_array_append_vals(sim->initial_items[i], items->data, items->len);
         struct sim_event event = {.a = i};
-        sim_home_report(sim, &event);
+        sim_home_handle_report(sim, &event);
         /* A different phase for each upstream, so that their reports and
          * ticks don't coincide. */
         int64_t phase = (int64_t)i * 997;
@@ -352,9 +354,9 @@
 complete_result(struct sim *sim)
 {
     struct ch_result *result = sim->result;
-    result->failed += sim->open;
+    result->failed += sim->open_requests;
     for (size_t i = 0; i < sim->declaration->model_count; i++) {
-        if (sim->model_asked[i] != 0 && sim->model_run[i] == 0) {
+        if (sim->model_requested[i] != 0 && sim->model_served[i] == 0) {
             result->unreachable_models++;
         }
     }
@@ -377,7 +379,7 @@
         sim_home_clear(&sim->upstreams[i]);
         sim_engine_clear(&sim->upstreams[i].engine);
         ch_ledger_free(sim->upstreams[i].ledger);
-        g_array_unref(sim->first_items[i]);
+        g_array_unref(sim->initial_items[i]);
     }
     for (size_t i = 0; i < sim->site->entry_count; i++) {
         sim_entry_clear(sim, &sim->entries[i]);
@@ -391,15 +393,15 @@
     g_array_unref(sim->store.loads);
     g_array_unref(sim->asks);
     g_hash_table_unref(sim->keys);
-    g_hash_table_unref(sim->key_runs);
+    g_hash_table_unref(sim->key_dispatch_counts);
     g_hash_table_unref(sim->tenants);
     g_free(sim->upstreams);
     g_free(sim->entries);
-    g_free(sim->first_items);
-    g_free(sim->link_free);
+    g_free(sim->initial_items);
+    g_free(sim->link_free_at);
     g_free(sim->requests);
-    g_free(sim->model_asked);
-    g_free(sim->model_run);
+    g_free(sim->model_requested);
+    g_free(sim->model_served);
     g_free(sim);
 }
 
@@ -414,13 +416,13 @@
     struct sim *sim = sim_new(site, declaration, trace, policy, seed);
     set_up(sim);
     if (trace->count > 0) {
-        sim->end = trace->events[trace->count - 1].at + FINISH_TIMEOUT_US;
-        sim_schedule(sim, trace->events[0].at + sim->client_delay,
+        sim->end_at = trace->events[trace->count - 1].at + FINISH_TIMEOUT_US;
+        sim_schedule(sim, trace->events[0].at + sim->max_client_delay,
                      run_trace_event, 0, 0, 0);
     }
-    while (sim->heap->len > 0 && sim->open > 0) {
+    while (sim->heap->len > 0 && sim->open_requests > 0) {
         struct sim_event event = take_next(sim);
-        if (event.at > sim->end) {
+        if (event.at > sim->end_at) {
             break;
         }
         sim->now = event.at;
@@ -428,7 +430,7 @@
     }
     complete_result(sim);
     struct ch_result *result = sim->result;
-    result->bound = ch_bound_attainment(site, declaration, trace);
+    result->bound = ch_bound_compute_attainment(site, declaration, trace);
     sim_free(sim);
     return result;
 }
--- a/libchestnuthitch/replay/site_read.c
+++ b/libchestnuthitch/replay/site_read.c
@@ -191,20 +191,20 @@
 {
     const char *name = group + strlen(group_kind->section);
     name += strspn(name, " ");
-    if (!ch_ini_name_check(name)) {
-        ch_ini_fail(ini, group, NULL, CH_BAD_VALUE, error,
-                    "not [%s NAME] with a name of A-Z a-z 0-9 . _ -",
-                    group_kind->section);
+    if (!ch_ini_check_name(name)) {
+        ch_ini_set_error(ini, group, NULL, CH_BAD_VALUE, error,
+                         "not [%s NAME] with a name of A-Z a-z 0-9 . _ -",
+                         group_kind->section);
         return false;
     }
     guint at = into->len;
     g_array_set_size(into, at + 1);
     char *entry = into->data + (size_t)at * group_kind->size;
     *(char **)entry = g_strdup(name);
-    return ch_ini_known_keys(ini, group, group_kind->section, rows,
+    return ch_ini_check_keys(ini, group, group_kind->section, rows,
                              G_N_ELEMENTS(rows), error) &&
-           ch_ini_fill(ini, group, group_kind->section, rows,
-                       G_N_ELEMENTS(rows), entry, error);
+           ch_ini_read_group(ini, group, group_kind->section, rows,
+                             G_N_ELEMENTS(rows), entry, error);
 }
 
 /* Reads all named groups of the site, sorted by name.  Groups of the
@@ -241,12 +241,12 @@
     for (size_t i = 0; unnamed_sections[i] != NULL; i++) {
         const char *section = unnamed_sections[i];
         if (g_key_file_has_group(ini->file, section) &&
-            !ch_ini_known_keys(ini, section, section, rows, G_N_ELEMENTS(rows),
+            !ch_ini_check_keys(ini, section, section, rows, G_N_ELEMENTS(rows),
                                error)) {
             return false;
         }
-        if (!ch_ini_fill(ini, section, section, rows, G_N_ELEMENTS(rows),
-                         unnamed, error)) {
+        if (!ch_ini_read_group(ini, section, section, rows, G_N_ELEMENTS(rows),
+                               unnamed, error)) {
             return false;
         }
     }
@@ -267,8 +267,8 @@
         }
     }
     char *group = g_strdup_printf("%s %s", section, group_name);
-    ch_ini_fail(ini, group, group_kind->section, CH_BAD_VALUE, error,
-                "there is no [%s %s]", group_kind->section, name);
+    ch_ini_set_error(ini, group, group_kind->section, CH_BAD_VALUE, error,
+                     "there is no [%s %s]", group_kind->section, name);
     g_free(group);
     return -1;
 }
@@ -327,9 +327,9 @@
         bool service = raw->service != NULL && raw->service[0] != '\0';
         if (!service && (raw->memory_mb == 0 || raw->accelerators == 0)) {
             char *group = g_strdup_printf("upstream %s", raw->name);
-            ch_ini_fail(ini, group,
-                        raw->memory_mb == 0 ? "memory-mb" : "accelerators",
-                        CH_MISSING, error, "required for an engine");
+            ch_ini_set_error(
+                ini, group, raw->memory_mb == 0 ? "memory-mb" : "accelerators",
+                CH_MISSING, error, "required for an engine");
             g_free(group);
             return false;
         }
@@ -339,7 +339,7 @@
             .service = service ? g_strdup(raw->service) : NULL,
             .memory_mb = raw->memory_mb,
             .accelerators = service ? 0 : raw->accelerators,
-            .batch = raw->batch,
+            .max_batch = raw->batch,
         };
     }
     return true;
@@ -372,24 +372,24 @@
 set_unnamed(const struct raw_unnamed *unnamed, struct ch_site *site)
 {
     site->engine = (struct ch_site_engine){
-        .token = unnamed->token_time,
-        .token_per_request = unnamed->token_time_per_request,
-        .prefill_per_s = unnamed->prefill_tokens_per_s,
+        .token_time = unnamed->token_time,
+        .token_time_per_request = unnamed->token_time_per_request,
+        .prefill_tokens_per_s = unnamed->prefill_tokens_per_s,
         .cache_tokens = unnamed->cache_tokens,
         .prefix_tokens = unnamed->prefix_tokens,
-        .report = unnamed->report_period,
-        .service = unnamed->mean_service_time,
+        .report_period = unnamed->report_period,
+        .mean_service_time = unnamed->mean_service_time,
         .token_bytes = unnamed->token_bytes,
         .fencing = unnamed->fencing,
     };
     site->loads_per_s = unnamed->loads_per_s;
-    site->loads_parallel = unnamed->max_parallel_loads;
-    site->adapters_parallel = unnamed->max_parallel_adapter_loads;
+    site->max_parallel_loads = unnamed->max_parallel_loads;
+    site->max_parallel_adapter_loads = unnamed->max_parallel_adapter_loads;
     site->load_mb_per_s = unnamed->load_mb_per_s;
-    site->adapter_least = unnamed->min_adapter_load_time;
-    site->adapter_most =
+    site->min_adapter_load_time = unnamed->min_adapter_load_time;
+    site->max_adapter_load_time =
         MAX(unnamed->max_adapter_load_time, unnamed->min_adapter_load_time);
-    site->link_mbit = unnamed->link_mbit_per_s;
+    site->link_mbit_per_s = unnamed->link_mbit_per_s;
     site->region_delay = unnamed->region_delay;
     site->data_centre_delay = unnamed->data_centre_delay;
 }
@@ -401,13 +401,13 @@
                struct ch_error *error)
 {
     if (site->upstream_count == 0) {
-        ch_ini_fail(ini, "upstream NAME", NULL, CH_MISSING, error,
-                    "there is no upstream");
+        ch_ini_set_error(ini, "upstream NAME", NULL, CH_MISSING, error,
+                         "there is no upstream");
         return false;
     }
     if (site->entry_count == 0) {
-        ch_ini_fail(ini, "entry NAME", NULL, CH_MISSING, error,
-                    "there is no entry host");
+        ch_ini_set_error(ini, "entry NAME", NULL, CH_MISSING, error,
+                         "there is no entry host");
         return false;
     }
     return true;
@@ -451,7 +451,7 @@
 struct ch_site *
 ch_site_load(const char *path, struct ch_error *error)
 {
-    char *text = ch_ini_file_text(path, error);
+    char *text = ch_ini_read_file(path, error);
     if (text == NULL) {
         return NULL;
     }
@@ -491,7 +491,7 @@
 /* Returns the number of accelerators of all engines, used or not, since all of
  * them are paid for. */
 uint32_t
-ch_site_accelerators(const struct ch_site *site)
+ch_site_count_accelerators(const struct ch_site *site)
 {
     uint32_t sum = 0;
     for (size_t i = 0; i < site->upstream_count; i++) {
--- a/libchestnuthitch/replay/trace.c
+++ b/libchestnuthitch/replay/trace.c
@@ -47,7 +47,7 @@
     {"slow", CH_TRACE_SLOW, TARGET_UPSTREAM},
     {"down", CH_TRACE_DOWN, TARGET_UPSTREAM},
     {"up", CH_TRACE_UP, TARGET_UPSTREAM},
-    {"leave", CH_TRACE_LEAVE, TARGET_UPSTREAM},
+    {"leave", CH_TRACE_DRAIN, TARGET_UPSTREAM},
     {"kv-down", CH_TRACE_KV_DOWN, TARGET_NONE},
     {"kv-up", CH_TRACE_KV_UP, TARGET_NONE},
     {"link-down", CH_TRACE_LINK_DOWN, TARGET_NONE},
@@ -58,8 +58,8 @@
 
 /* Sets BAD_TRACE with the reader's line and a column. */
 void
-ch_trace_fail(const struct ch_trace_reader *reader, size_t column,
-              const char *format, ...)
+ch_trace_set_error(const struct ch_trace_reader *reader, size_t column,
+                   const char *format, ...)
 {
     char reason[256];
     va_list arguments;
@@ -87,15 +87,16 @@
         char *comma = strchr(field, ',');
         if (i + 1 == COLUMNS) {
             if (comma != NULL) {
-                ch_trace_fail(reader, (size_t)(comma - line) + 1,
-                              "more than %d columns", COLUMNS);
+                ch_trace_set_error(reader, (size_t)(comma - line) + 1,
+                                   "more than %d columns", COLUMNS);
                 return false;
             }
             return true;
         }
         if (comma == NULL) {
-            ch_trace_fail(reader, (size_t)(field - line) + strlen(field) + 1,
-                          "%zu columns, expected %d", i + 1, COLUMNS);
+            ch_trace_set_error(reader,
+                               (size_t)(field - line) + strlen(field) + 1,
+                               "%zu columns, expected %d", i + 1, COLUMNS);
             return false;
         }
         *comma = '\0';
@@ -120,8 +121,8 @@
     double value = g_ascii_strtod(text, &end);
     if (text[0] == '\0' || *end != '\0' || errno != 0 || !isfinite(value) ||
         value < 0 || value > max) {
-        ch_trace_fail(reader, row->columns[field],
-                      "not a number from 0 to %.0f", max);
+        ch_trace_set_error(reader, row->columns[field],
+                           "not a number from 0 to %.0f", max);
         return false;
     }
     *out = value;
@@ -156,7 +157,7 @@
         i++;
     }
     if (i == G_N_ELEMENTS(events)) {
-        ch_trace_fail(reader, row->columns[EVENT], "unknown event");
+        ch_trace_set_error(reader, row->columns[EVENT], "unknown event");
         return false;
     }
     event->kind = events[i].kind;
@@ -166,9 +167,9 @@
     int target =
         find_target(reader->site, events[i].target, row->fields[TARGET]);
     if (target < 0) {
-        ch_trace_fail(reader, row->columns[TARGET], "no %s of this name",
-                      events[i].target == TARGET_UPSTREAM ? "upstream"
-                                                          : "entry host");
+        ch_trace_set_error(reader, row->columns[TARGET], "no %s of this name",
+                           events[i].target == TARGET_UPSTREAM ? "upstream"
+                                                               : "entry host");
         return false;
     }
     event->target = (size_t)target;
@@ -179,8 +180,8 @@
         return false;
     }
     if (event->value < 0.1) {
-        ch_trace_fail(reader, row->columns[VALUE],
-                      "not a factor from 0.1 to 1000");
+        ch_trace_set_error(reader, row->columns[VALUE],
+                           "not a factor from 0.1 to 1000");
         return false;
     }
     return true;
@@ -194,41 +195,43 @@
                  struct ch_trace_event *event)
 {
     const struct ch_declaration *declaration = reader->declaration;
-    int class_index = ch_declaration_class(declaration, names->class_name);
+    int class_index =
+        ch_declaration_find_class(declaration, names->class_name);
     if (class_index < 0) {
-        ch_trace_fail(reader, names->class_column, "unknown class");
+        ch_trace_set_error(reader, names->class_column, "unknown class");
         return false;
     }
     const struct ch_class *class = &declaration->classes[class_index];
     event->class_index = (size_t)class_index;
     event->adapter = -1;
-    event->model = ch_declaration_model(declaration, names->model);
-    event->service = event->model >= 0
-                         ? -1
-                         : ch_declaration_service(declaration, names->model);
+    event->model = ch_declaration_find_model(declaration, names->model);
+    event->service =
+        event->model >= 0
+            ? -1
+            : ch_declaration_find_service(declaration, names->model);
     if (event->model < 0 && event->service < 0) {
-        ch_trace_fail(reader, names->model_column,
-                      "unknown model or plain service");
+        ch_trace_set_error(reader, names->model_column,
+                           "unknown model or plain service");
         return false;
     }
-    bool allowed = event->model >= 0
-                       ? class->every_model || class->models[event->model]
-                       : class->services[event->service];
+    bool allowed = event->model >= 0 ? class->allows_every_model ||
+                                           class->allowed_models[event->model]
+                                     : class->allowed_services[event->service];
     if (!allowed) {
-        ch_trace_fail(reader, names->model_column,
-                      "the class may not use this model or service");
+        ch_trace_set_error(reader, names->model_column,
+                           "the class may not use this model or service");
         return false;
     }
     if (names->adapter[0] == '\0') {
         return true;
     }
     const char *slash = strrchr(names->adapter, '/');
-    int owner = ch_declaration_adapter(
+    int owner = ch_declaration_find_adapter(
         declaration, slash != NULL ? slash + 1 : names->adapter,
         &event->adapter);
     if (owner < 0 || owner != event->model) {
-        ch_trace_fail(reader, names->adapter_column,
-                      "not an adapter of this model");
+        ch_trace_set_error(reader, names->adapter_column,
+                           "not an adapter of this model");
         return false;
     }
     return true;
@@ -240,7 +243,7 @@
              struct ch_trace_event *event)
 {
     if (row->fields[CALLER][0] == '\0') {
-        ch_trace_fail(reader, row->columns[CALLER], "missing caller");
+        ch_trace_set_error(reader, row->columns[CALLER], "missing caller");
         return false;
     }
     struct ch_trace_names names = {
@@ -310,7 +313,8 @@
         if (first) {
             first = false;
             if (strcmp(line, HEADER) != 0) {
-                ch_trace_fail(reader, 1, "the header line must be %s", HEADER);
+                ch_trace_set_error(reader, 1, "the header line must be %s",
+                                   HEADER);
                 return false;
             }
         }
@@ -320,7 +324,7 @@
     }
     if (first) {
         reader->line = 1;
-        ch_trace_fail(reader, 1, "the trace is empty");
+        ch_trace_set_error(reader, 1, "the trace is empty");
     }
     return !first;
 }
--- a/libchestnuthitch/replay/trace_log.c
+++ b/libchestnuthitch/replay/trace_log.c
@@ -23,10 +23,10 @@
 read_string(const struct ch_trace_reader *reader, const char *line,
             JsonObject *object, const char *member)
 {
-    const char *text = ch_json_text(object, member);
+    const char *text = ch_json_get_string(object, member);
     if (text == NULL) {
-        ch_trace_fail(reader, find_column(line, member),
-                      "there is no string \"%s\"", member);
+        ch_trace_set_error(reader, find_column(line, member),
+                           "there is no string \"%s\"", member);
     }
     return text;
 }
@@ -40,9 +40,9 @@
     if (node == NULL || !JSON_NODE_HOLDS_VALUE(node) ||
         json_node_get_value_type(node) != G_TYPE_INT64 ||
         json_node_get_int(node) < 0 || json_node_get_int(node) > max) {
-        ch_trace_fail(reader, find_column(line, member),
-                      "\"%s\" is not a number from 0 to %" G_GINT64_FORMAT,
-                      member, max);
+        ch_trace_set_error(
+            reader, find_column(line, member),
+            "\"%s\" is not a number from 0 to %" G_GINT64_FORMAT, member, max);
         return false;
     }
     *out = json_node_get_int(node);
@@ -107,14 +107,14 @@
 read_line(const struct ch_trace_reader *reader, const char *line)
 {
     JsonParser *parser = NULL;
-    JsonObject *object = ch_json_object(line, strlen(line), &parser);
+    JsonObject *object = ch_json_parse_object(line, strlen(line), &parser);
     bool fine = true;
     if (object == NULL) {
-        ch_trace_fail(reader, 1, "not a JSON object");
+        ch_trace_set_error(reader, 1, "not a JSON object");
         fine = false;
     }
     else {
-        if (g_strcmp0(ch_json_text(object, "event"), "request") == 0) {
+        if (g_strcmp0(ch_json_get_string(object, "event"), "request") == 0) {
             struct ch_trace_event request = {.kind = CH_TRACE_REQUEST};
             fine = read_request(reader, line, object, &request);
             if (fine) {
@@ -156,7 +156,7 @@
         }
     }
     if (reader->events->len == 0) {
-        ch_trace_fail(reader, 1, "no line has the event \"request\"");
+        ch_trace_set_error(reader, 1, "no line has the event \"request\"");
         return false;
     }
     shift_to_zero(reader->events);
--- a/libchestnuthitch/replay/trace_read.h
+++ b/libchestnuthitch/replay/trace_read.h
@@ -24,8 +24,8 @@
     size_t adapter_column;
 };
 
-void ch_trace_fail(const struct ch_trace_reader *reader, size_t column,
-                   const char *format, ...) G_GNUC_PRINTF(3, 4);
+void ch_trace_set_error(const struct ch_trace_reader *reader, size_t column,
+                        const char *format, ...) G_GNUC_PRINTF(3, 4);
 bool ch_trace_resolve(const struct ch_trace_reader *reader,
                       const struct ch_trace_names *names,
                       struct ch_trace_event *event);
--- a/libchestnuthitch/upstream/ask.c
+++ b/libchestnuthitch/upstream/ask.c
@@ -21,14 +21,14 @@
  * certainly not taken.
  */
 static void
-handle_order_response(void *data, const struct ch_http_answer *response)
+handle_order_response(void *data, const struct ch_http_response *response)
 {
     struct order_context *context = data;
-    enum ch_code code = response->end.code;
+    enum ch_code code = response->result.code;
     if (code == CH_OK) {
-        code = context->code_of(response->end.status);
+        code = context->code_of(response->result.status);
     }
-    else if (!response->end.sent) {
+    else if (!response->result.sent) {
         code = CH_UPSTREAM_CONNECT;
     }
     context->done(context->data, code);
@@ -36,9 +36,10 @@
 }
 
 void
-ch_ask_order(struct ch_http *http, const struct ch_http_request *request,
-             enum ch_code (*code_of)(int status),
-             void (*done)(void *data, enum ch_code code), void *data)
+ch_control_send_order(struct ch_http *http,
+                      const struct ch_http_request *request,
+                      enum ch_code (*code_of)(int status),
+                      void (*done)(void *data, enum ch_code code), void *data)
 {
     struct order_context *context = g_new0(struct order_context, 1);
     context->code_of = code_of;
@@ -50,37 +51,39 @@
 
 /* A report whose response is awaited. */
 struct report_context {
-    struct ch_report *(*read)(const char *text, size_t length,
-                              struct ch_error *error);
-    void (*done)(void *data, enum ch_code code, struct ch_report *report);
+    struct ch_engine_report *(*read)(const char *text, size_t length,
+                                     struct ch_error *error);
+    void (*done)(void *data, enum ch_code code,
+                 struct ch_engine_report *report);
     void *data;
 };
 
 /* Handles the response with a report, or its failure. */
 static void
-handle_report_response(void *data, const struct ch_http_answer *response)
+handle_report_response(void *data, const struct ch_http_response *response)
 {
     struct report_context *context = data;
-    struct ch_error error = {.code = response->end.code};
-    struct ch_report *report = NULL;
-    if (error.code == CH_OK && response->end.status != 200) {
+    struct ch_error error = {.code = response->result.code};
+    struct ch_engine_report *report = NULL;
+    if (error.code == CH_OK && response->result.status != 200) {
         ch_error_set(&error, CH_UPSTREAM_ANSWER, "report: status %d",
-                     response->end.status);
+                     response->result.status);
     }
     if (error.code == CH_OK) {
-        report = context->read(response->body, response->length, &error);
+        report = context->read(response->body, response->body_length, &error);
     }
     context->done(context->data, error.code, report);
     g_free(context);
 }
 
 void
-ch_ask_report(struct ch_http *http, const struct ch_http_request *request,
-              struct ch_report *(*read)(const char *text, size_t length,
-                                        struct ch_error *error),
-              void (*done)(void *data, enum ch_code code,
-                           struct ch_report *report),
-              void *data)
+ch_control_fetch_report(
+    struct ch_http *http, const struct ch_http_request *request,
+    struct ch_engine_report *(*read)(const char *text, size_t length,
+                                     struct ch_error *error),
+    void (*done)(void *data, enum ch_code code,
+                 struct ch_engine_report *report),
+    void *data)
 {
     struct report_context *context = g_new0(struct report_context, 1);
     context->read = read;
--- a/libchestnuthitch/upstream/ask.h
+++ b/libchestnuthitch/upstream/ask.h
@@ -13,19 +13,22 @@
  * status that is not defined for orders, it is unknown whether the order was
  * taken.
  */
-void ch_ask_order(struct ch_http *http, const struct ch_http_request *request,
-                  enum ch_code (*code_of)(int status),
-                  void (*done)(void *data, enum ch_code code), void *data);
+void ch_control_send_order(struct ch_http *http,
+                           const struct ch_http_request *request,
+                           enum ch_code (*code_of)(int status),
+                           void (*done)(void *data, enum ch_code code),
+                           void *data);
 
 /*
  * Fetches a report. read parses the body of a response; it returns NULL with
  * *error on failure.
  */
-void ch_ask_report(struct ch_http *http, const struct ch_http_request *request,
-                   struct ch_report *(*read)(const char *text, size_t length,
-                                             struct ch_error *error),
-                   void (*done)(void *data, enum ch_code code,
-                                struct ch_report *report),
-                   void *data);
+void ch_control_fetch_report(
+    struct ch_http *http, const struct ch_http_request *request,
+    struct ch_engine_report *(*read)(const char *text, size_t length,
+                                     struct ch_error *error),
+    void (*done)(void *data, enum ch_code code,
+                 struct ch_engine_report *report),
+    void *data);
 
 #endif
--- a/libchestnuthitch/upstream/call.c
+++ b/libchestnuthitch/upstream/call.c
@@ -39,7 +39,7 @@
     bool is_stream;
     bool done_received; /* [DONE] was received */
     uint32_t event_count;
-    struct ch_sse sse;
+    struct ch_sse_parser sse;
     /* The first cause of failure; nothing is forwarded after it is set. */
     enum ch_code failure;
     char message[160];
@@ -89,7 +89,8 @@
 fail_mismatch(struct call_exchange *exchange, const char *message)
 {
     fail(exchange, CH_UPSTREAM_CROSSED, message);
-    ch_metrics_count(exchange->client->metrics, CH_COUNT_CROSSED_ANSWERS, 1);
+    ch_metrics_add_count(exchange->client->metrics, CH_COUNT_CROSSED_ANSWERS,
+                         1);
 }
 
 /*
@@ -107,7 +108,7 @@
 static bool
 is_refusal(const struct call_exchange *exchange)
 {
-    if (exchange->rules.passes_headers) {
+    if (exchange->rules.forward_headers) {
         return exchange->status == 421 ||
                (exchange->not_run && exchange->status >= 400);
     }
@@ -123,7 +124,7 @@
 static bool
 is_refusal_without_id(const struct call_exchange *exchange)
 {
-    return exchange->id_missing && exchange->rules.passes_headers;
+    return exchange->id_missing && exchange->rules.forward_headers;
 }
 
 /*
@@ -150,19 +151,19 @@
                                     ? "the response has no request id"
                                     : "the response has another request's id");
     }
-    else if (exchange->status >= 500 && exchange->rules.server_errors_fail) {
+    else if (exchange->status >= 500 && exchange->rules.fail_on_server_error) {
         char text[64];
         (void)snprintf(text, sizeof(text),
                        "the upstream responded with status %d",
                        exchange->status);
         fail(exchange, CH_UPSTREAM_ANSWER, text);
     }
-    else if (exchange->rules.passes_headers &&
+    else if (exchange->rules.forward_headers &&
              status_implies_not_run(exchange->status)) {
         fail(exchange, CH_UPSTREAM_ANSWER,
              "the upstream does not say whether it ran the request");
     }
-    else if (exchange->rules.proof_header != NULL &&
+    else if (exchange->rules.signature_header != NULL &&
              !exchange->has_signature && exchange->status < 300) {
         fail(exchange, CH_UPSTREAM_ANSWER, "the response has no signature");
     }
@@ -194,14 +195,14 @@
     exchange->is_stream = ch_call_is_stream(
         exchange->stream_expected, exchange->status, exchange->content_type);
     if (exchange->handlers.on_headers != NULL &&
-        exchange->rules.passes_headers) {
+        exchange->rules.forward_headers) {
         exchange->handlers.on_headers(
             exchange->data,
             (const struct ch_http_header *)(void *)exchange->headers->data,
             exchange->headers->len);
     }
-    exchange->handlers.on_head(exchange->data, exchange->status,
-                               exchange->content_type);
+    exchange->handlers.on_response(exchange->data, exchange->status,
+                                   exchange->content_type);
 }
 
 /* Handles one event of a stream. */
@@ -212,11 +213,11 @@
     if (exchange->done_received || exchange->failure != CH_OK) {
         return;
     }
-    if (!exchange->rules.ends_by_framing && ch_sse_is_done(text, length)) {
+    if (!exchange->rules.no_done_event && ch_sse_is_done(text, length)) {
         exchange->done_received = true;
         return;
     }
-    if (exchange->rules.events_have_ids &&
+    if (exchange->rules.check_event_ids &&
         !ch_sse_has_id(text, length, exchange->event_id)) {
         fail_mismatch(exchange, "an event has another request's id");
         return;
@@ -232,30 +233,30 @@
  */
 static bool
 may_have_run(const struct call_exchange *exchange,
-             const struct ch_http_end *end)
+             const struct ch_http_result *end)
 {
     if (!end->sent) {
         return false;
     }
     return !(exchange->failure == CH_UPSTREAM_REFUSED &&
-             (exchange->id_matches || exchange->rules.passes_headers));
+             (exchange->id_matches || exchange->rules.forward_headers));
 }
 
 /* Reports the result of the call to its owner, once. */
 static void
-report_end(struct call_exchange *exchange, const struct ch_http_end *end)
+report_end(struct call_exchange *exchange, const struct ch_http_result *end)
 {
-    struct ch_call_end result = {
+    struct ch_call_result result = {
         .code = exchange->failure,
         .status = exchange->status,
         .may_have_run = may_have_run(exchange, end),
-        .refused = end->refused,
-        .events = exchange->event_count,
+        .connection_refused = end->connection_refused,
+        .event_count = exchange->event_count,
     };
     memcpy(result.message, exchange->message, sizeof(result.message));
     exchange->end_reported = true;
     if (result.code == CH_UPSTREAM_STALLED) {
-        ch_metrics_count(exchange->client->metrics, CH_COUNT_STALLS, 1);
+        ch_metrics_add_count(exchange->client->metrics, CH_COUNT_STALLS, 1);
     }
     exchange->handlers.on_end(exchange->data, &result);
 }
@@ -268,7 +269,7 @@
 static void
 abandon_response(struct call_exchange *exchange)
 {
-    const struct ch_http_end end = {.code = CH_OK, .sent = true};
+    const struct ch_http_result end = {.code = CH_OK, .sent = true};
     report_end(exchange, &end);
     uint64_t handle = ck_pr_load_64(&exchange->handle);
     if (handle != 0 && exchange->failure != CH_UPSTREAM_REFUSED) {
@@ -307,7 +308,7 @@
 store_header(struct call_exchange *exchange, const char *name,
              const char *value)
 {
-    if (!exchange->rules.passes_headers || is_hop_header(name)) {
+    if (!exchange->rules.forward_headers || is_hop_header(name)) {
         return;
     }
     const struct ch_http_header header = {g_strdup(name), g_strdup(value)};
@@ -331,8 +332,8 @@
             abandon_response(exchange);
         }
     }
-    else if (exchange->rules.proof_header != NULL &&
-             strcasecmp(name, exchange->rules.proof_header) == 0) {
+    else if (exchange->rules.signature_header != NULL &&
+             strcasecmp(name, exchange->rules.signature_header) == 0) {
         exchange->has_signature = true;
     }
     else if (strcasecmp(name, exchange->rules.not_run_header) == 0) {
@@ -377,7 +378,7 @@
         abandon_response(exchange);
     }
     else if (exchange->done_received) {
-        const struct ch_http_end complete = {.code = CH_OK, .sent = true};
+        const struct ch_http_result complete = {.code = CH_OK, .sent = true};
         report_end(exchange, &complete);
     }
 }
@@ -388,12 +389,13 @@
 {
     bool has_no_body = exchange->is_head_request || exchange->status == 204 ||
                        exchange->status == 304;
-    if (exchange->is_stream && exchange->rules.ends_by_framing) {
+    if (exchange->is_stream && exchange->rules.no_done_event) {
         if (ch_sse_is_partial(&exchange->sse)) {
             fail(exchange, CH_UPSTREAM_CUT,
                  "the stream ended within an event");
         }
-        else if (!exchange->is_framed && !exchange->rules.may_be_unframed) {
+        else if (!exchange->is_framed &&
+                 !exchange->rules.allow_close_delimited) {
             fail(exchange, CH_UPSTREAM_CUT,
                  "the end of the stream cannot be detected");
         }
@@ -402,7 +404,7 @@
         fail(exchange, CH_UPSTREAM_CUT, "the stream ended without [DONE]");
     }
     else if (!exchange->is_stream && !exchange->is_framed && !has_no_body &&
-             !exchange->rules.may_be_unframed) {
+             !exchange->rules.allow_close_delimited) {
         fail(exchange, CH_UPSTREAM_CUT,
              "the response has neither Content-Length nor chunks");
     }
@@ -410,7 +412,7 @@
 
 /* Handles the end of the HTTP call. */
 static void
-handle_end(void *data, const struct ch_http_end *end)
+handle_end(void *data, const struct ch_http_result *end)
 {
     struct call_exchange *exchange = data;
     if (!exchange->end_reported) {
@@ -453,22 +455,23 @@
 handle_stall(void *data)
 {
     struct call_exchange *exchange = data;
-    return !exchange->end_reported && exchange->handlers.on_silent != NULL &&
-           exchange->handlers.on_silent(exchange->data);
+    return !exchange->end_reported && exchange->handlers.on_stall != NULL &&
+           exchange->handlers.on_stall(exchange->data);
 }
 
 uint64_t
-ch_call_start_with(struct ch_client *client, struct ch_http *http,
-                   const char *address, const struct ch_call_rules *rules,
-                   const struct ch_call *call,
-                   const struct ch_http_header *headers, size_t count,
-                   const struct ch_call_handlers *handlers, void *data)
+ch_call_start_with_headers(struct ch_client *client, struct ch_http *http,
+                           const char *address,
+                           const struct ch_call_rules *rules,
+                           const struct ch_call *call,
+                           const struct ch_http_header *headers, size_t count,
+                           const struct ch_call_handlers *handlers, void *data)
 {
     static const struct ch_http_handlers http_handlers = {
-        .on_head = handle_status,
+        .on_status = handle_status,
         .on_header = handle_header,
         .on_data = handle_body,
-        .on_silent = handle_stall,
+        .on_stall = handle_stall,
         .on_end = handle_end,
     };
     struct call_exchange *exchange =
@@ -483,18 +486,18 @@
         .header_count = count,
         .body = call->body,
         .body_length = call->body_length,
-        .connect_limit = call->connect_limit,
-        .first_byte_limit = call->first_byte_limit,
-        .stall_limit = call->stall_limit,
-        .total_limit = call->total_limit,
-        .fresh_connection = !call->may_repeat || call->fresh,
+        .connect_timeout = call->connect_timeout,
+        .first_byte_timeout = call->first_byte_timeout,
+        .stall_timeout = call->stall_timeout,
+        .total_timeout = call->total_timeout,
+        .fresh_connection = !call->may_repeat || call->fresh_connection,
         /*
          * Otherwise a call that ran, was interrupted and was sent again by
          * libcurl would report the outcome of the second sending only: a
          * restarted engine refuses that one, and the caller would be told
          * not-run.
          */
-        .sent_once = true,
+        .no_resend = true,
     };
     exchange->references = 2; /* the HTTP loop's and this function's */
     uint64_t handle = ch_http_submit(http, &request, &http_handlers, exchange);
@@ -530,6 +533,6 @@
         headers[count++] =
             (struct ch_http_header){"Idempotency-Key", call->idempotency_key};
     }
-    return ch_call_start_with(client, http, address, rules, call, headers,
-                              count, handlers, data);
+    return ch_call_start_with_headers(client, http, address, rules, call,
+                                      headers, count, handlers, data);
 }
--- a/libchestnuthitch/upstream/call.h
+++ b/libchestnuthitch/upstream/call.h
@@ -16,32 +16,32 @@
      * Header of every response to a request that was run; NULL: none. A
      * success without this header does not come from the upstream.
      */
-    const char *proof_header;
+    const char *signature_header;
     /* A stream ends with its HTTP framing and has no [DONE] event. */
-    bool ends_by_framing;
+    bool no_done_event;
     /*
      * A plain response may have no length and end when its connection closes.
      */
-    bool may_be_unframed;
+    bool allow_close_delimited;
     /*
      * The response's headers are forwarded to the caller, and the request's to
      * the upstream, instead of the headers that are generated here.
      */
-    bool passes_headers;
+    bool forward_headers;
     /*
      * A status of 500 and above is a failure of the upstream, to be retried
      * elsewhere, and not a response for the caller.
      */
-    bool server_errors_fail;
+    bool fail_on_server_error;
     /* Events carry "id": "cmpl-" and the request's id; it is checked. */
-    bool events_have_ids;
+    bool check_event_ids;
 };
 
 /*
  * Rules common to the engines and services that use this project's own
  * interface.
  */
-#define CH_CALL_OWN_RULES                                                     \
+#define CH_CALL_DEFAULT_RULES                                                 \
     .id_header = "X-Request-Id", .not_run_header = "X-Not-Run"
 
 /*
@@ -53,12 +53,10 @@
                        const struct ch_call *call,
                        const struct ch_call_handlers *handlers, void *data);
 /* As ch_call_start(), with these headers instead of the generated ones. */
-uint64_t ch_call_start_with(struct ch_client *client, struct ch_http *http,
-                            const char *address,
-                            const struct ch_call_rules *rules,
-                            const struct ch_call *call,
-                            const struct ch_http_header *headers, size_t count,
-                            const struct ch_call_handlers *handlers,
-                            void *data);
+uint64_t ch_call_start_with_headers(
+    struct ch_client *client, struct ch_http *http, const char *address,
+    const struct ch_call_rules *rules, const struct ch_call *call,
+    const struct ch_http_header *headers, size_t count,
+    const struct ch_call_handlers *handlers, void *data);
 
 #endif
--- a/libchestnuthitch/upstream/engine.c
+++ b/libchestnuthitch/upstream/engine.c
@@ -21,9 +21,9 @@
             const struct ch_call_handlers *handlers, void *data)
 {
     static const struct ch_call_rules rules = {
-        CH_CALL_OWN_RULES,
-        .server_errors_fail = true,
-        .events_have_ids = true,
+        CH_CALL_DEFAULT_RULES,
+        .fail_on_server_error = true,
+        .check_event_ids = true,
     };
     struct engine *engine = (struct engine *)upstream;
     return ch_call_start(engine->client, engine->http, engine->address, &rules,
@@ -64,7 +64,7 @@
     json_builder_set_member_name(builder, "id");
     json_builder_add_string_value(builder, order->id);
     json_builder_set_member_name(builder, "fence");
-    json_builder_add_int_value(builder, (int64_t)order->fence);
+    json_builder_add_int_value(builder, (int64_t)order->fencing_token);
     json_builder_set_member_name(builder, "action");
     json_builder_add_string_value(
         builder, order->action == CH_ORDER_LOAD ? "load" : "unload");
@@ -75,7 +75,7 @@
         json_builder_add_string_value(builder, order->adapter);
     }
     json_builder_end_object(builder);
-    return ch_json_print(builder);
+    return ch_json_to_string(builder);
 }
 
 /* Sends an order on a new connection, so that libcurl cannot repeat it. */
@@ -96,13 +96,14 @@
         .header_count = G_N_ELEMENTS(headers),
         .body = body,
         .body_length = strlen(body),
-        .connect_limit = engine->control_timeout,
-        .first_byte_limit = engine->control_timeout,
-        .stall_limit = engine->control_timeout,
-        .total_limit = engine->control_timeout,
+        .connect_timeout = engine->control_timeout,
+        .first_byte_timeout = engine->control_timeout,
+        .stall_timeout = engine->control_timeout,
+        .total_timeout = engine->control_timeout,
         .fresh_connection = true,
     };
-    ch_ask_order(engine->http, &request, map_order_status, done, data);
+    ch_control_send_order(engine->http, &request, map_order_status, done,
+                          data);
     g_free(url);
     g_free(body);
 }
@@ -110,7 +111,7 @@
 static void
 engine_fetch_report(struct ch_upstream *upstream,
                     void (*done)(void *data, enum ch_code code,
-                                 struct ch_report *report),
+                                 struct ch_engine_report *report),
                     void *data)
 {
     struct engine *engine = (struct engine *)upstream;
@@ -118,12 +119,13 @@
     struct ch_http_request request = {
         .method = "GET",
         .url = url,
-        .connect_limit = engine->control_timeout,
-        .first_byte_limit = engine->control_timeout,
-        .stall_limit = engine->control_timeout,
-        .total_limit = engine->control_timeout,
+        .connect_timeout = engine->control_timeout,
+        .first_byte_timeout = engine->control_timeout,
+        .stall_timeout = engine->control_timeout,
+        .total_timeout = engine->control_timeout,
     };
-    ch_ask_report(engine->http, &request, ch_report_parse, done, data);
+    ch_control_fetch_report(engine->http, &request, ch_engine_report_parse,
+                            done, data);
     g_free(url);
 }
 
@@ -147,8 +149,8 @@
     static const struct ch_upstream_ops ops = {
         .call = engine_call,
         .cancel = engine_cancel,
-        .order = engine_send_order,
-        .report = engine_fetch_report,
+        .send_order = engine_send_order,
+        .fetch_report = engine_fetch_report,
         .free = engine_free,
     };
     struct engine *engine = g_new0(struct engine, 1);
--- a/libchestnuthitch/upstream/report.c
+++ b/libchestnuthitch/upstream/report.c
@@ -12,17 +12,17 @@
 };
 
 void
-ch_report_free(struct ch_report *report)
+ch_engine_report_free(struct ch_engine_report *report)
 {
     if (report == NULL) {
         return;
     }
-    for (size_t i = 0; i < report->resident_count; i++) {
-        g_free(report->resident[i].name);
+    for (size_t i = 0; i < report->resident_item_count; i++) {
+        g_free(report->resident_items[i].name);
     }
-    g_free(report->resident);
-    g_strfreev(report->orders_done);
-    g_free(report->boot);
+    g_free(report->resident_items);
+    g_strfreev(report->done_order_ids);
+    g_free(report->boot_id);
     g_free(report);
 }
 
@@ -30,7 +30,7 @@
 static const char *
 get_string_member(JsonObject *object, const char *name, struct ch_error *error)
 {
-    const char *text = ch_json_text(object, name);
+    const char *text = ch_json_get_string(object, name);
     if (text == NULL) {
         ch_error_set(error, CH_UPSTREAM_ANSWER, "report: %s is not a string",
                      name);
@@ -74,11 +74,11 @@
 
 /* Reads "resident": the items in memory and how much memory each takes. */
 static void
-read_resident(JsonArray *array, struct ch_report *report,
+read_resident(JsonArray *array, struct ch_engine_report *report,
               struct ch_error *error)
 {
     guint count = json_array_get_length(array);
-    report->resident = g_new0(struct ch_resident, count);
+    report->resident_items = g_new0(struct ch_resident_item, count);
     for (guint i = 0; i < count; i++) {
         JsonNode *node = json_array_get_element(array, i);
         if (!JSON_NODE_HOLDS_OBJECT(node)) {
@@ -87,19 +87,20 @@
             return;
         }
         JsonObject *object = json_node_get_object(node);
-        struct ch_resident *resident = &report->resident[i];
+        struct ch_resident_item *resident = &report->resident_items[i];
         resident->name = g_strdup(get_string_member(object, "name", error));
         resident->memory_mb = get_uint_member(object, "memory_mb", error);
-        report->resident_count = i + 1;
+        report->resident_item_count = i + 1;
     }
 }
 
 /* Reads "orders_done". */
 static void
-read_orders(JsonArray *array, struct ch_report *report, struct ch_error *error)
+read_orders(JsonArray *array, struct ch_engine_report *report,
+            struct ch_error *error)
 {
     guint count = json_array_get_length(array);
-    report->orders_done = g_new0(char *, count + 1);
+    report->done_order_ids = g_new0(char *, count + 1);
     for (guint i = 0; i < count; i++) {
         JsonNode *node = json_array_get_element(array, i);
         if (json_node_get_value_type(node) != G_TYPE_STRING) {
@@ -107,21 +108,21 @@
                          "report: orders_done holds no string");
             return;
         }
-        report->orders_done[i] = g_strdup(json_node_get_string(node));
-        report->orders_done_count = i + 1;
+        report->done_order_ids[i] = g_strdup(json_node_get_string(node));
+        report->done_order_count = i + 1;
     }
 }
 
 /* Reads all members of the report. */
 static void
-read_report(JsonObject *object, struct ch_report *report,
+read_report(JsonObject *object, struct ch_engine_report *report,
             struct ch_error *error)
 {
-    report->boot = g_strdup(get_string_member(object, "boot", error));
+    report->boot_id = g_strdup(get_string_member(object, "boot", error));
     report->memory_mb = get_uint_member(object, "memory_mb", error);
     report->running = get_uint_member(object, "running", error);
     report->waiting = get_uint_member(object, "waiting", error);
-    report->leaving =
+    report->draining =
         json_object_get_boolean_member_with_default(object, "leaving", FALSE);
     JsonArray *resident = get_array_member(object, "resident", error);
     JsonArray *orders = get_array_member(object, "orders_done", error);
@@ -138,13 +139,13 @@
  * range: memory is assigned based on the report, so a partly understood one is
  * rejected.
  */
-struct ch_report *
-ch_report_parse(const char *json, size_t length, struct ch_error *error)
+struct ch_engine_report *
+ch_engine_report_parse(const char *json, size_t length, struct ch_error *error)
 {
     struct ch_error parse_error = {.code = CH_OK};
-    struct ch_report *report = g_new0(struct ch_report, 1);
+    struct ch_engine_report *report = g_new0(struct ch_engine_report, 1);
     JsonParser *parser = NULL;
-    JsonObject *object = ch_json_object(json, length, &parser);
+    JsonObject *object = ch_json_parse_object(json, length, &parser);
     if (object == NULL) {
         ch_error_set(&parse_error, CH_UPSTREAM_ANSWER,
                      "report: not one JSON object");
@@ -155,7 +156,7 @@
     g_object_unref(parser);
     if (parse_error.code != CH_OK) {
         ch_error_set(error, parse_error.code, "%s", parse_error.message);
-        ch_report_free(report);
+        ch_engine_report_free(report);
         return NULL;
     }
     return report;
--- a/libchestnuthitch/upstream/service.c
+++ b/libchestnuthitch/upstream/service.c
@@ -15,9 +15,9 @@
              const struct ch_call_handlers *handlers, void *data)
 {
     static const struct ch_call_rules rules = {
-        CH_CALL_OWN_RULES,
-        .server_errors_fail = false,
-        .events_have_ids = false,
+        CH_CALL_DEFAULT_RULES,
+        .fail_on_server_error = false,
+        .check_event_ids = false,
     };
     struct service *service = (struct service *)upstream;
     return ch_call_start(service->client, service->http, service->address,
--- a/libchestnuthitch/upstream/sse.c
+++ b/libchestnuthitch/upstream/sse.c
@@ -5,9 +5,9 @@
 #include <string.h>
 
 void
-ch_sse_init(struct ch_sse *sse)
+ch_sse_init(struct ch_sse_parser *sse)
 {
-    *sse = (struct ch_sse){
+    *sse = (struct ch_sse_parser){
         .event = g_string_new(NULL),
         .line = g_string_new(NULL),
     };
@@ -15,7 +15,7 @@
 
 /* Frees the parser's buffers, not the struct. */
 void
-ch_sse_clear(struct ch_sse *sse)
+ch_sse_clear(struct ch_sse_parser *sse)
 {
     g_string_free(sse->event, TRUE);
     g_string_free(sse->line, TRUE);
@@ -34,7 +34,7 @@
 
 /* Handles a complete line; an empty line ends the event. */
 static void
-handle_line(struct ch_sse *sse,
+handle_line(struct ch_sse_parser *sse,
             void (*event)(void *data, const char *text, size_t length),
             void *data)
 {
@@ -54,11 +54,11 @@
 
 /* Lines may end in LF, CR LF or CR, and the input may be split anywhere. */
 bool
-ch_sse_feed(struct ch_sse *sse, const char *bytes, size_t length,
+ch_sse_feed(struct ch_sse_parser *sse, const char *bytes, size_t length,
             void (*event)(void *data, const char *text, size_t length),
             void *data)
 {
-    for (size_t i = 0; i < length && !sse->failed; i++) {
+    for (size_t i = 0; i < length && !sse->too_large; i++) {
         char byte = bytes[i];
         bool ends_line = byte == '\r' || (byte == '\n' && !sse->after_cr);
         if (ends_line) {
@@ -68,15 +68,15 @@
             g_string_append_c(sse->line, byte);
         }
         sse->after_cr = byte == '\r';
-        if (sse->event->len + sse->line->len > CH_SSE_MOST_BYTES) {
-            sse->failed = true;
+        if (sse->event->len + sse->line->len > CH_SSE_MAX_EVENT_BYTES) {
+            sse->too_large = true;
         }
     }
-    return !sse->failed;
+    return !sse->too_large;
 }
 
 bool
-ch_sse_is_partial(const struct ch_sse *sse)
+ch_sse_is_partial(const struct ch_sse_parser *sse)
 {
     return sse->event->len > 0 || sse->line->len > 0;
 }
--- a/libchestnuthitch/upstream/upstream.h
+++ b/libchestnuthitch/upstream/upstream.h
@@ -18,28 +18,28 @@
     const char *idempotency_key; /* forwarded to a plain service; or NULL */
     const void *body;
     size_t body_length;
-    bool stream;           /* server-sent events are expected */
-    bool may_repeat;       /* false: new connection, never sent twice */
-    uint32_t resume_from;  /* token events that the caller already has */
-    const char *resume_id; /* last event that the caller has; or NULL */
+    bool stream;               /* server-sent events are expected */
+    bool may_repeat;           /* false: new connection, never sent twice */
+    uint32_t resume_from;      /* token events that the caller already has */
+    const char *last_event_id; /* last event that the caller has; or NULL */
     uint32_t priority;
     /* The caller's headers, to be forwarded; NULL: none. */
     const struct ch_http_header *headers;
     size_t header_count;
-    int64_t time_left; /* until the caller stops waiting; 0: not stated */
-    bool fresh;        /* on a new connection, even if repeatable */
-    int64_t connect_limit;
-    int64_t first_byte_limit;
-    int64_t stall_limit;
-    int64_t total_limit; /* 0: none */
+    int64_t remaining_time; /* until the caller stops waiting; 0: not stated */
+    bool fresh_connection;  /* on a new connection, even if repeatable */
+    int64_t connect_timeout;
+    int64_t first_byte_timeout;
+    int64_t stall_timeout;
+    int64_t total_timeout; /* 0: none */
 };
 
-struct ch_call_end {
+struct ch_call_result {
     enum ch_code code; /* OK: complete, with the upstream's own end marker */
     int status;
     bool may_have_run; /* false: certainly not run, safe to retry elsewhere */
-    bool refused;      /* nothing accepts connections at the upstream */
-    uint32_t events;   /* token events forwarded */
+    bool connection_refused; /* nothing accepts connections at the upstream */
+    uint32_t event_count;    /* token events forwarded */
     char message[160];
 };
 
@@ -56,11 +56,11 @@
      */
     void (*on_headers)(void *data, const struct ch_http_header *headers,
                        size_t count);
-    void (*on_head)(void *data, int status, const char *content_type);
+    void (*on_response)(void *data, int status, const char *content_type);
     void (*on_data)(void *data, const char *bytes, size_t length);
     /* As on_stall of struct ch_http_handlers; may be NULL. */
-    bool (*on_silent)(void *data);
-    void (*on_end)(void *data, const struct ch_call_end *result);
+    bool (*on_stall)(void *data);
+    void (*on_end)(void *data, const struct ch_call_result *result);
 };
 
 /*
@@ -78,7 +78,7 @@
 
 struct ch_order {
     char id[40];
-    uint64_t fence;
+    uint64_t fencing_token;
     enum ch_order_action action;
     const char *model;
     const char *adapter; /* NULL: the model itself */
@@ -86,36 +86,36 @@
      * How many orders the engine must have taken before this one; it refuses
      * the order if the count differs. CH_ORDER_EXPECT_ANY: not checked.
      */
-    int64_t expected;
+    int64_t expected_orders_taken;
 };
 
 enum {
     CH_ORDER_EXPECT_ANY = -1,
 };
 
-struct ch_resident {
+struct ch_resident_item {
     char *name; /* "model" or "model/adapter" */
     uint32_t memory_mb;
 };
 
-struct ch_report {
-    char *boot; /* changes when the engine restarts with empty memory */
+struct ch_engine_report {
+    char *boot_id; /* changes when the engine restarts with empty memory */
     uint32_t memory_mb;
-    struct ch_resident *resident;
-    size_t resident_count;
-    char **orders_done; /* ids of the latest orders carried out */
-    size_t orders_done_count;
+    struct ch_resident_item *resident_items;
+    size_t resident_item_count;
+    char **done_order_ids; /* ids of the latest orders carried out */
+    size_t done_order_count;
     uint32_t running;
     uint32_t waiting;
-    bool leaving;
-    bool busy;             /* an order is being carried out */
-    uint64_t orders_taken; /* since its start; 0 if not reported */
-    uint32_t context_used; /* context tokens that cannot be evicted */
-    char **coming;         /* adapters being loaded; NULL if not reported */
+    bool draining;
+    bool order_in_progress; /* an order is being carried out */
+    uint64_t orders_taken;  /* since its start; 0 if not reported */
+    uint32_t pinned_tokens; /* context tokens that cannot be evicted */
+    char **pending_loads;   /* adapters being loaded; NULL if not reported */
 };
 
 /* Accepts NULL. */
-void ch_report_free(struct ch_report *report);
+void ch_engine_report_free(struct ch_engine_report *report);
 
 /* ---- the vtable ---- */
 
@@ -131,13 +131,15 @@
      * order is being carried out, or came first; codes with an unknown
      * outcome: the order may still arrive. NULL for a plain service.
      */
-    void (*order)(struct ch_upstream *upstream, const struct ch_order *order,
-                  void (*done)(void *data, enum ch_code code), void *data);
+    void (*send_order)(struct ch_upstream *upstream,
+                       const struct ch_order *order,
+                       void (*done)(void *data, enum ch_code code),
+                       void *data);
     /* The callee of done owns the report; NULL with a code on failure. */
-    void (*report)(struct ch_upstream *upstream,
-                   void (*done)(void *data, enum ch_code code,
-                                struct ch_report *report),
-                   void *data);
+    void (*fetch_report)(struct ch_upstream *upstream,
+                         void (*done)(void *data, enum ch_code code,
+                                      struct ch_engine_report *report),
+                         void *data);
     void (*free)(struct ch_upstream *upstream);
 };
 
--- a/libchestnuthitch/wire/frame.c
+++ b/libchestnuthitch/wire/frame.c
@@ -21,16 +21,17 @@
                struct ch_error *error)
 {
     size_t length = chestnuthitch__wire__frame__get_packed_size(frame);
-    if (length > CH_WIRE_MOST_BYTES) {
+    if (length > CH_WIRE_MAX_FRAME_BYTES) {
         ch_error_set(error, CH_FRAME_TOO_LARGE, "a frame of %zu bytes",
                      length);
         return false;
     }
     guint at = out->len;
-    g_byte_array_set_size(out, at + CH_WIRE_PREFIX + (guint)length);
+    g_byte_array_set_size(out, at + CH_WIRE_PREFIX_BYTES + (guint)length);
     uint32_t prefix = GUINT32_TO_BE((uint32_t)length);
     memcpy(out->data + at, &prefix, sizeof(prefix));
-    chestnuthitch__wire__frame__pack(frame, out->data + at + CH_WIRE_PREFIX);
+    chestnuthitch__wire__frame__pack(frame,
+                                     out->data + at + CH_WIRE_PREFIX_BYTES);
     return true;
 }
 
@@ -95,27 +96,27 @@
                     "connection already had a bad frame");
     }
     size_t available = decoder->bytes->len - decoder->consumed;
-    if (available < CH_WIRE_PREFIX) {
+    if (available < CH_WIRE_PREFIX_BYTES) {
         return NULL;
     }
     const uint8_t *at = decoder->bytes->data + decoder->consumed;
     uint32_t prefix = 0;
     memcpy(&prefix, at, sizeof(prefix));
     size_t length = GUINT32_FROM_BE(prefix);
-    if (length > CH_WIRE_MOST_BYTES) {
+    if (length > CH_WIRE_MAX_FRAME_BYTES) {
         return fail(decoder, error, CH_FRAME_TOO_LARGE,
                     "frame is over the size limit");
     }
-    if (available - CH_WIRE_PREFIX < length) {
+    if (available - CH_WIRE_PREFIX_BYTES < length) {
         return NULL;
     }
-    Chestnuthitch__Wire__Frame *frame =
-        chestnuthitch__wire__frame__unpack(NULL, length, at + CH_WIRE_PREFIX);
+    Chestnuthitch__Wire__Frame *frame = chestnuthitch__wire__frame__unpack(
+        NULL, length, at + CH_WIRE_PREFIX_BYTES);
     if (frame == NULL) {
         return fail(decoder, error, CH_FRAME_DAMAGED,
                     "frame cannot be decoded");
     }
-    decoder->last_frame_bytes = CH_WIRE_PREFIX + length;
+    decoder->last_frame_bytes = CH_WIRE_PREFIX_BYTES + length;
     decoder->consumed += decoder->last_frame_bytes;
     if (frame->version != CH_WIRE_VERSION) {
         ch_wire_frame_free(frame);
@@ -133,7 +134,7 @@
 }
 
 size_t
-ch_wire_decoder_length(const struct ch_wire_decoder *decoder)
+ch_wire_decoder_get_frame_length(const struct ch_wire_decoder *decoder)
 {
     return decoder->last_frame_bytes;
 }
--- a/libchestnuthitch/wire/wire.h
+++ b/libchestnuthitch/wire/wire.h
@@ -12,8 +12,8 @@
      * Fits one configuration of the largest size that the key-value store
      * accepts, with some headroom.
      */
-    CH_WIRE_MOST_BYTES = 2 * 1024 * 1024,
-    CH_WIRE_PREFIX = 4,
+    CH_WIRE_MAX_FRAME_BYTES = 2 * 1024 * 1024,
+    CH_WIRE_PREFIX_BYTES = 4,
 };
 
 /*
@@ -39,7 +39,7 @@
 Chestnuthitch__Wire__Frame *
 ch_wire_decoder_next(struct ch_wire_decoder *decoder, struct ch_error *error);
 /* Size in bytes, on the connection, of the frame returned last. */
-size_t ch_wire_decoder_length(const struct ch_wire_decoder *decoder);
+size_t ch_wire_decoder_get_frame_length(const struct ch_wire_decoder *decoder);
 /* Frees a frame returned by ch_wire_decoder_next(); accepts NULL. */
 void ch_wire_frame_free(Chestnuthitch__Wire__Frame *frame);
 
--- a/tests/bench/bench_config.c
+++ b/tests/bench/bench_config.c
@@ -105,8 +105,10 @@
 {
     JsonParser *parser = NULL;
     gsize length = 0;
-    JsonObject *root = ch_json_object(copy->body, strlen(copy->body), &parser);
-    const char *value = root == NULL ? NULL : ch_json_text(root, "value");
+    JsonObject *root =
+        ch_json_parse_object(copy->body, strlen(copy->body), &parser);
+    const char *value =
+        root == NULL ? NULL : ch_json_get_string(root, "value");
     if (value != NULL) {
         copy->json = (char *)g_base64_decode(value, &length);
         copy->json_length = length;
@@ -119,7 +121,7 @@
 translate(struct copy *copy)
 {
     struct ch_error error = {0};
-    copy->text = platform_config_text(copy->json, copy->json_length, &error);
+    copy->text = platform_config_to_ini(copy->json, copy->json_length, &error);
     return copy->text != NULL;
 }
 
@@ -138,8 +140,8 @@
 static bool
 pack(struct copy *copy)
 {
-    copy->packed =
-        ch_pack(copy->declaration->text, strlen(copy->declaration->text));
+    copy->packed = ch_compress(copy->declaration->canonical_text,
+                               strlen(copy->declaration->canonical_text));
     return true;
 }
 
@@ -149,7 +151,7 @@
     struct ch_error error = {0};
     gsize length = 0;
     const void *bytes = g_bytes_get_data(copy->packed, &length);
-    char *text = ch_unpack(bytes, length, MOST_TEXT, NULL, &error);
+    char *text = ch_decompress(bytes, length, MOST_TEXT, NULL, &error);
     g_free(text);
     return text != NULL;
 }
--- a/tests/bench/bench_fleet.c
+++ b/tests/bench/bench_fleet.c
@@ -42,7 +42,7 @@
 {
     int64_t sum = 0;
     for (size_t i = 0; kinds[i] != NULL; i++) {
-        sum += harness_record_number(&fleet->kv, kinds[i]);
+        sum += harness_get_record_number(&fleet->kv, kinds[i]);
     }
     return (double)sum;
 }
@@ -52,12 +52,12 @@
 read_node(const struct harness_node *node)
 {
     struct reading reading = {
-        .cpu_ms = harness_cpu_ms(node->pid),
-        .rss_kb = harness_memory_kb(node->pid),
+        .cpu_ms = harness_get_cpu_ms(node->pid),
+        .rss_kb = harness_get_memory_kb(node->pid),
     };
-    reading.sent = harness_counter(node, "frame_bytes_sent");
-    reading.received = harness_counter(node, "frame_bytes_received");
-    reading.frames = harness_counter(node, "frames_sent");
+    reading.sent = harness_get_counter(node, "frame_bytes_sent");
+    reading.received = harness_get_counter(node, "frame_bytes_received");
+    reading.frames = harness_get_counter(node, "frames_sent");
     return reading;
 }
 
@@ -67,25 +67,26 @@
 {
     char *text = NULL;
     char *path = g_strdup_printf("%s/change.ini", fleet->directory);
-    if (!g_file_get_contents(fleet->shape.declaration, &text, NULL, NULL)) {
-        g_error("bench: cannot read %s", fleet->shape.declaration);
+    if (!g_file_get_contents(fleet->config.declaration_path, &text, NULL,
+                             NULL)) {
+        g_error("bench: cannot read %s", fleet->config.declaration_path);
     }
     char *changed = g_strdup_printf("%s\n[model extra%u]\nmemory-mb = 1000\n",
                                     text, serial);
     (void)g_file_set_contents(path, changed, -1, NULL);
-    uint64_t before = harness_revision(&fleet->nodes[0]);
+    uint64_t before = harness_get_revision(&fleet->nodes[0]);
     char *output = NULL;
-    int64_t begun = harness_now();
-    if (harness_apply(fleet, &fleet->nodes[0], path, &output) != 0) {
+    int64_t begun = harness_now_ms();
+    if (harness_apply_config(fleet, &fleet->nodes[0], path, &output) != 0) {
         g_error("bench: apply: %s", output);
     }
     for (unsigned i = 0; i < fleet->node_count; i++) {
-        while (harness_revision(&fleet->nodes[i]) <= before &&
-               harness_now() - begun < SPREAD_LIMIT_MS) {
-            harness_sleep(5);
+        while (harness_get_revision(&fleet->nodes[i]) <= before &&
+               harness_now_ms() - begun < SPREAD_LIMIT_MS) {
+            harness_sleep_ms(5);
         }
     }
-    int64_t took = harness_now() - begun;
+    int64_t took = harness_now_ms() - begun;
     (void)remove(path);
     g_free(output);
     g_free(changed);
@@ -110,7 +111,7 @@
 homes_beyond(const struct harness_fleet *fleet,
              const struct harness_node *node, unsigned first)
 {
-    JsonNode *status = harness_status(node);
+    JsonNode *status = harness_get_status(node);
     JsonArray *list = status == NULL
                           ? NULL
                           : json_object_get_array_member(
@@ -139,20 +140,20 @@
     for (unsigned i = 0; i < lost; i++) {
         (void)kill(fleet->nodes[i].pid, SIGSTOP);
     }
-    int64_t begun = harness_now();
+    int64_t begun = harness_now_ms();
     for (unsigned i = lost; i < fleet->node_count; i++) {
         while (!homes_beyond(fleet, &fleet->nodes[i], lost)) {
-            if (harness_now() - begun > LOSS_LIMIT_MS) {
+            if (harness_now_ms() - begun > LOSS_LIMIT_MS) {
                 g_print("figure: fleet nodes=%u: %s still has homes among the "
                         "lost after %d ms\n",
                         fleet->node_count, fleet->nodes[i].name,
                         LOSS_LIMIT_MS);
                 break;
             }
-            harness_sleep(20);
+            harness_sleep_ms(20);
         }
     }
-    int64_t took = harness_now() - begun;
+    int64_t took = harness_now_ms() - begun;
     frames = sum_frames(fleet, lost) - frames;
     for (unsigned i = 0; i < lost; i++) {
         (void)kill(fleet->nodes[i].pid, SIGCONT);
@@ -173,19 +174,20 @@
         before[i] = kv_calls(fleet, kv_kinds[i]);
     }
     for (unsigned i = 0; i < fleet->node_count; i++) {
-        harness_node_kill(&fleet->nodes[i], SIGKILL);
+        harness_node_signal(&fleet->nodes[i], SIGKILL);
     }
-    int64_t begun = harness_now();
+    int64_t begun = harness_now_ms();
     for (unsigned i = 0; i < fleet->node_count; i++) {
         harness_node_start(fleet, &fleet->nodes[i]);
     }
-    int64_t started = harness_now() - begun;
+    int64_t started = harness_now_ms() - begun;
     for (unsigned i = 0; i < fleet->node_count; i++) {
-        if (!harness_node_wait(&fleet->nodes[i], true, HARNESS_READY_MS)) {
+        if (!harness_node_wait_ready(&fleet->nodes[i], true,
+                                     HARNESS_READY_TIMEOUT_MS)) {
             g_error("bench: %s is not ready", fleet->nodes[i].name);
         }
     }
-    int64_t took = harness_now() - begun;
+    int64_t took = harness_now_ms() - begun;
     g_print("figure: fleet nodes=%u upstreams=%u: all replaced at once, begun "
             "within %" G_GINT64_FORMAT " ms, ready after %" G_GINT64_FORMAT
             " ms, kv-reads=%.0f kv-writes=%.0f kv-watches=%.0f\n",
@@ -199,15 +201,15 @@
 static void
 measure_size(const char *build, unsigned nodes, unsigned engines)
 {
-    struct harness_shape shape = {
-        .nodes = nodes,
-        .engines = engines,
-        .services = 1,
+    struct harness_fleet_config shape = {
+        .node_count = nodes,
+        .engine_count = engines,
+        .service_count = 1,
         .settings = {"platform.list-ms=1000", "upstreams.report-ms=500",
                      "node.workers=2"},
     };
     struct harness_fleet *fleet = harness_fleet_start(build, &shape);
-    harness_sleep(SETTLE_MS);
+    harness_sleep_ms(SETTLE_MS);
     struct reading *before = g_new0(struct reading, nodes);
     for (unsigned i = 0; i < nodes; i++) {
         before[i] = read_node(&fleet->nodes[i]);
@@ -216,9 +218,9 @@
     for (size_t i = 0; i < KV_KINDS; i++) {
         kv_before[i] = kv_calls(fleet, kv_kinds[i]);
     }
-    int64_t begun = harness_now();
-    harness_sleep(MEASURE_MS);
-    double seconds = (double)(harness_now() - begun) / 1000.0;
+    int64_t begun = harness_now_ms();
+    harness_sleep_ms(MEASURE_MS);
+    double seconds = (double)(harness_now_ms() - begun) / 1000.0;
     struct reading sum = {0};
     for (unsigned i = 0; i < nodes; i++) {
         struct reading now = read_node(&fleet->nodes[i]);
--- a/tests/bench/bench_path.c
+++ b/tests/bench/bench_path.c
@@ -23,7 +23,7 @@
     ENGINES = 4,
 };
 
-static const struct harness_kind kinds[ENGINES] = {
+static const struct harness_call_kind kinds[ENGINES] = {
     {"advice", "m01", NULL, 1, false, false, 0},
     {"advice", "m02", NULL, 1, false, false, 0},
     {"advice", "m03", NULL, 1, false, false, 0},
@@ -127,7 +127,7 @@
 measure_latency(struct harness_fleet *fleet)
 {
     const struct harness_upstream *engine = engine_of(fleet, "m01");
-    char *home = harness_home(&fleet->nodes[0], engine->name);
+    char *home = harness_get_home(&fleet->nodes[0], engine->name);
     bool first = strcmp(home, fleet->nodes[0].name) == 0;
     const char *addresses[] = {
         engine->standin.address,
@@ -181,7 +181,7 @@
     struct closed_loop *loop = data;
     struct curl_slist *headers;
     CURL *curl = prepare(loop->address, &headers);
-    while (harness_now() < loop->until) {
+    while (harness_now_ms() < loop->until) {
         char *body = harness_model_body(loop->model, 1, false, loop->number++);
         if (time_call(curl, body) < 0) {
             loop->bad++;
@@ -203,8 +203,8 @@
     const struct harness_node *node = &fleet->nodes[0];
     struct closed_loop loops[CALLERS] = {0};
     GThread *threads[CALLERS];
-    double cpu = harness_cpu_ms(node->pid);
-    int64_t begun = harness_now();
+    double cpu = harness_get_cpu_ms(node->pid);
+    int64_t begun = harness_now_ms();
     unsigned done = 0;
     unsigned bad = 0;
     for (unsigned i = 0; i < CALLERS; i++) {
@@ -219,8 +219,8 @@
         done += loops[i].done;
         bad += loops[i].bad;
     }
-    double seconds = (double)(harness_now() - begun) / 1000.0;
-    cpu = (harness_cpu_ms(node->pid) - cpu) / 1000.0;
+    double seconds = (double)(harness_now_ms() - begun) / 1000.0;
+    cpu = (harness_get_cpu_ms(node->pid) - cpu) / 1000.0;
     g_print(
         "figure: throughput of one node, %d callers: %.0f requests/s, %.0f "
         "for each second of processor time (%.1f cores), %u failed\n",
@@ -258,7 +258,7 @@
         stream->begun = true;
         stream->all->opened++;
     }
-    if (harness_now() >= stream->all->from) {
+    if (harness_now_ms() >= stream->all->from) {
         stream->all->bytes += size * count;
     }
     return size * count;
@@ -288,7 +288,7 @@
         curl_multi_add_handle(multi, handles[i]);
         g_free(body);
     }
-    while (harness_now() < all->until && running > 0) {
+    while (harness_now_ms() < all->until && running > 0) {
         (void)curl_multi_perform(multi, &running);
         (void)curl_multi_poll(multi, NULL, 0, 20, NULL);
     }
@@ -311,12 +311,13 @@
     /* An event of the stand-in's, whose request id has this many bytes. */
     struct streams shares[STREAM_THREADS] = {0};
     GThread *threads[STREAM_THREADS];
-    int64_t begun = harness_now();
+    int64_t begun = harness_now_ms();
     uint64_t bytes = 0;
     unsigned opened = 0;
     unsigned ended = 0;
     for (unsigned i = 0; i < fleet->upstream_count; i++) {
-        harness_set(&fleet->upstreams[i].standin, "token_us=%u", token_us);
+        harness_set_faults(&fleet->upstreams[i].standin, "token_us=%u",
+                           token_us);
     }
     for (unsigned i = 0; i < STREAM_THREADS; i++) {
         shares[i].address = address;
@@ -325,11 +326,11 @@
         shares[i].until = begun + 2500 + RELAY_MS;
         threads[i] = g_thread_new("streams", run_streams, &shares[i]);
     }
-    harness_sleep(2500);
-    double cpu = harness_cpu_ms(pid);
-    harness_sleep(RELAY_MS);
-    *cores = (harness_cpu_ms(pid) - cpu) / RELAY_MS;
-    *memory = harness_memory_kb(pid);
+    harness_sleep_ms(2500);
+    double cpu = harness_get_cpu_ms(pid);
+    harness_sleep_ms(RELAY_MS);
+    *cores = (harness_get_cpu_ms(pid) - cpu) / RELAY_MS;
+    *memory = harness_get_memory_kb(pid);
     for (unsigned i = 0; i < STREAM_THREADS; i++) {
         (void)g_thread_join(threads[i]);
         bytes += shares[i].bytes;
@@ -350,10 +351,10 @@
                                 .path = "/v1/completions",
                                 .class_name = "advice",
                                 .body = body,
-                                .limit_ms = 20000};
-    struct harness_answer *answer = harness_call(&call);
-    double bytes = (double)answer->text->len / 64;
-    harness_answer_free(answer);
+                                .timeout_ms = 20000};
+    struct harness_response *answer = harness_call(&call);
+    double bytes = (double)answer->response_body->len / 64;
+    harness_response_free(answer);
     g_free(body);
     return bytes;
 }
@@ -364,7 +365,7 @@
 {
     static const unsigned token_us[] = {200000, 40000, 20000, 10000, 5000};
     const struct harness_node *node = &fleet->nodes[0];
-    double idle = harness_memory_kb(node->pid);
+    double idle = harness_get_memory_kb(node->pid);
     double event = event_bytes(node->caller_address);
     for (size_t i = 0; i < G_N_ELEMENTS(token_us); i++) {
         double memory;
@@ -386,23 +387,24 @@
 int
 main(int argc, char **argv)
 {
-    static const struct harness_shape shape = {
-        .nodes = 2,
-        .engines = ENGINES,
-        .declaration = "tests/bench/bench.ini",
-        .batch = 2 * STREAMS,
-        .memory_mb = 12000,
+    static const struct harness_fleet_config shape = {
+        .node_count = 2,
+        .engine_count = ENGINES,
+        .declaration_path = "tests/bench/bench.ini",
+        .engine_batch = 2 * STREAMS,
+        .engine_memory_mb = 12000,
         .engine_args = {"token_us=0", "memory_mb=12000"},
         .settings = {"weight-store.loads-per-s=20", "limits.queue=4000",
                      "node.workers=4"},
     };
     (void)argc;
     (void)argv;
-    struct harness_fleet *fleet = harness_fleet_start(harness_build(), &shape);
+    struct harness_fleet *fleet =
+        harness_fleet_start(harness_get_build_directory(), &shape);
     g_print("# logs in %s\n", fleet->directory);
-    harness_sleep(1000);
+    harness_sleep_ms(1000);
     g_print("figure: memory of an idle node: %.1f MB resident\n",
-            harness_memory_kb(fleet->nodes[0].pid) / 1024);
+            harness_get_memory_kb(fleet->nodes[0].pid) / 1024);
     harness_warm_up(fleet, kinds, ENGINES);
     unsigned bad = measure_latency(fleet);
     bad += measure_throughput(fleet);
--- a/tests/bench/bench_records.c
+++ b/tests/bench/bench_records.c
@@ -31,17 +31,17 @@
 read_all(const struct harness_fleet *fleet)
 {
     struct reading reading = {
-        .reads = (double)(harness_record_number(&fleet->kv, "gets") +
-                          harness_record_number(&fleet->kv, "lists")),
-        .writes = (double)(harness_record_number(&fleet->kv, "puts") +
-                           harness_record_number(&fleet->kv, "deletes")),
+        .reads = (double)(harness_get_record_number(&fleet->kv, "gets") +
+                          harness_get_record_number(&fleet->kv, "lists")),
+        .writes = (double)(harness_get_record_number(&fleet->kv, "puts") +
+                           harness_get_record_number(&fleet->kv, "deletes")),
     };
     for (unsigned i = 0; i < fleet->node_count; i++) {
         const struct harness_node *node = &fleet->nodes[i];
-        reading.frames += harness_counter(node, "frames_sent");
-        reading.bytes += harness_counter(node, "frame_bytes_sent");
-        reading.forwarded += harness_counter(node, "forwarded");
-        reading.memory += harness_memory_kb(node->pid) * 1024;
+        reading.frames += harness_get_counter(node, "frames_sent");
+        reading.bytes += harness_get_counter(node, "frame_bytes_sent");
+        reading.forwarded += harness_get_counter(node, "forwarded");
+        reading.memory += harness_get_memory_kb(node->pid) * 1024;
     }
     return reading;
 }
@@ -61,9 +61,9 @@
 {
     static const char *const items[] = {"m01", "m01-a1", "m01-a2", "m02",
                                         "m02-a1"};
-    struct harness_shape shape = {.nodes = 1, .engines = 1};
+    struct harness_fleet_config shape = {.node_count = 1, .engine_count = 1};
     struct harness_fleet *fleet = harness_fleet_start(build, &shape);
-    harness_sleep(SETTLE_MS);
+    harness_sleep_ms(SETTLE_MS);
     struct reading before = read_all(fleet);
     for (unsigned i = 0; i < G_N_ELEMENTS(items); i++) {
         struct harness_call call = {
@@ -72,16 +72,16 @@
             .path = "/v1/completions",
             .class_name = "advice",
             .body = harness_model_body(items[i], 4, false, i),
-            .limit_ms = PATIENCE_MS,
+            .timeout_ms = PATIENCE_MS,
         };
-        struct harness_answer *answer = harness_call(&call);
-        if (!harness_answer_good(answer)) {
+        struct harness_response *answer = harness_call(&call);
+        if (!harness_response_is_correct(answer)) {
             g_error("bench: %s was answered with %d", items[i],
                     answer->status);
         }
-        harness_answer_free(answer);
+        harness_response_free(answer);
         g_free((char *)call.body);
-        harness_sleep(SETTLE_MS);
+        harness_sleep_ms(SETTLE_MS);
     }
     struct reading after = read_all(fleet);
     unsigned loads = G_N_ELEMENTS(items);
@@ -94,30 +94,30 @@
 /* Calls of one kind by so many callers; how many were answered. */
 static unsigned
 measure_load(struct harness_fleet *fleet, const char *what,
-             const struct harness_kind *kind, unsigned callers)
+             const struct harness_call_kind *kind, unsigned callers)
 {
     static unsigned serial = 1;
     const struct harness_load load = {
         .fleet = fleet,
         .kinds = kind,
         .kind_count = 1,
-        .callers = callers,
-        .limit_ms = PATIENCE_MS,
+        .caller_count = callers,
+        .call_timeout_ms = PATIENCE_MS,
         .first_serial = serial,
     };
     struct reading before = read_all(fleet);
-    int64_t begun = harness_now();
-    struct harness_running *running = harness_load_start(&load);
-    harness_sleep(LOAD_MS);
+    int64_t begun = harness_now_ms();
+    struct harness_load_run *running = harness_load_start(&load);
+    harness_sleep_ms(LOAD_MS);
     GPtrArray *answers = harness_load_stop(running);
-    double seconds = (double)(harness_now() - begun) / 1000.0;
+    double seconds = (double)(harness_now_ms() - begun) / 1000.0;
     struct reading after = read_all(fleet);
     unsigned good = 0;
     double waited = 0;
     for (guint i = 0; i < answers->len; i++) {
-        const struct harness_answer *answer = g_ptr_array_index(answers, i);
+        const struct harness_response *answer = g_ptr_array_index(answers, i);
         good += answer->status == 200;
-        waited += (double)(answer->ended - answer->sent);
+        waited += (double)(answer->ended_at_ms - answer->sent_at_ms);
     }
     double count = MAX(answers->len, 1U);
     g_print("figure: %s: callers=%u answers=%.0f/s good=%u of %u mean=%.0fms "
@@ -139,9 +139,9 @@
 static void
 measure_requests(const char *build)
 {
-    static const struct harness_kind kind = {"lookup", "m01", NULL, 1,
-                                             false,    false, 3000};
-    struct harness_shape shape = {.nodes = 24, .engines = 6};
+    static const struct harness_call_kind kind = {"lookup", "m01", NULL, 1,
+                                                  false,    false, 3000};
+    struct harness_fleet_config shape = {.node_count = 24, .engine_count = 6};
     struct harness_fleet *fleet = harness_fleet_start(build, &shape);
     harness_warm_up(fleet, &kind, 1);
     (void)measure_load(fleet, "requests", &kind, CALLERS);
@@ -153,17 +153,17 @@
 measure_once(const char *build, const char *slots, const char *gather)
 {
     static const unsigned callers[] = {4, 16, 64};
-    static const struct harness_kind kind = {
+    static const struct harness_call_kind kind = {
         "order", NULL, "/services/orders/jackets", 0, false, true, 3000};
-    struct harness_shape shape = {
-        .nodes = 3,
-        .engines = 1,
-        .services = 3,
+    struct harness_fleet_config shape = {
+        .node_count = 3,
+        .engine_count = 1,
+        .service_count = 3,
         .settings = {slots, gather},
     };
     char *settings = g_strdup_printf("once %s %s", slots, gather);
     struct harness_fleet *fleet = harness_fleet_start(build, &shape);
-    harness_sleep(SETTLE_MS);
+    harness_sleep_ms(SETTLE_MS);
     unsigned total = 0;
     for (size_t i = 0; i < G_N_ELEMENTS(callers); i++) {
         total += measure_load(fleet, settings, &kind, callers[i]);
--- a/tests/bench/bench_size.c
+++ b/tests/bench/bench_size.c
@@ -378,7 +378,7 @@
     struct sockaddr_in address = {.sin_family = AF_INET};
     int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    address.sin_port = htons(fleet->nodes[0].peers);
+    address.sin_port = htons(fleet->nodes[0].peer_port);
     if (fd < 0 ||
         connect(fd, (struct sockaddr *)&address, sizeof address) != 0) {
         g_error("bench: no connection to the node");
@@ -391,13 +391,14 @@
 static struct reading
 read_all(const struct harness_fleet *fleet)
 {
-    struct reading reading = {.at = harness_now()};
+    struct reading reading = {.at = harness_now_ms()};
     const struct harness_node *node = &fleet->nodes[0];
-    reading.sent = harness_counter(node, "frame_bytes_sent");
-    reading.received = harness_counter(node, "frame_bytes_received");
-    reading.frames = harness_counter(node, "frames_sent");
-    reading.polls = (double)harness_record_number(&fleet->hosts, "gets");
-    reading.cpu_ms = harness_cpu_ms(fleet->nodes[0].pid);
+    reading.sent = harness_get_counter(node, "frame_bytes_sent");
+    reading.received = harness_get_counter(node, "frame_bytes_received");
+    reading.frames = harness_get_counter(node, "frames_sent");
+    reading.polls =
+        (double)harness_get_record_number(&fleet->host_list, "gets");
+    reading.cpu_ms = harness_get_cpu_ms(fleet->nodes[0].pid);
     return reading;
 }
 
@@ -413,7 +414,7 @@
             "list-polls=%.2f/s\n",
             size->nodes, size->upstreams, size->models, what,
             (now.cpu_ms - before->cpu_ms) / 10.0 / seconds,
-            harness_memory_kb(fleet->nodes[0].pid) / 1024.0,
+            harness_get_memory_kb(fleet->nodes[0].pid) / 1024.0,
             (now.sent - before->sent) / seconds,
             (now.received - before->received) / seconds,
             (now.frames - before->frames) / seconds,
@@ -426,7 +427,7 @@
           bool odd)
 {
     char *list = make_list(others, fleet, odd);
-    g_free(harness_control(&fleet->hosts, "hosts", list));
+    g_free(harness_call_control(&fleet->host_list, "hosts", list));
     g_free(list);
 }
 
@@ -434,7 +435,7 @@
 static unsigned
 count_homes(const struct harness_fleet *fleet)
 {
-    JsonNode *status = harness_status(&fleet->nodes[0]);
+    JsonNode *status = harness_get_status(&fleet->nodes[0]);
     JsonArray *upstreams = json_object_get_array_member(
         json_node_get_object(status), "upstreams");
     unsigned count = 0;
@@ -451,7 +452,7 @@
 static unsigned
 count_silent(const struct harness_fleet *fleet)
 {
-    JsonNode *status = harness_status(&fleet->nodes[0]);
+    JsonNode *status = harness_get_status(&fleet->nodes[0]);
     JsonArray *nodes =
         json_object_get_array_member(json_node_get_object(status), "nodes");
     unsigned count = 0;
@@ -505,25 +506,26 @@
     __atomic_store_n(&others->parted, true, __ATOMIC_RELEASE);
     int fd = call_node(fleet, CENTRES);
     struct reading before = read_all(fleet);
-    for (int64_t begun = harness_now(); harness_now() - begun < window;) {
+    for (int64_t begun = harness_now_ms();
+         harness_now_ms() - begun < window;) {
         send_hints(others, fd);
-        harness_sleep(CH_GOSSIP_PERIOD_US / 1000);
+        harness_sleep_ms(CH_GOSSIP_PERIOD_US / 1000);
     }
     print_spent(fleet, size, "parting", &before);
     before = read_all(fleet);
-    harness_sleep(window);
+    harness_sleep_ms(window);
     print_spent(fleet, size, "parted", &before);
     unsigned silent = count_silent(fleet);
     unsigned homes = count_homes(fleet);
     (void)close(fd);
     __atomic_store_n(&others->parted, false, __ATOMIC_RELEASE);
-    int64_t begun = harness_now();
-    while (count_silent(fleet) > 0 && harness_now() - begun < RETURN_MS) {
-        harness_sleep(50);
+    int64_t begun = harness_now_ms();
+    while (count_silent(fleet) > 0 && harness_now_ms() - begun < RETURN_MS) {
+        harness_sleep_ms(50);
     }
     g_print("figure: size nodes=%u parted: %u silent, %u homes here; all live "
             "again after %" PRIi64 " ms\n",
-            size->nodes, silent, homes, harness_now() - begun);
+            size->nodes, silent, homes, harness_now_ms() - begun);
 }
 
 /* The three windows: idle, a list that differs at each poll, and as much
@@ -535,12 +537,12 @@
     int64_t poll = MAX(1000, (int64_t)size->nodes * LIST_SHARE_MS);
     int64_t window = MAX(LEAST_WINDOW_MS, poll);
     struct reading before = read_all(fleet);
-    harness_sleep(window);
+    harness_sleep_ms(window);
     print_spent(fleet, size, "idle", &before);
     before = read_all(fleet);
-    for (unsigned k = 0; harness_now() - before.at < 2 * window; k++) {
+    for (unsigned k = 0; harness_now_ms() - before.at < 2 * window; k++) {
         post_list(others, fleet, k / 2 % 2 != 0);
-        harness_sleep(poll / 2);
+        harness_sleep_ms(poll / 2);
     }
     print_spent(fleet, size, "list-changes", &before);
     int fds[GOSSIP_SENDERS];
@@ -554,10 +556,10 @@
     int64_t pause = CH_GOSSIP_PERIOD_US / 1000 / (share.local + share.remote);
     unsigned k = 0;
     before = read_all(fleet);
-    for (; harness_now() - before.at < window; k++) {
+    for (; harness_now_ms() - before.at < window; k++) {
         bytes = send_gossip(others, fds[k % GOSSIP_SENDERS],
                             k % GOSSIP_SENDERS + 1);
-        harness_sleep(pause);
+        harness_sleep_ms(pause);
     }
     print_spent(fleet, size, "gossip", &before);
     g_print("figure: size nodes=%u gossip: %u messages of %zu states, %.0f "
@@ -575,9 +577,9 @@
 measure_size(const char *build, const struct size *size)
 {
     struct others others = {.size = *size};
-    struct harness_shape shape = {
-        .nodes = 1,
-        .engines = 1,
+    struct harness_fleet_config shape = {
+        .node_count = 1,
+        .engine_count = 1,
         .settings = {"platform.list-ms=1000", "upstreams.report-ms=500",
                      "timeouts.peer-silent-ms=800", "once.slots=64"},
     };
@@ -585,23 +587,23 @@
     others_start(&others);
     post_list(&others, fleet, false);
     struct harness_node *node = &fleet->nodes[0];
-    int64_t begun = harness_now();
+    int64_t begun = harness_now_ms();
     harness_node_start(fleet, node);
     char *declaration = make_declaration(fleet, size->models);
     char *output = NULL;
-    while (harness_apply(fleet, node, declaration, &output) != 0) {
-        if (harness_now() - begun > HARNESS_READY_MS) {
+    while (harness_apply_config(fleet, node, declaration, &output) != 0) {
+        if (harness_now_ms() - begun > HARNESS_READY_TIMEOUT_MS) {
             g_error("bench: apply: %s", output);
         }
         g_clear_pointer(&output, g_free);
-        harness_sleep(50);
+        harness_sleep_ms(50);
     }
-    if (!harness_node_wait(node, true, HARNESS_READY_MS)) {
-        g_error("bench: the node is not ready, see %s", node->log);
+    if (!harness_node_wait_ready(node, true, HARNESS_READY_TIMEOUT_MS)) {
+        g_error("bench: the node is not ready, see %s", node->log_path);
     }
-    int64_t ready = harness_now() - begun;
-    double start_cpu = harness_cpu_ms(node->pid);
-    harness_sleep(SETTLE_MS);
+    int64_t ready = harness_now_ms() - begun;
+    double start_cpu = harness_get_cpu_ms(node->pid);
+    harness_sleep_ms(SETTLE_MS);
     char *list = make_list(&others, fleet, false);
     g_print(
         "figure: size nodes=%u upstreams=%u models=%u: ready after %" PRIi64
--- a/tests/demo/demo.c
+++ b/tests/demo/demo.c
@@ -43,15 +43,16 @@
 };
 
 static void
-print_response(const struct harness_answer *answer)
+print_response(const struct harness_response *answer)
 {
     printf("   status %d, request id %s, outcome %s\n", answer->status,
            answer->request_id == NULL ? "-" : answer->request_id,
            answer->outcome == NULL ? "-" : answer->outcome);
     printf("   first byte after %" G_GINT64_FORMAT
            " ms, whole response after %" G_GINT64_FORMAT " ms\n",
-           answer->first - answer->sent, answer->ended - answer->sent);
-    char **lines = g_strsplit(answer->text->str, "\n", -1);
+           answer->first_byte_at_ms - answer->sent_at_ms,
+           answer->ended_at_ms - answer->sent_at_ms);
+    char **lines = g_strsplit(answer->response_body->str, "\n", -1);
     for (size_t i = 0; lines[i] != NULL; i++) {
         if (lines[i][0] != '\0') {
             printf("   | %s\n", lines[i]);
@@ -76,7 +77,7 @@
 
 /* Sends a request and prints the response, to be freed with
  * harness_response_free(). */
-static struct harness_answer *
+static struct harness_response *
 send_request(struct harness_fleet *fleet, size_t i)
 {
     const struct request *request = &requests[i];
@@ -89,12 +90,12 @@
                                 .caller = request->caller,
                                 .key = request->key,
                                 .body = body,
-                                .limit_ms = 15000};
+                                .timeout_ms = 15000};
     printf("\n%zu. %s\n   POST http://%s%s, class %s%s%s\n   %s\n", i + 1,
            request->what, call.address, call.path, call.class_name,
            call.key == NULL ? "" : ", Idempotency-Key ",
            call.key == NULL ? "" : call.key, body);
-    struct harness_answer *answer = harness_call(&call);
+    struct harness_response *answer = harness_call(&call);
     print_response(answer);
     (void)fflush(stdout);
     g_free(body);
@@ -107,7 +108,7 @@
 run_cli(const struct harness_fleet *fleet, const char *const *args)
 {
     char *output = NULL;
-    int status = harness_cli(fleet, &fleet->nodes[2], &output, args);
+    int status = harness_run_cli(fleet, &fleet->nodes[2], &output, args);
     printf("\n$ chestnuthitch");
     for (size_t i = 0; args[i] != NULL; i++) {
         printf(" %s", args[i]);
@@ -130,24 +131,24 @@
 static unsigned
 run_requests(struct harness_fleet *fleet)
 {
-    struct harness_verdict verdict;
+    struct harness_check_result verdict;
     GPtrArray *answers =
-        g_ptr_array_new_with_free_func((GDestroyNotify)harness_answer_free);
+        g_ptr_array_new_with_free_func((GDestroyNotify)harness_response_free);
     for (size_t i = 0; i < G_N_ELEMENTS(requests); i++) {
         g_ptr_array_add(answers, send_request(fleet, i));
     }
-    harness_check(fleet, answers, &verdict);
+    harness_check_responses(fleet, answers, &verdict);
     unsigned failures =
         run_cli(fleet, (const char *[]){"status", NULL}) ? 0 : 1;
     printf("\n");
     for (size_t i = 0; i < G_N_ELEMENTS(requests); i++) {
-        failures +=
-            report_check(requests[i].what,
-                         harness_answer_good(g_ptr_array_index(answers, i)));
+        failures += report_check(
+            requests[i].what,
+            harness_response_is_correct(g_ptr_array_index(answers, i)));
     }
     failures += report_check("the order ran once", verdict.ran_twice == 0);
     failures += report_check("no engine was asked for more than its memory",
-                             verdict.overcommit == 0);
+                             verdict.overcommits == 0);
     g_ptr_array_unref(answers);
     return failures;
 }
@@ -155,8 +156,8 @@
 int
 main(int argc, char **argv)
 {
-    static const struct harness_shape shape = {
-        .nodes = 3, .engines = 2, .services = 1};
+    static const struct harness_fleet_config shape = {
+        .node_count = 3, .engine_count = 2, .service_count = 1};
     if (argc != 2) {
         (void)fprintf(stderr, "usage: demo BUILD-DIRECTORY\n");
         return 2;
--- a/tests/failure/test_command.c
+++ b/tests/failure/test_command.c
@@ -173,7 +173,8 @@
 static int
 run_program(const char *const *arguments, char **output)
 {
-    char *program = g_build_filename(harness_build(), "chestnuthitch", NULL);
+    char *program =
+        g_build_filename(harness_get_build_directory(), "chestnuthitch", NULL);
     char *errors_path = NULL;
     const char *argv[16] = {program};
     char text[4096];
@@ -189,7 +190,7 @@
         g_string_append_len(all, text, length);
     }
     (void)close(out);
-    int status = harness_wait(pid, RUN_TIMEOUT_MS);
+    int status = harness_wait_exit(pid, RUN_TIMEOUT_MS);
     char *errors = NULL;
     if (g_file_get_contents(errors_path, &errors, NULL, NULL)) {
         g_string_append(all, errors);
