--- a/tests/failure/test_config.c
+++ b/tests/failure/test_config.c
@@ -40,11 +40,11 @@
 run_watcher(gpointer data)
 {
     struct watcher *watcher = data;
-    uint64_t last[HARNESS_MOST] = {0};
+    uint64_t last[HARNESS_MAX_PROCESSES] = {0};
     bool stop = false;
     while (!stop) {
         for (unsigned i = 0; i < watcher->fleet->node_count; i++) {
-            uint64_t now = harness_revision(&watcher->fleet->nodes[i]);
+            uint64_t now = harness_get_revision(&watcher->fleet->nodes[i]);
             pthread_mutex_lock(&watcher->lock);
             watcher->polls++;
             watcher->revision_decreases += now != 0 && now < last[i] ? 1 : 0;
@@ -52,7 +52,7 @@
             pthread_mutex_unlock(&watcher->lock);
             last[i] = now == 0 ? last[i] : now;
         }
-        harness_sleep(10);
+        harness_sleep_ms(10);
     }
     return NULL;
 }
@@ -66,8 +66,8 @@
     GKeyFile *file = g_key_file_new();
     char *path =
         g_strdup_printf("%s/operator-%u.ini", fleet->directory, operator);
-    g_assert_true(g_key_file_load_from_file(file, fleet->shape.declaration,
-                                            G_KEY_FILE_NONE, NULL));
+    g_assert_true(g_key_file_load_from_file(
+        file, fleet->config.declaration_path, G_KEY_FILE_NONE, NULL));
     g_key_file_set_integer(file, "class advice", "first-token-ms",
                            (int)(1000 + 100 * operator+ round));
     g_assert_true(g_key_file_save_to_file(file, path, NULL));
@@ -80,7 +80,8 @@
 start_apply(const struct harness_fleet *fleet, const struct harness_node *node,
             const char *path, uint64_t base, unsigned operator)
 {
-    char *program = g_build_filename(fleet->build, "chestnuthitch", NULL);
+    char *program =
+        g_build_filename(fleet->build_directory, "chestnuthitch", NULL);
     char *on = g_strdup_printf("--base=%" PRIu64, base);
     char *author = g_strdup_printf("--author=operator-%u", operator);
     const char *argv[] = {program, "config", "apply",
@@ -101,10 +102,10 @@
 {
     char *line = g_strdup_printf("first-token-ms = %u", target);
     char *compact_line = g_strdup_printf("first-token-ms=%u", target);
-    int64_t started_at = harness_now();
+    int64_t started_at = harness_now_ms();
     unsigned nodes_in_force = 0;
     while (nodes_in_force < fleet->node_count &&
-           harness_now() - started_at < IN_FORCE_LIMIT_MS) {
+           harness_now_ms() - started_at < IN_FORCE_LIMIT_MS) {
         char *body = NULL;
         if (harness_get(fleet->nodes[nodes_in_force].admin_address,
                         "/admin/v1/config", &body) == 200 &&
@@ -113,11 +114,11 @@
             nodes_in_force++;
         }
         else {
-            harness_sleep(10);
+            harness_sleep_ms(10);
         }
         g_free(body);
     }
-    *elapsed_ms = harness_now() - started_at;
+    *elapsed_ms = harness_now_ms() - started_at;
     g_free(line);
     g_free(compact_line);
     return nodes_in_force == fleet->node_count;
@@ -129,7 +130,7 @@
 {
     uint64_t most = 0;
     for (unsigned i = 0; i < fleet->node_count; i++) {
-        most = MAX(most, harness_revision(&fleet->nodes[i]));
+        most = MAX(most, harness_get_revision(&fleet->nodes[i]));
     }
     return most;
 }
@@ -140,13 +141,13 @@
 {
     struct harness_node *last = &fleet->nodes[fleet->node_count - 1];
     if (round % 4 == 1) {
-        harness_set(&fleet->kv, "drop_after=1");
+        harness_set_faults(&fleet->kv, "drop_after=1");
     }
     if (round % 4 == 2) {
-        harness_set(&fleet->kv, "slow_ms=300");
+        harness_set_faults(&fleet->kv, "slow_ms=300");
     }
     if (round == 3) {
-        harness_node_kill(last, SIGKILL);
+        harness_node_signal(last, SIGKILL);
     }
 }
 
@@ -155,10 +156,11 @@
 remove_fault(struct harness_fleet *fleet, unsigned round)
 {
     struct harness_node *last = &fleet->nodes[fleet->node_count - 1];
-    harness_set(&fleet->kv, "slow_ms=0&drop_after=0");
+    harness_set_faults(&fleet->kv, "slow_ms=0&drop_after=0");
     if (round == 3) {
         harness_node_start(fleet, last);
-        g_assert_true(harness_node_wait(last, true, HARNESS_READY_MS));
+        g_assert_true(
+            harness_node_wait_ready(last, true, HARNESS_READY_TIMEOUT_MS));
     }
 }
 
@@ -177,7 +179,7 @@
         g_free(path);
     }
     for (unsigned i = 0; i < 2; i++) {
-        status[i] = harness_wait(pids[i], 30000);
+        status[i] = harness_wait_exit(pids[i], 30000);
     }
     remove_fault(fleet, round);
     g_print("# round %u: base %" PRIu64 ", exits %d and %d\n", round, base,
@@ -195,9 +197,10 @@
 static void
 test_operators(void)
 {
-    static const struct harness_shape shape = {
-        .nodes = 5, .engines = 1, .services = 1};
-    struct harness_fleet *fleet = harness_fleet_start(harness_build(), &shape);
+    static const struct harness_fleet_config shape = {
+        .node_count = 5, .engine_count = 1, .service_count = 1};
+    struct harness_fleet *fleet =
+        harness_fleet_start(harness_get_build_directory(), &shape);
     struct watcher watcher = {.fleet = fleet};
     int64_t slowest_ms = 0;
     pthread_mutex_init(&watcher.lock, NULL);
--- a/tests/failure/test_crash.c
+++ b/tests/failure/test_crash.c
@@ -39,7 +39,7 @@
     char *hash =
         g_strdup_printf("%016" G_GINT64_MODIFIER "x", ch_hash_string(body));
     for (unsigned i = 0; i < fleet->upstream_count; i++) {
-        JsonNode *record = harness_record(&fleet->upstreams[i].standin);
+        JsonNode *record = harness_get_record(&fleet->upstreams[i].standin);
         JsonArray *runs =
             json_object_get_array_member(json_node_get_object(record), "runs");
         for (guint j = 0; j < json_array_get_length(runs); j++) {
@@ -71,14 +71,14 @@
 restart_all(struct harness_fleet *fleet)
 {
     for (unsigned i = 0; i < NODES; i++) {
-        harness_node_kill(&fleet->nodes[i], SIGKILL);
+        harness_node_signal(&fleet->nodes[i], SIGKILL);
     }
     for (unsigned i = 0; i < NODES; i++) {
         harness_node_start(fleet, &fleet->nodes[i]);
     }
     for (unsigned i = 0; i < NODES; i++) {
-        g_assert_true(
-            harness_node_wait(&fleet->nodes[i], true, HARNESS_READY_MS));
+        g_assert_true(harness_node_wait_ready(&fleet->nodes[i], true,
+                                              HARNESS_READY_TIMEOUT_MS));
     }
 }
 
@@ -117,11 +117,11 @@
                                     .path = PATH,
                                     .class_name = "lookup",
                                     .body = body,
-                                    .limit_ms = CALL_TIMEOUT_MS};
-        struct harness_answer *answer = harness_call(&call);
+                                    .timeout_ms = CALL_TIMEOUT_MS};
+        struct harness_response *answer = harness_call(&call);
         answered += answer->status == 200;
-        harness_answer_free(answer);
-        harness_sleep(REPEAT_PERIOD_MS);
+        harness_response_free(answer);
+        harness_sleep_ms(REPEAT_PERIOD_MS);
     }
     return answered;
 }
@@ -132,16 +132,16 @@
 static void
 check_harmless(struct harness_fleet *fleet, const GPtrArray *answers)
 {
-    struct harness_verdict verdict;
-    harness_check(fleet, answers, &verdict);
-    g_assert_cmpuint(verdict.good, >, 0);
+    struct harness_check_result verdict;
+    harness_check_responses(fleet, answers, &verdict);
+    g_assert_cmpuint(verdict.correct, >, 0);
     g_assert_cmpuint(verdict.not_run_ran, ==, 0);
-    g_assert_cmpuint(verdict.wrong, ==, 0);
-    g_assert_cmpuint(verdict.untold, ==, 0);
-    g_assert_cmpuint(verdict.broken, ==, 0);
+    g_assert_cmpuint(verdict.wrong_responses, ==, 0);
+    g_assert_cmpuint(verdict.missing_outcome, ==, 0);
+    g_assert_cmpuint(verdict.broken_connections, ==, 0);
     for (guint i = 0; i < answers->len; i++) {
-        const struct harness_answer *answer = g_ptr_array_index(answers, i);
-        g_assert_cmpint(answer->code, !=, CH_CRASHES_UPSTREAMS);
+        const struct harness_response *answer = g_ptr_array_index(answers, i);
+        g_assert_cmpint(answer->error_code, !=, CH_CRASHES_UPSTREAMS);
     }
 }
 
@@ -168,26 +168,29 @@
 test_repeated_crash_request(void)
 {
     static const char body[] = "{\"note\":\"" CRASH_MARK "\"}";
-    static const struct harness_kind harmless = {"lookup", NULL,  PATH, 0,
-                                                 false,    false, 3000};
+    static const struct harness_call_kind harmless = {"lookup", NULL,  PATH, 0,
+                                                      false,    false, 3000};
     char *declaration = write_declaration();
-    const struct harness_shape shape = {.nodes = NODES,
-                                        .engines = 1,
-                                        .services = SERVICES,
-                                        .declaration = declaration};
-    struct harness_fleet *fleet = harness_fleet_start(harness_build(), &shape);
+    const struct harness_fleet_config shape = {.node_count = NODES,
+                                               .engine_count = 1,
+                                               .service_count = SERVICES,
+                                               .declaration_path =
+                                                   declaration};
+    struct harness_fleet *fleet =
+        harness_fleet_start(harness_get_build_directory(), &shape);
     g_print("# logs in %s\n", fleet->directory);
     harness_warm_up(fleet, &harmless, 1);
     for (unsigned i = 0; i < fleet->upstream_count; i++) {
-        harness_set(&fleet->upstreams[i].standin, "crash_ms=%d", CRASH_MS);
+        harness_set_faults(&fleet->upstreams[i].standin, "crash_ms=%d",
+                           CRASH_MS);
     }
     struct harness_load load = {.fleet = fleet,
                                 .kinds = &harmless,
                                 .kind_count = 1,
-                                .callers = 6,
+                                .caller_count = 6,
                                 .pause_ms = 20,
-                                .limit_ms = CALL_TIMEOUT_MS};
-    struct harness_running *running = harness_load_start(&load);
+                                .call_timeout_ms = CALL_TIMEOUT_MS};
+    struct harness_load_run *running = harness_load_start(&load);
     unsigned answered = repeat_marked(fleet, body);
     GPtrArray *answers = harness_load_stop(running);
     GArray *times = find_marked_runs(fleet, body);
--- a/tests/failure/test_engine.c
+++ b/tests/failure/test_engine.c
@@ -19,7 +19,7 @@
     const char *fault; /* setting that injects the fault */
     const char *clear;
     const char *control; /* control call, in place of fault */
-    int idempotent_bad;  /* at most, or HARNESS_ANY */
+    int idempotent_bad;  /* at most, or HARNESS_UNBOUNDED */
     int failed;
 };
 
@@ -38,15 +38,16 @@
     {"refuses", "engine", "refuse=2", "refuse=0", NULL, 0, 0},
     {"says-idle", "engine", "lie=1", "lie=0", NULL, 0, 0},
     {"says-swamped", "engine", "lie=2", "lie=0", NULL, 0, 0},
-    {"new-boot", "engine", NULL, NULL, "boot", HARNESS_ANY, HARNESS_ANY},
+    {"new-boot", "engine", NULL, NULL, "boot", HARNESS_UNBOUNDED,
+     HARNESS_UNBOUNDED},
     {"service-late", "service", "slow_ms=600&slow_next=2", "slow_ms=0", NULL,
      0, 0},
     {"service-closed-after-read", "service", "close_reused=2",
-     "close_reused=0", NULL, 0, HARNESS_ANY},
+     "close_reused=0", NULL, 0, HARNESS_UNBOUNDED},
     {"service-closed-before", "service", "drop_before=2", "drop_before=0",
-     NULL, 0, HARNESS_ANY},
+     NULL, 0, HARNESS_UNBOUNDED},
     {"service-closed-after", "service", "drop_after=2", "drop_after=0", NULL,
-     0, HARNESS_ANY},
+     0, HARNESS_UNBOUNDED},
     {"service-refuses", "service", "refuse=2", "refuse=0", NULL, 0, 0},
 };
 
@@ -57,7 +58,7 @@
 {
     for (unsigned i = 0; i < fleet->upstream_count && what != NULL; i++) {
         if (strcmp(fleet->upstreams[i].standin.mode, row->mode) == 0) {
-            harness_set(&fleet->upstreams[i].standin, "%s", what);
+            harness_set_faults(&fleet->upstreams[i].standin, "%s", what);
         }
     }
 }
@@ -69,8 +70,8 @@
     for (unsigned i = 0; i < fleet->upstream_count && row->control != NULL;
          i++) {
         if (strcmp(fleet->upstreams[i].standin.mode, row->mode) == 0) {
-            g_free(harness_control(&fleet->upstreams[i].standin, row->control,
-                                   NULL));
+            g_free(harness_call_control(&fleet->upstreams[i].standin,
+                                        row->control, NULL));
         }
     }
 }
@@ -80,48 +81,51 @@
 run_fault_case(struct harness_fleet *fleet, size_t i)
 {
     const struct fault_case *row = &fault_cases[i];
-    struct harness_verdict verdict;
-    struct harness_figures figures;
+    struct harness_check_result verdict;
+    struct harness_impact figures;
     struct harness_load load = {.fleet = fleet,
-                                .kinds = harness_kinds,
-                                .kind_count = HARNESS_KINDS,
-                                .callers = 9,
+                                .kinds = harness_default_kinds,
+                                .kind_count = HARNESS_DEFAULT_KIND_COUNT,
+                                .caller_count = 9,
                                 .pause_ms = 20,
-                                .limit_ms = 8000,
-                                .repeat_keyed = true,
+                                .call_timeout_ms = 8000,
+                                .retry_keyed = true,
                                 .first_serial = (unsigned)i * 100000};
-    struct harness_running *running = harness_load_start(&load);
-    harness_sleep(300);
-    int64_t begun = harness_now();
+    struct harness_load_run *running = harness_load_start(&load);
+    harness_sleep_ms(300);
+    int64_t begun = harness_now_ms();
     apply_setting(fleet, row, row->fault);
     call_control(fleet, row);
-    harness_sleep(900);
+    harness_sleep_ms(900);
     apply_setting(fleet, row, row->clear);
-    int64_t ended = harness_now();
-    harness_sleep(600);
+    int64_t ended = harness_now_ms();
+    harness_sleep_ms(600);
     GPtrArray *answers = harness_load_stop(running);
-    harness_check(fleet, answers, &verdict);
-    harness_measure(row->name, answers, begun, ended, &figures);
-    harness_assert(row->name, &verdict);
-    if (row->idempotent_bad != HARNESS_ANY) {
-        g_assert_cmpint((int)verdict.idempotent_bad, <=, row->idempotent_bad);
+    harness_check_responses(fleet, answers, &verdict);
+    harness_measure_impact(row->name, answers, begun, ended, &figures);
+    harness_assert_guarantees(row->name, &verdict);
+    if (row->idempotent_bad != HARNESS_UNBOUNDED) {
+        g_assert_cmpint((int)verdict.unkeyed_incorrect, <=,
+                        row->idempotent_bad);
     }
-    if (row->failed != HARNESS_ANY) {
+    if (row->failed != HARNESS_UNBOUNDED) {
         g_assert_cmpint((int)verdict.failed, <=, row->failed);
     }
-    g_assert_cmpuint(verdict.broken, ==, 0);
+    g_assert_cmpuint(verdict.broken_connections, ==, 0);
     g_ptr_array_unref(answers);
 }
 
 static void
 test_faults(void)
 {
-    static const struct harness_shape shape = {
-        .nodes = 3, .engines = 2, .services = 2};
-    struct harness_fleet *fleet = harness_fleet_start(harness_build(), &shape);
+    static const struct harness_fleet_config shape = {
+        .node_count = 3, .engine_count = 2, .service_count = 2};
+    struct harness_fleet *fleet =
+        harness_fleet_start(harness_get_build_directory(), &shape);
     g_print("# logs in %s\n", fleet->directory);
     for (size_t i = 0; i < G_N_ELEMENTS(fault_cases); i++) {
-        harness_warm_up(fleet, harness_kinds, HARNESS_KINDS);
+        harness_warm_up(fleet, harness_default_kinds,
+                        HARNESS_DEFAULT_KIND_COUNT);
         run_fault_case(fleet, i);
     }
     g_assert_cmpuint(harness_fleet_stop(fleet), ==, 0);
--- a/tests/failure/test_fleet.c
+++ b/tests/failure/test_fleet.c
@@ -12,15 +12,15 @@
 
 #include <signal.h>
 
-static const struct harness_shape shape = {
-    .nodes = 5, .engines = 2, .services = 1};
+static const struct harness_fleet_config shape = {
+    .node_count = 5, .engine_count = 2, .service_count = 1};
 
 /* Kills every node, then starts each as a new process. */
 static void
 replace_all(struct harness_fleet *fleet)
 {
     for (unsigned i = 0; i < fleet->node_count; i++) {
-        harness_node_kill(&fleet->nodes[i], SIGKILL);
+        harness_node_signal(&fleet->nodes[i], SIGKILL);
     }
     for (unsigned i = 0; i < fleet->node_count; i++) {
         harness_node_start(fleet, &fleet->nodes[i]);
@@ -34,15 +34,15 @@
                   int64_t started_at)
 {
     for (unsigned i = 0; i < fleet->node_count; i++) {
-        g_assert_true(
-            harness_node_wait(&fleet->nodes[i], true, HARNESS_READY_MS));
+        g_assert_true(harness_node_wait_ready(&fleet->nodes[i], true,
+                                              HARNESS_READY_TIMEOUT_MS));
     }
-    int64_t ready = harness_now() - started_at;
-    harness_warm_up(fleet, harness_kinds, HARNESS_KINDS);
+    int64_t ready = harness_now_ms() - started_at;
+    harness_warm_up(fleet, harness_default_kinds, HARNESS_DEFAULT_KIND_COUNT);
     g_print("figure: %s: all ready after %" G_GINT64_FORMAT
             " ms, every class served by every node after %" G_GINT64_FORMAT
             " ms\n",
-            name, ready, harness_now() - started_at);
+            name, ready, harness_now_ms() - started_at);
     g_assert_cmpint(ready, <=, 5000);
 }
 
@@ -50,12 +50,13 @@
 static void
 test_all_at_once(void)
 {
-    struct harness_fleet *fleet = harness_fleet_start(harness_build(), &shape);
-    harness_warm_up(fleet, harness_kinds, HARNESS_KINDS);
-    uint64_t revision = harness_revision(&fleet->nodes[0]);
+    struct harness_fleet *fleet =
+        harness_fleet_start(harness_get_build_directory(), &shape);
+    harness_warm_up(fleet, harness_default_kinds, HARNESS_DEFAULT_KIND_COUNT);
+    uint64_t revision = harness_get_revision(&fleet->nodes[0]);
     replace_all(fleet);
-    wait_until_served(fleet, "all-at-once", harness_now());
-    g_assert_cmpuint(harness_revision(&fleet->nodes[4]), ==, revision);
+    wait_until_served(fleet, "all-at-once", harness_now_ms());
+    g_assert_cmpuint(harness_get_revision(&fleet->nodes[4]), ==, revision);
     g_assert_cmpuint(harness_fleet_stop(fleet), ==, 0);
 }
 
@@ -64,34 +65,35 @@
 static void
 test_all_at_once_kv_down(void)
 {
-    struct harness_fleet *fleet = harness_fleet_start(harness_build(), &shape);
-    harness_warm_up(fleet, harness_kinds, HARNESS_KINDS);
-    uint64_t revision = harness_revision(&fleet->nodes[0]);
-    harness_set(&fleet->kv, "down=1");
+    struct harness_fleet *fleet =
+        harness_fleet_start(harness_get_build_directory(), &shape);
+    harness_warm_up(fleet, harness_default_kinds, HARNESS_DEFAULT_KIND_COUNT);
+    uint64_t revision = harness_get_revision(&fleet->nodes[0]);
+    harness_set_faults(&fleet->kv, "down=1");
     replace_all(fleet);
     for (unsigned i = 0; i < fleet->node_count; i++) {
-        g_assert_true(
-            harness_node_wait(&fleet->nodes[i], false, HARNESS_READY_MS));
+        g_assert_true(harness_node_wait_ready(&fleet->nodes[i], false,
+                                              HARNESS_READY_TIMEOUT_MS));
         char *body = harness_model_body("m01", 2, false, i);
         struct harness_call call = {.address = fleet->nodes[i].caller_address,
                                     .method = "POST",
                                     .path = "/v1/completions",
                                     .class_name = "advice",
                                     .body = body,
-                                    .limit_ms = 2000};
-        struct harness_answer *answer = harness_call(&call);
+                                    .timeout_ms = 2000};
+        struct harness_response *answer = harness_call(&call);
         g_assert_cmpint(answer->status, ==, 503);
-        g_assert_cmpint(answer->code, ==, CH_NOT_READY);
+        g_assert_cmpint(answer->error_code, ==, CH_NOT_READY);
         g_assert_cmpstr(answer->outcome, ==, "not-run");
-        g_assert_true(answer->retry_after);
-        harness_answer_free(answer);
+        g_assert_true(answer->has_retry_after);
+        harness_response_free(answer);
         g_free(body);
     }
-    harness_sleep(1500);
-    g_assert_false(harness_node_wait(&fleet->nodes[0], true, 100));
-    harness_set(&fleet->kv, "down=0");
-    wait_until_served(fleet, "all-at-once-kv-down", harness_now());
-    g_assert_cmpuint(harness_revision(&fleet->nodes[4]), ==, revision);
+    harness_sleep_ms(1500);
+    g_assert_false(harness_node_wait_ready(&fleet->nodes[0], true, 100));
+    harness_set_faults(&fleet->kv, "down=0");
+    wait_until_served(fleet, "all-at-once-kv-down", harness_now_ms());
+    g_assert_cmpuint(harness_get_revision(&fleet->nodes[4]), ==, revision);
     g_assert_cmpuint(harness_fleet_stop(fleet), ==, 0);
 }
 
--- a/tests/failure/test_kill.c
+++ b/tests/failure/test_kill.c
@@ -12,76 +12,77 @@
 
 #define SEVEN_NODES                                                           \
     {                                                                         \
-        .nodes = 7, .engines = 2, .services = 2                               \
+        .node_count = 7, .engine_count = 2, .service_count = 2                \
     }
 
 /* Kills a node that holds callers' connections, whichever upstreams it is the
  * home node of. */
 static void
-kill_entry(struct harness_scene *scene)
+kill_entry(struct harness_scenario_state *scene)
 {
-    scene->victim = &scene->fleet->nodes[3];
-    harness_node_kill(scene->victim, SIGKILL);
+    scene->faulty_node = &scene->fleet->nodes[3];
+    harness_node_signal(scene->faulty_node, SIGKILL);
 }
 
 /* Kills the home node of the first engine. */
 static void
-kill_home(struct harness_scene *scene)
+kill_home(struct harness_scenario_state *scene)
 {
-    char *home = harness_home(&scene->fleet->nodes[0], "w01");
-    scene->victim = harness_find_node(scene->fleet, home);
-    g_assert_nonnull(scene->victim);
-    harness_node_kill(scene->victim, SIGKILL);
+    char *home = harness_get_home(&scene->fleet->nodes[0], "w01");
+    scene->faulty_node = harness_find_node(scene->fleet, home);
+    g_assert_nonnull(scene->faulty_node);
+    harness_node_signal(scene->faulty_node, SIGKILL);
     g_free(home);
 }
 
 /* Kills the home node of the first plain service. */
 static void
-kill_service_home(struct harness_scene *scene)
+kill_service_home(struct harness_scenario_state *scene)
 {
-    char *home = harness_home(&scene->fleet->nodes[0], "o01");
-    scene->victim = harness_find_node(scene->fleet, home);
-    g_assert_nonnull(scene->victim);
-    harness_node_kill(scene->victim, SIGKILL);
+    char *home = harness_get_home(&scene->fleet->nodes[0], "o01");
+    scene->faulty_node = harness_find_node(scene->fleet, home);
+    g_assert_nonnull(scene->faulty_node);
+    harness_node_signal(scene->faulty_node, SIGKILL);
     g_free(home);
 }
 
 /* Restarts the killed node, which has no state. */
 static void
-restart_victim(struct harness_scene *scene)
+restart_victim(struct harness_scenario_state *scene)
 {
-    harness_node_start(scene->fleet, scene->victim);
-    g_assert_true(harness_node_wait(scene->victim, true, HARNESS_READY_MS));
+    harness_node_start(scene->fleet, scene->faulty_node);
+    g_assert_true(harness_node_wait_ready(scene->faulty_node, true,
+                                          HARNESS_READY_TIMEOUT_MS));
 }
 
 static const struct harness_scenario scenarios[] = {
     {.name = "entry",
-     .shape = SEVEN_NODES,
+     .fleet_config = SEVEN_NODES,
      .before_ms = 1000,
-     .during_ms = 1500,
+     .fault_ms = 1500,
      .after_ms = 1000,
-     .begin = kill_entry,
-     .end = restart_victim,
-     .cost = {500, 1500, 0, HARNESS_ANY, HARNESS_ANY, HARNESS_ANY, 0, 95,
-              100}},
+     .begin_fault = kill_entry,
+     .end_fault = restart_victim,
+     .limits = {500, 1500, 0, HARNESS_UNBOUNDED, HARNESS_UNBOUNDED,
+                HARNESS_UNBOUNDED, 0, 95, 100}},
     {.name = "home-of-engine",
-     .shape = SEVEN_NODES,
+     .fleet_config = SEVEN_NODES,
      .before_ms = 1000,
-     .during_ms = 1500,
+     .fault_ms = 1500,
      .after_ms = 1000,
-     .begin = kill_home,
-     .end = restart_victim,
-     .cost = {1000, 1500, 0, HARNESS_ANY, HARNESS_ANY, HARNESS_ANY, 0, 95,
-              100}},
+     .begin_fault = kill_home,
+     .end_fault = restart_victim,
+     .limits = {1000, 1500, 0, HARNESS_UNBOUNDED, HARNESS_UNBOUNDED,
+                HARNESS_UNBOUNDED, 0, 95, 100}},
     {.name = "home-of-service",
-     .shape = SEVEN_NODES,
+     .fleet_config = SEVEN_NODES,
      .before_ms = 1000,
-     .during_ms = 1500,
+     .fault_ms = 1500,
      .after_ms = 1000,
-     .begin = kill_service_home,
-     .end = restart_victim,
-     .cost = {1000, 1500, 0, HARNESS_ANY, HARNESS_ANY, HARNESS_ANY, 0, 95,
-              100}},
+     .begin_fault = kill_service_home,
+     .end_fault = restart_victim,
+     .limits = {1000, 1500, 0, HARNESS_UNBOUNDED, HARNESS_UNBOUNDED,
+                HARNESS_UNBOUNDED, 0, 95, 100}},
 };
 
 int
--- a/tests/failure/test_kv.c
+++ b/tests/failure/test_kv.c
@@ -13,85 +13,86 @@
 
 /* The store refuses connections. */
 static void
-stop_store(struct harness_scene *scene)
+stop_store(struct harness_scenario_state *scene)
 {
-    harness_set(&scene->fleet->kv, "down=1");
+    harness_set_faults(&scene->fleet->kv, "down=1");
 }
 
 /* The store is back, with all its data. */
 static void
-restore_store(struct harness_scene *scene)
+restore_store(struct harness_scenario_state *scene)
 {
-    harness_set(&scene->fleet->kv, "down=0");
+    harness_set_faults(&scene->fleet->kv, "down=0");
 }
 
 /* Each response takes longer than the timeout. */
 static void
-slow_store(struct harness_scene *scene)
+slow_store(struct harness_scenario_state *scene)
 {
-    harness_set(&scene->fleet->kv, "slow_ms=2500");
+    harness_set_faults(&scene->fleet->kv, "slow_ms=2500");
 }
 
 static void
-restore_speed(struct harness_scene *scene)
+restore_speed(struct harness_scenario_state *scene)
 {
-    harness_set(&scene->fleet->kv, "slow_ms=0");
+    harness_set_faults(&scene->fleet->kv, "slow_ms=0");
 }
 
 /* Writes take effect, but their responses are lost. */
 static void
-lose_responses(struct harness_scene *scene)
+lose_responses(struct harness_scenario_state *scene)
 {
-    harness_set(&scene->fleet->kv, "drop_after=1000000");
+    harness_set_faults(&scene->fleet->kv, "drop_after=1000000");
 }
 
 static void
-restore_responses(struct harness_scene *scene)
+restore_responses(struct harness_scenario_state *scene)
 {
-    harness_set(&scene->fleet->kv, "drop_after=0");
+    harness_set_faults(&scene->fleet->kv, "drop_after=0");
 }
 
 /* Open connections stall; new ones work. */
 static void
-stall_connections(struct harness_scene *scene)
+stall_connections(struct harness_scenario_state *scene)
 {
-    g_free(harness_control(&scene->fleet->kv, "silent", NULL));
+    g_free(harness_call_control(&scene->fleet->kv, "silent", NULL));
 }
 
 /* The next five writes take effect and get no response. */
 static void
-stall_after_writes(struct harness_scene *scene)
+stall_after_writes(struct harness_scenario_state *scene)
 {
-    harness_set(&scene->fleet->kv, "silent_after=5");
+    harness_set_faults(&scene->fleet->kv, "silent_after=5");
 }
 
 /* Lost responses, then an outage, then slow responses, then stalls; twice. */
 static void
-combine_faults(struct harness_scene *scene)
+combine_faults(struct harness_scenario_state *scene)
 {
     for (unsigned i = 0; i < 2; i++) {
-        harness_set(&scene->fleet->kv, "drop_after=3");
-        harness_sleep(300);
-        harness_set(&scene->fleet->kv, "down=1");
-        harness_sleep(400);
-        harness_set(&scene->fleet->kv, "down=0&slow_ms=1500");
-        harness_sleep(400);
-        harness_set(&scene->fleet->kv, "slow_ms=0&silent_after=2");
-        harness_sleep(300);
+        harness_set_faults(&scene->fleet->kv, "drop_after=3");
+        harness_sleep_ms(300);
+        harness_set_faults(&scene->fleet->kv, "down=1");
+        harness_sleep_ms(400);
+        harness_set_faults(&scene->fleet->kv, "down=0&slow_ms=1500");
+        harness_sleep_ms(400);
+        harness_set_faults(&scene->fleet->kv, "slow_ms=0&silent_after=2");
+        harness_sleep_ms(300);
     }
 }
 
 /* Every refusal has Retry-After and came within 1500 ms. */
 static void
-check_refusals(struct harness_scene *scene)
+check_refusals(struct harness_scenario_state *scene)
 {
     int64_t slowest_ms = 0;
-    for (guint i = 0; i < scene->answers->len; i++) {
-        const struct harness_answer *answer =
-            g_ptr_array_index(scene->answers, i);
+    for (guint i = 0; i < scene->responses->len; i++) {
+        const struct harness_response *answer =
+            g_ptr_array_index(scene->responses, i);
         if (g_strcmp0(answer->outcome, "not-run") == 0) {
-            g_assert_true(answer->retry_after);
-            slowest_ms = MAX(slowest_ms, answer->ended - answer->sent);
+            g_assert_true(answer->has_retry_after);
+            slowest_ms =
+                MAX(slowest_ms, answer->ended_at_ms - answer->sent_at_ms);
         }
     }
     g_print("figure: %s: slowest refusal %" G_GINT64_FORMAT " ms\n",
@@ -101,67 +102,69 @@
 
 #define SHAPE                                                                 \
     {                                                                         \
-        .nodes = 3, .engines = 2, .services = 2                               \
+        .node_count = 3, .engine_count = 2, .service_count = 2                \
     }
 /* All orders may be lost during the fault, but nothing else. */
 #define KV_COST                                                               \
     {                                                                         \
-        500, 4500, HARNESS_ANY, HARNESS_ANY, 0, 0, HARNESS_ANY, 60, 95        \
+        500, 4500, HARNESS_UNBOUNDED, HARNESS_UNBOUNDED, 0, 0,                \
+            HARNESS_UNBOUNDED, 60, 95                                         \
     }
 
 static const struct harness_scenario scenarios[] = {
     {.name = "down",
-     .shape = SHAPE,
+     .fleet_config = SHAPE,
      .before_ms = 800,
-     .during_ms = 3000,
+     .fault_ms = 3000,
      .after_ms = 1500,
-     .begin = stop_store,
-     .end = restore_store,
-     .more = check_refusals,
-     .cost = KV_COST},
+     .begin_fault = stop_store,
+     .end_fault = restore_store,
+     .check = check_refusals,
+     .limits = KV_COST},
     {.name = "slow",
-     .shape = SHAPE,
+     .fleet_config = SHAPE,
      .before_ms = 800,
-     .during_ms = 3000,
+     .fault_ms = 3000,
      .after_ms = 3500,
-     .begin = slow_store,
-     .end = restore_speed,
-     .more = check_refusals,
-     .cost = {500, 6000, HARNESS_ANY, HARNESS_ANY, 0, 0, HARNESS_ANY, 98, 98}},
+     .begin_fault = slow_store,
+     .end_fault = restore_speed,
+     .check = check_refusals,
+     .limits = {500, 6000, HARNESS_UNBOUNDED, HARNESS_UNBOUNDED, 0, 0,
+                HARNESS_UNBOUNDED, 98, 98}},
     {.name = "answers-lost",
-     .shape = SHAPE,
+     .fleet_config = SHAPE,
      .before_ms = 800,
-     .during_ms = 2000,
+     .fault_ms = 2000,
      .after_ms = 1500,
-     .begin = lose_responses,
-     .end = restore_responses,
-     .more = check_refusals,
-     .cost = KV_COST},
+     .begin_fault = lose_responses,
+     .end_fault = restore_responses,
+     .check = check_refusals,
+     .limits = KV_COST},
     {.name = "silent",
-     .shape = SHAPE,
+     .fleet_config = SHAPE,
      .before_ms = 800,
-     .during_ms = 2000,
+     .fault_ms = 2000,
      .after_ms = 1000,
-     .begin = stall_connections,
-     .more = check_refusals,
-     .cost = KV_COST},
+     .begin_fault = stall_connections,
+     .check = check_refusals,
+     .limits = KV_COST},
     {.name = "silent-after-write",
-     .shape = SHAPE,
+     .fleet_config = SHAPE,
      .before_ms = 800,
-     .during_ms = 2000,
+     .fault_ms = 2000,
      .after_ms = 1000,
-     .begin = stall_after_writes,
-     .more = check_refusals,
-     .cost = KV_COST},
+     .begin_fault = stall_after_writes,
+     .check = check_refusals,
+     .limits = KV_COST},
     {.name = "all-at-once",
-     .shape = SHAPE,
+     .fleet_config = SHAPE,
      .before_ms = 800,
-     .during_ms = 500,
+     .fault_ms = 500,
      .after_ms = 3000,
-     .begin = combine_faults,
-     .more = check_refusals,
-     .cost = {500, HARNESS_ANY, HARNESS_ANY, HARNESS_ANY, 0, 0, HARNESS_ANY,
-              98, 98}},
+     .begin_fault = combine_faults,
+     .check = check_refusals,
+     .limits = {500, HARNESS_UNBOUNDED, HARNESS_UNBOUNDED, HARNESS_UNBOUNDED,
+                0, 0, HARNESS_UNBOUNDED, 98, 98}},
 };
 
 int
--- a/tests/failure/test_leaving.c
+++ b/tests/failure/test_leaving.c
@@ -9,7 +9,7 @@
 
 #include "harness/harness.h"
 
-static const struct harness_kind kinds[] = {
+static const struct harness_call_kind kinds[] = {
     {"advice", "m01", NULL, 200, true, false, 2000},
     {"lookup", "m02", NULL, 20, false, false, 3000},
     {"order", NULL, "/services/orders/jackets", 0, false, true, 3000},
@@ -17,53 +17,56 @@
 
 /* Only the host list reports the draining, 500 ms late. */
 static void
-drain_by_host_list(struct harness_scene *scene)
+drain_by_host_list(struct harness_scenario_state *scene)
 {
-    harness_set(&scene->fleet->hosts, "lag_ms=500");
-    scene->fleet->upstreams[0].left_at = harness_now();
-    harness_fleet_list(scene->fleet);
+    harness_set_faults(&scene->fleet->host_list, "lag_ms=500");
+    scene->fleet->upstreams[0].draining_since_ms = harness_now_ms();
+    harness_fleet_publish_hosts(scene->fleet);
 }
 
 /* Only the engine's own report says that it is draining. */
 static void
-drain_by_report(struct harness_scene *scene)
+drain_by_report(struct harness_scenario_state *scene)
 {
-    scene->fleet->upstreams[0].left_at = harness_now();
-    harness_set(&scene->fleet->upstreams[0].standin, "leaving=1");
+    scene->fleet->upstreams[0].draining_since_ms = harness_now_ms();
+    harness_set_faults(&scene->fleet->upstreams[0].standin, "leaving=1");
 }
 
 /* The engine's report says that it is draining while the host list is
  * unavailable. */
 static void
-drain_without_host_list(struct harness_scene *scene)
+drain_without_host_list(struct harness_scenario_state *scene)
 {
-    harness_set(&scene->fleet->hosts, "down=1");
+    harness_set_faults(&scene->fleet->host_list, "down=1");
     drain_by_report(scene);
 }
 
 /* The host list reports that a plain service is draining. */
 static void
-drain_service(struct harness_scene *scene)
+drain_service(struct harness_scenario_state *scene)
 {
-    scene->fleet->upstreams[2].left_at = harness_now();
-    harness_fleet_list(scene->fleet);
+    scene->fleet->upstreams[2].draining_since_ms = harness_now_ms();
+    harness_fleet_publish_hosts(scene->fleet);
 }
 
 #define ROW(row_name, row_begin)                                              \
     {                                                                         \
         .name = (row_name),                                                   \
-        .shape = {.nodes = 3, .engines = 2, .services = 2}, .kinds = kinds,   \
-        .kind_count = G_N_ELEMENTS(kinds), .callers = 9, .before_ms = 1000,   \
-        .during_ms = 6000, .begin = (row_begin), .cost = {                    \
+        .fleet_config = {.node_count = 3,                                     \
+                         .engine_count = 2,                                   \
+                         .service_count = 2},                                 \
+        .kinds = kinds, .kind_count = G_N_ELEMENTS(kinds), .caller_count = 9, \
+        .before_ms = 1000, .fault_ms = 6000, .begin_fault = (row_begin),      \
+        .limits = {                                                           \
             1500,                                                             \
             3000,                                                             \
             0,                                                                \
             0,                                                                \
             0,                                                                \
             0,                                                                \
-            HARNESS_ANY,                                                      \
+            HARNESS_UNBOUNDED,                                                \
             90,                                                               \
-            HARNESS_ANY                                                       \
+            HARNESS_UNBOUNDED                                                 \
         }                                                                     \
     }
 
--- a/tests/failure/test_orders.c
+++ b/tests/failure/test_orders.c
@@ -13,7 +13,7 @@
 
 #include <signal.h>
 
-static const struct harness_kind kinds[] = {
+static const struct harness_call_kind kinds[] = {
     {"advice", "m01", NULL, 10, true, false, 2000},
     {"lookup", "m02", NULL, 5, false, false, 3000},
     {"advice", "m03", NULL, 5, false, false, 2000},
@@ -21,88 +21,88 @@
 
 /* Applies a setting to both engines. */
 static void
-set_engines(struct harness_scene *scene, const char *what)
+set_engines(struct harness_scenario_state *scene, const char *what)
 {
     for (unsigned i = 0; i < scene->fleet->upstream_count; i++) {
-        harness_set(&scene->fleet->upstreams[i].standin, "%s", what);
+        harness_set_faults(&scene->fleet->upstreams[i].standin, "%s", what);
     }
 }
 
 /* The connections of the first orders are closed; the orders are lost. */
 static void
-drop_orders(struct harness_scene *scene)
+drop_orders(struct harness_scenario_state *scene)
 {
     set_engines(scene, "drop_orders=2");
 }
 
 /* The first order at each engine is accepted, but never carried out. */
 static void
-lose_orders(struct harness_scene *scene)
+lose_orders(struct harness_scenario_state *scene)
 {
     set_engines(scene, "lose_orders=1");
 }
 
 /* The first orders take effect long after their connection was closed. */
 static void
-delay_orders(struct harness_scene *scene)
+delay_orders(struct harness_scenario_state *scene)
 {
     set_engines(scene, "delay_orders=2&delay_ms=1500");
 }
 
 /* The first orders arrive a second time, later. */
 static void
-repeat_orders(struct harness_scene *scene)
+repeat_orders(struct harness_scenario_state *scene)
 {
     set_engines(scene, "repeat_orders=4&delay_ms=900");
 }
 
 /* Writes to the ledger take effect, but their responses are lost. */
 static void
-lose_writes(struct harness_scene *scene)
+lose_writes(struct harness_scenario_state *scene)
 {
-    harness_set(&scene->fleet->kv, "drop_after=4");
+    harness_set_faults(&scene->fleet->kv, "drop_after=4");
 }
 
 /* The engines restart with empty memory, while orders may be late. */
 static void
-restart_engines(struct harness_scene *scene)
+restart_engines(struct harness_scenario_state *scene)
 {
     for (unsigned i = 0; i < scene->fleet->upstream_count; i++) {
-        g_free(harness_control(&scene->fleet->upstreams[i].standin, "boot",
-                               NULL));
+        g_free(harness_call_control(&scene->fleet->upstreams[i].standin,
+                                    "boot", NULL));
     }
 }
 
 /* Pauses the home node of the first engine while orders are late, so that
  * another node takes over; resumes it after 1500 ms. */
 static void
-pause_home(struct harness_scene *scene)
+pause_home(struct harness_scenario_state *scene)
 {
-    char *home = harness_home(&scene->fleet->nodes[0], "w01");
-    scene->victim = harness_find_node(scene->fleet, home);
-    g_assert_nonnull(scene->victim);
-    harness_node_kill(scene->victim, SIGSTOP);
-    harness_sleep(1500);
-    harness_node_kill(scene->victim, SIGCONT);
+    char *home = harness_get_home(&scene->fleet->nodes[0], "w01");
+    scene->faulty_node = harness_find_node(scene->fleet, home);
+    g_assert_nonnull(scene->faulty_node);
+    harness_node_signal(scene->faulty_node, SIGSTOP);
+    harness_sleep_ms(1500);
+    harness_node_signal(scene->faulty_node, SIGCONT);
     g_free(home);
 }
 
 /* Kills the home node of the first engine while its orders are in flight, and
  * restarts it. */
 static void
-kill_home(struct harness_scene *scene)
+kill_home(struct harness_scenario_state *scene)
 {
-    char *home = harness_home(&scene->fleet->nodes[0], "w01");
-    scene->victim = harness_find_node(scene->fleet, home);
-    g_assert_nonnull(scene->victim);
-    harness_node_kill(scene->victim, SIGKILL);
-    harness_node_start(scene->fleet, scene->victim);
+    char *home = harness_get_home(&scene->fleet->nodes[0], "w01");
+    scene->faulty_node = harness_find_node(scene->fleet, home);
+    g_assert_nonnull(scene->faulty_node);
+    harness_node_signal(scene->faulty_node, SIGKILL);
+    harness_node_start(scene->fleet, scene->faulty_node);
     g_free(home);
 }
 
 /* Orders are dropped, lost, late and repeated, and writes get no response. */
 static void
-disturb_orders(struct harness_scene *scene)
+disturb_orders(struct harness_scenario_state *scene)
 {
     set_engines(scene, "drop_orders=1&lose_orders=1&repeat_orders=1"
                        "&delay_orders=1&delay_ms=1200");
@@ -111,36 +111,36 @@
 
 /* The home node is paused and killed, and the engines restart twice. */
 static void
-disturb_nodes_and_engines(struct harness_scene *scene)
+disturb_nodes_and_engines(struct harness_scenario_state *scene)
 {
     pause_home(scene);
     restart_engines(scene);
-    harness_sleep(200);
+    harness_sleep_ms(200);
     kill_home(scene);
     restart_engines(scene);
 }
 
 /* Removes all faults, and waits for a restarted node. */
 static void
-remove_faults(struct harness_scene *scene)
+remove_faults(struct harness_scenario_state *scene)
 {
     set_engines(scene, "drop_orders=0&lose_orders=0&delay_orders=0"
                        "&repeat_orders=0");
-    harness_set(&scene->fleet->kv, "drop_after=0");
-    if (scene->victim != NULL) {
-        g_assert_true(
-            harness_node_wait(scene->victim, true, HARNESS_READY_MS));
+    harness_set_faults(&scene->fleet->kv, "drop_after=0");
+    if (scene->faulty_node != NULL) {
+        g_assert_true(harness_node_wait_ready(scene->faulty_node, true,
+                                              HARNESS_READY_TIMEOUT_MS));
     }
 }
 
 /* Checks that every model is served through every node and that no order ever
  * exceeded the memory of its engine. */
 static void
-check_models(struct harness_scene *scene)
+check_models(struct harness_scenario_state *scene)
 {
-    int64_t started_at = harness_now();
+    int64_t started_at = harness_now_ms();
     harness_warm_up(scene->fleet, kinds, G_N_ELEMENTS(kinds));
-    int64_t elapsed_ms = harness_now() - started_at;
+    int64_t elapsed_ms = harness_now_ms() - started_at;
     for (unsigned i = 0; i < scene->fleet->upstream_count; i++) {
         const struct harness_standin *engine =
             &scene->fleet->upstreams[i].standin;
@@ -148,52 +148,58 @@
                 "%" G_GINT64_FORMAT " ms; most memory %" G_GINT64_FORMAT
                 " of %" G_GINT64_FORMAT " MB at %s\n",
                 scene->scenario->name, elapsed_ms,
-                harness_record_number(engine, "most_mb"),
-                harness_record_number(engine, "capacity_mb"),
+                harness_get_record_number(engine, "most_mb"),
+                harness_get_record_number(engine, "capacity_mb"),
                 scene->fleet->upstreams[i].name);
-        g_assert_cmpint(harness_record_number(engine, "overcommits"), ==, 0);
+        g_assert_cmpint(harness_get_record_number(engine, "overcommits"), ==,
+                        0);
     }
 }
 
 #define SETTINGS "weight-store.loads-per-s=20"
 #define SHAPE                                                                 \
     {                                                                         \
-        .nodes = 3, .engines = 2, .settings = { SETTINGS }                    \
+        .node_count = 3, .engine_count = 2, .settings = { SETTINGS }          \
     }
 #define FENCED                                                                \
     {                                                                         \
-        .nodes = 3, .engines = 2, .engine_args = {"fencing=1"}, .settings = { \
+        .node_count = 3, .engine_count = 2, .engine_args = {"fencing=1"},     \
+        .settings = {                                                         \
             SETTINGS,                                                         \
             "upstreams.fencing=refuse"                                        \
         }                                                                     \
     }
 #define ANY_COST                                                              \
     {                                                                         \
-        HARNESS_ANY, HARNESS_ANY, HARNESS_ANY, HARNESS_ANY, HARNESS_ANY,      \
-            HARNESS_ANY, HARNESS_ANY, HARNESS_ANY, HARNESS_ANY                \
+        HARNESS_UNBOUNDED, HARNESS_UNBOUNDED, HARNESS_UNBOUNDED,              \
+            HARNESS_UNBOUNDED, HARNESS_UNBOUNDED, HARNESS_UNBOUNDED,          \
+            HARNESS_UNBOUNDED, HARNESS_UNBOUNDED, HARNESS_UNBOUNDED           \
     }
 /* All members of a scenario except its shape. */
 #define ROW(row_name, row_early, row_begin)                                   \
     .name = (row_name), .kinds = kinds, .kind_count = G_N_ELEMENTS(kinds),    \
-    .callers = 6, .before_ms = 700, .during_ms = 1800, .after_ms = 500,       \
-    .early = (row_early), .begin = (row_begin), .end = remove_faults,         \
-    .more = check_models, .cost = ANY_COST
+    .caller_count = 6, .before_ms = 700, .fault_ms = 1800, .after_ms = 500,   \
+    .before_load = (row_early), .begin_fault = (row_begin),                   \
+    .end_fault = remove_faults, .check = check_models, .limits = ANY_COST
 
 static const struct harness_scenario scenarios[] = {
-    {.shape = SHAPE, ROW("dropped", drop_orders, NULL)},
-    {.shape = SHAPE, ROW("lost-after-acceptance", lose_orders, NULL)},
-    {.shape = SHAPE, ROW("late", delay_orders, NULL)},
-    {.shape = FENCED, ROW("late-fenced", delay_orders, NULL)},
-    {.shape = SHAPE, ROW("repeated", repeat_orders, NULL)},
-    {.shape = SHAPE, ROW("late-and-new-boot", delay_orders, restart_engines)},
-    {.shape = SHAPE, ROW("writes-unanswered", lose_writes, NULL)},
-    {.shape = SHAPE, ROW("late-and-home-paused", delay_orders, pause_home)},
-    {.shape = FENCED,
+    {.fleet_config = SHAPE, ROW("dropped", drop_orders, NULL)},
+    {.fleet_config = SHAPE, ROW("lost-after-acceptance", lose_orders, NULL)},
+    {.fleet_config = SHAPE, ROW("late", delay_orders, NULL)},
+    {.fleet_config = FENCED, ROW("late-fenced", delay_orders, NULL)},
+    {.fleet_config = SHAPE, ROW("repeated", repeat_orders, NULL)},
+    {.fleet_config = SHAPE,
+     ROW("late-and-new-boot", delay_orders, restart_engines)},
+    {.fleet_config = SHAPE, ROW("writes-unanswered", lose_writes, NULL)},
+    {.fleet_config = SHAPE,
+     ROW("late-and-home-paused", delay_orders, pause_home)},
+    {.fleet_config = FENCED,
      ROW("late-and-home-paused-fenced", delay_orders, pause_home)},
-    {.shape = SHAPE, ROW("late-and-home-killed", delay_orders, kill_home)},
-    {.shape = SHAPE,
+    {.fleet_config = SHAPE,
+     ROW("late-and-home-killed", delay_orders, kill_home)},
+    {.fleet_config = SHAPE,
      ROW("all-together", disturb_orders, disturb_nodes_and_engines)},
-    {.shape = FENCED,
+    {.fleet_config = FENCED,
      ROW("all-together-fenced", disturb_orders, disturb_nodes_and_engines)},
 };
 
--- a/tests/failure/test_pause.c
+++ b/tests/failure/test_pause.c
@@ -13,76 +13,77 @@
 
 /* Pauses the home node of an upstream. */
 static void
-pause_home(struct harness_scene *scene, const char *upstream)
+pause_home(struct harness_scenario_state *scene, const char *upstream)
 {
-    char *home = harness_home(&scene->fleet->nodes[0], upstream);
-    scene->victim = harness_find_node(scene->fleet, home);
-    g_assert_nonnull(scene->victim);
-    harness_node_kill(scene->victim, SIGSTOP);
+    char *home = harness_get_home(&scene->fleet->nodes[0], upstream);
+    scene->faulty_node = harness_find_node(scene->fleet, home);
+    g_assert_nonnull(scene->faulty_node);
+    harness_node_signal(scene->faulty_node, SIGSTOP);
     g_free(home);
 }
 
 static void
-pause_engine_home(struct harness_scene *scene)
+pause_engine_home(struct harness_scenario_state *scene)
 {
     pause_home(scene, "w01");
 }
 
 /* Pauses the home node of a plain service, in whose queue orders wait. */
 static void
-pause_service_home(struct harness_scene *scene)
+pause_service_home(struct harness_scenario_state *scene)
 {
     pause_home(scene, "o01");
 }
 
 static void
-resume_victim(struct harness_scene *scene)
+resume_victim(struct harness_scenario_state *scene)
 {
-    harness_node_kill(scene->victim, SIGCONT);
+    harness_node_signal(scene->faulty_node, SIGCONT);
 }
 
 /* Resumes the node for 300 ms, in which it becomes home node again, and pauses
  * it once more, so that it loses that role again. */
 static void
-resume_pause_resume(struct harness_scene *scene)
+resume_pause_resume(struct harness_scenario_state *scene)
 {
     resume_victim(scene);
-    harness_sleep(300);
-    harness_node_kill(scene->victim, SIGSTOP);
-    harness_sleep(1200);
+    harness_sleep_ms(300);
+    harness_node_signal(scene->faulty_node, SIGSTOP);
+    harness_sleep_ms(1200);
     resume_victim(scene);
 }
 
 #define PAUSE_COST                                                            \
     {                                                                         \
-        1000, 4500, HARNESS_ANY, HARNESS_ANY, 0, HARNESS_ANY, 0, 70, 95       \
+        1000, 4500, HARNESS_UNBOUNDED, HARNESS_UNBOUNDED, 0,                  \
+            HARNESS_UNBOUNDED, 0, 70, 95                                      \
     }
 
 static const struct harness_scenario scenarios[] = {
     {.name = "home-of-engine",
-     .shape = {.nodes = 4, .engines = 2, .services = 2},
+     .fleet_config = {.node_count = 4, .engine_count = 2, .service_count = 2},
      .before_ms = 1000,
-     .during_ms = 3000,
+     .fault_ms = 3000,
      .after_ms = 1500,
-     .begin = pause_engine_home,
-     .end = resume_victim,
-     .cost = PAUSE_COST},
+     .begin_fault = pause_engine_home,
+     .end_fault = resume_victim,
+     .limits = PAUSE_COST},
     {.name = "home-of-service",
-     .shape = {.nodes = 4, .engines = 2, .services = 2},
+     .fleet_config = {.node_count = 4, .engine_count = 2, .service_count = 2},
      .before_ms = 1000,
-     .during_ms = 3000,
+     .fault_ms = 3000,
      .after_ms = 1500,
-     .begin = pause_service_home,
-     .end = resume_victim,
-     .cost = PAUSE_COST},
+     .begin_fault = pause_service_home,
+     .end_fault = resume_victim,
+     .limits = PAUSE_COST},
     {.name = "home-twice",
-     .shape = {.nodes = 4, .engines = 2, .services = 2},
+     .fleet_config = {.node_count = 4, .engine_count = 2, .service_count = 2},
      .before_ms = 1000,
-     .during_ms = 1500,
+     .fault_ms = 1500,
      .after_ms = 1500,
-     .begin = pause_engine_home,
-     .end = resume_pause_resume,
-     .cost = PAUSE_COST},
+     .begin_fault = pause_engine_home,
+     .end_fault = resume_pause_resume,
+     .limits = PAUSE_COST},
 };
 
 int
--- a/tests/failure/test_stop.c
+++ b/tests/failure/test_stop.c
@@ -12,7 +12,7 @@
 
 #include <signal.h>
 
-static const struct harness_kind kinds[] = {
+static const struct harness_call_kind kinds[] = {
     {"advice", "m01", NULL, 200, true, false, 2000},
     {"lookup", "m02", NULL, 10, false, false, 3000},
     {"order", NULL, "/services/orders/jackets", 0, false, true, 3000},
@@ -21,30 +21,31 @@
 /* Stops a node gracefully and restarts it; with signal_twice, a second SIGTERM
  * follows 100 ms after the first. */
 static void
-replace_node(struct harness_scene *scene, struct harness_node *node,
+replace_node(struct harness_scenario_state *scene, struct harness_node *node,
              bool signal_twice)
 {
-    int64_t started_at = harness_now();
-    harness_node_kill(node, SIGTERM);
+    int64_t started_at = harness_now_ms();
+    harness_node_signal(node, SIGTERM);
     if (signal_twice) {
-        harness_sleep(100);
-        harness_node_kill(node, SIGTERM);
+        harness_sleep_ms(100);
+        harness_node_signal(node, SIGTERM);
     }
-    int status = harness_wait(node->pid, 15000);
+    int status = harness_wait_exit(node->pid, 15000);
     g_print("figure: %s: %s stopped with status %d after %" G_GINT64_FORMAT
             " ms\n",
             scene->scenario->name, node->name, status,
-            harness_now() - started_at);
+            harness_now_ms() - started_at);
     g_assert_cmpint(status, ==, 0);
-    started_at = harness_now();
+    started_at = harness_now_ms();
     harness_node_start(scene->fleet, node);
-    g_assert_true(harness_node_wait(node, true, HARNESS_READY_MS));
+    g_assert_true(
+        harness_node_wait_ready(node, true, HARNESS_READY_TIMEOUT_MS));
     g_print("figure: %s: %s ready again after %" G_GINT64_FORMAT " ms\n",
-            scene->scenario->name, node->name, harness_now() - started_at);
+            scene->scenario->name, node->name, harness_now_ms() - started_at);
 }
 
 static void
-replace_each_node(struct harness_scene *scene)
+replace_each_node(struct harness_scenario_state *scene)
 {
     for (unsigned i = 0; i < scene->fleet->node_count; i++) {
         replace_node(scene, &scene->fleet->nodes[i], false);
@@ -53,54 +54,56 @@
 
 /* A second SIGTERM must not interrupt the graceful stop. */
 static void
-replace_node_signalled_twice(struct harness_scene *scene)
+replace_node_signalled_twice(struct harness_scenario_state *scene)
 {
     replace_node(scene, &scene->fleet->nodes[1], true);
 }
 
 /* Replaces every node in turn while the key-value store is down. */
 static void
-replace_each_node_kv_down(struct harness_scene *scene)
+replace_each_node_kv_down(struct harness_scenario_state *scene)
 {
-    harness_set(&scene->fleet->kv, "down=1");
+    harness_set_faults(&scene->fleet->kv, "down=1");
     replace_each_node(scene);
-    harness_set(&scene->fleet->kv, "down=0");
+    harness_set_faults(&scene->fleet->kv, "down=0");
 }
 
 #define SHAPE                                                                 \
     {                                                                         \
-        .nodes = 3, .engines = 2, .services = 2                               \
+        .node_count = 3, .engine_count = 2, .service_count = 2                \
     }
 
 static const struct harness_scenario scenarios[] = {
     {.name = "each-in-turn",
-     .shape = SHAPE,
+     .fleet_config = SHAPE,
      .kinds = kinds,
      .kind_count = G_N_ELEMENTS(kinds),
      .before_ms = 500,
-     .during_ms = 100,
+     .fault_ms = 100,
      .after_ms = 700,
-     .begin = replace_each_node,
-     .cost = {700, HARNESS_ANY, 0, 0, 0, 0, HARNESS_ANY, 95, 95}},
+     .begin_fault = replace_each_node,
+     .limits = {700, HARNESS_UNBOUNDED, 0, 0, 0, 0, HARNESS_UNBOUNDED, 95,
+                95}},
     {.name = "told-twice",
-     .shape = SHAPE,
+     .fleet_config = SHAPE,
      .kinds = kinds,
      .kind_count = G_N_ELEMENTS(kinds),
      .before_ms = 500,
-     .during_ms = 100,
+     .fault_ms = 100,
      .after_ms = 500,
-     .begin = replace_node_signalled_twice,
-     .cost = {700, HARNESS_ANY, 0, 0, 0, 0, HARNESS_ANY, 95, 95}},
+     .begin_fault = replace_node_signalled_twice,
+     .limits = {700, HARNESS_UNBOUNDED, 0, 0, 0, 0, HARNESS_UNBOUNDED, 95,
+                95}},
     {.name = "each-in-turn-kv-down",
-     .shape = SHAPE,
+     .fleet_config = SHAPE,
      .kinds = kinds,
      .kind_count = G_N_ELEMENTS(kinds),
      .before_ms = 500,
-     .during_ms = 100,
+     .fault_ms = 100,
      .after_ms = 1500,
-     .begin = replace_each_node_kv_down,
-     .cost = {700, HARNESS_ANY, HARNESS_ANY, HARNESS_ANY, 0, 0, HARNESS_ANY,
-              98, 98}},
+     .begin_fault = replace_each_node_kv_down,
+     .limits = {700, HARNESS_UNBOUNDED, HARNESS_UNBOUNDED, HARNESS_UNBOUNDED,
+                0, 0, HARNESS_UNBOUNDED, 98, 98}},
 };
 
 int
--- a/tests/fuzz/fuzz_ini.c
+++ b/tests/fuzz/fuzz_ini.c
@@ -27,8 +27,9 @@
     }
     if (first != NULL) {
         struct ch_declaration *second =
-            ch_declaration_parse(first->text, "canonical", &error);
-        if (second == NULL || strcmp(first->text, second->text) != 0) {
+            ch_declaration_parse(first->canonical_text, "canonical", &error);
+        if (second == NULL ||
+            strcmp(first->canonical_text, second->canonical_text) != 0) {
             abort();
         }
         ch_declaration_free(second);
--- a/tests/fuzz/fuzz_request.c
+++ b/tests/fuzz/fuzz_request.c
@@ -18,7 +18,7 @@
     /* An accepted body has a model and a token count in range; a rejected body
      * has an error and no model. */
     if (accepted ? body.model == NULL || body.output_tokens == 0 ||
-                       body.output_tokens > CH_REQUEST_MOST_TOKENS
+                       body.output_tokens > CH_REQUEST_MAX_TOKENS
                  : fault.error.code == CH_OK || body.model != NULL) {
         __builtin_trap();
     }
--- a/tests/harness/call.c
+++ b/tests/harness/call.c
@@ -10,15 +10,16 @@
 static size_t
 on_body_data(char *bytes, size_t size, size_t count, void *data)
 {
-    struct harness_answer *answer = data;
-    int64_t now = harness_now();
-    int64_t previous = answer->first == 0 ? now : answer->ended;
-    if (answer->first == 0) {
-        answer->first = now;
+    struct harness_response *answer = data;
+    int64_t now = harness_now_ms();
+    int64_t previous =
+        answer->first_byte_at_ms == 0 ? now : answer->ended_at_ms;
+    if (answer->first_byte_at_ms == 0) {
+        answer->first_byte_at_ms = now;
     }
-    answer->longest = MAX(answer->longest, now - previous);
-    answer->ended = now;
-    g_string_append_len(answer->text, bytes, (gssize)(size * count));
+    answer->longest_gap_ms = MAX(answer->longest_gap_ms, now - previous);
+    answer->ended_at_ms = now;
+    g_string_append_len(answer->response_body, bytes, (gssize)(size * count));
     return size * count;
 }
 
@@ -37,7 +38,7 @@
 static size_t
 on_header(char *line, size_t size, size_t count, void *data)
 {
-    struct harness_answer *answer = data;
+    struct harness_response *answer = data;
     size_t length = size * count;
     char *value;
     if ((value = header_value(line, length, "Chestnuthitch-Request-Id"))) {
@@ -49,11 +50,11 @@
         answer->outcome = value;
     }
     else if ((value = header_value(line, length, "Chestnuthitch-Code"))) {
-        answer->code = atoi(value);
+        answer->error_code = atoi(value);
         g_free(value);
     }
     else if ((value = header_value(line, length, "Retry-After"))) {
-        answer->retry_after = true;
+        answer->has_retry_after = true;
         g_free(value);
     }
     return length;
@@ -73,14 +74,14 @@
 
 /* Each request has its own curl handle, so its connection is a new one. */
 static CURL *
-new_curl_handle(const struct harness_call *call, struct harness_answer *answer,
-                struct curl_slist *headers)
+new_curl_handle(const struct harness_call *call,
+                struct harness_response *answer, struct curl_slist *headers)
 {
     CURL *curl = curl_easy_init();
     char *url = g_strdup_printf("http://%s%s", call->address, call->path);
     curl_easy_setopt(curl, CURLOPT_URL, url);
     curl_easy_setopt(curl, CURLOPT_NOSIGNAL, 1L);
-    curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, (long)call->limit_ms);
+    curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, (long)call->timeout_ms);
     curl_easy_setopt(curl, CURLOPT_HTTPHEADER, headers);
     curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, on_body_data);
     curl_easy_setopt(curl, CURLOPT_WRITEDATA, answer);
@@ -94,10 +95,10 @@
     return curl;
 }
 
-struct harness_answer *
+struct harness_response *
 harness_call(const struct harness_call *call)
 {
-    struct harness_answer *answer = g_new0(struct harness_answer, 1);
+    struct harness_response *answer = g_new0(struct harness_response, 1);
     struct curl_slist *headers = NULL;
     long status = 0;
     headers = add_header(headers, "Content-Type", "application/json");
@@ -108,14 +109,14 @@
     answer->method = g_strdup(call->method);
     answer->path = g_strdup(call->path);
     answer->key = g_strdup(call->key);
-    answer->body = g_strdup(call->body);
+    answer->request_body = g_strdup(call->body);
     answer->class_name = g_strdup(call->class_name);
-    answer->node = g_strdup(call->address);
-    answer->text = g_string_new(NULL);
+    answer->node_address = g_strdup(call->address);
+    answer->response_body = g_string_new(NULL);
     CURL *curl = new_curl_handle(call, answer, headers);
-    answer->sent = harness_now();
-    answer->curl = (int)curl_easy_perform(curl);
-    answer->ended = harness_now();
+    answer->sent_at_ms = harness_now_ms();
+    answer->curl_code = (int)curl_easy_perform(curl);
+    answer->ended_at_ms = harness_now_ms();
     curl_easy_getinfo(curl, CURLINFO_RESPONSE_CODE, &status);
     answer->status = (int)status;
     curl_easy_cleanup(curl);
@@ -124,17 +125,17 @@
 }
 
 void
-harness_answer_free(struct harness_answer *answer)
+harness_response_free(struct harness_response *answer)
 {
     g_free(answer->method);
     g_free(answer->path);
     g_free(answer->key);
-    g_free(answer->body);
+    g_free(answer->request_body);
     g_free(answer->class_name);
-    g_free(answer->node);
+    g_free(answer->node_address);
     g_free(answer->request_id);
     g_free(answer->outcome);
-    g_string_free(answer->text, TRUE);
+    g_string_free(answer->response_body, TRUE);
     g_free(answer);
 }
 
@@ -160,11 +161,11 @@
 /* Appends what the stand-in generates for a model request, with the request id
  * of the response. */
 static void
-append_expected_model(GString *out, const struct harness_answer *answer)
+append_expected_model(GString *out, const struct harness_response *answer)
 {
-    JsonNode *root = json_from_string(answer->body, NULL);
+    JsonNode *root = json_from_string(answer->request_body, NULL);
     JsonObject *call = json_node_get_object(root);
-    uint64_t hash = ch_hash_string(answer->body);
+    uint64_t hash = ch_hash_string(answer->request_body);
     bool chat = strstr(answer->path, "chat") != NULL;
     unsigned tokens = (unsigned)json_object_get_int_member(call, "max_tokens");
     if (!json_object_get_boolean_member(call, "stream")) {
@@ -180,11 +181,11 @@
 }
 
 bool
-harness_answer_good(const struct harness_answer *answer)
+harness_response_is_correct(const struct harness_response *answer)
 {
     GString *expected = g_string_new(NULL);
     bool good = false;
-    if (answer->curl == 0 && answer->status == 200 &&
+    if (answer->curl_code == 0 && answer->status == 200 &&
         answer->request_id != NULL) {
         const char *service = strstr(answer->path, "/services/");
         if (service == NULL) {
@@ -193,9 +194,11 @@
         else {
             const char *subpath = strchr(service + strlen("/services/"), '/');
             answer_service(expected, answer->method, subpath ? subpath : "/",
-                           ch_hash_string(answer->body ? answer->body : ""));
+                           ch_hash_string(answer->request_body
+                                              ? answer->request_body
+                                              : ""));
         }
-        good = g_string_equal(expected, answer->text);
+        good = g_string_equal(expected, answer->response_body);
     }
     g_string_free(expected, TRUE);
     return good;
@@ -205,12 +208,12 @@
 harness_get(const char *address, const char *path, char **body)
 {
     struct harness_call call = {
-        .address = address, .method = "GET", .path = path, .limit_ms = 2000};
-    struct harness_answer *answer = harness_call(&call);
-    int status = answer->curl == 0 ? answer->status : 0;
+        .address = address, .method = "GET", .path = path, .timeout_ms = 2000};
+    struct harness_response *answer = harness_call(&call);
+    int status = answer->curl_code == 0 ? answer->status : 0;
     if (body != NULL) {
-        *body = g_strdup(answer->text->str);
+        *body = g_strdup(answer->response_body->str);
     }
-    harness_answer_free(answer);
+    harness_response_free(answer);
     return status;
 }
--- a/tests/harness/check.c
+++ b/tests/harness/check.c
@@ -37,7 +37,7 @@
 
 static void
 check_run(const struct harness_upstream *upstream, JsonObject *run,
-          struct runs *runs, struct harness_verdict *verdict)
+          struct runs *runs, struct harness_check_result *verdict)
 {
     const char *key = json_object_get_string_member(run, "key");
     const char *body = json_object_get_string_member(run, "body_hash");
@@ -53,17 +53,18 @@
                    upstream->name, key,
                    json_object_get_string_member(run, "request_id"));
     }
-    if (upstream->left_at != 0 && json_object_get_int_member(run, "at_ms") >
-                                      upstream->left_at + DRAINING_GRACE_MS) {
-        verdict->after_left++;
+    if (upstream->draining_since_ms != 0 &&
+        json_object_get_int_member(run, "at_ms") >
+            upstream->draining_since_ms + DRAINING_GRACE_MS) {
+        verdict->begun_after_draining++;
     }
 }
 
 static void
 check_record(const struct harness_upstream *upstream, struct runs *runs,
-             struct harness_verdict *verdict)
+             struct harness_check_result *verdict)
 {
-    JsonNode *node = harness_record(&upstream->standin);
+    JsonNode *node = harness_get_record(&upstream->standin);
     JsonObject *record = json_node_get_object(node);
     JsonArray *list = json_object_get_array_member(record, "runs");
     for (guint i = 0; i < json_array_get_length(list); i++) {
@@ -71,7 +72,7 @@
                   verdict);
     }
     if (upstream->service == NULL) {
-        verdict->overcommit +=
+        verdict->overcommits +=
             (unsigned)json_object_get_int_member(record, "overcommits");
     }
     json_node_unref(node);
@@ -79,41 +80,42 @@
 
 /* Whether a stream ends with an error event. */
 static bool
-has_stream_error(const struct harness_answer *answer)
+has_stream_error(const struct harness_response *answer)
 {
-    return strstr(answer->text->str, "data: {\"error\"") != NULL;
+    return strstr(answer->response_body->str, "data: {\"error\"") != NULL;
 }
 
 /* Whether a caller would take the response for complete: a stream is complete
  * with its [DONE] event, any other response by its framing. */
 static bool
-looks_complete(const struct harness_answer *answer)
+looks_complete(const struct harness_response *answer)
 {
-    bool stream = answer->body != NULL &&
-                  strstr(answer->body, "\"stream\":true") != NULL;
-    return !stream || g_str_has_suffix(answer->text->str, "data: [DONE]\n\n");
+    bool stream = answer->request_body != NULL &&
+                  strstr(answer->request_body, "\"stream\":true") != NULL;
+    return !stream ||
+           g_str_has_suffix(answer->response_body->str, "data: [DONE]\n\n");
 }
 
 /* Counts a response with status 200. */
 static void
-count_success(const struct harness_answer *answer,
-              struct harness_verdict *verdict)
+count_success(const struct harness_response *answer,
+              struct harness_check_result *verdict)
 {
-    if (harness_answer_good(answer)) {
-        verdict->good++;
+    if (harness_response_is_correct(answer)) {
+        verdict->correct++;
     }
     else if (looks_complete(answer)) {
-        verdict->wrong++;
-        g_printerr("incorrect response to %s: %s\n", answer->body,
-                   answer->text->str);
+        verdict->wrong_responses++;
+        g_printerr("incorrect response to %s: %s\n", answer->request_body,
+                   answer->response_body->str);
     }
     else if (has_stream_error(answer)) {
         verdict->failed++;
     }
     else {
-        verdict->untold++;
+        verdict->missing_outcome++;
         g_printerr("stream ended without [DONE] or an error: %s\n",
-                   answer->body);
+                   answer->request_body);
     }
 }
 
@@ -121,16 +123,17 @@
  * Only a body that was sent once shows which request an upstream ran, if the
  * request id is not known. */
 static void
-count_error(const struct harness_answer *answer, const struct runs *runs,
-            GHashTable *bodies, struct harness_verdict *verdict)
+count_error(const struct harness_response *answer, const struct runs *runs,
+            GHashTable *bodies, struct harness_check_result *verdict)
 {
     char hash[20];
-    const char *body = answer->body == NULL ? "" : answer->body;
+    const char *body =
+        answer->request_body == NULL ? "" : answer->request_body;
     (void)g_snprintf(hash, sizeof hash, "%016" PRIx64, ch_hash_string(body));
-    if (answer->outcome == NULL || answer->code == 0) {
-        verdict->untold++;
+    if (answer->outcome == NULL || answer->error_code == 0) {
+        verdict->missing_outcome++;
         g_printerr("status %d without outcome or code: %s\n", answer->status,
-                   answer->text->str);
+                   answer->response_body->str);
     }
     if (g_strcmp0(answer->outcome, "not-run") != 0) {
         verdict->failed++;
@@ -143,18 +146,18 @@
         (sent_once && g_hash_table_contains(runs->bodies, hash))) {
         verdict->not_run_ran++;
         g_printerr("outcome not-run, but the request ran: %s %s\n", body,
-                   answer->text->str);
+                   answer->response_body->str);
     }
 }
 
 static void
-count_response(const struct harness_answer *answer, const struct runs *runs,
-               GHashTable *bodies, struct harness_verdict *verdict)
+count_response(const struct harness_response *answer, const struct runs *runs,
+               GHashTable *bodies, struct harness_check_result *verdict)
 {
-    unsigned correct = verdict->good;
-    verdict->answers++;
-    if (answer->curl != 0) {
-        verdict->broken++;
+    unsigned correct = verdict->correct;
+    verdict->responses++;
+    if (answer->curl_code != 0) {
+        verdict->broken_connections++;
     }
     else if (answer->status == 200) {
         count_success(answer, verdict);
@@ -162,23 +165,24 @@
     else {
         count_error(answer, runs, bodies, verdict);
     }
-    if (answer->key == NULL && verdict->good == correct) {
-        verdict->idempotent_bad++;
+    if (answer->key == NULL && verdict->correct == correct) {
+        verdict->unkeyed_incorrect++;
     }
 }
 
 /* The error as "OUTCOME CODE MESSAGE"; g_free. */
 static char *
-error_text(const struct harness_answer *answer)
+error_text(const struct harness_response *answer)
 {
-    const char *found = strstr(answer->text->str, "\"message\":\"");
-    if (answer->curl != 0) {
-        return g_strdup_printf("connection lost (curl code %d)", answer->curl);
+    const char *found = strstr(answer->response_body->str, "\"message\":\"");
+    if (answer->curl_code != 0) {
+        return g_strdup_printf("connection lost (curl code %d)",
+                               answer->curl_code);
     }
     found = found == NULL ? "" : found + strlen("\"message\":\"");
-    return g_strdup_printf("%s %d %.*s",
-                           answer->outcome == NULL ? "-" : answer->outcome,
-                           answer->code, (int)strcspn(found, "\""), found);
+    return g_strdup_printf(
+        "%s %d %.*s", answer->outcome == NULL ? "-" : answer->outcome,
+        answer->error_code, (int)strcspn(found, "\""), found);
 }
 
 static void
@@ -189,8 +193,8 @@
     gpointer text;
     gpointer count;
     for (guint i = 0; i < answers->len; i++) {
-        const struct harness_answer *answer = g_ptr_array_index(answers, i);
-        if (!harness_answer_good(answer)) {
+        const struct harness_response *answer = g_ptr_array_index(answers, i);
+        if (!harness_response_is_correct(answer)) {
             char *error = error_text(answer);
             char *line = g_strdup_printf(
                 "%s: %s", answer->class_name ? answer->class_name : "-",
@@ -208,8 +212,8 @@
 }
 
 void
-harness_check(struct harness_fleet *fleet, const GPtrArray *answers,
-              struct harness_verdict *verdict)
+harness_check_responses(struct harness_fleet *fleet, const GPtrArray *answers,
+                        struct harness_check_result *verdict)
 {
     struct runs runs = {new_counts(), new_counts(), new_counts()};
     GHashTable *bodies = new_counts();
@@ -218,8 +222,9 @@
         check_record(&fleet->upstreams[i], &runs, verdict);
     }
     for (guint i = 0; i < answers->len; i++) {
-        const struct harness_answer *answer = g_ptr_array_index(answers, i);
-        (void)increment(bodies, answer->body == NULL ? "" : answer->body);
+        const struct harness_response *answer = g_ptr_array_index(answers, i);
+        (void)increment(
+            bodies, answer->request_body == NULL ? "" : answer->request_body);
     }
     for (guint i = 0; i < answers->len; i++) {
         count_response(g_ptr_array_index(answers, i), &runs, bodies, verdict);
@@ -232,29 +237,32 @@
 }
 
 void
-harness_assert(const char *name, const struct harness_verdict *verdict)
+harness_assert_guarantees(const char *name,
+                          const struct harness_check_result *verdict)
 {
     g_print("figure: %s: %u responses, %u correct, %u refused (not-run), "
             "%u failed, %u connections lost; %u incorrect without a key\n",
-            name, verdict->answers, verdict->good, verdict->refused,
-            verdict->failed, verdict->broken, verdict->idempotent_bad);
+            name, verdict->responses, verdict->correct, verdict->refused,
+            verdict->failed, verdict->broken_connections,
+            verdict->unkeyed_incorrect);
     g_assert_cmpuint(verdict->ran_twice, ==, 0);
     g_assert_cmpuint(verdict->not_run_ran, ==, 0);
-    g_assert_cmpuint(verdict->wrong, ==, 0);
-    g_assert_cmpuint(verdict->untold, ==, 0);
-    g_assert_cmpuint(verdict->overcommit, ==, 0);
-    g_assert_cmpuint(verdict->after_left, ==, 0);
+    g_assert_cmpuint(verdict->wrong_responses, ==, 0);
+    g_assert_cmpuint(verdict->missing_outcome, ==, 0);
+    g_assert_cmpuint(verdict->overcommits, ==, 0);
+    g_assert_cmpuint(verdict->begun_after_draining, ==, 0);
 }
 
 /* Whether the response is correct and met its target: the first byte of a
  * stream, the end of any other response. */
 static bool
-met_target(const struct harness_answer *answer)
+met_target(const struct harness_response *answer)
 {
-    bool stream = answer->body != NULL &&
-                  strstr(answer->body, "\"stream\":true") != NULL;
-    int64_t took = (stream ? answer->first : answer->ended) - answer->sent;
-    return harness_answer_good(answer) &&
+    bool stream = answer->request_body != NULL &&
+                  strstr(answer->request_body, "\"stream\":true") != NULL;
+    int64_t took = (stream ? answer->first_byte_at_ms : answer->ended_at_ms) -
+                   answer->sent_at_ms;
+    return harness_response_is_correct(answer) &&
            (answer->target_ms == 0 || took <= answer->target_ms);
 }
 
@@ -286,10 +294,10 @@
     GArray *times = g_array_new(FALSE, FALSE, sizeof(int64_t));
     int64_t longest = 0;
     for (guint i = 0; i < answers->len; i++) {
-        const struct harness_answer *answer = g_ptr_array_index(answers, i);
-        if ((answer->key != NULL) == keyed && answer->ended <= end &&
-            harness_answer_good(answer)) {
-            g_array_append_val(times, answer->ended);
+        const struct harness_response *answer = g_ptr_array_index(answers, i);
+        if ((answer->key != NULL) == keyed && answer->ended_at_ms <= end &&
+            harness_response_is_correct(answer)) {
+            g_array_append_val(times, answer->ended_at_ms);
         }
     }
     if (times->len > 0) {
@@ -305,39 +313,43 @@
 }
 
 void
-harness_measure(const char *name, const GPtrArray *answers, int64_t begun,
-                int64_t ended, struct harness_figures *figures)
+harness_measure_impact(const char *name, const GPtrArray *answers,
+                       int64_t begun, int64_t ended,
+                       struct harness_impact *figures)
 {
     struct share shares[2][3] = {0};
     int64_t last = begun;
     int64_t end = begun;
     for (guint i = 0; i < answers->len; i++) {
-        const struct harness_answer *answer = g_ptr_array_index(answers, i);
+        const struct harness_response *answer = g_ptr_array_index(answers, i);
         bool correct = met_target(answer);
-        size_t phase =
-            answer->sent < begun ? 0 : (answer->sent < ended ? 1 : 2);
+        size_t phase = answer->sent_at_ms < begun
+                           ? 0
+                           : (answer->sent_at_ms < ended ? 1 : 2);
         struct share *share = &shares[answer->key != NULL ? 1 : 0][phase];
         share->all++;
         share->met += correct ? 1 : 0;
-        end = MAX(end, answer->sent);
-        if (!correct && answer->sent >= begun) {
-            last = MAX(last, answer->sent);
+        end = MAX(end, answer->sent_at_ms);
+        if (!correct && answer->sent_at_ms >= begun) {
+            last = MAX(last, answer->sent_at_ms);
         }
     }
-    figures->before = percent(&shares[0][0]);
-    figures->during = percent(&shares[0][1]);
-    figures->after = percent(&shares[0][2]);
-    figures->orders_before = percent(&shares[1][0]);
-    figures->orders_during = percent(&shares[1][1]);
-    figures->orders_after = percent(&shares[1][2]);
-    figures->longest_gap = longest_gap(answers, false, end);
-    figures->orders_gap = longest_gap(answers, true, end);
-    figures->recovered = last > end - RECOVERY_WINDOW_MS ? -1 : last - begun;
+    figures->before_percent = percent(&shares[0][0]);
+    figures->during_percent = percent(&shares[0][1]);
+    figures->after_percent = percent(&shares[0][2]);
+    figures->keyed_before_percent = percent(&shares[1][0]);
+    figures->keyed_during_percent = percent(&shares[1][1]);
+    figures->keyed_after_percent = percent(&shares[1][2]);
+    figures->longest_gap_ms = longest_gap(answers, false, end);
+    figures->keyed_longest_gap_ms = longest_gap(answers, true, end);
+    figures->recovery_ms = last > end - RECOVERY_WINDOW_MS ? -1 : last - begun;
     g_print("figure: %s: longest gap %" PRId64 " ms, of orders %" PRId64
             " ms; met target %.1f%% before, %.1f%% during, %.1f%% after, "
             "orders %.1f%%, %.1f%%, %.1f%%; recovered %" PRId64
             " ms after the fault began\n",
-            name, figures->longest_gap, figures->orders_gap, figures->before,
-            figures->during, figures->after, figures->orders_before,
-            figures->orders_during, figures->orders_after, figures->recovered);
+            name, figures->longest_gap_ms, figures->keyed_longest_gap_ms,
+            figures->before_percent, figures->during_percent,
+            figures->after_percent, figures->keyed_before_percent,
+            figures->keyed_during_percent, figures->keyed_after_percent,
+            figures->recovery_ms);
 }
--- a/tests/harness/fleet.c
+++ b/tests/harness/fleet.c
@@ -55,12 +55,12 @@
     for (size_t i = 0; i < G_N_ELEMENTS(default_settings); i++) {
         set_setting(file, default_settings[i]);
     }
-    for (size_t i = 0; i < G_N_ELEMENTS(fleet->shape.settings) &&
-                       fleet->shape.settings[i] != NULL;
+    for (size_t i = 0; i < G_N_ELEMENTS(fleet->config.settings) &&
+                       fleet->config.settings[i] != NULL;
          i++) {
-        set_setting(file, fleet->shape.settings[i]);
+        set_setting(file, fleet->config.settings[i]);
     }
-    char *listen = g_strdup_printf("127.0.0.1:%u", node->peers);
+    char *listen = g_strdup_printf("127.0.0.1:%u", node->peer_port);
     g_key_file_set_value(file, "node", "name", node->name);
     g_key_file_set_value(file, "node", "region", node->region);
     g_key_file_set_value(file, "node", "data-centre", node->data_centre);
@@ -68,9 +68,9 @@
     g_key_file_set_value(file, "listen", "admin", node->admin_address);
     g_key_file_set_value(file, "listen", "peers", listen);
     g_key_file_set_value(file, "platform", "kv", fleet->kv.address);
-    g_key_file_set_value(file, "platform", "hosts", fleet->hosts.address);
-    if (!g_key_file_save_to_file(file, node->settings, NULL)) {
-        g_error("harness: cannot write %s", node->settings);
+    g_key_file_set_value(file, "platform", "hosts", fleet->host_list.address);
+    if (!g_key_file_save_to_file(file, node->settings_path, NULL)) {
+        g_error("harness: cannot write %s", node->settings_path);
     }
     g_free(listen);
     g_key_file_unref(file);
@@ -84,20 +84,24 @@
     (void)g_snprintf(node->name, sizeof node->name, "n%02u", i + 1);
     node->region = "de-cymru";
     node->data_centre = "caerdydd";
-    node->callers = harness_port();
-    node->admin = harness_port();
-    node->peers = harness_port();
-    (void)g_snprintf(node->caller_address, 32, "127.0.0.1:%u", node->callers);
-    (void)g_snprintf(node->admin_address, 32, "127.0.0.1:%u", node->admin);
-    (void)g_snprintf(node->peer_address, 32, "127.0.0.1:%u", node->peers);
-    node->settings =
+    node->caller_port = harness_reserve_port();
+    node->admin_port = harness_reserve_port();
+    node->peer_port = harness_reserve_port();
+    (void)g_snprintf(node->caller_address, 32, "127.0.0.1:%u",
+                     node->caller_port);
+    (void)g_snprintf(node->admin_address, 32, "127.0.0.1:%u",
+                     node->admin_port);
+    (void)g_snprintf(node->peer_address, 32, "127.0.0.1:%u", node->peer_port);
+    node->settings_path =
         g_strdup_printf("%s/%s.ini", fleet->directory, node->name);
-    node->log = g_strdup_printf("%s/%s.log", fleet->directory, node->name);
+    node->log_path =
+        g_strdup_printf("%s/%s.log", fleet->directory, node->name);
     write_settings(fleet, node);
-    if (fleet->shape.relays) {
+    if (fleet->config.use_relays) {
         char *target = g_strdup_printf("target=%s", node->peer_address);
         const char *const args[] = {target, NULL};
-        harness_standin_start(&node->relay, fleet->build, "relay", args);
+        harness_standin_start(&node->relay, fleet->build_directory, "relay",
+                              args);
         (void)g_snprintf(node->peer_address, 32, "%s", node->relay.address);
         g_free(target);
     }
@@ -110,21 +114,22 @@
 {
     struct harness_upstream *upstream =
         &fleet->upstreams[fleet->upstream_count++];
-    char *models = g_strdup_printf("models=%s", fleet->shape.declaration);
-    char *weights = g_strdup_printf("weights=%s", fleet->weights.address);
+    char *models =
+        g_strdup_printf("models=%s", fleet->config.declaration_path);
+    char *weights = g_strdup_printf("weights=%s", fleet->weight_store.address);
     const char *args[16] = {"token_us=5000",   "load_ms=100", "answer_ms=10",
                             "memory_mb=40000", models,        weights};
-    for (size_t k = 0; k < G_N_ELEMENTS(fleet->shape.engine_args) &&
-                       fleet->shape.engine_args[k] != NULL;
+    for (size_t k = 0; k < G_N_ELEMENTS(fleet->config.engine_args) &&
+                       fleet->config.engine_args[k] != NULL;
          k++) {
-        args[6 + k] = fleet->shape.engine_args[k];
+        args[6 + k] = fleet->config.engine_args[k];
     }
     (void)g_snprintf(upstream->name, sizeof upstream->name, "%c%02u",
                      service == NULL ? 'w' : 'o', i + 1);
     upstream->service = service;
     upstream->region = "de-cymru";
     upstream->data_centre = "caerdydd";
-    harness_standin_start(&upstream->standin, fleet->build,
+    harness_standin_start(&upstream->standin, fleet->build_directory,
                           service == NULL ? "engine" : "service", args);
     g_free(models);
     g_free(weights);
@@ -133,7 +138,7 @@
 /* Adds a host to the host list. texts: values of the names below; NULL: left
  * out. */
 static void
-add_host(const struct harness_shape *shape, JsonBuilder *out,
+add_host(const struct harness_fleet_config *shape, JsonBuilder *out,
          const char *const *texts, bool engine, bool draining)
 {
     static const char *const names[] = {"name",   "kind",        "address",
@@ -147,12 +152,14 @@
     }
     if (engine) {
         json_builder_set_member_name(out, "memory_mb");
-        json_builder_add_int_value(
-            out, shape->memory_mb == 0 ? 40000 : shape->memory_mb);
+        json_builder_add_int_value(out, shape->engine_memory_mb == 0
+                                            ? 40000
+                                            : shape->engine_memory_mb);
         json_builder_set_member_name(out, "accelerators");
         json_builder_add_int_value(out, 1);
         json_builder_set_member_name(out, "batch");
-        json_builder_add_int_value(out, shape->batch == 0 ? 64 : shape->batch);
+        json_builder_add_int_value(
+            out, shape->engine_batch == 0 ? 64 : shape->engine_batch);
     }
     json_builder_set_member_name(out, "state");
     json_builder_add_string_value(out, draining ? "leaving" : "live");
@@ -160,7 +167,7 @@
 }
 
 void
-harness_fleet_list(struct harness_fleet *fleet)
+harness_fleet_publish_hosts(struct harness_fleet *fleet)
 {
     JsonBuilder *out = json_builder_new();
     json_builder_begin_object(out);
@@ -171,7 +178,7 @@
         const char *texts[] = {node->name,         "entry",
                                node->peer_address, node->region,
                                node->data_centre,  NULL};
-        add_host(&fleet->shape, out, texts, false, false);
+        add_host(&fleet->config, out, texts, false, false);
     }
     for (unsigned i = 0; i < fleet->upstream_count; i++) {
         const struct harness_upstream *upstream = &fleet->upstreams[i];
@@ -181,79 +188,82 @@
                                upstream->region,
                                upstream->data_centre,
                                upstream->service};
-        add_host(&fleet->shape, out, texts, upstream->service == NULL,
-                 upstream->left_at != 0);
+        add_host(&fleet->config, out, texts, upstream->service == NULL,
+                 upstream->draining_since_ms != 0);
     }
     json_builder_end_array(out);
     json_builder_end_object(out);
     JsonNode *root = json_builder_get_root(out);
     char *text = json_to_string(root, FALSE);
-    g_free(harness_control(&fleet->hosts, "hosts", text));
+    g_free(harness_call_control(&fleet->host_list, "hosts", text));
     g_free(text);
     json_node_unref(root);
     g_object_unref(out);
 }
 
 struct harness_fleet *
-harness_fleet_prepare(const char *build, const struct harness_shape *shape)
+harness_fleet_prepare(const char *build,
+                      const struct harness_fleet_config *shape)
 {
     static const char *const weight_store_args[] = {"transfer_ms=100",
                                                     "parallel=10", NULL};
     struct harness_fleet *fleet = g_new0(struct harness_fleet, 1);
-    fleet->build = build;
-    fleet->shape = *shape;
-    if (fleet->shape.declaration == NULL) {
-        fleet->shape.declaration = "examples/small.ini";
+    fleet->build_directory = build;
+    fleet->config = *shape;
+    if (fleet->config.declaration_path == NULL) {
+        fleet->config.declaration_path = "examples/small.ini";
     }
     fleet->directory = g_dir_make_tmp("chestnuthitch-XXXXXX", NULL);
     harness_standin_start(&fleet->kv, build, "kv", NULL);
-    harness_standin_start(&fleet->hosts, build, "hosts", NULL);
-    harness_standin_start(&fleet->weights, build, "weights",
+    harness_standin_start(&fleet->host_list, build, "hosts", NULL);
+    harness_standin_start(&fleet->weight_store, build, "weights",
                           weight_store_args);
-    for (unsigned i = 0; i < shape->engines; i++) {
+    for (unsigned i = 0; i < shape->engine_count; i++) {
         start_upstream(fleet, NULL, i);
     }
-    for (unsigned i = 0; i < shape->services; i++) {
+    for (unsigned i = 0; i < shape->service_count; i++) {
         start_upstream(fleet, "orders", i);
     }
-    for (unsigned i = 0; i < shape->nodes; i++) {
+    for (unsigned i = 0; i < shape->node_count; i++) {
         prepare_node(fleet, i);
         fleet->node_count++;
     }
-    harness_fleet_list(fleet);
+    harness_fleet_publish_hosts(fleet);
     return fleet;
 }
 
 void
 harness_node_start(struct harness_fleet *fleet, struct harness_node *node)
 {
-    char *program = g_build_filename(fleet->build, "chestnuthitch", NULL);
-    const char *argv[] = {program, "node", "--settings", node->settings, NULL};
-    node->pid = harness_spawn(argv, node->log, NULL);
+    char *program =
+        g_build_filename(fleet->build_directory, "chestnuthitch", NULL);
+    const char *argv[] = {program, "node", "--settings", node->settings_path,
+                          NULL};
+    node->pid = harness_spawn(argv, node->log_path, NULL);
     g_free(program);
 }
 
 bool
-harness_node_wait(const struct harness_node *node, bool ready,
-                  int64_t limit_ms)
+harness_node_wait_ready(const struct harness_node *node, bool ready,
+                        int64_t limit_ms)
 {
-    int64_t deadline = harness_now() + limit_ms;
+    int64_t deadline = harness_now_ms() + limit_ms;
     do {
         int status = harness_get(node->caller_address, "/readyz", NULL);
         if (status == 200 ? ready : (status != 0 && !ready)) {
             return true;
         }
-        harness_sleep(20);
-    } while (harness_now() < deadline);
+        harness_sleep_ms(20);
+    } while (harness_now_ms() < deadline);
     return false;
 }
 
 void
-harness_node_kill(struct harness_node *node, int signal)
+harness_node_signal(struct harness_node *node, int signal)
 {
     (void)kill(node->pid, signal);
     if (signal == SIGKILL) {
-        (void)harness_wait(node->pid, 5000);
+        (void)harness_wait_exit(node->pid, 5000);
         node->pid = 0;
     }
 }
@@ -265,20 +275,22 @@
 apply_declaration(struct harness_fleet *fleet)
 {
     char *output = NULL;
-    int64_t deadline = harness_now() + HARNESS_READY_MS;
-    while (harness_apply(fleet, &fleet->nodes[0], fleet->shape.declaration,
-                         &output) != 0) {
-        if (harness_now() > deadline) {
+    int64_t deadline = harness_now_ms() + HARNESS_READY_TIMEOUT_MS;
+    while (harness_apply_config(fleet, &fleet->nodes[0],
+                                fleet->config.declaration_path,
+                                &output) != 0) {
+        if (harness_now_ms() > deadline) {
             g_error("harness: config apply failed: %s", output);
         }
         g_clear_pointer(&output, g_free);
-        harness_sleep(100);
+        harness_sleep_ms(100);
     }
     g_free(output);
 }
 
 struct harness_fleet *
-harness_fleet_start(const char *build, const struct harness_shape *shape)
+harness_fleet_start(const char *build,
+                    const struct harness_fleet_config *shape)
 {
     struct harness_fleet *fleet = harness_fleet_prepare(build, shape);
     for (unsigned i = 0; i < fleet->node_count; i++) {
@@ -286,9 +298,10 @@
     }
     apply_declaration(fleet);
     for (unsigned i = 0; i < fleet->node_count; i++) {
-        if (!harness_node_wait(&fleet->nodes[i], true, HARNESS_READY_MS)) {
+        if (!harness_node_wait_ready(&fleet->nodes[i], true,
+                                     HARNESS_READY_TIMEOUT_MS)) {
             g_error("harness: %s is not ready, see %s", fleet->nodes[i].name,
-                    fleet->nodes[i].log);
+                    fleet->nodes[i].log_path);
         }
     }
     return fleet;
@@ -298,10 +311,10 @@
 remove_files(struct harness_fleet *fleet)
 {
     for (unsigned i = 0; i < fleet->node_count; i++) {
-        (void)g_unlink(fleet->nodes[i].settings);
-        (void)g_unlink(fleet->nodes[i].log);
-        g_free(fleet->nodes[i].settings);
-        g_free(fleet->nodes[i].log);
+        (void)g_unlink(fleet->nodes[i].settings_path);
+        (void)g_unlink(fleet->nodes[i].log_path);
+        g_free(fleet->nodes[i].settings_path);
+        g_free(fleet->nodes[i].log_path);
     }
     (void)g_rmdir(fleet->directory);
     g_free(fleet->directory);
@@ -312,7 +325,7 @@
 {
     if (standin->pid != 0) {
         (void)kill(standin->pid, SIGTERM);
-        (void)harness_wait(standin->pid, 5000);
+        (void)harness_wait_exit(standin->pid, 5000);
     }
 }
 
@@ -331,19 +344,19 @@
     }
     for (unsigned i = 0; i < fleet->node_count; i++) {
         struct harness_node *node = &fleet->nodes[i];
-        int status = node->pid == 0 ? 0 : harness_wait(node->pid, 15000);
+        int status = node->pid == 0 ? 0 : harness_wait_exit(node->pid, 15000);
         if (status != 0) {
             g_printerr("%s exited with status %d, see %s\n", node->name,
-                       status, node->log);
+                       status, node->log_path);
             failed++;
         }
         if (status == -1) {
-            harness_node_kill(node, SIGKILL);
+            harness_node_signal(node, SIGKILL);
         }
     }
     harness_standin_stop(&fleet->kv);
-    harness_standin_stop(&fleet->hosts);
-    harness_standin_stop(&fleet->weights);
+    harness_standin_stop(&fleet->host_list);
+    harness_standin_stop(&fleet->weight_store);
     for (unsigned i = 0; i < fleet->upstream_count; i++) {
         harness_standin_stop(&fleet->upstreams[i].standin);
     }
@@ -358,10 +371,12 @@
 }
 
 int
-harness_cli(const struct harness_fleet *fleet, const struct harness_node *node,
-            char **output, const char *const *args)
+harness_run_cli(const struct harness_fleet *fleet,
+                const struct harness_node *node, char **output,
+                const char *const *args)
 {
-    char *program = g_build_filename(fleet->build, "chestnuthitch", NULL);
+    char *program =
+        g_build_filename(fleet->build_directory, "chestnuthitch", NULL);
     char *log = g_strdup_printf("%s/cli.log", fleet->directory);
     const char *argv[16] = {program};
     size_t count = 1;
@@ -380,7 +395,7 @@
         g_string_append_len(combined, text, length);
     }
     (void)close(out);
-    int status = harness_wait(pid, 30000);
+    int status = harness_wait_exit(pid, 30000);
     char *errors = NULL;
     if (g_file_get_contents(log, &errors, NULL, NULL)) {
         g_string_append(combined, errors);
@@ -397,11 +412,12 @@
 }
 
 int
-harness_apply(const struct harness_fleet *fleet,
-              const struct harness_node *node, const char *path, char **output)
+harness_apply_config(const struct harness_fleet *fleet,
+                     const struct harness_node *node, const char *path,
+                     char **output)
 {
     const char *args[] = {"config", "apply", path, NULL};
-    return harness_cli(fleet, node, output, args);
+    return harness_run_cli(fleet, node, output, args);
 }
 
 /* A node's response to an admin GET as JSON; NULL unless the status is 200. */
@@ -418,7 +434,7 @@
 }
 
 uint64_t
-harness_revision(const struct harness_node *node)
+harness_get_revision(const struct harness_node *node)
 {
     JsonNode *config = admin_get(node, "/admin/v1/config");
     if (config == NULL) {
@@ -431,7 +447,7 @@
 }
 
 JsonNode *
-harness_status(const struct harness_node *node)
+harness_get_status(const struct harness_node *node)
 {
     return admin_get(node, "/admin/v1/status");
 }
@@ -459,10 +475,10 @@
 }
 
 char *
-harness_home(const struct harness_node *node, const char *upstream)
+harness_get_home(const struct harness_node *node, const char *upstream)
 {
     char *home = NULL;
-    JsonNode *status = harness_status(node);
+    JsonNode *status = harness_get_status(node);
     if (status == NULL) {
         return NULL;
     }
@@ -480,7 +496,7 @@
 }
 
 double
-harness_counter(const struct harness_node *node, const char *name)
+harness_get_counter(const struct harness_node *node, const char *name)
 {
     char *text = NULL;
     char *key = g_strdup_printf("\nchestnuthitch_%s_total ", name);
--- a/tests/harness/harness.h
+++ b/tests/harness/harness.h
@@ -14,16 +14,16 @@
 #include <sys/types.h>
 
 enum {
-    HARNESS_MOST = 128, /* processes of each kind */
-    HARNESS_READY_MS = 20 * 1000,
+    HARNESS_MAX_PROCESSES = 128, /* processes of each kind */
+    HARNESS_READY_TIMEOUT_MS = 20 * 1000,
 };
 
 /* ---- processes (process.c) ---- */
 
 /* Milliseconds of CLOCK_MONOTONIC, the clock of the stand-ins' records. */
-int64_t harness_now(void);
+int64_t harness_now_ms(void);
 /* Tests wait in a loop of short sleeps, up to a deadline. */
-void harness_sleep(int64_t milliseconds);
+void harness_sleep_ms(int64_t milliseconds);
 /* Starts a program; call from the main thread only. Standard error is appended
  * to the file log (NULL: discarded). Standard output goes to the same place,
  * or, if out is not NULL, to a pipe whose reading end, *out, the caller
@@ -31,20 +31,20 @@
 pid_t harness_spawn(const char *const *argv, const char *log, int *out);
 /* Waits for a child to exit; returns its exit status, 128 + the signal that
  * killed it, or -1 after limit_ms. */
-int harness_wait(pid_t pid, int64_t limit_ms);
+int harness_wait_exit(pid_t pid, int64_t limit_ms);
 /* Processor time used by a process (ms) and its resident memory (KB); 0 when
  * there is no such process. */
-double harness_cpu_ms(pid_t pid);
-double harness_memory_kb(pid_t pid);
+double harness_get_cpu_ms(pid_t pid);
+double harness_get_memory_kb(pid_t pid);
 /* Reserves a loopback port until this process ends, for a child to listen
  * on. */
-uint16_t harness_port(void);
+uint16_t harness_reserve_port(void);
 
 struct harness_standin {
     const char *mode;
     pid_t pid;
     uint16_t port;
-    uint16_t control;
+    uint16_t control_port;
     char address[32];
 };
 
@@ -57,27 +57,27 @@
 void harness_standin_stop(struct harness_standin *standin);
 /* Calls path below /control/: POST with a body, GET if body is NULL. Returns
  * the response's body, to be freed with g_free. */
-char *harness_control(const struct harness_standin *standin, const char *path,
-                      const char *body);
+char *harness_call_control(const struct harness_standin *standin,
+                           const char *path, const char *body);
 /* Sets faults of a stand-in, for example "drop_after=%d&slow_ms=20". */
-void harness_set(const struct harness_standin *standin, const char *format,
-                 ...) G_GNUC_PRINTF(2, 3);
+void harness_set_faults(const struct harness_standin *standin,
+                        const char *format, ...) G_GNUC_PRINTF(2, 3);
 /* What a stand-in has recorded; to be freed with json_node_unref. */
-JsonNode *harness_record(const struct harness_standin *standin);
+JsonNode *harness_get_record(const struct harness_standin *standin);
 /* One integer member of a stand-in's record. */
-int64_t harness_record_number(const struct harness_standin *standin,
-                              const char *member);
+int64_t harness_get_record_number(const struct harness_standin *standin,
+                                  const char *member);
 
 /* ---- a fleet (fleet.c) ---- */
 
 struct harness_node {
     char name[16];
     pid_t pid; /* 0: not running */
-    uint16_t callers;
-    uint16_t admin;
-    uint16_t peers;
-    char *settings;
-    char *log;
+    uint16_t caller_port;
+    uint16_t admin_port;
+    uint16_t peer_port;
+    char *settings_path;
+    char *log_path;
     char admin_address[32];
     char caller_address[32];
     char peer_address[32];        /* as published in the host list */
@@ -92,76 +92,79 @@
     const char *service; /* NULL: a model engine */
     const char *region;
     const char *data_centre;
-    int64_t left_at; /* when it was listed as leaving; 0: it was not */
+    int64_t
+        draining_since_ms; /* when it was listed as leaving; 0: it was not */
 };
 
-struct harness_shape {
-    unsigned nodes;
-    unsigned engines;
-    unsigned services;
-    bool relays;                /* a relay in front of each node's peer port */
-    unsigned batch;             /* 0: 64 */
-    unsigned memory_mb;         /* in the host list; 0: 40000 */
-    const char *declaration;    /* NULL: examples/small.ini */
-    const char *engine_args[8]; /* NAME=VALUE, after the defaults */
-    const char *settings[16];   /* "group.key=value", override the defaults */
+struct harness_fleet_config {
+    unsigned node_count;
+    unsigned engine_count;
+    unsigned service_count;
+    bool use_relays;           /* a relay in front of each node's peer port */
+    unsigned engine_batch;     /* 0: 64 */
+    unsigned engine_memory_mb; /* in the host list; 0: 40000 */
+    const char *declaration_path; /* NULL: examples/small.ini */
+    const char *engine_args[8];   /* NAME=VALUE, after the defaults */
+    const char *settings[16]; /* "group.key=value", override the defaults */
 };
 
 struct harness_fleet {
-    const char *build;
+    const char *build_directory;
     char *directory;
-    struct harness_shape shape;
+    struct harness_fleet_config config;
     struct harness_standin kv;
-    struct harness_standin hosts;
-    struct harness_standin weights;
-    struct harness_upstream upstreams[HARNESS_MOST * 2];
+    struct harness_standin host_list;
+    struct harness_standin weight_store;
+    struct harness_upstream upstreams[HARNESS_MAX_PROCESSES * 2];
     unsigned upstream_count;
-    struct harness_node nodes[HARNESS_MOST];
+    struct harness_node nodes[HARNESS_MAX_PROCESSES];
     unsigned node_count;
 };
 
 /* Starts all processes, applies the declaration and waits until every node is
  * ready. */
-struct harness_fleet *harness_fleet_start(const char *build,
-                                          const struct harness_shape *shape);
+struct harness_fleet *
+harness_fleet_start(const char *build,
+                    const struct harness_fleet_config *shape);
 /* Starts the stand-ins and publishes the host list; writes the nodes' settings
  * files but starts no node. */
-struct harness_fleet *harness_fleet_prepare(const char *build,
-                                            const struct harness_shape *shape);
+struct harness_fleet *
+harness_fleet_prepare(const char *build,
+                      const struct harness_fleet_config *shape);
 /* Sends SIGTERM to all processes, waits and frees the fleet. Returns the
  * number of nodes that did not exit with 0; if there are any, the log files
  * stay. */
 unsigned harness_fleet_stop(struct harness_fleet *fleet);
 /* Sends the fleet's present host list to the stand-in that serves it. */
-void harness_fleet_list(struct harness_fleet *fleet);
+void harness_fleet_publish_hosts(struct harness_fleet *fleet);
 /* Starts a node's process, also again after it has ended. */
 void harness_node_start(struct harness_fleet *fleet,
                         struct harness_node *node);
 /* Waits until /readyz reports the given readiness; false after limit_ms. A
  * node that doesn't respond counts as neither ready nor not ready. */
-bool harness_node_wait(const struct harness_node *node, bool ready,
-                       int64_t limit_ms);
+bool harness_node_wait_ready(const struct harness_node *node, bool ready,
+                             int64_t limit_ms);
 /* Sends a signal; after SIGKILL, also waits for the exit. */
-void harness_node_kill(struct harness_node *node, int signal);
+void harness_node_signal(struct harness_node *node, int signal);
 /* Runs `chestnuthitch ARGS... --node ADMIN`. Returns the exit status; *output
  * (output may be NULL) is standard output and error, to be freed with g_free.
  */
-int harness_cli(const struct harness_fleet *fleet,
-                const struct harness_node *node, char **output,
-                const char *const *args);
+int harness_run_cli(const struct harness_fleet *fleet,
+                    const struct harness_node *node, char **output,
+                    const char *const *args);
 /* Runs `chestnuthitch config apply PATH`; returns as harness_run_cli(). */
-int harness_apply(const struct harness_fleet *fleet,
-                  const struct harness_node *node, const char *path,
-                  char **output);
+int harness_apply_config(const struct harness_fleet *fleet,
+                         const struct harness_node *node, const char *path,
+                         char **output);
 /* The configuration revision that a node uses; 0: none or no response. */
-uint64_t harness_revision(const struct harness_node *node);
+uint64_t harness_get_revision(const struct harness_node *node);
 /* A node's status, to be freed with json_node_unref; NULL: no response. */
-JsonNode *harness_status(const struct harness_node *node);
+JsonNode *harness_get_status(const struct harness_node *node);
 /* The metric chestnuthitch_NAME_total of a node; 0 if it has none. */
-double harness_counter(const struct harness_node *node, const char *name);
+double harness_get_counter(const struct harness_node *node, const char *name);
 /* The name of an upstream's home node according to a node's status, to be
  * freed with g_free; NULL if the status names none. */
-char *harness_home(const struct harness_node *node, const char *upstream);
+char *harness_get_home(const struct harness_node *node, const char *upstream);
 /* NULL if there is no upstream of this name. */
 struct harness_upstream *harness_find_upstream(struct harness_fleet *fleet,
                                                const char *name);
@@ -179,36 +182,36 @@
     const char *caller;
     const char *key;
     const char *body;
-    int64_t limit_ms;
+    int64_t timeout_ms;
 };
 
-struct harness_answer {
+struct harness_response {
     /* the request */
     char *method;
     char *path;
     char *key;
-    char *body;
+    char *request_body;
     char *class_name;
-    char *node;
+    char *node_address;
     int64_t target_ms; /* from its call kind; 0: none */
     /* the response */
-    int curl; /* CURLcode; 0: complete according to its framing */
+    int curl_code; /* CURLcode; 0: complete according to its framing */
     int status;
     char *request_id;
-    char *outcome; /* Chestnuthitch-Outcome header; NULL: none */
-    int code;      /* Chestnuthitch-Code header; 0: none */
-    bool retry_after;
-    GString *text;
-    int64_t sent;
-    int64_t first;
-    int64_t ended;
-    int64_t longest; /* between two parts of the response */
+    char *outcome;  /* Chestnuthitch-Outcome header; NULL: none */
+    int error_code; /* Chestnuthitch-Code header; 0: none */
+    bool has_retry_after;
+    GString *response_body;
+    int64_t sent_at_ms;
+    int64_t first_byte_at_ms;
+    int64_t ended_at_ms;
+    int64_t longest_gap_ms; /* between two parts of the response */
 };
 
 /* Sends a request and waits for the end of the response, to be freed with
  * harness_response_free(). */
-struct harness_answer *harness_call(const struct harness_call *call);
-void harness_answer_free(struct harness_answer *answer);
+struct harness_response *harness_call(const struct harness_call *call);
+void harness_response_free(struct harness_response *answer);
 /* Bodies of completion and chat requests, different for each serial number; to
  * be freed with g_free. */
 char *harness_model_body(const char *model, unsigned tokens, bool stream,
@@ -217,7 +220,7 @@
                         unsigned serial);
 /* Whether the status is 200 and the response is complete and, byte for byte,
  * what the stand-in generates for this request's body. */
-bool harness_answer_good(const struct harness_answer *answer);
+bool harness_response_is_correct(const struct harness_response *answer);
 /* Sends a GET. Returns the status, 0 without a complete response; *body (body
  * may be NULL) is to be freed with g_free. */
 int harness_get(const char *address, const char *path, char **body);
@@ -230,140 +233,147 @@
  * connection is refused.
  */
 
-struct harness_kind {
+struct harness_call_kind {
     const char *class_name;
-    const char *model;   /* NULL: a plain service */
-    const char *service; /* URL path of a plain service */
-    unsigned tokens;
+    const char *model;        /* NULL: a plain service */
+    const char *service_path; /* URL path of a plain service */
+    unsigned max_tokens;
     bool stream;
-    bool keyed;
+    bool has_key;
     int64_t target_ms; /* to the first byte if streamed, else the end */
 };
 
 struct harness_load {
     struct harness_fleet *fleet;
-    const struct harness_kind *kinds;
+    const struct harness_call_kind *kinds;
     unsigned kind_count;
-    unsigned callers; /* threads */
-    int64_t pause_ms; /* of a caller between two requests */
-    int64_t limit_ms;
-    bool repeat_keyed;     /* by another node, if the outcome is unknown */
+    unsigned caller_count; /* threads */
+    int64_t pause_ms;      /* of a caller between two requests */
+    int64_t call_timeout_ms;
+    bool retry_keyed;      /* by another node, if the outcome is unknown */
     unsigned first_serial; /* in request bodies and keys */
 };
 
-struct harness_running;
+struct harness_load_run;
 
 /* Starts the threads of the load balancer and the callers. */
-struct harness_running *harness_load_start(const struct harness_load *load);
+struct harness_load_run *harness_load_start(const struct harness_load *load);
 /* Ends the load when the requests in flight have ended and frees running.
  * Returns all struct harness_response, ordered by time of sending; the array
  * owns them. */
-GPtrArray *harness_load_stop(struct harness_running *running);
+GPtrArray *harness_load_stop(struct harness_load_run *running);
 
 /* ---- checker (check.c) ---- */
 
-struct harness_verdict {
-    unsigned answers;
-    unsigned good;
-    unsigned refused;        /* outcome not-run */
-    unsigned failed;         /* outcome unknown, or ran with an error */
-    unsigned broken;         /* connection lost before or in the response */
-    unsigned idempotent_bad; /* requests without a key, response not correct */
+struct harness_check_result {
+    unsigned responses;
+    unsigned correct;
+    unsigned refused; /* outcome not-run */
+    unsigned failed;  /* outcome unknown, or ran with an error */
+    unsigned
+        broken_connections; /* connection lost before or in the response */
+    unsigned
+        unkeyed_incorrect; /* requests without a key, response not correct */
     /* each of these violates a guarantee */
-    unsigned ran_twice;   /* requests to plain services */
-    unsigned not_run_ran; /* outcome not-run, but an upstream ran it */
-    unsigned wrong;       /* looks complete, but is not the expected one */
-    unsigned untold;      /* an error without outcome or code, or a stream
-                             that ends with neither [DONE] nor an error */
-    unsigned overcommit;  /* orders beyond an engine's memory */
-    unsigned after_left;  /* begun over 5 s after the upstream was
-                             listed as leaving */
+    unsigned ran_twice;       /* requests to plain services */
+    unsigned not_run_ran;     /* outcome not-run, but an upstream ran it */
+    unsigned wrong_responses; /* looks complete, but is not the expected one */
+    unsigned missing_outcome; /* an error without outcome or code, or a stream
+                        that ends with neither [DONE] nor an error */
+    unsigned overcommits;     /* orders beyond an engine's memory */
+    unsigned begun_after_draining; /* begun over 5 s after the upstream was
+                            listed as leaving */
 };
 
 /* Compares all responses with the records of all upstreams. */
-void harness_check(struct harness_fleet *fleet, const GPtrArray *answers,
-                   struct harness_verdict *verdict);
+void harness_check_responses(struct harness_fleet *fleet,
+                             const GPtrArray *answers,
+                             struct harness_check_result *verdict);
 /* Prints the result, and fails the test when a guarantee is violated. */
-void harness_assert(const char *name, const struct harness_verdict *verdict);
+void harness_assert_guarantees(const char *name,
+                               const struct harness_check_result *verdict);
 
 /* How a fault affected callers. Requests are counted as before, during or
  * after the fault by the time of sending. Those without a key are of
  * idempotent classes; shares are in percent. */
-struct harness_figures {
-    int64_t longest_gap; /* between two correct responses without a key */
-    int64_t orders_gap;  /* the same with a key; 0: no correct ones */
-    double before;       /* requests without a key that met the target */
-    double during;
-    double after;
-    double orders_before; /* requests with a key that met it */
-    double orders_during;
-    double orders_after;
-    int64_t recovered; /* from the fault's begin until all requests
+struct harness_impact {
+    int64_t longest_gap_ms; /* between two correct responses without a key */
+    int64_t keyed_longest_gap_ms; /* the same with a key; 0: no correct ones */
+    double before_percent; /* requests without a key that met the target */
+    double during_percent;
+    double after_percent;
+    double keyed_before_percent; /* requests with a key that met it */
+    double keyed_during_percent;
+    double keyed_after_percent;
+    int64_t recovery_ms; /* from the fault's begin until all requests
                           met the target again; -1: never */
 };
 /* Prints "figure: NAME ..." with the impact of a fault that lasted from begun
  * to ended (ms of harness_now_ms()). */
-void harness_measure(const char *name, const GPtrArray *answers, int64_t begun,
-                     int64_t ended, struct harness_figures *figures);
+void harness_measure_impact(const char *name, const GPtrArray *answers,
+                            int64_t begun, int64_t ended,
+                            struct harness_impact *figures);
 
 /* ---- scenarios (scenario.c): a fault under load and its impact ---- */
 
 struct harness_scenario;
 
 /* State of a running scenario. */
-struct harness_scene {
+struct harness_scenario_state {
     const struct harness_scenario *scenario;
     struct harness_fleet *fleet;
-    struct harness_node *victim; /* set by begin_fault, or NULL */
-    int64_t begun;
-    int64_t ended;
-    GPtrArray *answers; /* NULL until the load has ended */
-    struct harness_verdict verdict;
-    struct harness_figures figures;
+    struct harness_node *faulty_node; /* set by begin_fault, or NULL */
+    int64_t fault_begun_ms;
+    int64_t fault_ended_ms;
+    GPtrArray *responses; /* NULL until the load has ended */
+    struct harness_check_result result;
+    struct harness_impact impact;
 };
 
 enum {
-    HARNESS_ANY = -1,
+    HARNESS_UNBOUNDED = -1,
 };
 
 /* The greatest impact that a fault may have; HARNESS_UNBOUNDED: no limit. */
-struct harness_cost {
-    int64_t gap_ms;
-    int64_t recovered_ms;
+struct harness_limits {
+    int64_t longest_gap_ms;
+    int64_t recovery_ms;
     int refused;
     int failed;
-    int broken;
-    int idempotent_bad;
+    int broken_connections;
+    int unkeyed_incorrect;
     /* Incorrect responses to requests that the faulty node did not accept,
        where it accepted no attempt with the same key either. */
-    int collateral;
-    int during; /* least share without a key that met the target */
-    int after;
+    int unrelated_failures;
+    int min_during_percent; /* least share without a key that met the target */
+    int min_after_percent;
 };
 
 struct harness_scenario {
     const char *name;
-    struct harness_shape shape;
-    const struct harness_kind *kinds; /* NULL: harness_default_kinds */
+    struct harness_fleet_config fleet_config;
+    const struct harness_call_kind *kinds; /* NULL: harness_default_kinds */
     unsigned kind_count;
-    unsigned callers; /* 0: 12 */
+    unsigned caller_count; /* 0: 12 */
     int64_t before_ms;
-    int64_t during_ms;
+    int64_t fault_ms;
     int64_t after_ms;
     /* Called before the load instead of harness_warm_up(); may be NULL. */
-    void (*early)(struct harness_scene *scene);
-    void (*begin)(struct harness_scene *scene); /* may be NULL */
-    void (*end)(struct harness_scene *scene);   /* may be NULL */
-    void (*more)(
-        struct harness_scene *scene); /* further checks; may be NULL */
-    struct harness_cost cost;
+    void (*before_load)(struct harness_scenario_state *scene);
+    void (*begin_fault)(
+        struct harness_scenario_state *scene);               /* may be NULL */
+    void (*end_fault)(struct harness_scenario_state *scene); /* may be NULL */
+    void (*check)(struct harness_scenario_state
+                      *scene); /* further checks; may be NULL */
+    struct harness_limits limits;
 };
 
 /* A streamed and a non-streamed model call and a non-idempotent call. */
 enum {
-    HARNESS_KINDS = 3,
+    HARNESS_DEFAULT_KIND_COUNT = 3,
 };
-extern const struct harness_kind harness_kinds[HARNESS_KINDS];
+extern const struct harness_call_kind
+    harness_default_kinds[HARNESS_DEFAULT_KIND_COUNT];
 
 /* For g_test_add_data_func(): runs a struct harness_scenario, prints its
  * impact and fails the test when a guarantee is violated or a limit exceeded.
@@ -372,15 +382,16 @@
 /* Sends every kind of call through every node until each response is correct.
  * Models are in memory afterwards, so later failures come from the fault. */
 void harness_warm_up(struct harness_fleet *fleet,
-                     const struct harness_kind *kinds, unsigned count);
+                     const struct harness_call_kind *kinds, unsigned count);
 /* Counts failures as defined at harness_limits.unrelated_failures; 0 without a
  * faulty node. */
-unsigned harness_collateral(const struct harness_scene *scene);
+unsigned
+harness_count_unrelated_failures(const struct harness_scenario_state *scene);
 /* main() of a failure test: each scenario is the test /failure/THEME/NAME.
  * Without arguments, scenarios run in parallel, each in its own process. */
 int harness_main(int argc, char **argv, const char *theme,
                  const struct harness_scenario *scenarios, size_t count);
 /* build/KIND, derived from the program's own path; not to be freed. */
-const char *harness_build(void);
+const char *harness_get_build_directory(void);
 
 #endif
--- a/tests/harness/load.c
+++ b/tests/harness/load.c
@@ -9,25 +9,25 @@
     POLL_INTERVAL_MS = 250, /* also the timeout of a poll */
 };
 
-struct harness_running {
+struct harness_load_run {
     struct harness_load load;
     GThread *balancer;
     GThread *callers[256];
     pthread_mutex_t lock; /* protects the members below */
     GPtrArray *answers;
-    bool ready[HARNESS_MOST];
+    bool ready[HARNESS_MAX_PROCESSES];
     unsigned turn;
     unsigned serial;
     bool stopping;
 };
 
 struct caller {
-    struct harness_running *running;
+    struct harness_load_run *running;
     unsigned number;
 };
 
 static bool
-is_stopping(struct harness_running *running)
+is_stopping(struct harness_load_run *running)
 {
     pthread_mutex_lock(&running->lock);
     bool stop = running->stopping;
@@ -39,7 +39,7 @@
 static gpointer
 poll_readiness(gpointer data)
 {
-    struct harness_running *running = data;
+    struct harness_load_run *running = data;
     const struct harness_fleet *fleet = running->load.fleet;
     while (!is_stopping(running)) {
         for (unsigned i = 0; i < fleet->node_count; i++) {
@@ -47,14 +47,15 @@
                                             fleet->nodes[i].caller_address,
                                         .method = "GET",
                                         .path = "/readyz",
-                                        .limit_ms = POLL_INTERVAL_MS};
-            struct harness_answer *answer = harness_call(&call);
+                                        .timeout_ms = POLL_INTERVAL_MS};
+            struct harness_response *answer = harness_call(&call);
             pthread_mutex_lock(&running->lock);
-            running->ready[i] = answer->curl == 0 && answer->status == 200;
+            running->ready[i] =
+                answer->curl_code == 0 && answer->status == 200;
             pthread_mutex_unlock(&running->lock);
-            harness_answer_free(answer);
+            harness_response_free(answer);
         }
-        harness_sleep(POLL_INTERVAL_MS);
+        harness_sleep_ms(POLL_INTERVAL_MS);
     }
     return NULL;
 }
@@ -62,7 +63,7 @@
 /* The next ready node by round robin, but not `last` if there are several
  * nodes; any node if none qualifies. */
 static unsigned
-choose_node(struct harness_running *running, unsigned last)
+choose_node(struct harness_load_run *running, unsigned last)
 {
     unsigned count = running->load.fleet->node_count;
     unsigned chosen = 0;
@@ -80,7 +81,7 @@
 /* After a refused connection, the node gets no requests until it is polled as
  * ready again. */
 static void
-mark_down(struct harness_running *running, unsigned node)
+mark_down(struct harness_load_run *running, unsigned node)
 {
     pthread_mutex_lock(&running->lock);
     running->ready[node] = false;
@@ -90,36 +91,38 @@
 /* Sends through the load balancer, which tries the next node when a connection
  * is refused, up to twice as often as there are nodes. *last is the node tried
  * last. */
-static struct harness_answer *
-send_balanced(struct harness_running *running, struct harness_call *call,
+static struct harness_response *
+send_balanced(struct harness_load_run *running, struct harness_call *call,
               unsigned *last)
 {
     const struct harness_fleet *fleet = running->load.fleet;
     for (unsigned attempt = 0;; attempt++) {
         unsigned chosen = choose_node(running, *last);
         call->address = fleet->nodes[chosen].caller_address;
-        struct harness_answer *answer = harness_call(call);
+        struct harness_response *answer = harness_call(call);
         *last = chosen;
-        if (answer->curl != CURLE_COULDNT_CONNECT ||
+        if (answer->curl_code != CURLE_COULDNT_CONNECT ||
             attempt >= 2 * fleet->node_count) {
             return answer;
         }
         mark_down(running, chosen);
-        harness_answer_free(answer);
+        harness_response_free(answer);
     }
 }
 
 /* Whether the request may have run, so that the key should be sent again. */
 static bool
-may_have_run(const struct harness_answer *answer)
+may_have_run(const struct harness_response *answer)
 {
-    return answer->curl != 0 || (answer->outcome != NULL &&
-                                 g_strcmp0(answer->outcome, "unknown") == 0);
+    return answer->curl_code != 0 ||
+           (answer->outcome != NULL &&
+            g_strcmp0(answer->outcome, "unknown") == 0);
 }
 
 static void
-store_response(struct harness_running *running, struct harness_answer *answer,
-               const struct harness_kind *kind)
+store_response(struct harness_load_run *running,
+               struct harness_response *answer,
+               const struct harness_call_kind *kind)
 {
     answer->target_ms = kind->target_ms;
     pthread_mutex_lock(&running->lock);
@@ -130,27 +133,27 @@
 /* Sends one request. With repeat_keyed, a request with a key whose outcome is
  * unknown is sent up to 4 times. */
 static void
-send_call(struct harness_running *running, const struct harness_kind *kind,
-          unsigned serial)
+send_call(struct harness_load_run *running,
+          const struct harness_call_kind *kind, unsigned serial)
 {
-    unsigned last = HARNESS_MOST;
-    char *key = kind->keyed ? g_strdup_printf("key-%u", serial) : NULL;
+    unsigned last = HARNESS_MAX_PROCESSES;
+    char *key = kind->has_key ? g_strdup_printf("key-%u", serial) : NULL;
     char *body = kind->model == NULL
                      ? g_strdup_printf("{\"order\":%u}", serial)
-                     : harness_model_body(kind->model, kind->tokens,
+                     : harness_model_body(kind->model, kind->max_tokens,
                                           kind->stream, serial);
     struct harness_call call = {
         .method = "POST",
-        .path = kind->model == NULL ? kind->service : "/v1/completions",
+        .path = kind->model == NULL ? kind->service_path : "/v1/completions",
         .class_name = kind->class_name,
         .key = key,
         .body = body,
-        .limit_ms = running->load.limit_ms};
+        .timeout_ms = running->load.call_timeout_ms};
     bool send_again;
     unsigned attempts = 0;
     do {
-        struct harness_answer *answer = send_balanced(running, &call, &last);
-        send_again = kind->keyed && running->load.repeat_keyed &&
+        struct harness_response *answer = send_balanced(running, &call, &last);
+        send_again = kind->has_key && running->load.retry_keyed &&
                      ++attempts < 4 && may_have_run(answer);
         store_response(running, answer, kind);
     } while (send_again && !is_stopping(running));
@@ -164,34 +167,34 @@
 run_caller(gpointer data)
 {
     struct caller *caller = data;
-    struct harness_running *running = caller->running;
-    const struct harness_kind *kind =
+    struct harness_load_run *running = caller->running;
+    const struct harness_call_kind *kind =
         &running->load.kinds[caller->number % running->load.kind_count];
     while (!is_stopping(running)) {
         pthread_mutex_lock(&running->lock);
         unsigned serial = running->serial++;
         pthread_mutex_unlock(&running->lock);
         send_call(running, kind, serial);
-        harness_sleep(running->load.pause_ms);
+        harness_sleep_ms(running->load.pause_ms);
     }
     g_free(caller);
     return NULL;
 }
 
-struct harness_running *
+struct harness_load_run *
 harness_load_start(const struct harness_load *load)
 {
-    struct harness_running *running = g_new0(struct harness_running, 1);
+    struct harness_load_run *running = g_new0(struct harness_load_run, 1);
     running->load = *load;
     running->serial = load->first_serial;
     running->answers =
-        g_ptr_array_new_with_free_func((GDestroyNotify)harness_answer_free);
+        g_ptr_array_new_with_free_func((GDestroyNotify)harness_response_free);
     pthread_mutex_init(&running->lock, NULL);
-    for (unsigned i = 0; i < HARNESS_MOST; i++) {
+    for (unsigned i = 0; i < HARNESS_MAX_PROCESSES; i++) {
         running->ready[i] = true;
     }
     running->balancer = g_thread_new("balancer", poll_readiness, running);
-    for (unsigned i = 0; i < load->callers; i++) {
+    for (unsigned i = 0; i < load->caller_count; i++) {
         struct caller *caller = g_new(struct caller, 1);
         caller->running = running;
         caller->number = i;
@@ -203,19 +206,19 @@
 static gint
 compare_sent(gconstpointer a, gconstpointer b)
 {
-    const struct harness_answer *const *first = a;
-    const struct harness_answer *const *second = b;
-    return ((*first)->sent > (*second)->sent) -
-           ((*first)->sent < (*second)->sent);
+    const struct harness_response *const *first = a;
+    const struct harness_response *const *second = b;
+    return ((*first)->sent_at_ms > (*second)->sent_at_ms) -
+           ((*first)->sent_at_ms < (*second)->sent_at_ms);
 }
 
 GPtrArray *
-harness_load_stop(struct harness_running *running)
+harness_load_stop(struct harness_load_run *running)
 {
     pthread_mutex_lock(&running->lock);
     running->stopping = true;
     pthread_mutex_unlock(&running->lock);
-    for (unsigned i = 0; i < running->load.callers; i++) {
+    for (unsigned i = 0; i < running->load.caller_count; i++) {
         (void)g_thread_join(running->callers[i]);
     }
     (void)g_thread_join(running->balancer);
--- a/tests/harness/process.c
+++ b/tests/harness/process.c
@@ -17,13 +17,13 @@
 #include <unistd.h>
 
 int64_t
-harness_now(void)
+harness_now_ms(void)
 {
     return g_get_monotonic_time() / 1000;
 }
 
 void
-harness_sleep(int64_t milliseconds)
+harness_sleep_ms(int64_t milliseconds)
 {
     g_usleep((gulong)milliseconds * 1000);
 }
@@ -76,24 +76,24 @@
 }
 
 int
-harness_wait(pid_t pid, int64_t limit_ms)
+harness_wait_exit(pid_t pid, int64_t limit_ms)
 {
-    int64_t deadline = harness_now() + limit_ms;
+    int64_t deadline = harness_now_ms() + limit_ms;
     int status;
     for (;;) {
         if (waitpid(pid, &status, WNOHANG) == pid) {
             return WIFEXITED(status) ? WEXITSTATUS(status)
                                      : 128 + WTERMSIG(status);
         }
-        if (harness_now() >= deadline) {
+        if (harness_now_ms() >= deadline) {
             return -1;
         }
-        harness_sleep(5);
+        harness_sleep_ms(5);
     }
 }
 
 double
-harness_cpu_ms(pid_t pid)
+harness_get_cpu_ms(pid_t pid)
 {
     double ticks = 0;
     char *path = g_strdup_printf("/proc/%d/stat", (int)pid);
@@ -112,7 +112,7 @@
 }
 
 double
-harness_memory_kb(pid_t pid)
+harness_get_memory_kb(pid_t pid)
 {
     double pages = 0;
     char *path = g_strdup_printf("/proc/%d/statm", (int)pid);
@@ -129,7 +129,7 @@
  * other process gets the port, but children with SO_REUSEADDR can listen on it
  * any number of times. */
 uint16_t
-harness_port(void)
+harness_reserve_port(void)
 {
     int one = 1;
     struct sockaddr_in address = {.sin_family = AF_INET};
@@ -172,7 +172,7 @@
     standin->pid = harness_spawn(argv, NULL, &out);
     FILE *child_output = fdopen(out, "r");
     standin->port = read_port(child_output, "listening ");
-    standin->control = read_port(child_output, "control ");
+    standin->control_port = read_port(child_output, "control ");
     (void)fclose(child_output);
     (void)g_snprintf(standin->address, sizeof standin->address, "127.0.0.1:%u",
                      standin->port);
@@ -187,13 +187,13 @@
 }
 
 char *
-harness_control(const struct harness_standin *standin, const char *path,
-                const char *body)
+harness_call_control(const struct harness_standin *standin, const char *path,
+                     const char *body)
 {
     CURL *curl = curl_easy_init();
     GString *text = g_string_new(NULL);
     char *url = g_strdup_printf("http://127.0.0.1:%u/control/%s",
-                                standin->control, path);
+                                standin->control_port, path);
     curl_easy_setopt(curl, CURLOPT_URL, url);
     curl_easy_setopt(curl, CURLOPT_NOSIGNAL, 1L);
     curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, 10000L);
@@ -213,22 +213,23 @@
 }
 
 void
-harness_set(const struct harness_standin *standin, const char *format, ...)
+harness_set_faults(const struct harness_standin *standin, const char *format,
+                   ...)
 {
     va_list arguments;
     va_start(arguments, format);
     char *query = g_strdup_vprintf(format, arguments);
     va_end(arguments);
     char *path = g_strconcat("set?", query, NULL);
-    g_free(harness_control(standin, path, NULL));
+    g_free(harness_call_control(standin, path, NULL));
     g_free(path);
     g_free(query);
 }
 
 JsonNode *
-harness_record(const struct harness_standin *standin)
+harness_get_record(const struct harness_standin *standin)
 {
-    char *text = harness_control(standin, "record", NULL);
+    char *text = harness_call_control(standin, "record", NULL);
     JsonNode *node = json_from_string(text, NULL);
     if (node == NULL) {
         g_error("harness: record of %s is not JSON: %s", standin->mode, text);
@@ -238,10 +239,10 @@
 }
 
 int64_t
-harness_record_number(const struct harness_standin *standin,
-                      const char *member)
+harness_get_record_number(const struct harness_standin *standin,
+                          const char *member)
 {
-    JsonNode *record = harness_record(standin);
+    JsonNode *record = harness_get_record(standin);
     int64_t number =
         json_object_get_int_member(json_node_get_object(record), member);
     json_node_unref(record);
--- a/tests/harness/scenario.c
+++ b/tests/harness/scenario.c
@@ -11,14 +11,15 @@
     MAX_PARALLEL_JOBS = 3,
 };
 
-const struct harness_kind harness_kinds[HARNESS_KINDS] = {
-    {"advice", "m01", NULL, 40, true, false, 2000},
-    {"lookup", "m02", NULL, 10, false, false, 3000},
-    {"order", NULL, "/services/orders/jackets", 0, false, true, 3000},
+const struct harness_call_kind
+    harness_default_kinds[HARNESS_DEFAULT_KIND_COUNT] = {
+        {"advice", "m01", NULL, 40, true, false, 2000},
+        {"lookup", "m02", NULL, 10, false, false, 3000},
+        {"order", NULL, "/services/orders/jackets", 0, false, true, 3000},
 };
 
 const char *
-harness_build(void)
+harness_get_build_directory(void)
 {
     static char path[4096];
     ssize_t length = readlink("/proc/self/exe", path, sizeof path - 1);
@@ -33,9 +34,9 @@
 /* Sends a request to a node; whether the response was correct. */
 static bool
 send_warm_up_call(const struct harness_node *node,
-                  const struct harness_kind *kind, unsigned serial)
+                  const struct harness_call_kind *kind, unsigned serial)
 {
-    char *key = kind->keyed ? g_strdup_printf("warm-%u", serial) : NULL;
+    char *key = kind->has_key ? g_strdup_printf("warm-%u", serial) : NULL;
     char *body = kind->model == NULL
                      ? g_strdup_printf("{\"warm\":%u}", serial)
                      : harness_model_body(kind->model, 2, kind->stream,
@@ -43,41 +44,41 @@
     struct harness_call call = {
         .address = node->caller_address,
         .method = "POST",
-        .path = kind->model == NULL ? kind->service : "/v1/completions",
+        .path = kind->model == NULL ? kind->service_path : "/v1/completions",
         .class_name = kind->class_name,
         .key = key,
         .body = body,
-        .limit_ms = 10000};
-    struct harness_answer *answer = harness_call(&call);
-    bool good = harness_answer_good(answer);
+        .timeout_ms = 10000};
+    struct harness_response *answer = harness_call(&call);
+    bool good = harness_response_is_correct(answer);
     if (!good) {
         g_test_message(
             "warming up: class %s at node %s: curl code %d, status %d, %s",
-            kind->class_name, node->name, answer->curl, answer->status,
-            answer->text->str);
+            kind->class_name, node->name, answer->curl_code, answer->status,
+            answer->response_body->str);
     }
-    harness_answer_free(answer);
+    harness_response_free(answer);
     g_free(key);
     g_free(body);
     return good;
 }
 
 void
-harness_warm_up(struct harness_fleet *fleet, const struct harness_kind *kinds,
-                unsigned count)
+harness_warm_up(struct harness_fleet *fleet,
+                const struct harness_call_kind *kinds, unsigned count)
 {
-    int64_t deadline = harness_now() + HARNESS_READY_MS;
+    int64_t deadline = harness_now_ms() + HARNESS_READY_TIMEOUT_MS;
     static unsigned serial; /* no body or key is used twice in a process */
     for (unsigned i = 0; i < fleet->node_count; i++) {
         for (unsigned k = 0; k < count; k++) {
             while (!send_warm_up_call(&fleet->nodes[i], &kinds[k], serial++)) {
-                if (harness_now() > deadline) {
+                if (harness_now_ms() > deadline) {
                     g_error(
                         "harness: class %s is not served by node %s, see %s",
                         kinds[k].class_name, fleet->nodes[i].name,
-                        fleet->nodes[i].log);
+                        fleet->nodes[i].log_path);
                 }
-                harness_sleep(50);
+                harness_sleep_ms(50);
             }
         }
     }
@@ -86,18 +87,18 @@
 /* Whether the faulty node accepted this request or another attempt with the
  * same key. */
 static bool
-accepted_by_faulty_node(const struct harness_scene *scene,
-                        const struct harness_answer *answer)
+accepted_by_faulty_node(const struct harness_scenario_state *scene,
+                        const struct harness_response *answer)
 {
-    const char *faulty_address = scene->victim->caller_address;
-    if (strcmp(answer->node, faulty_address) == 0) {
+    const char *faulty_address = scene->faulty_node->caller_address;
+    if (strcmp(answer->node_address, faulty_address) == 0) {
         return true;
     }
-    for (guint i = 0; answer->key != NULL && i < scene->answers->len; i++) {
-        const struct harness_answer *other =
-            g_ptr_array_index(scene->answers, i);
+    for (guint i = 0; answer->key != NULL && i < scene->responses->len; i++) {
+        const struct harness_response *other =
+            g_ptr_array_index(scene->responses, i);
         if (g_strcmp0(other->key, answer->key) == 0 &&
-            strcmp(other->node, faulty_address) == 0) {
+            strcmp(other->node_address, faulty_address) == 0) {
             return true;
         }
     }
@@ -105,19 +106,20 @@
 }
 
 unsigned
-harness_collateral(const struct harness_scene *scene)
+harness_count_unrelated_failures(const struct harness_scenario_state *scene)
 {
     unsigned count = 0;
-    for (guint i = 0; scene->victim != NULL && i < scene->answers->len; i++) {
-        const struct harness_answer *answer =
-            g_ptr_array_index(scene->answers, i);
-        if (!harness_answer_good(answer) &&
+    for (guint i = 0; scene->faulty_node != NULL && i < scene->responses->len;
+         i++) {
+        const struct harness_response *answer =
+            g_ptr_array_index(scene->responses, i);
+        if (!harness_response_is_correct(answer) &&
             !accepted_by_faulty_node(scene, answer)) {
             count++;
             g_print(
                 "# incorrect response at %s: curl code %d, status %d, %s %s\n",
-                answer->node, answer->curl, answer->status, answer->body,
-                answer->text->str);
+                answer->node_address, answer->curl_code, answer->status,
+                answer->request_body, answer->response_body->str);
         }
     }
     return count;
@@ -125,98 +127,104 @@
 
 /* Fails the test when the impact exceeds a limit. */
 static void
-assert_limits(const struct harness_scene *scene)
+assert_limits(const struct harness_scenario_state *scene)
 {
-    const struct harness_cost *cost = &scene->scenario->cost;
-    const struct harness_figures *figures = &scene->figures;
-    const struct harness_verdict *verdict = &scene->verdict;
-    if (cost->gap_ms != HARNESS_ANY) {
-        g_assert_cmpint(figures->longest_gap, <=, cost->gap_ms);
+    const struct harness_limits *cost = &scene->scenario->limits;
+    const struct harness_impact *figures = &scene->impact;
+    const struct harness_check_result *verdict = &scene->result;
+    if (cost->longest_gap_ms != HARNESS_UNBOUNDED) {
+        g_assert_cmpint(figures->longest_gap_ms, <=, cost->longest_gap_ms);
     }
-    if (cost->recovered_ms != HARNESS_ANY) {
-        g_assert_cmpint(figures->recovered, >=, 0);
-        g_assert_cmpint(figures->recovered, <=, cost->recovered_ms);
+    if (cost->recovery_ms != HARNESS_UNBOUNDED) {
+        g_assert_cmpint(figures->recovery_ms, >=, 0);
+        g_assert_cmpint(figures->recovery_ms, <=, cost->recovery_ms);
     }
-    if (cost->refused != HARNESS_ANY) {
+    if (cost->refused != HARNESS_UNBOUNDED) {
         g_assert_cmpint((int)verdict->refused, <=, cost->refused);
     }
-    if (cost->failed != HARNESS_ANY) {
+    if (cost->failed != HARNESS_UNBOUNDED) {
         g_assert_cmpint((int)verdict->failed, <=, cost->failed);
     }
-    if (cost->broken != HARNESS_ANY) {
-        g_assert_cmpint((int)verdict->broken, <=, cost->broken);
+    if (cost->broken_connections != HARNESS_UNBOUNDED) {
+        g_assert_cmpint((int)verdict->broken_connections, <=,
+                        cost->broken_connections);
     }
-    if (cost->idempotent_bad != HARNESS_ANY) {
-        g_assert_cmpint((int)verdict->idempotent_bad, <=,
-                        cost->idempotent_bad);
+    if (cost->unkeyed_incorrect != HARNESS_UNBOUNDED) {
+        g_assert_cmpint((int)verdict->unkeyed_incorrect, <=,
+                        cost->unkeyed_incorrect);
     }
-    if (cost->collateral != HARNESS_ANY) {
-        g_assert_cmpint((int)harness_collateral(scene), <=, cost->collateral);
+    if (cost->unrelated_failures != HARNESS_UNBOUNDED) {
+        g_assert_cmpint((int)harness_count_unrelated_failures(scene), <=,
+                        cost->unrelated_failures);
     }
-    if (cost->during != HARNESS_ANY) {
-        g_assert_cmpfloat(figures->during, >=, cost->during);
+    if (cost->min_during_percent != HARNESS_UNBOUNDED) {
+        g_assert_cmpfloat(figures->during_percent, >=,
+                          cost->min_during_percent);
     }
-    if (cost->after != HARNESS_ANY) {
-        g_assert_cmpfloat(figures->after, >=, cost->after);
+    if (cost->min_after_percent != HARNESS_UNBOUNDED) {
+        g_assert_cmpfloat(figures->after_percent, >=, cost->min_after_percent);
     }
 }
 
 /* Runs the load before, during and after the fault. */
 static void
-run_load(struct harness_scene *scene, const struct harness_kind *kinds,
-         unsigned kind_count)
+run_load(struct harness_scenario_state *scene,
+         const struct harness_call_kind *kinds, unsigned kind_count)
 {
     const struct harness_scenario *scenario = scene->scenario;
-    struct harness_load load = {
-        .fleet = scene->fleet,
-        .kinds = kinds,
-        .kind_count = kind_count,
-        .callers = scenario->callers == 0 ? 12 : scenario->callers,
-        .pause_ms = 20,
-        .limit_ms = 8000,
-        .repeat_keyed = true};
-    struct harness_running *running = harness_load_start(&load);
-    harness_sleep(scenario->before_ms);
-    scene->begun = harness_now();
-    if (scenario->begin != NULL) {
-        scenario->begin(scene);
+    struct harness_load load = {.fleet = scene->fleet,
+                                .kinds = kinds,
+                                .kind_count = kind_count,
+                                .caller_count = scenario->caller_count == 0
+                                                    ? 12
+                                                    : scenario->caller_count,
+                                .pause_ms = 20,
+                                .call_timeout_ms = 8000,
+                                .retry_keyed = true};
+    struct harness_load_run *running = harness_load_start(&load);
+    harness_sleep_ms(scenario->before_ms);
+    scene->fault_begun_ms = harness_now_ms();
+    if (scenario->begin_fault != NULL) {
+        scenario->begin_fault(scene);
     }
-    harness_sleep(scenario->during_ms);
-    if (scenario->end != NULL) {
-        scenario->end(scene);
+    harness_sleep_ms(scenario->fault_ms);
+    if (scenario->end_fault != NULL) {
+        scenario->end_fault(scene);
     }
-    scene->ended = harness_now();
-    harness_sleep(scenario->after_ms);
-    scene->answers = harness_load_stop(running);
+    scene->fault_ended_ms = harness_now_ms();
+    harness_sleep_ms(scenario->after_ms);
+    scene->responses = harness_load_stop(running);
 }
 
 void
 harness_scenario_run(gconstpointer data)
 {
-    struct harness_scene scene = {.scenario = data};
+    struct harness_scenario_state scene = {.scenario = data};
     const struct harness_scenario *scenario = data;
-    const struct harness_kind *kinds =
-        scenario->kinds == NULL ? harness_kinds : scenario->kinds;
-    unsigned count =
-        scenario->kinds == NULL ? HARNESS_KINDS : scenario->kind_count;
-    scene.fleet = harness_fleet_start(harness_build(), &scenario->shape);
+    const struct harness_call_kind *kinds =
+        scenario->kinds == NULL ? harness_default_kinds : scenario->kinds;
+    unsigned count = scenario->kinds == NULL ? HARNESS_DEFAULT_KIND_COUNT
+                                             : scenario->kind_count;
+    scene.fleet = harness_fleet_start(harness_get_build_directory(),
+                                      &scenario->fleet_config);
     g_print("# %s: logs in %s\n", scenario->name, scene.fleet->directory);
-    if (scenario->early != NULL) {
-        scenario->early(&scene);
+    if (scenario->before_load != NULL) {
+        scenario->before_load(&scene);
     }
     else {
         harness_warm_up(scene.fleet, kinds, count);
     }
     run_load(&scene, kinds, count);
-    harness_check(scene.fleet, scene.answers, &scene.verdict);
-    harness_measure(scenario->name, scene.answers, scene.begun, scene.ended,
-                    &scene.figures);
-    harness_assert(scenario->name, &scene.verdict);
+    harness_check_responses(scene.fleet, scene.responses, &scene.result);
+    harness_measure_impact(scenario->name, scene.responses,
+                           scene.fault_begun_ms, scene.fault_ended_ms,
+                           &scene.impact);
+    harness_assert_guarantees(scenario->name, &scene.result);
     assert_limits(&scene);
-    if (scenario->more != NULL) {
-        scenario->more(&scene);
+    if (scenario->check != NULL) {
+        scenario->check(&scene);
     }
-    g_ptr_array_unref(scene.answers);
+    g_ptr_array_unref(scene.responses);
     g_assert_cmpuint(harness_fleet_stop(scene.fleet), ==, 0);
 }
 
@@ -246,7 +254,8 @@
 job_poll(struct job *job)
 {
     char *text = NULL;
-    if (job->pid == 0 || (job->status = harness_wait(job->pid, 0)) == -1) {
+    if (job->pid == 0 ||
+        (job->status = harness_wait_exit(job->pid, 0)) == -1) {
         return;
     }
     job->pid = 0;
@@ -277,7 +286,7 @@
             job_start(&jobs[started], program, theme, &scenarios[started]);
             started++;
         }
-        harness_sleep(20);
+        harness_sleep_ms(20);
         ended_count = 0;
         failed = 0;
         for (size_t i = 0; i < started; i++) {
--- a/tests/threaded/fake_crashes.h
+++ b/tests/threaded/fake_crashes.h
@@ -6,51 +6,52 @@
 
 #include "node/crash_keeper.h"
 
-struct ch_crash_keeper {
-    int allowed; /* checks that find a request not barred; atomic */
-    int asked;   /* checks made; atomic, like the rest */
-    int cuts;
-    int fresh_cuts;
-    int refused;
-    int whole;
-    uint64_t boot; /* of the latest interrupted call */
+struct ch_crash_guard {
+    int allowed_checks; /* checks that find a request not barred; atomic */
+    int check_count;    /* checks made; atomic, like the rest */
+    int interrupted_calls;
+    int interrupted_before_response;
+    int refused_count;
+    int complete_count;
+    uint64_t last_boot_id; /* of the latest interrupted call */
 };
 
 /* Bars every request after the allowed checks. */
 bool
-ch_crash_keeper_bars(struct ch_crash_keeper *guard,
-                     const struct ch_request *request)
+ch_crash_guard_is_barred(struct ch_crash_guard *guard,
+                         const struct ch_request *request)
 {
     (void)request;
     return guard != NULL &&
-           g_atomic_int_add(&guard->asked, 1) >= guard->allowed;
+           g_atomic_int_add(&guard->check_count, 1) >= guard->allowed_checks;
 }
 
 void
-ch_crash_keeper_cut(struct ch_crash_keeper *guard,
-                    const struct ch_request *request,
-                    const struct ch_grant *grant, bool before_response)
+ch_crash_guard_record_interrupted(struct ch_crash_guard *guard,
+                                  const struct ch_request *request,
+                                  const struct ch_grant *grant,
+                                  bool before_response)
 {
     (void)request;
     if (guard != NULL) {
-        guard->boot = grant->boot;
-        g_atomic_int_add(&guard->fresh_cuts, before_response);
-        g_atomic_int_inc(&guard->cuts);
+        guard->last_boot_id = grant->boot_id;
+        g_atomic_int_add(&guard->interrupted_before_response, before_response);
+        g_atomic_int_inc(&guard->interrupted_calls);
     }
 }
 
 void
-ch_crash_keeper_refused(struct ch_crash_keeper *guard, GQuark upstream)
+ch_crash_guard_record_refused(struct ch_crash_guard *guard, GQuark upstream)
 {
     (void)upstream;
     if (guard != NULL) {
-        g_atomic_int_inc(&guard->refused);
+        g_atomic_int_inc(&guard->refused_count);
     }
 }
 
 void
-ch_crash_keeper_answered(struct ch_crash_keeper *guard, GQuark upstream,
-                         int64_t sent_at)
+ch_crash_guard_record_response(struct ch_crash_guard *guard, GQuark upstream,
+                               int64_t sent_at)
 {
     (void)guard;
     (void)upstream;
@@ -58,19 +59,19 @@
 }
 
 void
-ch_crash_keeper_whole(struct ch_crash_keeper *guard,
-                      const struct ch_request *request)
+ch_crash_guard_record_complete(struct ch_crash_guard *guard,
+                               const struct ch_request *request)
 {
     (void)request;
     if (guard != NULL) {
-        g_atomic_int_inc(&guard->whole);
+        g_atomic_int_inc(&guard->complete_count);
     }
 }
 
 void
-ch_crash_keeper_listed(struct ch_crash_keeper *guard,
-                       const struct ch_crash_listed_upstream *upstreams,
-                       size_t count)
+ch_crash_guard_update_upstreams(
+    struct ch_crash_guard *guard,
+    const struct ch_crash_listed_upstream *upstreams, size_t count)
 {
     (void)guard;
     (void)upstreams;
@@ -79,7 +80,7 @@
 
 /* Ready at once. */
 bool
-ch_crash_keeper_known(struct ch_crash_keeper *guard)
+ch_crash_guard_is_ready(struct ch_crash_guard *guard)
 {
     (void)guard;
     return true;
@@ -87,8 +88,8 @@
 
 /* Knows one request, with a digest of zeros. */
 bool
-ch_crash_keeper_release(struct ch_crash_keeper *guard,
-                        const struct ch_digest *digest)
+ch_crash_guard_release(struct ch_crash_guard *guard,
+                       const struct ch_digest *digest)
 {
     static const struct ch_digest known = {{0}};
     (void)guard;
@@ -97,7 +98,7 @@
 
 /* Writes an empty list. */
 void
-ch_crash_keeper_status(struct ch_crash_keeper *guard, JsonBuilder *builder)
+ch_crash_guard_write_status(struct ch_crash_guard *guard, JsonBuilder *builder)
 {
     (void)guard;
     json_builder_set_member_name(builder, "crash_suspects");
--- a/tests/threaded/test_admin.c
+++ b/tests/threaded/test_admin.c
@@ -17,7 +17,7 @@
 
 /* A fake configuration manager: its results, and the arguments of the last
  * change. */
-struct ch_config_keeper {
+struct ch_config_manager {
     pthread_mutex_t lock; /* protects the members below */
     enum ch_code code;
     bool known;
@@ -47,7 +47,7 @@
 
 /* Fake: returns revision 7, or none. */
 struct ch_config *
-ch_config_keeper_current(struct ch_config_keeper *manager)
+ch_config_manager_get_current(struct ch_config_manager *manager)
 {
     pthread_mutex_lock(&manager->lock);
     bool known = manager->known;
@@ -59,7 +59,7 @@
 static void *
 run_apply(void *data)
 {
-    struct ch_config_keeper *manager = data;
+    struct ch_config_manager *manager = data;
     pthread_mutex_lock(&manager->lock);
     enum ch_code code = manager->code;
     sem_t *gate = manager->gate;
@@ -83,11 +83,11 @@
 /* Fake: answers from a thread of its own, as the real manager does from the
  * pool. */
 void
-ch_config_keeper_apply(struct ch_config_keeper *manager, const char *text,
-                       const char *author, uint64_t base,
-                       void (*done)(void *data, const struct ch_error *error,
-                                    struct ch_config *config),
-                       void *data)
+ch_config_manager_apply(struct ch_config_manager *manager, const char *text,
+                        const char *author, uint64_t base,
+                        void (*done)(void *data, const struct ch_error *error,
+                                     struct ch_config *config),
+                        void *data)
 {
     pthread_mutex_lock(&manager->lock);
     g_free(manager->text);
@@ -103,7 +103,7 @@
 }
 
 bool
-ch_node_ready(struct ch_node *node)
+ch_node_is_ready(struct ch_node *node)
 {
     pthread_mutex_lock(&node->config->lock);
     bool ready = node->config->ready;
@@ -120,7 +120,7 @@
 
 /* Fake status of the peers. */
 void
-ch_peers_status(struct ch_peers *peers, JsonBuilder *builder)
+ch_peers_write_status(struct ch_peers *peers, JsonBuilder *builder)
 {
     (void)peers;
     json_builder_set_member_name(builder, "nodes");
@@ -136,8 +136,8 @@
 }
 
 static const struct ch_router_ops router_ops = {
-    .ready = router_ready,
-    .status = router_status,
+    .is_ready = router_ready,
+    .write_status = router_status,
 };
 
 /* ---- a listener and calls to it ---- */
@@ -145,7 +145,7 @@
 struct fixture {
     struct ch_client client;
     struct ch_settings *settings;
-    struct ch_config_keeper manager;
+    struct ch_config_manager manager;
     struct ch_router router;
     struct ch_node node;
     struct ch_admin *admin;
--- a/tests/threaded/test_controller.c
+++ b/tests/threaded/test_controller.c
@@ -18,22 +18,23 @@
 /* ---- fakes of the rest of the node ---- */
 
 struct ch_config *
-ch_config_keeper_current(struct ch_config_keeper *keeper)
+ch_config_manager_get_current(struct ch_config_manager *keeper)
 {
     (void)keeper;
     return NULL;
 }
 
 void
-ch_config_keeper_learn(struct ch_config_keeper *keeper, uint64_t revision,
-                       const char *from)
+ch_config_manager_note_revision(struct ch_config_manager *keeper,
+                                uint64_t revision, const char *from)
 {
     (void)keeper, (void)revision, (void)from;
 }
 
 void
-ch_roster_set_orderers(struct ch_roster *roster,
-                       void (*names)(void *data, GPtrArray *names), void *data)
+ch_roster_set_lease_holders(struct ch_roster *roster,
+                            void (*names)(void *data, GPtrArray *names),
+                            void *data)
 {
     (void)roster, (void)names, (void)data;
 }
@@ -46,9 +47,9 @@
 
 /* Lists two engines: e1 in data centre a, e2 in b. */
 void
-ch_roster_each(struct ch_roster *roster,
-               void (*each)(void *data, const struct ch_host *host),
-               void *data)
+ch_roster_foreach(struct ch_roster *roster,
+                  void (*each)(void *data, const struct ch_host *host),
+                  void *data)
 {
     char *names[][2] = {{"e1", "a"}, {"e2", "b"}};
     (void)roster;
@@ -60,8 +61,8 @@
             .region = (char *)"r1",
             .data_centre = names[i][1],
             .service = (char *)"s",
-            .boot = 1,
-            .batch = 64,
+            .boot_id = 1,
+            .max_batch = 64,
         };
         each(data, &host);
     }
@@ -71,7 +72,7 @@
 static void
 no_report(struct ch_upstream *upstream,
           void (*done)(void *data, enum ch_code code,
-                       struct ch_report *report),
+                       struct ch_engine_report *report),
           void *data)
 {
     (void)upstream;
@@ -90,7 +91,7 @@
 {
     static const struct ch_upstream_ops ops = {
         .free = free_upstream,
-        .report = no_report,
+        .fetch_report = no_report,
     };
     struct ch_upstream *upstream = g_new0(struct ch_upstream, 1);
     (void)client, (void)http, (void)host, (void)call_limit;
@@ -121,7 +122,7 @@
 } seen;
 
 static void
-record_engine_status(void *data, const struct ch_engine_told *engine)
+record_engine_status(void *data, const struct ch_engine_status *engine)
 {
     (void)data, (void)engine;
     g_atomic_int_inc(&seen.states);
@@ -176,7 +177,7 @@
     node->settings.region = (char *)"r1";
     node->settings.data_centre = (char *)"a";
     node->settings.peers = (char *)"127.0.0.1:0";
-    node->settings.peer_silent_ms = 600;
+    node->settings.peer_timeout_ms = 600;
     node->settings.idle_connection_ms = 60000;
     node->settings.lease_ms = 3000;
     node->node.client = &node->client;
@@ -201,13 +202,13 @@
         hosts[i] = (struct ch_host){
             .name = others[i]->settings.name,
             .kind = CH_HOST_ENTRY,
-            .address = g_strdup_printf("127.0.0.1:%u",
-                                       ch_peers_port(others[i]->node.peers)),
+            .address = g_strdup_printf(
+                "127.0.0.1:%u", ch_peers_get_port(others[i]->node.peers)),
             .region = others[i]->settings.region,
             .data_centre = others[i]->settings.data_centre,
         };
     }
-    ch_peers_list(node->node.peers, &list);
+    ch_peers_update_list(node->node.peers, &list);
     for (size_t i = 0; i < count; i++) {
         g_free(hosts[i].address);
     }
@@ -370,18 +371,18 @@
 run_status_case(const struct status_case *test)
 {
     static const struct ch_controller_handlers handlers = {
-        .told = record_engine_status,
-        .loads = record_loads,
-        .told_all = record_status_complete,
+        .engine_status = record_engine_status,
+        .engine_loads = record_loads,
+        .status_complete = record_status_complete,
     };
     struct test_node *node = test_node_new("n1");
     struct test_node *publisher = test_node_new("n2");
     memset(&seen, 0, sizeof(seen));
     struct ch_controller *controller =
         ch_controller_new(&node->node, NULL, &handlers, NULL);
-    ch_controller_changed(controller);
-    ch_peers_handle(publisher->node.peers, WIRE(FRAME__BODY_ENGINES_PULL),
-                    record_full_request, NULL);
+    ch_controller_refresh(controller);
+    ch_peers_set_handler(publisher->node.peers, WIRE(FRAME__BODY_ENGINES_PULL),
+                         record_full_request, NULL);
     ch_peers_start(node->node.peers);
     ch_peers_start(publisher->node.peers);
     set_known_node(node, publisher);
@@ -428,10 +429,10 @@
 /* Counts the lookups of a lease; every lookup fails. */
 static void
 count_lookup(struct ch_kv *kv, const char *key,
-             void (*done)(void *data, const struct ch_kv_answer *answer),
+             void (*done)(void *data, const struct ch_kv_result *answer),
              void *data)
 {
-    const struct ch_kv_answer answer = {.code = CH_KV_UNREACHABLE};
+    const struct ch_kv_result answer = {.code = CH_KV_UNREACHABLE};
     (void)kv, (void)key;
     g_atomic_int_inc(&lease_lookups);
     done(data, &answer);
@@ -448,11 +449,11 @@
 {
     static const struct ch_kv_ops ops = {.get = count_lookup};
     static const struct ch_controller_handlers handlers = {
-        .told = record_engine_status,
-        .loads = record_loads,
-        .told_all = record_status_complete,
-        .demand = no_demand,
-        .used = no_used_adapters,
+        .engine_status = record_engine_status,
+        .engine_loads = record_loads,
+        .status_complete = record_status_complete,
+        .collect_demand = no_demand,
+        .collect_used_adapters = no_used_adapters,
     };
     struct ch_kv kv = {.ops = &ops};
     struct test_node *node = test_node_new("n1");
@@ -463,11 +464,11 @@
     struct ch_controller *controller =
         ch_controller_new(&node->node, NULL, &handlers, NULL);
     ch_peers_start(node->node.peers);
-    ch_controller_changed(controller);
+    ch_controller_refresh(controller);
     ch_controller_start(controller);
     g_usleep((gulong)3 * SETTLE_US);
     g_assert_cmpint(g_atomic_int_get(&lease_lookups), ==, 0);
-    ch_peers_list(node->node.peers, &nobody);
+    ch_peers_update_list(node->node.peers, &nobody);
     await(&lease_lookups, 1);
     g_assert_cmpint(g_atomic_int_get(&lease_lookups), >=, 1);
     stop_controller(node, controller);
@@ -479,20 +480,20 @@
  * of data centre a alone. */
 static void
 find_no_key(struct ch_kv *kv, const char *key,
-            void (*done)(void *data, const struct ch_kv_answer *answer),
+            void (*done)(void *data, const struct ch_kv_result *answer),
             void *data)
 {
-    const struct ch_kv_answer answer = {.code = CH_KV_MISSING};
+    const struct ch_kv_result answer = {.code = CH_KV_MISSING};
     (void)kv, (void)key;
     done(data, &answer);
 }
 
 static void
 grant_lease(struct ch_kv *kv, int64_t ttl,
-            void (*done)(void *data, const struct ch_kv_answer *answer),
+            void (*done)(void *data, const struct ch_kv_result *answer),
             void *data)
 {
-    const struct ch_kv_answer answer = {.code = CH_OK, .revision = 7};
+    const struct ch_kv_result answer = {.code = CH_OK, .revision = 7};
     (void)kv, (void)ttl;
     done(data, &answer);
 }
@@ -500,21 +501,21 @@
 static void
 accept_write(struct ch_kv *kv, const char *key, const void *value,
              size_t length, uint64_t revision, uint64_t lease,
-             void (*done)(void *data, const struct ch_kv_answer *answer),
+             void (*done)(void *data, const struct ch_kv_result *answer),
              void *data)
 {
-    const struct ch_kv_answer answer = {.code = CH_OK, .revision = 9};
+    const struct ch_kv_result answer = {.code = CH_OK, .revision = 9};
     (void)kv, (void)value, (void)length, (void)revision, (void)lease;
-    const struct ch_kv_answer other = {.code = CH_KV_CONFLICT, .revision = 3};
+    const struct ch_kv_result other = {.code = CH_KV_CONFLICT, .revision = 3};
     done(data, strcmp(key, "orders/a") == 0 ? &answer : &other);
 }
 
 static void
 renew_lease(struct ch_kv *kv, uint64_t lease,
-            void (*done)(void *data, const struct ch_kv_answer *answer),
+            void (*done)(void *data, const struct ch_kv_result *answer),
             void *data)
 {
-    const struct ch_kv_answer answer = {.code = CH_OK};
+    const struct ch_kv_result answer = {.code = CH_OK};
     (void)kv, (void)lease;
     done(data, &answer);
 }
@@ -590,16 +591,16 @@
 {
     static const struct ch_kv_ops ops = {
         .get = find_no_key,
-        .lease = grant_lease,
-        .put_leased = accept_write,
-        .renew = renew_lease,
+        .create_lease = grant_lease,
+        .put_with_lease = accept_write,
+        .renew_lease = renew_lease,
     };
     static const struct ch_controller_handlers handlers = {
-        .told = record_engine_status,
-        .loads = record_loads,
-        .told_all = record_status_complete,
-        .demand = no_demand,
-        .used = no_used_adapters,
+        .engine_status = record_engine_status,
+        .engine_loads = record_loads,
+        .status_complete = record_status_complete,
+        .collect_demand = no_demand,
+        .collect_used_adapters = no_used_adapters,
     };
     static const struct step status = {
         .sequence = 1, .fence = 5, .whole = true, .state = false};
@@ -614,9 +615,9 @@
     memset(&forwarded, 0, sizeof(forwarded));
     struct ch_controller *controller =
         ch_controller_new(&node->node, NULL, &handlers, NULL);
-    ch_controller_changed(controller);
-    ch_peers_handle(remote_holder->node.peers, WIRE(FRAME__BODY_DEMAND),
-                    record_forwarded, NULL);
+    ch_controller_refresh(controller);
+    ch_peers_set_handler(remote_holder->node.peers, WIRE(FRAME__BODY_DEMAND),
+                         record_forwarded, NULL);
     for (size_t i = 0; i < G_N_ELEMENTS(others); i++) {
         ch_peers_start(others[i]->node.peers);
         set_known_node(others[i], node);
--- a/tests/threaded/test_crashes.c
+++ b/tests/threaded/test_crashes.c
@@ -43,11 +43,11 @@
     node->settings.region = (char *)"r1";
     node->settings.data_centre = (char *)"a";
     node->settings.peers = (char *)"127.0.0.1:0";
-    node->settings.peer_silent_ms = 600;
+    node->settings.peer_timeout_ms = 600;
     node->settings.idle_connection_ms = 60000;
-    node->settings.crashes = 3;
-    node->settings.crash_requests = 64;
-    node->settings.crash_keep_s = 3600;
+    node->settings.crash_limit = 3;
+    node->settings.max_crash_requests = 64;
+    node->settings.crash_retention_s = 3600;
     node->node.client = &node->client;
     node->node.settings = &node->settings;
     node->node.incarnation = 1;
@@ -55,11 +55,11 @@
     node->node.timers = ch_timers_new(node->node.pool);
     node->node.peers = ch_peers_new(&node->node, &error);
     g_assert_nonnull(node->node.peers);
-    node->node.crashes = ch_crash_keeper_new(&node->node);
+    node->node.crash_guard = ch_crash_guard_new(&node->node);
     (void)g_snprintf(node->address, sizeof(node->address), "127.0.0.1:%u",
-                     ch_peers_port(node->node.peers));
+                     ch_peers_get_port(node->node.peers));
     ch_peers_start(node->node.peers);
-    ch_crash_keeper_start(node->node.crashes);
+    ch_crash_guard_start(node->node.crash_guard);
     return node;
 }
 
@@ -67,12 +67,12 @@
 static void
 test_node_free(struct test_node *node)
 {
-    ch_crash_keeper_stop(node->node.crashes);
+    ch_crash_guard_stop(node->node.crash_guard);
     ch_peers_stop(node->node.peers);
     ch_timers_stop(node->node.timers);
     ch_pool_free(node->node.pool);
     ch_timers_free(node->node.timers);
-    ch_crash_keeper_free(node->node.crashes);
+    ch_crash_guard_free(node->node.crash_guard);
     ch_peers_free(node->node.peers);
     ch_metrics_free(node->client.metrics);
     g_free(node);
@@ -92,7 +92,7 @@
     }
     struct ch_host_list list = {.hosts = hosts, .count = count};
     for (unsigned i = 0; i < count; i++) {
-        ch_peers_list(nodes[i]->node.peers, &list);
+        ch_peers_update_list(nodes[i]->node.peers, &list);
     }
     g_free(hosts);
 }
@@ -108,7 +108,7 @@
     send_host_list(nodes, NODE_COUNT);
     for (unsigned i = 0; i < NODE_COUNT; i++) {
         int64_t deadline = g_get_monotonic_time() + TIMEOUT_US;
-        while (!ch_crash_keeper_known(nodes[i]->node.crashes)) {
+        while (!ch_crash_guard_is_ready(nodes[i]->node.crash_guard)) {
             g_assert_cmpint(g_get_monotonic_time(), <, deadline);
             g_usleep(POLL_PERIOD_US);
         }
@@ -123,7 +123,7 @@
         .path = (char *)"/p",
         .caller = (char *)"c",
         .body = (char *)body,
-        .length = strlen(body),
+        .body_length = strlen(body),
         .fingerprint = ch_hash_string(body),
     };
 }
@@ -135,9 +135,10 @@
              const char *upstream)
 {
     const struct ch_grant grant = {.upstream = g_quark_from_string(upstream),
-                                   .boot = 1};
-    ch_crash_keeper_cut(node->node.crashes, request, &grant, true);
-    ch_crash_keeper_refused(node->node.crashes, grant.upstream);
+                                   .boot_id = 1};
+    ch_crash_guard_record_interrupted(node->node.crash_guard, request, &grant,
+                                      true);
+    ch_crash_guard_record_refused(node->node.crash_guard, grant.upstream);
 }
 
 /* Waits until a node bars the request (expected), or no longer does (not
@@ -147,7 +148,8 @@
                       bool expected)
 {
     int64_t deadline = g_get_monotonic_time() + TIMEOUT_US;
-    while (ch_crash_keeper_bars(node->node.crashes, request) != expected) {
+    while (ch_crash_guard_is_barred(node->node.crash_guard, request) !=
+           expected) {
         g_assert_cmpint(g_get_monotonic_time(), <, deadline);
         g_usleep(POLL_PERIOD_US);
     }
@@ -160,7 +162,7 @@
     unsigned crashes = 0;
     JsonBuilder *builder = json_builder_new();
     json_builder_begin_object(builder);
-    ch_crash_keeper_status(node->node.crashes, builder);
+    ch_crash_guard_write_status(node->node.crash_guard, builder);
     json_builder_end_object(builder);
     JsonNode *root = json_builder_get_root(builder);
     JsonArray *suspects = json_object_get_array_member(
@@ -186,12 +188,14 @@
     const struct ch_request request = make_request("crashes");
     const struct ch_request other = make_request("other");
     for (unsigned i = 0; i < NODE_COUNT; i++) {
-        g_assert_false(ch_crash_keeper_bars(nodes[i]->node.crashes, &request));
+        g_assert_false(
+            ch_crash_guard_is_barred(nodes[i]->node.crash_guard, &request));
         report_crash(nodes[i], &request, upstreams[i]);
     }
     for (unsigned i = 0; i < NODE_COUNT; i++) {
         wait_for_barred_state(nodes[i], &request, true);
-        g_assert_false(ch_crash_keeper_bars(nodes[i]->node.crashes, &other));
+        g_assert_false(
+            ch_crash_guard_is_barred(nodes[i]->node.crash_guard, &other));
     }
     for (unsigned i = 0; i < NODE_COUNT; i++) {
         test_node_free(nodes[i]);
@@ -211,13 +215,14 @@
         {g_quark_from_string("u1"), 1, true},
         {g_quark_from_string("u3"), 1, false},
     };
-    ch_crash_keeper_listed(nodes[0]->node.crashes, listed,
-                           G_N_ELEMENTS(listed));
+    ch_crash_guard_update_upstreams(nodes[0]->node.crash_guard, listed,
+                                    G_N_ELEMENTS(listed));
     for (unsigned i = 0; i < G_N_ELEMENTS(upstreams); i++) {
         report_crash(nodes[0], &request, upstreams[i]);
     }
     g_assert_cmpuint(count_crashes(nodes[0]), ==, 1);
-    g_assert_false(ch_crash_keeper_bars(nodes[0]->node.crashes, &request));
+    g_assert_false(
+        ch_crash_guard_is_barred(nodes[0]->node.crash_guard, &request));
     for (unsigned i = 0; i < NODE_COUNT; i++) {
         test_node_free(nodes[i]);
     }
@@ -231,7 +236,7 @@
     struct test_node *node = test_node_new("n1");
     send_host_list(&node, 1);
     int64_t deadline = g_get_monotonic_time() + G_USEC_PER_SEC;
-    while (!ch_crash_keeper_known(node->node.crashes)) {
+    while (!ch_crash_guard_is_ready(node->node.crash_guard)) {
         g_assert_cmpint(g_get_monotonic_time(), <, deadline);
         g_usleep(POLL_PERIOD_US);
     }
@@ -250,7 +255,8 @@
     }
     g_usleep(QUIET_PERIOD_US);
     for (unsigned i = 0; i < NODE_COUNT; i++) {
-        g_assert_false(ch_crash_keeper_bars(nodes[i]->node.crashes, &request));
+        g_assert_false(
+            ch_crash_guard_is_barred(nodes[i]->node.crash_guard, &request));
         test_node_free(nodes[i]);
     }
 }
@@ -272,9 +278,9 @@
     send_host_list(nodes, NODE_COUNT + 1);
     wait_for_barred_state(nodes[NODE_COUNT], &request, true);
     const struct ch_digest_part parts[] = {
-        {"", 0}, {"/p", 2}, {"c", 1}, {request.body, request.length}};
+        {"", 0}, {"/p", 2}, {"c", 1}, {request.body, request.body_length}};
     digest = ch_digest_compute(parts, G_N_ELEMENTS(parts));
-    g_assert_true(ch_crash_keeper_release(nodes[1]->node.crashes, &digest));
+    g_assert_true(ch_crash_guard_release(nodes[1]->node.crash_guard, &digest));
     for (unsigned i = 0; i <= NODE_COUNT; i++) {
         wait_for_barred_state(nodes[i], &request, false);
         test_node_free(nodes[i]);
@@ -295,7 +301,7 @@
     }
     wait_for_barred_state(nodes[2], &request, true);
     wait_for_barred_state(nodes[1], &request, true);
-    ch_crash_keeper_whole(nodes[1]->node.crashes, &request);
+    ch_crash_guard_record_complete(nodes[1]->node.crash_guard, &request);
     for (unsigned i = 0; i < NODE_COUNT; i++) {
         wait_for_barred_state(nodes[i], &request, false);
         test_node_free(nodes[i]);
--- a/tests/threaded/test_exchange.c
+++ b/tests/threaded/test_exchange.c
@@ -51,11 +51,11 @@
     struct fixture *fixture;
 };
 
-struct ch_once_keeper {
+struct ch_once_manager {
     struct fixture *fixture;
 };
 
-struct ch_config_keeper {
+struct ch_config_manager {
     struct fixture *fixture;
 };
 
@@ -67,7 +67,7 @@
     bool stream;
     uint32_t resume_from;
     bool cancelled;
-    char id[CH_REPLY_ID];
+    char id[CH_RESPONSE_ID_SIZE];
 };
 
 /* The fakes for the node's other parts, with counters of their use. */
@@ -77,14 +77,14 @@
     struct ch_settings settings;
     struct ch_node node;
     struct ch_homes fake_router;
-    struct ch_once_keeper once;
-    struct ch_config_keeper config_keeper;
+    struct ch_once_manager once;
+    struct ch_config_manager config_keeper;
     struct ch_config *config;
     pthread_mutex_t lock;
     pthread_cond_t changed;
     enum router_action router_actions[MAX_ACTIONS];
     enum upstream_action upstream_actions[MAX_ACTIONS];
-    struct ch_once_answer once_result;
+    struct ch_once_result once_result;
     unsigned router_requests;
     unsigned granted;
     unsigned released;
@@ -220,7 +220,7 @@
 }
 
 static const struct ch_router_ops router_ops = {
-    .ready = router_ready,
+    .is_ready = router_ready,
     .request = router_request,
     .withdraw = router_withdraw,
     .release = router_release,
@@ -228,7 +228,7 @@
 
 /* The node has no peers. */
 char **
-ch_peers_live(struct ch_peers *peers)
+ch_peers_list_live(struct ch_peers *peers)
 {
     (void)peers;
     return g_strdupv((char *[]){"alone", NULL});
@@ -238,7 +238,7 @@
 
 struct once_job {
     struct fixture *fixture;
-    void (*handle_begun)(void *data, const struct ch_once_answer *result);
+    void (*handle_begun)(void *data, const struct ch_once_result *result);
     void (*handle_finished)(void *data, bool stored);
     void *data;
 };
@@ -257,11 +257,11 @@
 }
 
 void
-ch_once_keeper_begin(struct ch_once_keeper *keeper, const char *caller,
-                     const char *key, uint64_t fingerprint,
-                     void (*done)(void *data,
-                                  const struct ch_once_answer *result),
-                     void *data)
+ch_once_manager_begin(struct ch_once_manager *keeper, const char *caller,
+                      const char *key, uint64_t fingerprint,
+                      void (*done)(void *data,
+                                   const struct ch_once_result *result),
+                      void *data)
 {
     struct fixture *fixture = keeper->fixture;
     g_assert_cmpstr(caller, ==, "llanelli");
@@ -281,11 +281,11 @@
 }
 
 void
-ch_once_keeper_finish(struct ch_once_keeper *keeper, const char *caller,
-                      const char *key, uint64_t attempt, bool not_run,
-                      int status, const char *content_type, const void *body,
-                      size_t length, void (*done)(void *data, bool stored),
-                      void *data)
+ch_once_manager_finish(struct ch_once_manager *keeper, const char *caller,
+                       const char *key, uint64_t attempt, bool not_run,
+                       int status, const char *content_type, const void *body,
+                       size_t length, void (*done)(void *data, bool stored),
+                       void *data)
 {
     struct fixture *fixture = keeper->fixture;
     (void)caller;
@@ -307,7 +307,7 @@
 }
 
 struct ch_config *
-ch_config_keeper_current(struct ch_config_keeper *keeper)
+ch_config_manager_get_current(struct ch_config_manager *keeper)
 {
     struct ch_config *config = keeper->fixture->config;
     return config == NULL ? NULL : ch_config_ref(config);
@@ -318,7 +318,7 @@
 static void
 end_call(struct fake_call *call, enum ch_code code, bool may_have_run)
 {
-    struct ch_call_end end = {
+    struct ch_call_result end = {
         .code = code,
         .status = 200,
         .may_have_run = may_have_run,
@@ -330,7 +330,7 @@
 static void
 send_events(struct fake_call *call, uint32_t upto)
 {
-    call->handlers.on_head(call->data, 200, "text/event-stream");
+    call->handlers.on_response(call->data, 200, "text/event-stream");
     for (uint32_t i = call->resume_from; i < upto; i++) {
         char event[64];
         (void)snprintf(event, sizeof(event), "data: {\"n\":%u}\n\n", i);
@@ -341,7 +341,7 @@
 static void
 send_plain_response(struct fake_call *call, const char *bytes)
 {
-    call->handlers.on_head(call->data, 200, "application/json");
+    call->handlers.on_response(call->data, 200, "application/json");
     call->handlers.on_data(call->data, bytes, strlen(bytes));
 }
 
@@ -351,7 +351,7 @@
     const size_t length = 65536;
     char *event = g_strnfill(length, 'x');
     bool cancelled = false;
-    call->handlers.on_head(call->data, 200, "text/event-stream");
+    call->handlers.on_response(call->data, 200, "text/event-stream");
     for (unsigned i = 0; i < 100000 && !cancelled; i++) {
         call->handlers.on_data(call->data, event, length);
         pthread_mutex_lock(&call->fixture->lock);
@@ -402,7 +402,7 @@
         end_call(call, CH_UPSTREAM_CUT, true);
         return;
     case SERVER_ERROR:
-        call->handlers.on_head(call->data, 500, "text/plain");
+        call->handlers.on_response(call->data, 500, "text/plain");
         call->handlers.on_data(call->data, "the upstream's word", 19);
         end_call(call, CH_OK, true);
         return;
@@ -444,7 +444,7 @@
     new_call->action =
         fixture->upstream_actions[MIN(fixture->calls, MAX_ACTIONS - 1)];
     fixture->calls++;
-    fixture->fresh_calls += !call->may_repeat || call->fresh;
+    fixture->fresh_calls += !call->may_repeat || call->fresh_connection;
     fixture->resumed_from = call->resume_from;
     fixture->last_call = new_call;
     bool runs = new_call->action != SILENT;
@@ -519,8 +519,8 @@
         .name = (char *)"n1",
         .callers = (char *)"127.0.0.1:0",
         .workers = 2,
-        .max_body = 4096,
-        .max_headers = 2048,
+        .max_body_bytes = 4096,
+        .max_header_bytes = 2048,
         .max_connections = 64,
         .retry_share = 0.1,
         .connect_ms = 1000,
@@ -536,7 +536,7 @@
         ch_declaration_parse(declaration_text, "test", &error);
     g_assert_nonnull(declaration);
     fixture->config = ch_config_new(1, "t", "a", declaration);
-    fixture->once_result = (struct ch_once_answer){
+    fixture->once_result = (struct ch_once_result){
         .state = CH_ONCE_CREATED,
         .attempt = 77,
     };
@@ -558,9 +558,9 @@
     node->router = &fixture->fake_router.router;
     node->once = &fixture->once;
     node->config = &fixture->config_keeper;
-    node->front = ch_front_new(node, &error);
+    node->frontend = ch_frontend_new(node, &error);
     g_assert_cmpstr(error.message, ==, "");
-    fixture->port = ch_listener_port(node->front->listener);
+    fixture->port = ch_listener_get_port(node->frontend->listener);
 }
 
 /* Stops as a node does. The threads are joined, so the counters may be read
@@ -568,7 +568,7 @@
 static void
 fixture_stop(struct fixture *fixture)
 {
-    ch_front_stop(fixture->node.front);
+    ch_frontend_stop(fixture->node.frontend);
     ch_timers_stop(fixture->node.timers);
     ch_pool_free(fixture->node.pool);
     fixture->node.pool = NULL;
@@ -583,7 +583,7 @@
         fixture_stop(fixture);
     }
     ch_timers_free(fixture->node.timers);
-    ch_front_free(fixture->node.front);
+    ch_frontend_free(fixture->node.frontend);
     g_assert_cmpuint(fixture->granted, ==, fixture->released);
     if (fixture->config != NULL) {
         ch_config_unref(fixture->config);
@@ -879,9 +879,11 @@
 static double
 retries_left(struct fixture *fixture)
 {
-    struct ch_front *front = fixture->node.front;
+    struct ch_frontend *front = fixture->node.frontend;
     pthread_mutex_lock(&front->lock);
-    double left = ch_front_budget(front, g_quark_from_string("models"))->level;
+    double left =
+        ch_frontend_get_retry_budget(front, g_quark_from_string("models"))
+            ->level;
     pthread_mutex_unlock(&front->lock);
     return left;
 }
@@ -1096,8 +1098,9 @@
 {
     for (size_t i = 0; i < G_N_ELEMENTS(barred_cases); i++) {
         struct fixture *fixture = routed_fixture();
-        struct ch_crash_keeper keeper = {.allowed = barred_cases[i].allowed};
-        fixture->node.crashes = &keeper;
+        struct ch_crash_guard keeper = {.allowed_checks =
+                                            barred_cases[i].allowed};
+        fixture->node.crash_guard = &keeper;
         g_test_message("%s", barred_cases[i].name);
         memcpy(fixture->upstream_actions, barred_cases[i].upstream,
                sizeof(fixture->upstream_actions));
@@ -1138,9 +1141,9 @@
 {
     for (size_t i = 0; i < G_N_ELEMENTS(barred_later_cases); i++) {
         struct fixture *fixture = routed_fixture();
-        struct ch_crash_keeper keeper = {.allowed =
-                                             barred_later_cases[i].allowed};
-        fixture->node.crashes = &keeper;
+        struct ch_crash_guard keeper = {.allowed_checks =
+                                            barred_later_cases[i].allowed};
+        fixture->node.crash_guard = &keeper;
         fixture->router_actions[0] = barred_later_cases[i].router;
         fixture->upstream_actions[0] = SILENT;
         g_test_message("%s", barred_later_cases[i].name);
@@ -1148,7 +1151,7 @@
         int fd = send_request(fixture, "POST /r/1", "", "");
         wait_for_count(fixture, &fixture->router_requests, 1);
         wait_for_count(fixture, &fixture->calls, barred_later_cases[i].calls);
-        ch_front_drop_barred(fixture->node.front);
+        ch_frontend_abandon_barred(fixture->node.frontend);
         if (barred_later_cases[i].allowed == NEVER_BARRED) {
             complete_silent_call(fixture);
         }
@@ -1187,18 +1190,19 @@
 {
     for (size_t i = 0; i < G_N_ELEMENTS(evidence_cases); i++) {
         struct fixture *fixture = routed_fixture();
-        struct ch_crash_keeper keeper = {.allowed = NEVER_BARRED};
-        fixture->node.crashes = &keeper;
+        struct ch_crash_guard keeper = {.allowed_checks = NEVER_BARRED};
+        fixture->node.crash_guard = &keeper;
         g_test_message("%s", evidence_cases[i].name);
         memcpy(fixture->upstream_actions, evidence_cases[i].upstream,
                sizeof(fixture->upstream_actions));
         fixture_start(fixture);
         g_free(read_response(send_request(fixture, "POST /r/1", "", "")));
         fixture_stop(fixture);
-        g_assert_cmpint(keeper.cuts, ==, evidence_cases[i].interruptions);
-        g_assert_cmpint(keeper.fresh_cuts, ==,
+        g_assert_cmpint(keeper.interrupted_calls, ==,
+                        evidence_cases[i].interruptions);
+        g_assert_cmpint(keeper.interrupted_before_response, ==,
                         evidence_cases[i].early_interruptions);
-        g_assert_cmpint(keeper.whole, ==, evidence_cases[i].complete);
+        g_assert_cmpint(keeper.complete_count, ==, evidence_cases[i].complete);
         fixture_free(fixture);
     }
 }
@@ -1228,8 +1232,8 @@
             .deadline = time_cases[i].deadline,
         };
         g_test_message("%s", time_cases[i].name);
-        g_assert_cmpint(ch_exchange_time_left(&request, time_cases[i].now), ==,
-                        time_cases[i].left);
+        g_assert_cmpint(ch_exchange_get_time_left(&request, time_cases[i].now),
+                        ==, time_cases[i].left);
     }
 }
 
@@ -1242,7 +1246,7 @@
     unsigned ended = 0;
     for (unsigned i = 0; i < fixture->paused_count; i++) {
         struct fake_call *call = fixture->paused[i];
-        ends[i] = !call->handlers.on_silent(call->data);
+        ends[i] = !call->handlers.on_stall(call->data);
     }
     for (unsigned i = 0; i < fixture->paused_count; i++) {
         if (ends[i]) {
@@ -1347,7 +1351,7 @@
     int caller = send_request(fixture, "POST /r/1", "", "");
     wait_for_count(fixture, &fixture->paused_count, 1);
     struct fake_call *call = fixture->paused[0];
-    g_assert_false(call->handlers.on_silent(call->data));
+    g_assert_false(call->handlers.on_stall(call->data));
     g_assert_cmpfloat(retries_left(fixture), <, before);
     close(caller);
     wait_for_count(fixture, &fixture->cancelled, 1);
@@ -1362,7 +1366,7 @@
 
 struct once_case {
     const char *name;
-    struct ch_once_answer result;
+    struct ch_once_result result;
     const char *expected;
 };
 
@@ -1373,8 +1377,8 @@
 
 static const struct once_case once_cases[] = {
     {"done and kept",
-     RECORD(.state = CH_ONCE_DONE, .kept = true, .status = 201,
-            .content_type = "text/x", .body = "first", .length = 5),
+     RECORD(.state = CH_ONCE_DONE, .response_stored = true, .status = 201,
+            .content_type = "text/x", .body = "first", .body_length = 5),
      "HTTP/1.1 201|" RAN "|text/x|first"},
     {"done, not kept", RECORD(.state = CH_ONCE_DONE),
      "HTTP/1.1 409|" UNKNOWN "|\"code\":307"},
@@ -1731,7 +1735,7 @@
     }
     check_response(response, "HTTP/1.1 503|Connection: close");
     g_free(response);
-    g_assert_false(ch_node_ready(&fixture->node));
+    g_assert_false(ch_node_is_ready(&fixture->node));
     for (unsigned i = 0; i < 2000; i++) {
         response = read_response(
             send_request(fixture, "POST /v1/completions", "", ""));
--- a/tests/threaded/test_front.c
+++ b/tests/threaded/test_front.c
@@ -16,13 +16,13 @@
 #include <unistd.h>
 
 /* Fakes of the node's other components. */
-struct ch_config_keeper {
+struct ch_config_manager {
     struct ch_config *config;
 };
 
 static struct {
     struct ch_router router;
-    struct ch_config_keeper manager;
+    struct ch_config_manager manager;
     struct ch_client client;
     struct ch_settings settings;
     struct ch_node node;
@@ -31,24 +31,24 @@
 } world;
 
 struct ch_config *
-ch_config_keeper_current(struct ch_config_keeper *manager)
+ch_config_manager_get_current(struct ch_config_manager *manager)
 {
     return manager->config == NULL ? NULL : ch_config_ref(manager->config);
 }
 
 char **
-ch_peers_live(struct ch_peers *peers)
+ch_peers_list_live(struct ch_peers *peers)
 {
     (void)peers;
     return g_strdupv((char *[]){"alone", NULL});
 }
 
 void
-ch_once_keeper_begin(struct ch_once_keeper *manager, const char *caller,
-                     const char *key, uint64_t fingerprint,
-                     void (*done)(void *data,
-                                  const struct ch_once_answer *answer),
-                     void *data)
+ch_once_manager_begin(struct ch_once_manager *manager, const char *caller,
+                      const char *key, uint64_t fingerprint,
+                      void (*done)(void *data,
+                                   const struct ch_once_result *answer),
+                      void *data)
 {
     (void)manager, (void)caller, (void)key, (void)fingerprint;
     (void)done, (void)data;
@@ -56,11 +56,11 @@
 }
 
 void
-ch_once_keeper_finish(struct ch_once_keeper *manager, const char *caller,
-                      const char *key, uint64_t attempt, bool not_run,
-                      int status, const char *content_type, const void *body,
-                      size_t length, void (*done)(void *data, bool kept),
-                      void *data)
+ch_once_manager_finish(struct ch_once_manager *manager, const char *caller,
+                       const char *key, uint64_t attempt, bool not_run,
+                       int status, const char *content_type, const void *body,
+                       size_t length, void (*done)(void *data, bool kept),
+                       void *data)
 {
     (void)manager, (void)caller, (void)key, (void)attempt, (void)not_run;
     (void)status, (void)content_type, (void)body, (void)length;
@@ -133,7 +133,7 @@
 {
     static const struct ch_router_ops ops = {
         .request = fake_request,
-        .ready = fake_ready,
+        .is_ready = fake_ready,
     };
     struct ch_error error = {0};
     pthread_mutex_init(&world.lock, NULL);
@@ -146,8 +146,8 @@
         .name = "n1",
         .callers = "127.0.0.1:0",
         .workers = 2,
-        .max_body = 1000,
-        .max_headers = 4096,
+        .max_body_bytes = 1000,
+        .max_header_bytes = 4096,
         .max_connections = 64,
     };
     world.node = (struct ch_node){
@@ -159,7 +159,7 @@
     };
     world.node.pool = ch_pool_new(2);
     world.node.timers = ch_timers_new(world.node.pool);
-    world.node.front = ch_front_new(&world.node, &error);
+    world.node.frontend = ch_frontend_new(&world.node, &error);
     g_assert_cmpstr(error.message, ==, "");
     world.router_requests = 0;
 }
@@ -167,11 +167,11 @@
 static void
 stop(void)
 {
-    ch_front_stop(world.node.front);
+    ch_frontend_stop(world.node.frontend);
     ch_timers_stop(world.node.timers);
     ch_pool_free(world.node.pool);
     ch_timers_free(world.node.timers);
-    ch_front_free(world.node.front);
+    ch_frontend_free(world.node.frontend);
     ch_metrics_free(world.client.metrics);
     ch_config_unref(world.manager.config);
 }
@@ -184,8 +184,8 @@
     struct sockaddr_in address = {
         .sin_family = AF_INET,
         .sin_addr.s_addr = htonl(INADDR_LOOPBACK),
-        .sin_port =
-            htons((uint16_t)ch_listener_port(world.node.front->listener)),
+        .sin_port = htons(
+            (uint16_t)ch_listener_get_port(world.node.frontend->listener)),
     };
     struct timeval receive_timeout = {.tv_usec = 400000L};
     GString *received = g_string_new(NULL);
--- a/tests/threaded/test_homes.c
+++ b/tests/threaded/test_homes.c
@@ -9,7 +9,7 @@
 
 struct world {
     /* First member: fetch() casts its pointer to struct world. */
-    struct ch_hosts hosts;
+    struct ch_host_source hosts;
     struct ch_client client;
     struct ch_settings settings;
     struct ch_node node;
@@ -44,7 +44,7 @@
 
 /* The host list: one service. */
 static void
-fetch_hosts(struct ch_hosts *hosts,
+fetch_hosts(struct ch_host_source *hosts,
             void (*done)(void *data, enum ch_code code,
                          struct ch_host_list *list),
             void *data)
@@ -62,7 +62,7 @@
     done(data, CH_OK, list);
 }
 
-static const struct ch_hosts_ops hosts_ops = {.fetch = fetch_hosts};
+static const struct ch_host_source_ops hosts_ops = {.fetch = fetch_hosts};
 
 /* A node with one worker, a host list and homes only. */
 static struct world *
@@ -85,14 +85,14 @@
         .region = (char *)"r1",
         .data_centre = (char *)"a",
         .peers = (char *)"127.0.0.1:0",
-        .peer_silent_ms = 600,
+        .peer_timeout_ms = 600,
         .idle_connection_ms = 60000,
-        .list_ms = 10000,
-        .max_queue = 10,
+        .host_list_period_ms = 10000,
+        .max_queue_length = 10,
         .first_byte_ms = 1000,
         .loads_per_s = 1,
-        .loads_parallel = 1,
-        .link_mbit = 30,
+        .max_parallel_loads = 1,
+        .region_link_mbit_per_s = 30,
     };
     struct ch_node *node = &world->node;
     node->client = &world->client;
@@ -107,7 +107,7 @@
     node->homes = ch_homes_new(node);
     ch_peers_start(node->peers);
     ch_homes_start(node->homes);
-    while (!ch_homes_ready(node->homes)) {
+    while (!ch_homes_is_ready(node->homes)) {
         g_usleep(1000);
     }
     return world;
@@ -222,8 +222,9 @@
     wait_for(&world->replied);
     g_assert_cmpuint(world->granted, ==, grant_case->granted);
     g_assert_cmpuint(world->refused, ==, grant_case->refused);
-    g_assert_cmpuint(ch_metrics_read(world->client.metrics, CH_COUNT_GRANTS),
-                     ==, grant_case->grants);
+    g_assert_cmpuint(
+        ch_metrics_get_count(world->client.metrics, CH_COUNT_GRANTS), ==,
+        grant_case->grants);
     if (world->granted > 0) {
         const struct ch_timing_sample sample = {.code = CH_OK,
                                                 .first_byte_time = 1000};
--- a/tests/threaded/test_hosts.c
+++ b/tests/threaded/test_hosts.c
@@ -126,8 +126,8 @@
     struct ch_client client;
     ch_client_init(&client, "test");
     struct ch_http *http = ch_http_new(&client);
-    struct ch_hosts *hosts =
-        ch_hosts_http_new(&client, http, text, CALL_LIMIT_US);
+    struct ch_host_source *hosts =
+        ch_host_source_http_new(&client, http, text, CALL_LIMIT_US);
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         struct result result = {PTHREAD_MUTEX_INITIALIZER,
                                 PTHREAD_COND_INITIALIZER, false, CH_OK, false};
--- a/tests/threaded/test_http.c
+++ b/tests/threaded/test_http.c
@@ -306,7 +306,7 @@
     unsigned after_end;   /* handlers that ran after on_end: must stay 0 */
     unsigned stall_count; /* how often the owner was asked to keep waiting */
     int status_count;
-    struct ch_http_end end;
+    struct ch_http_result end;
     GString *body;
 };
 
@@ -333,7 +333,7 @@
 }
 
 static void
-call_end(void *data, const struct ch_http_end *end)
+call_end(void *data, const struct ch_http_result *end)
 {
     struct call *call = data;
     pthread_mutex_lock(&call->lock);
@@ -344,7 +344,7 @@
 }
 
 static const struct ch_http_handlers handlers = {
-    .on_head = call_head,
+    .on_status = call_head,
     .on_data = call_data,
     .on_end = call_end,
 };
@@ -406,11 +406,11 @@
         .url = url,
         .body = body,
         .body_length = strcmp(method, "GET") == 0 ? 0 : strlen(body),
-        .connect_limit = timeout,
-        .first_byte_limit = timeout,
-        .stall_limit = timeout,
+        .connect_timeout = timeout,
+        .first_byte_timeout = timeout,
+        .stall_timeout = timeout,
         .fresh_connection = fresh,
-        .sent_once = no_resend,
+        .no_resend = no_resend,
     };
     return ch_http_submit(http, &request, &handlers, call);
 }
@@ -562,8 +562,8 @@
         const struct ch_http_request request = {
             .method = "POST",
             .url = url,
-            .connect_limit = connect_cases[i].timeout,
-            .total_limit = LONG_TIMEOUT_US,
+            .connect_timeout = connect_cases[i].timeout,
+            .total_timeout = LONG_TIMEOUT_US,
             .connect_only = true,
         };
         g_test_message("%s", connect_cases[i].name);
@@ -571,7 +571,8 @@
         wait_for_end(call);
         ch_http_free(http);
         g_assert_cmpint(call->end.code, ==, connect_cases[i].code);
-        g_assert_cmpint(call->end.refused, ==, connect_cases[i].refused);
+        g_assert_cmpint(call->end.connection_refused, ==,
+                        connect_cases[i].refused);
         g_assert_cmpuint(get_post_count(server), ==, 0);
         server_free(server);
         call_free(call);
@@ -610,7 +611,7 @@
 {
     const struct end_case *row = data;
     struct ch_http_handlers waiting_handlers = handlers;
-    waiting_handlers.on_silent = keep_waiting;
+    waiting_handlers.on_stall = keep_waiting;
     struct ch_client client;
     ch_client_init(&client, "test");
     struct server *server = server_new(row->behaviour);
@@ -623,15 +624,15 @@
         .url = url,
         .body = small_body,
         .body_length = strlen(small_body),
-        .connect_limit = row->timeout,
-        .first_byte_limit = row->timeout,
-        .stall_limit = row->timeout,
-        .total_limit = total,
+        .connect_timeout = row->timeout,
+        .first_byte_timeout = row->timeout,
+        .stall_timeout = row->timeout,
+        .total_timeout = total,
     };
-    int64_t started_at = ch_client_now(&client);
+    int64_t started_at = ch_client_get_time(&client);
     ch_http_submit(http, &request, &waiting_handlers, call);
     wait_for_end(call);
-    g_assert_cmpint(ch_client_now(&client) - started_at, >=, total);
+    g_assert_cmpint(ch_client_get_time(&client) - started_at, >=, total);
     ch_http_free(http);
     g_assert_cmpuint(call->stall_count, >=, 1);
     g_assert_cmpuint(call->stall_count, <=, 3);
@@ -664,7 +665,7 @@
     for (size_t i = 0; i < G_N_ELEMENTS(stall_cases); i++) {
         const struct end_case *row = &stall_cases[i];
         struct ch_http_handlers waiting_handlers = handlers;
-        waiting_handlers.on_silent = keep_waiting_once;
+        waiting_handlers.on_stall = keep_waiting_once;
         struct ch_client client;
         ch_client_init(&client, "test");
         struct server *server = server_new(row->behaviour);
@@ -676,18 +677,18 @@
             .url = url,
             .body = small_body,
             .body_length = strlen(small_body),
-            .connect_limit = LONG_TIMEOUT_US,
-            .first_byte_limit = row->behaviour == STALLS_MIDWAY
-                                    ? LONG_TIMEOUT_US
-                                    : row->timeout,
-            .stall_limit = row->timeout,
-            .total_limit = LONG_TIMEOUT_US,
+            .connect_timeout = LONG_TIMEOUT_US,
+            .first_byte_timeout = row->behaviour == STALLS_MIDWAY
+                                      ? LONG_TIMEOUT_US
+                                      : row->timeout,
+            .stall_timeout = row->timeout,
+            .total_timeout = LONG_TIMEOUT_US,
         };
         g_test_message("%s", row->name);
-        int64_t started_at = ch_client_now(&client);
+        int64_t started_at = ch_client_get_time(&client);
         ch_http_submit(http, &request, &waiting_handlers, call);
         wait_for_end(call);
-        int64_t elapsed = ch_client_now(&client) - started_at;
+        int64_t elapsed = ch_client_get_time(&client) - started_at;
         ch_http_free(http);
         g_assert_cmpint(elapsed, >=, 2 * (int64_t)row->timeout);
         g_assert_cmpint(elapsed, <, LONG_TIMEOUT_US);
@@ -807,7 +808,7 @@
 }
 
 static void
-end_blocker(void *data, const struct ch_http_end *end)
+end_blocker(void *data, const struct ch_http_result *end)
 {
     call_end(((const struct loop_blocker *)data)->call, end);
 }
@@ -915,8 +916,8 @@
     const struct ch_http_request post = {
         .method = "POST",
         .url = url,
-        .connect_limit = LONG_TIMEOUT_US,
-        .total_limit = SHORT_TIMEOUT_US,
+        .connect_timeout = LONG_TIMEOUT_US,
+        .total_timeout = SHORT_TIMEOUT_US,
     };
     warm_up(http, server);
     blocker_start(&blocker, http, server, (int64_t)2 * SHORT_TIMEOUT_US);
@@ -981,12 +982,12 @@
 };
 
 static void
-fetch_done(void *data, const struct ch_http_answer *response)
+fetch_done(void *data, const struct ch_http_response *response)
 {
     struct fetched *fetched = data;
-    fetched->code = response->end.code;
-    fetched->length = response->length;
-    call_end(fetched->call, &response->end);
+    fetched->code = response->result.code;
+    fetched->length = response->body_length;
+    call_end(fetched->call, &response->result);
 }
 
 /* A response over its size limit is an error. */
