--- a/tests/threaded/test_keepers.c
+++ b/tests/threaded/test_keepers.c
@@ -42,11 +42,11 @@
 
 static void
 fake_get(struct ch_kv *kv, const char *key,
-         void (*done)(void *data, const struct ch_kv_answer *answer),
+         void (*done)(void *data, const struct ch_kv_result *answer),
          void *data)
 {
     struct fake_kv *fake = (struct fake_kv *)kv;
-    struct ch_kv_answer answer = {.code = CH_KV_UNREACHABLE};
+    struct ch_kv_result answer = {.code = CH_KV_UNREACHABLE};
     pthread_mutex_lock(&fake->lock);
     if (fake->fault != FAULT_UNAVAILABLE) {
         const struct ch_kv_entry *entry = g_tree_lookup(fake->values, key);
@@ -88,17 +88,17 @@
 static void
 fake_put(struct ch_kv *kv, const char *key, const void *value, size_t length,
          uint64_t revision,
-         void (*done)(void *data, const struct ch_kv_answer *answer),
+         void (*done)(void *data, const struct ch_kv_result *answer),
          void *data)
 {
     struct fake_kv *fake = (struct fake_kv *)kv;
-    struct ch_kv_answer answer = {.code = CH_KV_UNREACHABLE};
+    struct ch_kv_result answer = {.code = CH_KV_UNREACHABLE};
     pthread_mutex_lock(&fake->lock);
     if (fake->fault != FAULT_UNAVAILABLE) {
         answer.code = compare_and_swap(fake, key, value, length, revision);
         answer.revision = fake->revision;
         if (fake->fault == FAULT_LOSE_REPLIES && ++fake->writes % 3 == 0) {
-            answer = (struct ch_kv_answer){.code = CH_KV_AMBIGUOUS};
+            answer = (struct ch_kv_result){.code = CH_KV_AMBIGUOUS};
         }
     }
     pthread_mutex_unlock(&fake->lock);
@@ -196,11 +196,11 @@
     node->settings.region = (char *)"r1";
     node->settings.data_centre = (char *)"a";
     node->settings.peers = (char *)"127.0.0.1:0";
-    node->settings.peer_silent_ms = 600;
+    node->settings.peer_timeout_ms = 600;
     node->settings.idle_connection_ms = 60000;
     node->settings.once_slots = 4;
-    node->settings.once_gather_ms = 1;
-    node->settings.once_keep_s = 3600;
+    node->settings.once_batch_delay_ms = 1;
+    node->settings.once_retention_s = 3600;
     node->node.client = &node->client;
     node->node.settings = &node->settings;
     node->node.incarnation = 1;
@@ -245,7 +245,7 @@
 
 /* Counts a reply to the begin of an attempt. */
 static void
-handle_begin(void *data, const struct ch_once_answer *answer)
+handle_begin(void *data, const struct ch_once_result *answer)
 {
     struct attempt *attempt = data;
     struct replies *replies = attempt->replies;
@@ -255,8 +255,8 @@
     if (answer->state == CH_ONCE_CREATED) {
         replies->attempt[attempt->key] = answer->attempt;
     }
-    if (answer->kept) {
-        g_assert_cmpmem(answer->body, answer->length, "cut", 3);
+    if (answer->response_stored) {
+        g_assert_cmpmem(answer->body, answer->body_length, "cut", 3);
         g_assert_cmpint(answer->status, ==, 201);
         replies->stored++;
     }
@@ -290,7 +290,7 @@
 
 /* Begins ATTEMPTS attempts for every key; a new prefix makes new keys. */
 static void
-begin_attempts(struct ch_once_keeper *once, struct replies *replies,
+begin_attempts(struct ch_once_manager *once, struct replies *replies,
                const char *prefix)
 {
     memset(replies->states, 0, sizeof(replies->states));
@@ -298,7 +298,7 @@
         struct attempt *attempt = g_new(struct attempt, 1);
         *attempt = (struct attempt){replies, i % KEY_COUNT};
         g_autofree char *key = g_strdup_printf("%s%u", prefix, i % KEY_COUNT);
-        ch_once_keeper_begin(once, "c", key, 7, handle_begin, attempt);
+        ch_once_manager_begin(once, "c", key, 7, handle_begin, attempt);
     }
     wait_for_replies(replies, (unsigned)KEY_COUNT * ATTEMPTS);
 }
@@ -319,15 +319,16 @@
     pthread_cond_init(&replies.changed, NULL);
     fake_init(&fake);
     test_node_init(&node, "n1", &fake);
-    struct ch_once_keeper *once = ch_once_keeper_new(&node.node);
+    struct ch_once_manager *once = ch_once_manager_new(&node.node);
     begin_attempts(once, &replies, "a");
     for (unsigned i = 0; i < KEY_COUNT; i++) {
         g_assert_cmpuint(replies.states[i][CH_ONCE_CREATED], ==, 1);
         g_assert_cmpuint(replies.states[i][CH_ONCE_IN_PROGRESS], ==,
                          ATTEMPTS - 1);
         g_autofree char *key = g_strdup_printf("a%u", i);
-        ch_once_keeper_finish(once, "c", key, replies.attempt[i], false, 201,
-                              "text/plain", "cut", 3, handle_stored, &replies);
+        ch_once_manager_finish(once, "c", key, replies.attempt[i], false, 201,
+                               "text/plain", "cut", 3, handle_stored,
+                               &replies);
     }
     wait_for_replies(&replies, KEY_COUNT);
     begin_attempts(once, &replies, "a");
@@ -342,9 +343,9 @@
     for (unsigned i = 0; i < KEY_COUNT; i++) {
         g_assert_cmpuint(replies.states[i][CH_ONCE_REFUSED], ==, ATTEMPTS);
     }
-    ch_once_keeper_stop(once);
+    ch_once_manager_stop(once);
     test_node_clear(&node);
-    ch_once_keeper_free(once);
+    ch_once_manager_free(once);
     fake_clear(&fake);
 }
 
@@ -380,22 +381,23 @@
 
 /* Passes the engine's report to a node's ledger keeper. */
 static void
-report_to(struct ch_ledger_keeper *ledger, struct fake_engine *engine)
+report_to(struct ch_ledger_manager *ledger, struct fake_engine *engine)
 {
     static const char *const names[] = {"m1", "m2"};
-    struct ch_resident resident[2];
-    struct ch_report report = {.boot = (char *)"b1", .resident = resident};
+    struct ch_resident_item resident[2];
+    struct ch_engine_report report = {.boot_id = (char *)"b1",
+                                      .resident_items = resident};
     pthread_mutex_lock(&engine->lock);
     for (int i = 0; i < 2; i++) {
         if (engine->resident[i]) {
-            resident[report.resident_count++] =
-                (struct ch_resident){(char *)names[i], 1};
+            resident[report.resident_item_count++] =
+                (struct ch_resident_item){(char *)names[i], 1};
         }
     }
-    report.orders_done = (char **)engine->done->pdata;
-    report.orders_done_count = engine->done->len;
+    report.done_order_ids = (char **)engine->done->pdata;
+    report.done_order_count = engine->done->len;
     GQuark name = g_quark_from_static_string("w01");
-    ch_ledger_keeper_report(ledger, name, &report);
+    ch_ledger_manager_handle_report(ledger, name, &report);
     pthread_mutex_unlock(&engine->lock);
 }
 
@@ -453,13 +455,14 @@
 static void
 test_ledger(void)
 {
-    static const struct ch_upstream_ops engine_ops = {.order = fake_order};
+    static const struct ch_upstream_ops engine_ops = {.send_order =
+                                                          fake_order};
     static const struct ch_ledger_handlers handlers = {
         .changed = ledger_changed, .failed = ledger_failed};
     struct fake_kv fake;
     struct test_node node[2];
     struct home_node home_node[2] = {{.failed = 0}, {.failed = 0}};
-    struct ch_ledger_keeper *ledger[2];
+    struct ch_ledger_manager *ledger[2];
     struct fake_engine engine = {.upstream.ops = &engine_ops};
     GQuark name = g_quark_from_static_string("w01");
     const GQuark items[] = {g_quark_from_static_string("m1"),
@@ -473,8 +476,8 @@
         pthread_mutex_init(&home_node[i].lock, NULL);
         test_node_init(&node[i], i == 0 ? "n1" : "n2", &fake);
         ledger[i] =
-            ch_ledger_keeper_new(&node[i].node, &handlers, &home_node[i]);
-        ch_ledger_keeper_open(ledger[i], name, &engine.upstream, 1);
+            ch_ledger_manager_new(&node[i].node, &handlers, &home_node[i]);
+        ch_ledger_manager_open(ledger[i], name, &engine.upstream, 1);
     }
     for (int round = 0;
          round < 4000 && (resident_rounds[0] < 3 || resident_rounds[1] < 3);
@@ -483,19 +486,19 @@
         report_to(ledger[i], &engine);
         if (get_state(&home_node[i], i) == 1 + CH_LEDGER_RESIDENT) {
             resident_rounds[i]++;
-            ch_ledger_keeper_unload(ledger[i], name, items[i]);
+            ch_ledger_manager_unload(ledger[i], name, items[i]);
         }
         else if (get_state(&home_node[i], i) == 0) {
-            ch_ledger_keeper_load(ledger[i], name, items[i], 1);
+            ch_ledger_manager_load(ledger[i], name, items[i], 1);
         }
         g_usleep(5000);
     }
     g_assert_cmpuint(resident_rounds[0], >=, 3);
     g_assert_cmpuint(resident_rounds[1], >=, 3);
     for (int i = 0; i < 2; i++) {
-        ch_ledger_keeper_stop(ledger[i]);
+        ch_ledger_manager_stop(ledger[i]);
         test_node_clear(&node[i]);
-        ch_ledger_keeper_free(ledger[i]);
+        ch_ledger_manager_free(ledger[i]);
     }
     g_ptr_array_unref(engine.done);
     fake_clear(&fake);
--- a/tests/threaded/test_metrics_threads.c
+++ b/tests/threaded/test_metrics_threads.c
@@ -20,9 +20,9 @@
     for (int i = 0; i < ROUNDS; i++) {
         char tenant[16];
         (void)g_snprintf(tenant, sizeof(tenant), "t%d", i % NAMES);
-        ch_metrics_count(metrics, CH_COUNT_TOKENS, 2);
-        ch_metrics_outcome(metrics, "c", tenant, CH_OK, i % 2 == 0);
-        ch_metrics_observe(metrics, CH_HIST_QUEUED, "c", tenant, 1000);
+        ch_metrics_add_count(metrics, CH_COUNT_TOKENS, 2);
+        ch_metrics_count_outcome(metrics, "c", tenant, CH_OK, i % 2 == 0);
+        ch_metrics_observe(metrics, CH_HIST_QUEUE_TIME, "c", tenant, 1000);
     }
     return NULL;
 }
@@ -57,9 +57,9 @@
 {
     struct ch_metrics *metrics = ch_metrics_new();
     run_threads(count_all, metrics);
-    g_assert_cmpuint(ch_metrics_read(metrics, CH_COUNT_TOKENS), ==,
+    g_assert_cmpuint(ch_metrics_get_count(metrics, CH_COUNT_TOKENS), ==,
                      UINT64_C(2) * THREADS * ROUNDS);
-    ch_metrics_each_class(metrics, check_sums, NULL);
+    ch_metrics_foreach_class(metrics, check_sums, NULL);
     ch_metrics_free(metrics);
 }
 
--- a/tests/threaded/test_peers.c
+++ b/tests/threaded/test_peers.c
@@ -48,7 +48,7 @@
     test_node->settings.region = (char *)"r1";
     test_node->settings.data_centre = (char *)"a";
     test_node->settings.peers = (char *)"127.0.0.1:0";
-    test_node->settings.peer_silent_ms = 600;
+    test_node->settings.peer_timeout_ms = 600;
     test_node->settings.idle_connection_ms = 60000;
     test_node->node.client = &test_node->client;
     test_node->node.settings = &test_node->settings;
@@ -82,7 +82,7 @@
         .data_centre = (char *)"a",
     };
     struct ch_host_list list = {.hosts = &host, .count = 1};
-    ch_peers_list(test_node->node.peers, &list);
+    ch_peers_update_list(test_node->node.peers, &list);
     g_free(address);
 }
 
@@ -145,13 +145,13 @@
 {
     struct test_node *first = test_node_new("e01");
     struct test_node *second = test_node_new("e02");
-    ch_peers_handle(first->node.peers, WIRE(FRAME__BODY_CONFIG_PULL),
-                    reply_done, first);
-    ch_peers_handle(second->node.peers, WIRE(FRAME__BODY_CONFIG_PULL),
-                    reply_done, second);
+    ch_peers_set_handler(first->node.peers, WIRE(FRAME__BODY_CONFIG_PULL),
+                         reply_done, first);
+    ch_peers_set_handler(second->node.peers, WIRE(FRAME__BODY_CONFIG_PULL),
+                         reply_done, second);
     ch_peers_start(first->node.peers);
     ch_peers_start(second->node.peers);
-    add_other_node(first, "e02", ch_peers_port(second->node.peers));
+    add_other_node(first, "e02", ch_peers_get_port(second->node.peers));
     for (int i = 0; i < 50; i++) {
         g_assert_cmpint(send_request(first, "e02", 0).code, ==, CH_OK);
         g_assert_cmpint(send_request(first, "e01", 0).code, ==, CH_OK);
@@ -170,7 +170,7 @@
     g_autoptr(GString) text = g_string_new(NULL);
     g_autofree char *line = g_strdup_printf(
         "chestnuthitch_peer_frames_total{%s} %s\n", labels, frames);
-    ch_peers_render(test_node->node.peers, text);
+    ch_peers_render_metrics(test_node->node.peers, text);
     g_test_message("%s", line);
     g_assert_nonnull(strstr(text->str, line));
 }
@@ -183,11 +183,11 @@
     struct test_node *first = test_node_new("e01");
     struct test_node *second = test_node_new("e02");
     first->settings.region = (char *)"r2";
-    ch_peers_handle(second->node.peers, WIRE(FRAME__BODY_CONFIG_PULL),
-                    reply_done, second);
+    ch_peers_set_handler(second->node.peers, WIRE(FRAME__BODY_CONFIG_PULL),
+                         reply_done, second);
     ch_peers_start(first->node.peers);
     ch_peers_start(second->node.peers);
-    add_other_node(first, "e02", ch_peers_port(second->node.peers));
+    add_other_node(first, "e02", ch_peers_get_port(second->node.peers));
     for (int i = 0; i < 3; i++) {
         g_assert_cmpint(send_request(first, "e02", 0).code, ==, CH_OK);
     }
@@ -239,7 +239,7 @@
     add_other_node(test_node, "e02", port);
     struct outcome outcome = send_request(test_node, "e02", 0);
     g_assert_cmpint(outcome.code, ==, CH_PEER_LOST);
-    char **live = ch_peers_live(test_node->node.peers);
+    char **live = ch_peers_list_live(test_node->node.peers);
     g_assert_cmpuint(g_strv_length(live), ==, 1);
     g_strfreev(live);
     g_print("figure: silent node given up after %" G_GINT64_FORMAT " ms\n",
@@ -319,16 +319,16 @@
 {
     struct test_node *first = test_node_new("e01");
     struct test_node *second = test_node_new("e02");
-    ch_peers_handle(second->node.peers, WIRE(FRAME__BODY_CONFIG_PULL),
-                    reply_done, second);
+    ch_peers_set_handler(second->node.peers, WIRE(FRAME__BODY_CONFIG_PULL),
+                         reply_done, second);
     ch_peers_start(first->node.peers);
     ch_peers_start(second->node.peers);
-    add_other_node(first, "e02", ch_peers_port(second->node.peers));
+    add_other_node(first, "e02", ch_peers_get_port(second->node.peers));
     g_assert_cmpint(send_request(first, "e02", 0).code, ==, CH_OK);
 
     struct sockaddr_in address = {.sin_family = AF_INET};
     address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    address.sin_port = htons(ch_peers_port(second->node.peers));
+    address.sin_port = htons(ch_peers_get_port(second->node.peers));
     int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     g_assert_cmpint(connect(fd, (struct sockaddr *)&address, sizeof(address)),
                     ==, 0);
@@ -339,7 +339,8 @@
     close(fd);
 
     g_assert_cmpuint(
-        ch_metrics_read(second->client.metrics, CH_COUNT_FRAMES_BAD), ==, 1);
+        ch_metrics_get_count(second->client.metrics, CH_COUNT_FRAMES_BAD), ==,
+        1);
     g_assert_cmpint(send_request(first, "e02", 0).code, ==, CH_OK);
     test_node_free(first);
     test_node_free(second);
@@ -479,14 +480,15 @@
     pair->first = test_node_new("e01");
     pair->first->client.now = read_clock;
     pair->first->client.now_data = &pair->clock;
-    pair->first->settings.peer_silent_ms = 60000;
+    pair->first->settings.peer_timeout_ms = 60000;
     pair->second = test_node_new("e02");
-    ch_peers_handle(pair->second->node.peers, WIRE(FRAME__BODY_CONFIG_PULL),
-                    reply_when_allowed, pair);
+    ch_peers_set_handler(pair->second->node.peers,
+                         WIRE(FRAME__BODY_CONFIG_PULL), reply_when_allowed,
+                         pair);
     ch_peers_start(pair->first->node.peers);
     ch_peers_start(pair->second->node.peers);
     add_other_node(pair->first, "e02",
-                   ch_peers_port(pair->second->node.peers));
+                   ch_peers_get_port(pair->second->node.peers));
     return pair;
 }
 
--- a/tests/threaded/test_pool.c
+++ b/tests/threaded/test_pool.c
@@ -99,7 +99,7 @@
     for (int i = 0; i < TIMERS; i++) {
         runs[i].sequence = &sequence;
         runs[i].earliest = g_get_monotonic_time() + delays[i];
-        (void)ch_timers_after(timers, delays[i], record_run, &runs[i]);
+        (void)ch_timers_add(timers, delays[i], record_run, &runs[i]);
         runs[i].latest = g_get_monotonic_time() + delays[i];
     }
     for (int i = 0; i < TIMERS; i++) {
@@ -129,10 +129,9 @@
     struct ch_pool *pool = ch_pool_new(1);
     struct ch_timers *timers = ch_timers_new(pool);
     sem_init(&sequence.done, 0, 0);
-    uint64_t later =
-        ch_timers_after(timers, G_MAXINT32, count_job, &counts[0]);
-    uint64_t immediate = ch_timers_after(timers, 0, record_run, &timer_run);
-    (void)ch_timers_after(timers, G_MAXINT32, count_job, &counts[1]);
+    uint64_t later = ch_timers_add(timers, G_MAXINT32, count_job, &counts[0]);
+    uint64_t immediate = ch_timers_add(timers, 0, record_run, &timer_run);
+    (void)ch_timers_add(timers, G_MAXINT32, count_job, &counts[1]);
     g_assert_true(ch_timers_cancel(timers, later));
     g_assert_false(ch_timers_cancel(timers, later));
     sem_wait(&sequence.done);
--- a/tests/threaded/test_roster.c
+++ b/tests/threaded/test_roster.c
@@ -49,7 +49,7 @@
            void *data)
 {
     (void)kv;
-    const struct ch_kv_range range = {.code = CH_OK, .at = 10};
+    const struct ch_kv_range range = {.code = CH_OK, .revision = 10};
     if (strcmp(prefix, PREFIX) == 0) {
         append_step('R');
     }
@@ -67,7 +67,7 @@
     if (strcmp(prefix, PREFIX) == 0) {
         append_step('C');
         range.code = world.watches[world.call_count];
-        range.at = 10;
+        range.revision = 10;
         world.call_count++;
     }
     done(data, &range);
@@ -75,12 +75,12 @@
 
 static void
 fake_lease(struct ch_kv *kv, int64_t ttl,
-           void (*done)(void *data, const struct ch_kv_answer *answer),
+           void (*done)(void *data, const struct ch_kv_result *answer),
            void *data)
 {
     (void)kv, (void)ttl;
     g_atomic_int_inc(&world.leases);
-    const struct ch_kv_answer answer = {.code = CH_KV_UNREACHABLE};
+    const struct ch_kv_result answer = {.code = CH_KV_UNREACHABLE};
     done(data, &answer);
 }
 
@@ -117,7 +117,7 @@
         .data_centre = "a",
         .peers = "127.0.0.1:0",
         .callers = "127.0.0.1:0",
-        .peer_silent_ms = 600,
+        .peer_timeout_ms = 600,
         .idle_connection_ms = 60000,
     };
     ch_client_init(&fixture->client, name);
@@ -191,8 +191,8 @@
 {
     static const struct ch_kv_ops ops = {
         .range = fake_range,
-        .changes = fake_changes,
-        .lease = fake_lease,
+        .watch_changes = fake_changes,
+        .create_lease = fake_lease,
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         g_test_message("%s", rows[i].what);
@@ -224,7 +224,7 @@
     void (*done)(void *data, const struct ch_kv_range *range), void *data)
 {
     (void)kv, (void)prefix, (void)after;
-    const struct ch_kv_range range = {.code = CH_KV_MISSING, .at = 10};
+    const struct ch_kv_range range = {.code = CH_KV_MISSING, .revision = 10};
     g_usleep((gulong)wait / 4);
     done(data, &range);
 }
@@ -237,7 +237,7 @@
                    void *data)
 {
     (void)kv, (void)wait;
-    const struct ch_kv_range range = {.code = CH_OK, .at = after + 1};
+    const struct ch_kv_range range = {.code = CH_OK, .revision = after + 1};
     if (strcmp(prefix, PREFIX) == 0) {
         g_atomic_int_inc(&world.changes);
     }
@@ -284,8 +284,8 @@
 {
     static const struct ch_kv_ops ops = {
         .range = fake_range,
-        .changes = watch_without_changes,
-        .lease = fake_lease,
+        .watch_changes = watch_without_changes,
+        .create_lease = fake_lease,
     };
     int64_t duration = run_roster(&ops, 3);
     int leases = g_atomic_int_get(&world.leases);
@@ -307,8 +307,8 @@
 {
     static const struct ch_kv_ops ops = {
         .range = fake_range,
-        .changes = watch_with_changes,
-        .lease = fake_lease,
+        .watch_changes = watch_with_changes,
+        .create_lease = fake_lease,
     };
     int64_t duration = run_roster(&ops, 5);
     int changes = g_atomic_int_get(&world.changes);
@@ -370,15 +370,15 @@
 {
     static const struct ch_kv_ops ops = {
         .range = fail_range,
-        .changes = watch_without_changes,
-        .lease = fake_lease,
+        .watch_changes = watch_without_changes,
+        .create_lease = fake_lease,
     };
     struct fixture *fixture = fixture_new(&ops, 4);
     struct fixture *other = fixture_named("n2", &ops, 2);
-    g_autofree char *own_address =
-        g_strdup_printf("127.0.0.1:%u", ch_peers_port(fixture->node.peers));
+    g_autofree char *own_address = g_strdup_printf(
+        "127.0.0.1:%u", ch_peers_get_port(fixture->node.peers));
     g_autofree char *other_address =
-        g_strdup_printf("127.0.0.1:%u", ch_peers_port(other->node.peers));
+        g_strdup_printf("127.0.0.1:%u", ch_peers_get_port(other->node.peers));
     fixture->settings.peers = own_address;
     other->settings.peers = other_address;
     const struct ch_host host = {
@@ -390,18 +390,18 @@
     };
     const struct ch_host_list list = {(struct ch_host *)&host, 1};
     struct ch_roster *roster = ch_roster_new(&fixture->node, ignore, NULL);
-    ch_peers_handle(other->node.peers,
-                    CHESTNUTHITCH__WIRE__FRAME__BODY_ROSTER_PULL, answer_pull,
-                    other);
+    ch_peers_set_handler(other->node.peers,
+                         CHESTNUTHITCH__WIRE__FRAME__BODY_ROSTER_PULL,
+                         answer_pull, other);
     ch_peers_start(fixture->node.peers);
     ch_peers_start(other->node.peers);
     ch_roster_start(roster);
-    ch_peers_list(other->node.peers, &list);
+    ch_peers_update_list(other->node.peers, &list);
     int64_t until = g_get_monotonic_time() + 10 * (int64_t)G_USEC_PER_SEC;
-    while (!ch_roster_known(roster) && g_get_monotonic_time() < until) {
+    while (!ch_roster_is_known(roster) && g_get_monotonic_time() < until) {
         g_usleep(10000);
     }
-    g_assert_true(ch_roster_known(roster));
+    g_assert_true(ch_roster_is_known(roster));
     ch_roster_stop(roster);
     fixture_stop(other);
     fixture_stop(fixture);
@@ -443,7 +443,7 @@
     entries.entries = one;
     entries.n_entries = 1;
     g_autoptr(GBytes) packed =
-        ch_pack(bytes, chestnuthitch__wire__roster__pack(&entries, bytes));
+        ch_compress(bytes, chestnuthitch__wire__roster__pack(&entries, bytes));
     message.prefix = (char *)"nodes/";
     message.at = 5;
     message.packed.data = (uint8_t *)g_bytes_get_data(packed, &length);
@@ -462,14 +462,14 @@
 {
     static const struct ch_kv_ops ops = {
         .range = fail_range,
-        .changes = watch_without_changes,
-        .lease = fake_lease,
+        .watch_changes = watch_without_changes,
+        .create_lease = fake_lease,
     };
     for (size_t i = 0; i < G_N_ELEMENTS(packed_cases); i++) {
         struct fixture *fixture = fixture_new(&ops, 2);
         struct fixture *other = fixture_named("n2", &ops, 2);
         g_autofree char *own_address = g_strdup_printf(
-            "127.0.0.1:%u", ch_peers_port(fixture->node.peers));
+            "127.0.0.1:%u", ch_peers_get_port(fixture->node.peers));
         const struct ch_host host = {
             .name = (char *)"n1",
             .kind = CH_HOST_ENTRY,
@@ -482,21 +482,21 @@
         g_test_message("%s", packed_cases[i].what);
         ch_peers_start(fixture->node.peers);
         ch_peers_start(other->node.peers);
-        ch_peers_list(other->node.peers, &list);
+        ch_peers_update_list(other->node.peers, &list);
         send_packed_list(other, packed_cases[i].missing_bytes);
         for (int waited = 0; waited < 300; waited++) {
-            if (ch_peers_listed(fixture->node.peers) ||
-                ch_metrics_read(fixture->client.metrics, CH_COUNT_FRAMES_BAD) >
-                    0) {
+            if (ch_peers_has_list(fixture->node.peers) ||
+                ch_metrics_get_count(fixture->client.metrics,
+                                     CH_COUNT_FRAMES_BAD) > 0) {
                 break;
             }
             g_usleep(10000);
         }
-        g_assert_cmpint(ch_peers_listed(fixture->node.peers), ==,
+        g_assert_cmpint(ch_peers_has_list(fixture->node.peers), ==,
                         packed_cases[i].known);
         g_assert_cmpuint(
-            ch_metrics_read(fixture->client.metrics, CH_COUNT_FRAMES_BAD), ==,
-            packed_cases[i].bad_frames);
+            ch_metrics_get_count(fixture->client.metrics, CH_COUNT_FRAMES_BAD),
+            ==, packed_cases[i].bad_frames);
         fixture_stop(other);
         fixture_stop(fixture);
         ch_roster_free(roster);
@@ -510,7 +510,7 @@
 /* The configuration, at a revision that grows with each read. */
 static void
 get_next_revision(struct ch_kv *kv, const char *key,
-                  void (*done)(void *data, const struct ch_kv_answer *answer),
+                  void (*done)(void *data, const struct ch_kv_result *answer),
                   void *data)
 {
     (void)kv, (void)key;
@@ -522,7 +522,7 @@
     char *bytes = ch_revision_record_print(record);
     pthread_mutex_lock(&world.lock);
     world.call_count++;
-    struct ch_kv_answer answer = {
+    struct ch_kv_result answer = {
         .code = CH_OK,
         .value = bytes,
         .length = strlen(bytes),
@@ -538,14 +538,14 @@
 static void
 watch_configuration(
     struct ch_kv *kv, const char *key, uint64_t revision, int64_t wait,
-    void (*done)(void *data, const struct ch_kv_answer *answer), void *data)
+    void (*done)(void *data, const struct ch_kv_result *answer), void *data)
 {
     (void)wait;
     if (revision == 0) {
         get_next_revision(kv, key, done, data);
         return;
     }
-    const struct ch_kv_answer answer = {.code = CH_KV_MISSING};
+    const struct ch_kv_result answer = {.code = CH_KV_MISSING};
     done(data, &answer);
 }
 
@@ -563,23 +563,23 @@
         .watch = watch_configuration,
     };
     struct fixture *fixture = fixture_new(&ops, 2);
-    struct ch_config_keeper *keeper = ch_config_keeper_new(&fixture->node);
+    struct ch_config_manager *keeper = ch_config_manager_new(&fixture->node);
     fixture->node.config = keeper;
-    ch_config_keeper_start(keeper);
+    ch_config_manager_start(keeper);
     uint64_t revision = 0;
     for (int64_t until = g_get_monotonic_time() + 3000000L;
          revision < 2 && g_get_monotonic_time() < until;) {
         g_usleep(10000);
-        struct ch_config *config = ch_config_keeper_current(keeper);
+        struct ch_config *config = ch_config_manager_get_current(keeper);
         revision = config == NULL ? 0 : config->revision;
         if (config != NULL) {
             ch_config_unref(config);
         }
     }
     g_assert_cmpuint(revision, >=, 2);
-    ch_config_keeper_stop(keeper);
+    ch_config_manager_stop(keeper);
     fixture_stop(fixture);
-    ch_config_keeper_free(keeper);
+    ch_config_manager_free(keeper);
     fixture_free(fixture);
 }
 
@@ -619,13 +619,13 @@
 /* Returns the row's next copy, and after the last one the last again. */
 static void
 get_next_copy(struct ch_kv *kv, const char *key,
-              void (*done)(void *data, const struct ch_kv_answer *answer),
+              void (*done)(void *data, const struct ch_kv_result *answer),
               void *data)
 {
     (void)kv, (void)key;
     int index = g_atomic_int_add(&copy_run.served, 1);
     const char *value = copies[copy_run.row].value;
-    const struct ch_kv_answer answer = {
+    const struct ch_kv_result answer = {
         .code = CH_OK,
         .value = value,
         .length = strlen(value),
@@ -637,7 +637,7 @@
 /* Returns a copy while none is in force, and no changes after that. */
 static void
 watch_copy(struct ch_kv *kv, const char *key, uint64_t revision, int64_t wait,
-           void (*done)(void *data, const struct ch_kv_answer *answer),
+           void (*done)(void *data, const struct ch_kv_result *answer),
            void *data)
 {
     (void)wait;
@@ -645,7 +645,7 @@
         get_next_copy(kv, key, done, data);
         return;
     }
-    const struct ch_kv_answer answer = {.code = CH_KV_MISSING};
+    const struct ch_kv_result answer = {.code = CH_KV_MISSING};
     done(data, &answer);
 }
 
@@ -671,25 +671,25 @@
                                          .watch = watch_copy};
     static const struct ch_dialect dialect = {
         .hosts_prefix = PREFIX,
-        .config_text = count_translation,
+        .extract_config = count_translation,
     };
     copy_run.row = row;
     g_atomic_int_set(&copy_run.served, 0);
     g_atomic_int_set(&copy_run.translations, 0);
     struct fixture *fixture = fixture_new(&ops, 1);
     fixture->node.dialect = &dialect;
-    struct ch_config_keeper *keeper = ch_config_keeper_new(&fixture->node);
+    struct ch_config_manager *keeper = ch_config_manager_new(&fixture->node);
     fixture->node.config = keeper;
     int64_t started_at = g_get_monotonic_time();
-    ch_config_keeper_start(keeper);
+    ch_config_manager_start(keeper);
     while (g_atomic_int_get(&copy_run.served) < COPIES &&
            g_get_monotonic_time() < started_at + 10000000L) {
         g_usleep(1000);
     }
     int64_t duration = g_get_monotonic_time() - started_at;
-    ch_config_keeper_stop(keeper);
+    ch_config_manager_stop(keeper);
     fixture_stop(fixture);
-    struct ch_config *config = ch_config_keeper_current(keeper);
+    struct ch_config *config = ch_config_manager_get_current(keeper);
     g_test_message("%s: %d of %d translated in %" G_GINT64_FORMAT " ms",
                    copies[row].what, copy_run.translations, copy_run.served,
                    duration / 1000);
@@ -701,7 +701,7 @@
                                                   : copies[row].translations);
     g_assert_cmpint(duration, >=, copies[row].min_us);
     ch_config_unref(config);
-    ch_config_keeper_free(keeper);
+    ch_config_manager_free(keeper);
     fixture_free(fixture);
 }
 
--- a/tests/threaded/test_store.c
+++ b/tests/threaded/test_store.c
@@ -148,7 +148,7 @@
     uint64_t revision;
     char *value;
     size_t count;
-    struct ch_call_end end;
+    struct ch_call_result end;
     GString *body;
 };
 
@@ -169,7 +169,7 @@
 }
 
 static void
-record_kv_result(void *data, const struct ch_kv_answer *kv_result)
+record_kv_result(void *data, const struct ch_kv_result *kv_result)
 {
     struct result *result = data;
     pthread_mutex_lock(&result->lock);
@@ -187,7 +187,7 @@
     struct result *result = data;
     pthread_mutex_lock(&result->lock);
     result->code = range->code;
-    result->revision = range->at;
+    result->revision = range->revision;
     result->count = range->count;
     signal_done(result);
 }
@@ -400,16 +400,16 @@
         kv->ops->put(kv, "k", "v", 1, 3, record_kv_result, result);
         return;
     case LEASE:
-        kv->ops->lease(kv, 3000000, record_kv_result, result);
+        kv->ops->create_lease(kv, 3000000, record_kv_result, result);
         return;
     case RENEW:
-        kv->ops->renew(kv, 77, record_kv_result, result);
+        kv->ops->renew_lease(kv, 77, record_kv_result, result);
         return;
     case RANGE:
         kv->ops->range(kv, "p/", record_range, result);
         return;
     default:
-        kv->ops->changes(kv, "p/", 20, 100000, record_range, result);
+        kv->ops->watch_changes(kv, "p/", 20, 100000, record_range, result);
         return;
     }
 }
@@ -604,7 +604,7 @@
 }
 
 static void
-on_end(void *data, const struct ch_call_end *end)
+on_end(void *data, const struct ch_call_result *end)
 {
     struct result *result = data;
     pthread_mutex_lock(&result->lock);
@@ -614,7 +614,7 @@
 
 static const struct ch_call_handlers handlers = {
     .on_headers = on_headers,
-    .on_head = on_head,
+    .on_response = on_head,
     .on_data = on_data,
     .on_end = on_end,
 };
@@ -652,11 +652,11 @@
             .headers = forwarded,
             .header_count = G_N_ELEMENTS(forwarded),
             .priority = 12,
-            .time_left = 500000,
-            .resume_id = "4",
-            .connect_limit = CALL_LIMIT_US,
-            .first_byte_limit = CALL_LIMIT_US,
-            .stall_limit = CALL_LIMIT_US,
+            .remaining_time = 500000,
+            .last_event_id = "4",
+            .connect_timeout = CALL_LIMIT_US,
+            .first_byte_timeout = CALL_LIMIT_US,
+            .stall_timeout = CALL_LIMIT_US,
         };
         g_test_message("%s", worker_rows[i].description);
         result_init(&result);
@@ -731,14 +731,14 @@
         struct ch_upstream *worker =
             platform_worker_new(&client, http, &host, CALL_LIMIT_US);
         const struct ch_order order = {
-            .fence = 41,
+            .fencing_token = 41,
             .action = CH_ORDER_LOAD,
             .model = "m1",
             .adapter = "a3",
-            .expected = 2,
+            .expected_orders_taken = 2,
         };
         result_init(&result);
-        worker->ops->order(worker, &order, record_order_result, &result);
+        worker->ops->send_order(worker, &order, record_order_result, &result);
         wait_done(&result);
         ch_http_free(http);
         server_join(&server);
--- a/tests/threaded/test_switches.c
+++ b/tests/threaded/test_switches.c
@@ -37,7 +37,7 @@
 
 /* Fake: one model with adapters, one service. */
 struct ch_config *
-ch_config_keeper_current(struct ch_config_keeper *keeper)
+ch_config_manager_get_current(struct ch_config_manager *keeper)
 {
     struct ch_error error = {0};
     struct ch_declaration *declaration =
@@ -57,9 +57,9 @@
 
 /* Fake: two engines; the host list doesn't say what they hold. */
 void
-ch_roster_each(struct ch_roster *roster,
-               void (*each)(void *data, const struct ch_host *host),
-               void *data)
+ch_roster_foreach(struct ch_roster *roster,
+                  void (*each)(void *data, const struct ch_host *host),
+                  void *data)
 {
     char *names[] = {"e1", "e2"};
     (void)roster;
@@ -71,8 +71,8 @@
             .region = "r1",
             .data_centre = "d1",
             .service = "s",
-            .boot = 1,
-            .batch = 64,
+            .boot_id = 1,
+            .max_batch = 64,
         };
         each(data, &host);
     }
@@ -85,7 +85,7 @@
 }
 
 void
-ch_roster_leave(struct ch_roster *roster)
+ch_roster_unregister(struct ch_roster *roster)
 {
     (void)roster;
 }
@@ -103,7 +103,7 @@
 }
 
 bool
-ch_roster_known(struct ch_roster *roster)
+ch_roster_is_known(struct ch_roster *roster)
 {
     (void)roster;
     return true;
@@ -126,7 +126,7 @@
 }
 
 void
-ch_controller_changed(struct ch_controller *controller)
+ch_controller_refresh(struct ch_controller *controller)
 {
     (void)controller;
 }
@@ -156,18 +156,20 @@
 }
 
 bool
-ch_controller_has_holder(struct ch_controller *controller, GQuark data_centre)
+ch_controller_has_lease_holder(struct ch_controller *controller,
+                               GQuark data_centre)
 {
     (void)controller, (void)data_centre;
     return false;
 }
 
 bool
-ch_controller_prepare(struct ch_controller *controller, GQuark upstream,
-                      GQuark data_centre, GQuark model, GQuark adapter,
-                      void (*done)(void *data, enum ch_code code,
-                                   const Chestnuthitch__Wire__Frame *),
-                      void *data)
+ch_controller_prepare_adapter(struct ch_controller *controller,
+                              GQuark upstream, GQuark data_centre,
+                              GQuark model, GQuark adapter,
+                              void (*done)(void *data, enum ch_code code,
+                                           const Chestnuthitch__Wire__Frame *),
+                              void *data)
 {
     (void)controller, (void)upstream, (void)data_centre, (void)model;
     (void)adapter, (void)done, (void)data;
@@ -176,29 +178,29 @@
 
 GHashTable *
 controller_sum_demands(struct ch_controller *controller,
-                       const struct duty *duty, int64_t now)
+                       const struct centre_state *duty, int64_t now)
 {
     (void)controller, (void)duty, (void)now;
     return g_hash_table_new(NULL, NULL);
 }
 
 void
-controller_answer(struct ch_controller *controller,
-                  const struct adapter_wait *wait, enum ch_code code)
+controller_reply_waiter(struct ch_controller *controller,
+                        const struct adapter_waiter *wait, enum ch_code code)
 {
     (void)controller, (void)wait, (void)code;
 }
 
-struct duty *
-controller_duty(struct ch_controller *controller, GQuark data_centre)
+struct centre_state *
+controller_get_centre(struct ch_controller *controller, GQuark data_centre)
 {
     (void)controller, (void)data_centre;
     return NULL;
 }
 
 unsigned
-controller_loads_in_window(const struct ch_controller *controller,
-                           const struct ch_declaration *declaration)
+controller_get_max_loads(const struct ch_controller *controller,
+                         const struct ch_declaration *declaration)
 {
     (void)controller, (void)declaration;
     return 1;
@@ -206,14 +208,14 @@
 
 /* Fake: the lease is not held, so no order is sent. */
 bool
-ch_claim_held(struct ch_claim *claim, uint64_t *fence)
+ch_lease_is_held(struct ch_lease *claim, uint64_t *fence)
 {
     (void)claim, (void)fence;
     return false;
 }
 
 void
-ch_claim_give_up(struct ch_claim *claim, int64_t pause)
+ch_lease_release(struct ch_lease *claim, int64_t pause)
 {
     (void)claim, (void)pause;
 }
@@ -249,7 +251,7 @@
 
 /* A node with these features disabled. */
 static struct fixture *
-fixture_new(const struct ch_without *disabled)
+fixture_new(const struct ch_disabled_features *disabled)
 {
     static const struct ch_dialect dialect = {.upstream_new = new_upstream};
     struct fixture *fixture = g_new0(struct fixture, 1);
@@ -257,7 +259,7 @@
         .name = "n1",
         .region = "r1",
         .data_centre = "d1",
-        .without = *disabled,
+        .disabled_features = *disabled,
     };
     ch_client_init(&fixture->client, "n1");
     fixture->client.log_write = discard_line;
@@ -281,7 +283,7 @@
 
 /* ---- requests ---- */
 
-#define FEATURE(member) offsetof(struct ch_without, member)
+#define FEATURE(member) offsetof(struct ch_disabled_features, member)
 
 /* Requests for m1, with the expected outcome while a feature is enabled and
  * while it is disabled. e1 may hold m1, and e2 may be loading it. */
@@ -314,10 +316,10 @@
      false, true, false, 0},
     {"its engine has time for the request", FEATURE(refuse_late), 0, 0,
      "granted", "granted", false, true, false, 0},
-    {"a second long prompt directly after the first", FEATURE(pace_prompts), 0,
-     0, "waits", "granted", true, true, false, 0},
-    {"a single long prompt", FEATURE(pace_prompts), 0, 0, "granted", "granted",
-     false, true, false, 0},
+    {"a second long prompt directly after the first", FEATURE(defer_prompts),
+     0, 0, "waits", "granted", true, true, false, 0},
+    {"a single long prompt", FEATURE(defer_prompts), 0, 0, "granted",
+     "granted", false, true, false, 0},
 };
 
 struct outcome {
@@ -343,23 +345,24 @@
 publish_engines(size_t case_index)
 {
     GQuark model = g_quark_from_string("m1");
-    const struct ch_engine_told first = {
+    const struct ch_engine_status first = {
         .upstream = g_quark_from_string("e1"),
-        .boot = 1,
+        .boot_id = 1,
         .models = &model,
         .model_count = cases[case_index].resident ? 1 : 0,
         .running = cases[case_index].prefill_backlog_ms > 0 ? 1 : 0,
-        .unread = (int64_t)cases[case_index].prefill_backlog_ms * 1000,
+        .prefill_backlog =
+            (int64_t)cases[case_index].prefill_backlog_ms * 1000,
     };
-    const struct ch_engine_told second = {
+    const struct ch_engine_status second = {
         .upstream = g_quark_from_string("e2"),
-        .boot = 1,
-        .coming = &model,
-        .coming_count = cases[case_index].loading ? 1 : 0,
+        .boot_id = 1,
+        .pending_loads = &model,
+        .pending_load_count = cases[case_index].loading ? 1 : 0,
     };
-    registered.handlers->told(registered.data, &first);
-    registered.handlers->told(registered.data, &second);
-    registered.handlers->told_all(registered.data);
+    registered.handlers->engine_status(registered.data, &first);
+    registered.handlers->engine_status(registered.data, &second);
+    registered.handlers->status_complete(registered.data);
 }
 
 /* Sends the request of a case, after another one if the case says so. Returns
@@ -374,7 +377,7 @@
     uint64_t handles[2] = {0};
     struct outcome outcomes[2] = {{"waits"}, {"waits"}};
     unsigned last = cases[case_index].follows_another ? 1 : 0;
-    int64_t now = ch_client_now(&fixture->client);
+    int64_t now = ch_client_get_time(&fixture->client);
     int64_t arrived = now - (int64_t)cases[case_index].age_ms * 1000;
     int64_t target = cases[case_index].target_ms == 0
                          ? SECOND
@@ -411,7 +414,7 @@
 {
     for (size_t i = 0; i < 2 * G_N_ELEMENTS(cases); i++) {
         bool is_disabled = i % 2 == 1;
-        struct ch_without disabled = {0};
+        struct ch_disabled_features disabled = {0};
         ((bool *)&disabled)[cases[i / 2].feature] = is_disabled;
         struct fixture *fixture = fixture_new(&disabled);
         struct ch_router *router = ch_balancer_new(&fixture->node);
@@ -434,7 +437,7 @@
 /* The number of items of an engine that holds m1, after adapters were loaded
  * before requests. */
 static guint
-count_items_after_preload(const struct ch_without *disabled)
+count_items_after_preload(const struct ch_disabled_features *disabled)
 {
     struct fixture *fixture = fixture_new(disabled);
     const struct ch_host host = {.name = "e1", .address = "127.0.0.1:9"};
@@ -442,16 +445,16 @@
         .node = &fixture->node,
         .engines = g_hash_table_new(NULL, NULL),
     };
-    struct duty duty = {.data_centre = g_quark_from_string("d1")};
+    struct centre_state duty = {.data_centre = g_quark_from_string("d1")};
     struct controller_engine *engine = engine_new(&controller, &host);
     engine->service = g_quark_from_string("s");
     engine->data_centre = duty.data_centre;
     engine->listed = true;
-    engine->known = true;
+    engine->state_known = true;
     engine_add_item(engine, g_quark_from_string("m1"), 0, CH_ITEM_RESIDENT, 0);
     g_hash_table_insert(controller.engines, GUINT_TO_POINTER(engine->name),
                         engine);
-    controller_fill_places(&controller, &duty, 1);
+    controller_preload_adapters(&controller, &duty, 1);
     guint count = engine->items->len;
     engine_unref(engine);
     g_hash_table_destroy(controller.engines);
@@ -465,8 +468,8 @@
 static void
 test_adapters(void)
 {
-    const struct ch_without nothing = {0};
-    const struct ch_without preloading = {.adapters_ahead = true};
+    const struct ch_disabled_features nothing = {0};
+    const struct ch_disabled_features preloading = {.preload_adapters = true};
     g_assert_cmpuint(count_items_after_preload(&nothing), ==, 2);
     g_assert_cmpuint(count_items_after_preload(&preloading), ==, 1);
 }
--- a/tests/threaded/test_upstream.c
+++ b/tests/threaded/test_upstream.c
@@ -118,7 +118,7 @@
     unsigned data_count;
     unsigned end_count;
     GString *forwarded;
-    struct ch_call_end end;
+    struct ch_call_result end;
     enum ch_code code; /* of an order or a report */
     uint32_t memory_mb;
 };
@@ -184,7 +184,7 @@
 }
 
 static void
-on_end(void *data, const struct ch_call_end *end)
+on_end(void *data, const struct ch_call_result *end)
 {
     struct result *result = data;
     result->end = *end;
@@ -310,7 +310,7 @@
             ? ch_upstream_service_new(&client, http, address, TIMEOUT_US)
             : ch_upstream_engine_new(&client, http, address, TIMEOUT_US);
     static const struct ch_call_handlers handlers = {
-        .on_head = on_head,
+        .on_response = on_head,
         .on_data = on_data,
         .on_end = on_end,
     };
@@ -325,17 +325,17 @@
         .stream = row->stream,
         .resume_from = 3,
         .priority = 2,
-        .connect_limit = TIMEOUT_US,
-        .first_byte_limit = TIMEOUT_US,
-        .stall_limit = TIMEOUT_US,
+        .connect_timeout = TIMEOUT_US,
+        .first_byte_timeout = TIMEOUT_US,
+        .stall_timeout = TIMEOUT_US,
     };
     upstream->ops->call(upstream, &call, &handlers, &result);
     upstream->ops->free(upstream); /* a call outlives its client */
     result_wait(&result);
     ch_http_free(http);
     server_join(&server);
-    g_assert_cmpstr(ch_code_name(result.end.code), ==,
-                    ch_code_name(row->code));
+    g_assert_cmpstr(ch_code_get_name(result.end.code), ==,
+                    ch_code_get_name(row->code));
     g_assert_cmpint(result.end.may_have_run, ==, row->may_have_run);
     g_assert_cmpstr(result.forwarded->str, ==, row->forwarded);
     g_assert_cmpuint(result.end_count, ==, 1);
@@ -408,19 +408,19 @@
 }
 
 static void
-report_done(void *data, enum ch_code code, struct ch_report *report)
+report_done(void *data, enum ch_code code, struct ch_engine_report *report)
 {
     struct result *result = data;
     result->code = code;
     if (report != NULL) {
         result->memory_mb = report->memory_mb;
-        g_assert_cmpstr(report->boot, ==, "b");
-        g_assert_cmpuint(report->resident_count, ==, 1);
-        g_assert_cmpstr(report->resident[0].name, ==, "m01");
-        g_assert_cmpstr(report->orders_done[0], ==, "a");
-        g_assert_true(report->leaving);
+        g_assert_cmpstr(report->boot_id, ==, "b");
+        g_assert_cmpuint(report->resident_item_count, ==, 1);
+        g_assert_cmpstr(report->resident_items[0].name, ==, "m01");
+        g_assert_cmpstr(report->done_order_ids[0], ==, "a");
+        g_assert_true(report->draining);
     }
-    ch_report_free(report);
+    ch_engine_report_free(report);
     result_end(result);
 }
 
@@ -446,23 +446,24 @@
         ch_upstream_engine_new(&client, http, address, TIMEOUT_US);
     const struct ch_order order = {
         .id = "o1",
-        .fence = 12,
+        .fencing_token = 12,
         .action = CH_ORDER_LOAD,
         .model = "m01",
         .adapter = "m01-a1",
     };
     if (row->order) {
-        engine->ops->order(engine, &order, order_done, &result);
+        engine->ops->send_order(engine, &order, order_done, &result);
     }
     else {
-        engine->ops->report(engine, report_done, &result);
+        engine->ops->fetch_report(engine, report_done, &result);
     }
     result_wait(&result);
     ch_http_free(http);
     engine->ops->free(engine);
     server_join(&server);
     g_free(response);
-    g_assert_cmpstr(ch_code_name(result.code), ==, ch_code_name(row->code));
+    g_assert_cmpstr(ch_code_get_name(result.code), ==,
+                    ch_code_get_name(row->code));
     g_assert_cmpuint(result.memory_mb, ==, row->memory_mb);
     g_assert_nonnull(
         strstr(server.request->str,
--- a/tests/unit/test_balance.c
+++ b/tests/unit/test_balance.c
@@ -458,7 +458,7 @@
  * requests with fast responses; returns the decision, the estimated prefill
  * time and the demand. */
 static struct decisions
-run_scenario(const struct ch_without *without)
+run_scenario(const struct ch_disabled_features *without)
 {
     const struct test_upstream one_upstream[] = {
         {"a", "r1", "d1", "m1", NULL, false}, {0}};
@@ -493,13 +493,15 @@
 static void
 test_switches(void)
 {
-    const struct ch_without none = {0};
-    const struct ch_without no_pacing = {.pace_prompts = true};
-    const struct ch_without default_speeds = {.learnt_speeds = true};
-    const struct ch_without unrelated = {.refuse_late = true, .pledges = true};
+    const struct ch_disabled_features none = {0};
+    const struct ch_disabled_features no_pacing = {.defer_prompts = true};
+    const struct ch_disabled_features default_speeds = {
+        .measured_service_times = true};
+    const struct ch_disabled_features unrelated = {.refuse_late = true,
+                                                   .reservations = true};
     const struct decisions expected = run_scenario(NULL);
     const struct {
-        const struct ch_without *without;
+        const struct ch_disabled_features *without;
         bool should_defer;
         bool is_measured;
     } rows[] = {
--- a/tests/unit/test_codes.c
+++ b/tests/unit/test_codes.c
@@ -44,7 +44,7 @@
         enum ch_code code = (enum ch_code)rows[i].number;
         g_string_append_printf(page, "| %d | %s | %d | %s | %s |\n",
                                rows[i].number, rows[i].name, rows[i].http,
-                               ch_outcome_name(ch_code_outcome(code)),
+                               ch_outcome_get_name(ch_code_get_outcome(code)),
                                rows[i].meaning);
     }
     return g_string_free(page, FALSE);
@@ -70,11 +70,11 @@
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         enum ch_code code = (enum ch_code)rows[i].number;
         g_assert_true(i == 0 || rows[i].number > rows[i - 1].number);
-        g_assert_cmpstr(ch_code_name(code), ==, rows[i].name);
-        g_assert_cmpint(ch_code_http(code), ==, rows[i].http);
+        g_assert_cmpstr(ch_code_get_name(code), ==, rows[i].name);
+        g_assert_cmpint(ch_code_get_http_status(code), ==, rows[i].http);
     }
-    g_assert_cmpstr(ch_code_name((enum ch_code)899), ==, "SYSTEM");
-    g_assert_cmpint(ch_code_outcome((enum ch_code)899), ==, CH_UNKNOWN);
+    g_assert_cmpstr(ch_code_get_name((enum ch_code)899), ==, "SYSTEM");
+    g_assert_cmpint(ch_code_get_outcome((enum ch_code)899), ==, CH_UNKNOWN);
 }
 
 /* The first error is kept; a long message is truncated. */
--- a/tests/unit/test_declaration.c
+++ b/tests/unit/test_declaration.c
@@ -131,7 +131,7 @@
             struct ch_declaration *declaration =
                 ch_declaration_parse(same_cases[i][j], "f.ini", &error);
             g_assert_cmpstr(error.message, ==, "");
-            g_assert_cmpstr(declaration->text, ==, same_cases[i][0]);
+            g_assert_cmpstr(declaration->canonical_text, ==, same_cases[i][0]);
             ch_declaration_free(declaration);
         }
     }
@@ -147,24 +147,25 @@
         ch_declaration_load("examples/small.ini", &error);
     g_assert_cmpstr(error.message, ==, "");
     int adapter = -1;
-    g_assert_cmpint(ch_declaration_model(declaration, "m02"), ==, 1);
-    g_assert_cmpint(ch_declaration_model(declaration, "m01-a2"), ==, -1);
-    g_assert_cmpint(ch_declaration_adapter(declaration, "m01-a2", &adapter),
-                    ==, 0);
+    g_assert_cmpint(ch_declaration_find_model(declaration, "m02"), ==, 1);
+    g_assert_cmpint(ch_declaration_find_model(declaration, "m01-a2"), ==, -1);
+    g_assert_cmpint(
+        ch_declaration_find_adapter(declaration, "m01-a2", &adapter), ==, 0);
     g_assert_cmpint(adapter, ==, 1);
-    g_assert_cmpint(ch_declaration_adapter(declaration, "m01", NULL), ==, -1);
-    g_assert_cmpint(ch_declaration_service(declaration, "orders"), ==, 0);
-    int lookup = ch_declaration_class(declaration, "lookup");
-    g_assert_cmpint(ch_declaration_caller_class(declaration, "secretary"), ==,
-                    lookup);
-    g_assert_cmpint(ch_declaration_caller_class(declaration, "nobody"), ==,
+    g_assert_cmpint(ch_declaration_find_adapter(declaration, "m01", NULL), ==,
                     -1);
+    g_assert_cmpint(ch_declaration_find_service(declaration, "orders"), ==, 0);
+    int lookup = ch_declaration_find_class(declaration, "lookup");
+    g_assert_cmpint(ch_declaration_find_caller_class(declaration, "secretary"),
+                    ==, lookup);
+    g_assert_cmpint(ch_declaration_find_caller_class(declaration, "nobody"),
+                    ==, -1);
     const struct ch_class *class = &declaration->classes[lookup];
-    g_assert_cmpint(class->whole_answer, ==, 3000000);
+    g_assert_cmpint(class->response_target, ==, 3000000);
     g_assert_true(class->idempotent);
-    g_assert_cmpint(class->models[1], ==, 1);
-    g_assert_cmpint(class->models[2], ==, 0);
-    g_assert_cmpint(class->services[0], ==, 0);
+    g_assert_cmpint(class->allowed_models[1], ==, 1);
+    g_assert_cmpint(class->allowed_models[2], ==, 0);
+    g_assert_cmpint(class->allowed_services[0], ==, 0);
     ch_declaration_free(declaration);
 }
 
--- a/tests/unit/test_explain.c
+++ b/tests/unit/test_explain.c
@@ -83,7 +83,7 @@
         struct ch_explain *explain = ch_explain_new(5);
         g_test_message("%s", cases[i].description);
         for (size_t k = 0; cases[i].lines[k] != NULL; k++) {
-            g_assert_true(ch_explain_line(explain, cases[i].lines[k]));
+            g_assert_true(ch_explain_add_line(explain, cases[i].lines[k]));
         }
         g_autofree char *report = ch_explain_report(explain);
         if (strstr(report, cases[i].expected) == NULL) {
@@ -111,13 +111,13 @@
     struct ch_explain *explain = ch_explain_new(5);
     for (size_t i = 0; i < G_N_ELEMENTS(lines); i++) {
         g_test_message("%s", lines[i]);
-        g_assert_false(ch_explain_line(explain, lines[i]));
+        g_assert_false(ch_explain_add_line(explain, lines[i]));
     }
     /* Members of an unexpected type count as absent. */
-    g_assert_true(ch_explain_line(
+    g_assert_true(ch_explain_add_line(
         explain, HEAD("01.000", "model-move") ",\"upstream\":[],"
                                               "\"model\":{},\"pledged\":3}"));
-    g_assert_true(ch_explain_line(
+    g_assert_true(ch_explain_add_line(
         explain, HEAD("01.000", "request") ",\"model\":7,\"code\":\"x\"}"));
     g_autofree char *report = ch_explain_report(explain);
     g_assert_null(strstr(report, "m1"));
--- a/tests/unit/test_hosts.c
+++ b/tests/unit/test_hosts.c
@@ -71,8 +71,8 @@
     g_assert_cmpstr(host->service, ==, "orders");
     g_assert_cmpint(host->kind, ==, CH_HOST_SERVICE);
     g_assert_cmpuint(host->memory_mb, ==, 40000);
-    g_assert_cmpuint(host->batch, ==, 8);
-    g_assert_true(host->leaving);
+    g_assert_cmpuint(host->max_batch, ==, 8);
+    g_assert_true(host->draining);
     ch_host_list_free(list);
 }
 
--- a/tests/unit/test_json.c
+++ b/tests/unit/test_json.c
@@ -48,8 +48,8 @@
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         size_t members = 0;
         g_test_message("row %zu: %s", i, rows[i].text);
-        bool valid =
-            ch_json_shape(rows[i].text, rows[i].length, MAX_DEPTH, &members);
+        bool valid = ch_json_check_shape(rows[i].text, rows[i].length,
+                                         MAX_DEPTH, &members);
         g_assert_cmpint(valid, ==, rows[i].valid);
         if (valid) {
             g_assert_cmpuint(members, ==, rows[i].members);
--- a/tests/unit/test_metrics.c
+++ b/tests/unit/test_metrics.c
@@ -42,7 +42,7 @@
 {
     for (size_t i = 0; i < G_N_ELEMENTS(time_cases); i++) {
         struct ch_metrics *metrics = ch_metrics_new();
-        ch_metrics_observe(metrics, CH_HIST_QUEUED, "c", "t",
+        ch_metrics_observe(metrics, CH_HIST_QUEUE_TIME, "c", "t",
                            time_cases[i].time);
         char *text = render(metrics);
         const char *format = "chestnuthitch_queued_seconds_bucket{class=\"c\","
@@ -82,10 +82,10 @@
 test_outcomes_counted(void)
 {
     struct ch_metrics *metrics = ch_metrics_new();
-    ch_metrics_outcome(metrics, "order", "a", CH_OK, true);
-    ch_metrics_outcome(metrics, "order", "b", CH_OK, true);
-    ch_metrics_outcome(metrics, "order", "b", CH_LATE, false);
-    ch_metrics_outcome(metrics, "advice", "a", CH_UPSTREAM_CUT, false);
+    ch_metrics_count_outcome(metrics, "order", "a", CH_OK, true);
+    ch_metrics_count_outcome(metrics, "order", "b", CH_OK, true);
+    ch_metrics_count_outcome(metrics, "order", "b", CH_LATE, false);
+    ch_metrics_count_outcome(metrics, "advice", "a", CH_UPSTREAM_CUT, false);
     char *text = render(metrics);
     g_assert_true(contains_line(
         text, "chestnuthitch_outcomes_total{class=\"order\",tenant=\"b\","
@@ -95,7 +95,7 @@
     g_assert_true(contains_line(text, "chestnuthitch_results_total{class="
                                       "\"advice\",code=\"UPSTREAM_CUT\"} 1"));
     int classes = 0;
-    ch_metrics_each_class(metrics, check_sums, &classes);
+    ch_metrics_foreach_class(metrics, check_sums, &classes);
     g_assert_cmpint(classes, ==, 2);
     g_free(text);
     ch_metrics_free(metrics);
@@ -109,7 +109,7 @@
     struct ch_metrics *metrics = ch_metrics_new();
     for (int i = 0; i < 1000; i++) {
         char *tenant = g_strdup_printf("made-up-%d", i);
-        ch_metrics_outcome(metrics, "c", tenant, CH_OK, true);
+        ch_metrics_count_outcome(metrics, "c", tenant, CH_OK, true);
         g_free(tenant);
     }
     char *text = render(metrics);
@@ -129,10 +129,10 @@
 test_labels_and_counters(void)
 {
     struct ch_metrics *metrics = ch_metrics_new();
-    ch_metrics_outcome(metrics, "a\"b", "c\\d\ne\xff", CH_OK, true);
-    ch_metrics_outcome(metrics, NULL, "t", CH_OK, true);
-    ch_metrics_count(metrics, CH_COUNT_RETRIES, 3);
-    g_assert_cmpuint(ch_metrics_read(metrics, CH_COUNT_RETRIES), ==, 3);
+    ch_metrics_count_outcome(metrics, "a\"b", "c\\d\ne\xff", CH_OK, true);
+    ch_metrics_count_outcome(metrics, NULL, "t", CH_OK, true);
+    ch_metrics_add_count(metrics, CH_COUNT_RETRIES, 3);
+    g_assert_cmpuint(ch_metrics_get_count(metrics, CH_COUNT_RETRIES), ==, 3);
     char *text = render(metrics);
     g_assert_true(contains_line(text, "chestnuthitch_retries_total 3"));
     g_assert_true(contains_line(text, "# TYPE chestnuthitch_retries_total "
@@ -142,10 +142,10 @@
     g_assert_nonnull(strstr(text, "{class=\"other\",tenant=\"t\","));
     g_free(text);
     ch_metrics_free(metrics);
-    ch_metrics_count(NULL, CH_COUNT_RETRIES, 1);
-    ch_metrics_observe(NULL, CH_HIST_QUEUED, "c", "t", 1);
-    ch_metrics_outcome(NULL, "c", "t", CH_OK, true);
-    g_assert_cmpuint(ch_metrics_read(NULL, CH_COUNT_RETRIES), ==, 0);
+    ch_metrics_add_count(NULL, CH_COUNT_RETRIES, 1);
+    ch_metrics_observe(NULL, CH_HIST_QUEUE_TIME, "c", "t", 1);
+    ch_metrics_count_outcome(NULL, "c", "t", CH_OK, true);
+    g_assert_cmpuint(ch_metrics_get_count(NULL, CH_COUNT_RETRIES), ==, 0);
 }
 
 int
--- a/tests/unit/test_placement.c
+++ b/tests/unit/test_placement.c
@@ -72,7 +72,7 @@
  * that memory of the first engine is reserved for, or NULL.
  */
 static char *
-decide_without(const struct ch_without *without, const char *text,
+decide_without(const struct ch_disabled_features *without, const char *text,
                const char *controlled_centre, const char *busy, double work,
                const char *reserved_for, uint32_t loads_left,
                const char *store)
@@ -144,7 +144,7 @@
 decide(const char *text, const char *controlled_centre, const char *busy,
        double work, const char *reserved_for, uint32_t loads_left)
 {
-    const struct ch_without none = {0};
+    const struct ch_disabled_features none = {0};
     return decide_without(&none, text, controlled_centre, busy, work,
                           reserved_for, loads_left, "");
 }
@@ -323,7 +323,7 @@
     g_assert_cmpuint(count_occurrences(got, "load m1"), >=, 1);
 }
 
-#define WITHOUT(member) offsetof(struct ch_without, member)
+#define WITHOUT(member) offsetof(struct ch_disabled_features, member)
 
 /* The decision with a mechanism on, and with it off. */
 static const struct {
@@ -335,27 +335,28 @@
     const char *with;
     const char *without;
 } switches[] = {
-    {"another data centre has the better engine", WITHOUT(whole_fleet),
+    {"another data centre has the better engine", WITHOUT(fleet_wide_search),
      "e1 d1 m2,m3 -\ne2 d2 m2,m3 m1\ne3 d1 m1,m4 -", "m1", 0.8, "",
      "e1 unload m2 for m1$"},
     {"only two small evictions together free enough memory",
-     WITHOUT(several_victims),
+     WITHOUT(several_evictions),
      "e1 d1 m1,s1,s2 -\ne2:150 d1 m2,s1,s2 -\ne3 d1 m3,m4 -", "m1", 2,
      "e2:150 unload s1 for m1$", ""},
-    {"a single small eviction frees enough memory", WITHOUT(several_victims),
+    {"a single small eviction frees enough memory", WITHOUT(several_evictions),
      "e1 d1 m1,s1,s2 -\ne2 d1 m2,s1,s2 -\ne3 d1 m3,m4 -", "m1", 2,
      "e2 unload s1 for m1$", "e2 unload s1 for m1$"},
-    {"two last replicas on one engine", WITHOUT(move_apart),
+    {"two last replicas on one engine", WITHOUT(spread_last_replicas),
      "e1 d1 m1,m2 -\ne2 d1 m3,m4 -\ne3 d1 m3,s1 -\ne4 d1 - -", NULL, 0,
      "e4 load m1$", ""},
-    {"a local copy, or an engine that keeps free memory", WITHOUT(near_copies),
+    {"a local copy, or an engine that keeps free memory",
+     WITHOUT(local_copies_first),
      "e1 d1 m1,s1 -\ne2 d1 m3,s2 -\ne3 d1 m2 m4\ne4 d1 - -", NULL, 0,
      "e3 load m4", "e4 load m4$"},
-    {"free memory and a local copy", WITHOUT(near_copies),
+    {"free memory and a local copy", WITHOUT(local_copies_first),
      "e1 d1 m1,s1 -\ne2 d1 m2,s2 -\ne3 d1 m3 m1\ne4 d1 m4 -", NULL, 0,
      "e3 load m1", ""},
-    {"memory is freed", WITHOUT(pledges), "e1 d1 m1,m2 -\ne2 d1 m3,m1 -", NULL,
-     0, "e1 unload m1 for m4$", "e1 unload m1"},
+    {"memory is freed", WITHOUT(reservations), "e1 d1 m1,m2 -\ne2 d1 m3,m1 -",
+     NULL, 0, "e1 unload m1 for m4$", "e1 unload m1"},
 };
 
 /* Each switch changes the decision of its mechanism, and leaves decisions in
@@ -365,7 +366,7 @@
 {
     for (size_t i = 0; i < G_N_ELEMENTS(switches); i++) {
         for (int off = 0; off < 2; off++) {
-            struct ch_without without = {0};
+            struct ch_disabled_features without = {0};
             ((bool *)&without)[switches[i].mechanism] = off == 1;
             g_autofree char *got = decide_without(
                 &without, switches[i].fleet, "d1", switches[i].busy,
--- a/tests/unit/test_platform.c
+++ b/tests/unit/test_platform.c
@@ -29,24 +29,24 @@
 {
     struct ch_error error = {0};
     g_autofree char *text =
-        platform_config_text(CONFIG, strlen(CONFIG), &error);
+        platform_config_to_ini(CONFIG, strlen(CONFIG), &error);
     g_assert_cmpstr(error.message, ==, "");
     struct ch_declaration *declaration =
         ch_declaration_parse(text, "config", &error);
     g_assert_cmpstr(error.message, ==, "");
     const struct ch_class *first =
-        &declaration->classes[ch_declaration_class(declaration, "r1")];
+        &declaration->classes[ch_declaration_find_class(declaration, "r1")];
     const struct ch_class *second =
-        &declaration->classes[ch_declaration_class(declaration, "r2")];
+        &declaration->classes[ch_declaration_find_class(declaration, "r2")];
     g_assert_true(first->stream && first->resumable && first->idempotent);
-    g_assert_cmpint(first->first_token, ==, 1000000);
-    g_assert_cmpint(first->gap, ==, 300000);
-    g_assert_cmpuint(first->tries, ==, 2);
+    g_assert_cmpint(first->first_token_target, ==, 1000000);
+    g_assert_cmpint(first->event_gap_target, ==, 300000);
+    g_assert_cmpuint(first->max_attempts, ==, 2);
     g_assert_cmpuint(first->share_count, ==, 2);
     g_assert_false(second->idempotent || second->stream);
-    g_assert_cmpint(second->whole_answer, ==, 200000);
+    g_assert_cmpint(second->response_target, ==, 200000);
     g_assert_cmpuint(declaration->models[0].memory_mb, ==, 65100);
-    g_assert_cmpuint(declaration->models[0].numbered_adapters, ==, 42);
+    g_assert_cmpuint(declaration->models[0].numbered_adapter_count, ==, 42);
     g_assert_cmpuint(declaration->limits.header_bytes, ==, 16384);
     ch_declaration_free(declaration);
 }
@@ -76,18 +76,19 @@
     g_string_append(json, "],\"services\":[{\"name\":\"app\"}]}");
     g_assert_cmpuint(json->len, <=, STORE_MAX_VALUE_BYTES);
     struct ch_error error = {0};
-    g_autofree char *text = platform_config_text(json->str, json->len, &error);
+    g_autofree char *text =
+        platform_config_to_ini(json->str, json->len, &error);
     g_assert_cmpstr(error.message, ==, "");
     struct ch_declaration *first =
         ch_declaration_parse(text, "config", &error);
     g_assert_cmpstr(error.message, ==, "");
     /* Other nodes receive the canonical text. */
     struct ch_declaration *second =
-        ch_declaration_parse(first->text, "config", &error);
+        ch_declaration_parse(first->canonical_text, "config", &error);
     g_assert_cmpstr(error.message, ==, "");
     g_test_message("%zu bytes of JSON, %zu of text, %zu canonical", json->len,
-                   strlen(text), strlen(first->text));
-    g_assert_cmpstr(second->text, ==, first->text);
+                   strlen(text), strlen(first->canonical_text));
+    g_assert_cmpstr(second->canonical_text, ==, first->canonical_text);
     ch_declaration_free(first);
     ch_declaration_free(second);
     g_string_free(json, TRUE);
@@ -114,7 +115,7 @@
     for (size_t i = 0; i < G_N_ELEMENTS(texts); i++) {
         struct ch_error error = {0};
         g_assert_null(
-            platform_config_text(texts[i], strlen(texts[i]), &error));
+            platform_config_to_ini(texts[i], strlen(texts[i]), &error));
         g_assert_cmpint(error.code, !=, CH_OK);
     }
 }
@@ -157,12 +158,12 @@
         g_assert_cmpint(error.code == CH_OK, ==, entries[i].valid);
         if (valid) {
             g_assert_cmpstr(host.name, ==, "i-1");
-            g_assert_cmpint(host.leaving, ==, i == 1);
-            g_assert_cmpuint(host.boot, ==, 5);
-            g_assert_cmpstr(host.resident[0], ==, "m1");
-            g_assert_cmpstr(host.resident[1], ==, "m1/a1");
-            g_assert_null(host.resident[2]);
-            g_assert_cmpstr(host.copies[0], ==, "m2");
+            g_assert_cmpint(host.draining, ==, i == 1);
+            g_assert_cmpuint(host.boot_id, ==, 5);
+            g_assert_cmpstr(host.resident_items[0], ==, "m1");
+            g_assert_cmpstr(host.resident_items[1], ==, "m1/a1");
+            g_assert_null(host.resident_items[2]);
+            g_assert_cmpstr(host.local_copies[0], ==, "m2");
         }
         ch_host_clear(&host);
     }
@@ -193,21 +194,24 @@
                                             "Prompt-Prefix", "X-Other"};
     struct ch_request_input *input = g_new0(struct ch_request_input, 1);
     struct ch_fault fault = {.error.code = CH_OK};
-    input->passed = g_array_new(FALSE, FALSE, sizeof(struct ch_http_header));
+    input->forwarded_headers =
+        g_array_new(FALSE, FALSE, sizeof(struct ch_http_header));
     g_assert_true(
-        platform_front_read(headers, G_N_ELEMENTS(headers), input, &fault));
+        platform_headers_read(headers, G_N_ELEMENTS(headers), input, &fault));
     g_assert_cmpstr(input->request_id, ==, "i1");
     g_assert_cmpuint(input->prompt_tokens, ==, 1460);
     g_assert_cmpuint(input->output_tokens, ==, 80);
     g_assert_cmpuint(input->part_count, ==, 2);
     g_assert_cmpuint(input->parts[1].tokens, ==, 410);
-    g_assert_cmpuint(input->passed->len, ==, G_N_ELEMENTS(forwarded));
-    for (guint i = 0; i < input->passed->len; i++) {
+    g_assert_cmpuint(input->forwarded_headers->len, ==,
+                     G_N_ELEMENTS(forwarded));
+    for (guint i = 0; i < input->forwarded_headers->len; i++) {
         g_assert_cmpstr(
-            g_array_index(input->passed, struct ch_http_header, i).name, ==,
-            forwarded[i]);
+            g_array_index(input->forwarded_headers, struct ch_http_header, i)
+                .name,
+            ==, forwarded[i]);
     }
-    g_array_free(input->passed, TRUE);
+    g_array_free(input->forwarded_headers, TRUE);
     g_free(input);
 }
 
@@ -224,12 +228,12 @@
     for (size_t i = 0; i < G_N_ELEMENTS(invalid_headers); i++) {
         struct ch_request_input *input = g_new0(struct ch_request_input, 1);
         struct ch_fault fault = {.error.code = CH_OK};
-        input->passed =
+        input->forwarded_headers =
             g_array_new(FALSE, FALSE, sizeof(struct ch_http_header));
         g_assert_false(
-            platform_front_read(&invalid_headers[i], 1, input, &fault));
+            platform_headers_read(&invalid_headers[i], 1, input, &fault));
         g_assert_cmpint(fault.error.code, ==, CH_BAD_FIELD);
-        g_array_free(input->passed, TRUE);
+        g_array_free(input->forwarded_headers, TRUE);
         g_free(input);
     }
 }
--- a/tests/unit/test_request.c
+++ b/tests/unit/test_request.c
@@ -51,7 +51,7 @@
         __VA_ARGS__                                                           \
     }
 #define VALID_BODY "{\"model\":\"m01\",\"prompt\":\"hem?\"}"
-#define BODY(text) .body = (text), .length = sizeof(text) - 1
+#define BODY(text) .body = (text), .body_length = sizeof(text) - 1
 #define WITH(member) BODY("{\"model\":\"m01\",\"prompt\":\"x\"," member "}")
 #define CHAT(messages)                                                        \
     .uri = "/v1/chat/completions",                                            \
@@ -154,7 +154,7 @@
     input.caller = input.caller == NULL ? "cardiff" : input.caller;
     if (input.body == NULL) {
         input.body = VALID_BODY;
-        input.length = sizeof(VALID_BODY) - 1;
+        input.body_length = sizeof(VALID_BODY) - 1;
     }
     return input;
 }
@@ -169,12 +169,12 @@
     struct ch_request *request =
         ch_request_parse(declaration, &input, NOW, &fault);
     g_assert_null(request);
-    g_assert_cmpstr(ch_code_name(fault.error.code), ==,
-                    ch_code_name(row->code));
+    g_assert_cmpstr(ch_code_get_name(fault.error.code), ==,
+                    ch_code_get_name(row->code));
     g_assert_cmpstr(fault.field, ==, row->field);
     g_assert_cmpstr(fault.error.message, !=, "");
-    g_assert_cmpint(ch_code_http(row->code) / 100, ==, 4);
-    g_assert_cmpint(ch_code_outcome(row->code), ==, CH_NOT_RUN);
+    g_assert_cmpint(ch_code_get_http_status(row->code) / 100, ==, 4);
+    g_assert_cmpint(ch_code_get_outcome(row->code), ==, CH_NOT_RUN);
     ch_declaration_free(declaration);
 }
 
@@ -217,22 +217,22 @@
 
 static const struct valid_case valid_cases[] = {
     {"plain", INPUT(.key = NULL), "/v1/completions", "m01", NULL, false, true,
-     CH_REQUEST_USUAL_TOKENS, NOW + 400000},
+     CH_REQUEST_DEFAULT_TOKENS, NOW + 400000},
     {"adapter, stream, bound",
      INPUT(
          BODY("{\"model\":\"m01-a2\",\"prompt\":[\"x\",\"y\"],\"stream\":true,"
               "\"max_tokens\":9,\"unknown\":{\"a\":[null]}}")),
      "/v1/completions", "m01", "m01-a2", true, true, 9, NOW + 400000},
     {"nulls", INPUT(WITH("\"max_tokens\":null,\"stream\":null")),
-     "/v1/completions", "m01", NULL, false, true, CH_REQUEST_USUAL_TOKENS,
+     "/v1/completions", "m01", NULL, false, true, CH_REQUEST_DEFAULT_TOKENS,
      NOW + 400000},
     {"chat, parts",
      INPUT(CHAT("[{\"role\":\"user\",\"content\":[{\"type\":\"text\",\"text\":"
                 "\"x\"}]},{\"role\":\"assistant\",\"content\":null}]")),
-     "/v1/chat/completions", "m01", NULL, false, true, CH_REQUEST_USUAL_TOKENS,
-     NOW + 400000},
+     "/v1/chat/completions", "m01", NULL, false, true,
+     CH_REQUEST_DEFAULT_TOKENS, NOW + 400000},
     {"a deadline before the target", INPUT(.deadline_ms = "100"),
-     "/v1/completions", "m01", NULL, false, true, CH_REQUEST_USUAL_TOKENS,
+     "/v1/completions", "m01", NULL, false, true, CH_REQUEST_DEFAULT_TOKENS,
      NOW + 100000},
     {"an order", INPUT(ORDER, .key = "k 1"), "/cut", "orders", NULL, false,
      false, 0, NOW + 900000},
@@ -257,10 +257,11 @@
     g_assert_cmpstr(request->adapter, ==, row->adapter);
     g_assert_cmpstr(request->key, ==, input.key);
     g_assert_cmpint(request->stream, ==, row->stream);
-    g_assert_cmpint(request->work.idempotent, ==, row->idempotent);
-    g_assert_cmpuint(request->work.max_output_tokens, ==, row->output_tokens);
-    g_assert_cmpint(request->work.first_token_deadline, ==, row->first_by);
-    g_assert_cmpmem(request->body, request->length, input.body, input.length);
+    g_assert_cmpint(request->info.idempotent, ==, row->idempotent);
+    g_assert_cmpuint(request->info.max_output_tokens, ==, row->output_tokens);
+    g_assert_cmpint(request->info.first_token_deadline, ==, row->first_by);
+    g_assert_cmpmem(request->body, request->body_length, input.body,
+                    input.body_length);
     ch_request_free(request);
     ch_declaration_free(declaration);
 }
--- a/tests/unit/test_route.c
+++ b/tests/unit/test_route.c
@@ -76,12 +76,12 @@
     struct ch_error error = {0};
     struct ch_declaration *first = parse_valid();
     struct ch_declaration *second =
-        ch_declaration_parse(first->text, "f.ini", &error);
+        ch_declaration_parse(first->canonical_text, "f.ini", &error);
     g_assert_cmpstr(error.message, ==, "");
-    g_assert_cmpstr(first->text, ==, second->text);
+    g_assert_cmpstr(first->canonical_text, ==, second->canonical_text);
     g_assert_cmpuint(second->limits.body_bytes, ==, 4096);
     g_assert_cmpint(second->limits.idle_time, ==, 15000000);
-    g_assert_cmpuint(second->models[0].numbered_adapters, ==, 3);
+    g_assert_cmpuint(second->models[0].numbered_adapter_count, ==, 3);
     ch_declaration_free(first);
     ch_declaration_free(second);
 }
@@ -103,9 +103,9 @@
 {
     struct ch_declaration *parsed = parse_valid();
     for (size_t i = 0; i < G_N_ELEMENTS(route_cases); i++) {
-        int index = ch_declaration_route(parsed, route_cases[i].host,
-                                         route_cases[i].path,
-                                         strlen(route_cases[i].path));
+        int index = ch_declaration_find_route(parsed, route_cases[i].host,
+                                              route_cases[i].path,
+                                              strlen(route_cases[i].path));
         g_assert_cmpstr(index < 0 ? NULL : parsed->classes[index].name, ==,
                         route_cases[i].expect);
     }
@@ -148,7 +148,7 @@
         input->request_id = request_cases[i].id;
         input->model = request_cases[i].model;
         input->deadline_ms = request_cases[i].deadline;
-        input->passed =
+        input->forwarded_headers =
             g_array_new(FALSE, FALSE, sizeof(struct ch_http_header));
         struct ch_request *request =
             ch_request_parse_routed(parsed, input, 1000, &fault);
@@ -159,7 +159,7 @@
             g_assert_cmpstr(request->path, ==, request_cases[i].uri);
             ch_request_free(request);
         }
-        g_array_free(input->passed, TRUE);
+        g_array_free(input->forwarded_headers, TRUE);
         g_free(input);
     }
     ch_declaration_free(parsed);
@@ -183,14 +183,14 @@
         input->request_id = "i1";
         input->model = "m1";
         input->deadline_ms = rows[i].deadline;
-        input->passed =
+        input->forwarded_headers =
             g_array_new(FALSE, FALSE, sizeof(struct ch_http_header));
         struct ch_request *request =
             ch_request_parse_routed(parsed, input, 7, &fault);
         g_assert_nonnull(request);
         g_assert_cmpint(request->deadline - 7, ==, rows[i].expect);
         ch_request_free(request);
-        g_array_free(input->passed, TRUE);
+        g_array_free(input->forwarded_headers, TRUE);
         g_free(input);
     }
     ch_declaration_free(parsed);
--- a/tests/unit/test_settings.c
+++ b/tests/unit/test_settings.c
@@ -106,9 +106,9 @@
     g_assert_cmpint(settings->log_level, ==, CH_LOG_INFO);
     g_assert_false(settings->fencing);
     g_assert_cmpuint(settings->once_slots, ==, 64);
-    g_assert_cmpuint(settings->max_body, ==, 1048576);
+    g_assert_cmpuint(settings->max_body_bytes, ==, 1048576);
     g_assert_cmpfloat(settings->retry_share, ==, 0.1);
-    g_assert_cmpfloat(settings->link_mbit, ==, 30);
+    g_assert_cmpfloat(settings->region_link_mbit_per_s, ==, 30);
     g_assert_cmpuint(settings->drain_ms, ==, 3000);
     ch_settings_free(settings);
 }
@@ -130,9 +130,9 @@
     g_assert_cmpuint(settings->workers, ==, 2);
     g_assert_cmpint(settings->log_level, ==, CH_LOG_ERR);
     g_assert_true(settings->fencing);
-    g_assert_cmpuint(settings->max_body, ==, 2048);
+    g_assert_cmpuint(settings->max_body_bytes, ==, 2048);
     g_assert_cmpfloat(settings->loads_per_s, ==, 0.5);
-    g_assert_cmpfloat(settings->link_mbit, ==, 0);
+    g_assert_cmpfloat(settings->region_link_mbit_per_s, ==, 0);
     ch_settings_free(settings);
 }
 
@@ -141,16 +141,20 @@
     const char *key;
     size_t member;
 } policy_switches[] = {
-    {"whole-fleet", offsetof(struct ch_without, whole_fleet)},
-    {"several-victims", offsetof(struct ch_without, several_victims)},
-    {"move-apart", offsetof(struct ch_without, move_apart)},
-    {"near-copies", offsetof(struct ch_without, near_copies)},
-    {"pledges", offsetof(struct ch_without, pledges)},
-    {"adapters-ahead", offsetof(struct ch_without, adapters_ahead)},
-    {"wait-for-model", offsetof(struct ch_without, wait_for_model)},
-    {"refuse-late", offsetof(struct ch_without, refuse_late)},
-    {"pace-prompts", offsetof(struct ch_without, pace_prompts)},
-    {"learnt-speeds", offsetof(struct ch_without, learnt_speeds)},
+    {"whole-fleet", offsetof(struct ch_disabled_features, fleet_wide_search)},
+    {"several-victims",
+     offsetof(struct ch_disabled_features, several_evictions)},
+    {"move-apart",
+     offsetof(struct ch_disabled_features, spread_last_replicas)},
+    {"near-copies", offsetof(struct ch_disabled_features, local_copies_first)},
+    {"pledges", offsetof(struct ch_disabled_features, reservations)},
+    {"adapters-ahead",
+     offsetof(struct ch_disabled_features, preload_adapters)},
+    {"wait-for-model", offsetof(struct ch_disabled_features, wait_for_model)},
+    {"refuse-late", offsetof(struct ch_disabled_features, refuse_late)},
+    {"pace-prompts", offsetof(struct ch_disabled_features, defer_prompts)},
+    {"learnt-speeds",
+     offsetof(struct ch_disabled_features, measured_service_times)},
 };
 
 /* Appends the key of a disabled feature, "+" for an enabled one. */
@@ -161,18 +165,18 @@
 }
 
 /* Each key disables its own feature and no other, and
- * ch_settings_each_policy reports this.  By default, and if a key is set to
+ * ch_settings_foreach_policy reports this.  By default, and if a key is set to
  * on, no feature is disabled. */
 static void
 test_policy(void)
 {
-    const struct ch_without all_enabled = {0};
+    const struct ch_disabled_features all_enabled = {0};
     G_STATIC_ASSERT(G_N_ELEMENTS(policy_switches) == sizeof(all_enabled));
     for (size_t i = 0; i < 2 * G_N_ELEMENTS(policy_switches); i++) {
         const char *key = policy_switches[i / 2].key;
         bool disabled = i % 2 == 1;
         struct ch_error error = {0};
-        struct ch_without expect = all_enabled;
+        struct ch_disabled_features expect = all_enabled;
         g_autoptr(GString) reported = g_string_new(NULL);
         g_autofree char *text = g_strdup_printf(GOOD "[policy]\n%s = %s\n",
                                                 key, disabled ? "off" : "on");
@@ -181,9 +185,9 @@
         g_test_message("%s %s", key, disabled ? "off" : "on");
         g_assert_cmpstr(error.message, ==, "");
         ((bool *)&expect)[policy_switches[i / 2].member] = disabled;
-        g_assert_cmpmem(&settings->without, sizeof(expect), &expect,
+        g_assert_cmpmem(&settings->disabled_features, sizeof(expect), &expect,
                         sizeof(expect));
-        ch_settings_each_policy(settings, append_switch, reported);
+        ch_settings_foreach_policy(settings, append_switch, reported);
         g_assert_cmpuint(reported->len, ==,
                          G_N_ELEMENTS(policy_switches) +
                              (disabled ? strlen(key) - 1 : 0));
--- a/tests/unit/test_spread.c
+++ b/tests/unit/test_spread.c
@@ -39,7 +39,7 @@
 } environment;
 
 bool
-ch_peers_is_near(struct ch_peers *peers, const char *name)
+ch_peers_is_same_region(struct ch_peers *peers, const char *name)
 {
     (void)peers, (void)name;
     return environment.is_local;
@@ -56,14 +56,14 @@
 }
 
 bool
-ch_peers_listed(struct ch_peers *peers)
+ch_peers_has_list(struct ch_peers *peers)
 {
     (void)peers;
     return true;
 }
 
 char **
-ch_peers_live(struct ch_peers *peers)
+ch_peers_list_live(struct ch_peers *peers)
 {
     (void)peers;
     return g_strdupv((char *[]){"n1", NULL});
@@ -103,11 +103,11 @@
 }
 
 void
-ch_peers_handle(struct ch_peers *peers,
-                Chestnuthitch__Wire__Frame__BodyCase body,
-                void (*handle)(void *data,
-                               const Chestnuthitch__Wire__Frame *frame),
-                void *data)
+ch_peers_set_handler(struct ch_peers *peers,
+                     Chestnuthitch__Wire__Frame__BodyCase body,
+                     void (*handle)(void *data,
+                                    const Chestnuthitch__Wire__Frame *frame),
+                     void *data)
 {
     (void)peers, (void)data;
     if (body == WIRE(FRAME__BODY_CONFIG_PULL)) {
@@ -147,7 +147,7 @@
     environment.requests = 0;
     environment.watcher_node = "other";
     environment.packed = g_byte_array_new();
-    node->config = ch_config_keeper_new(node);
+    node->config = ch_config_manager_new(node);
     Chestnuthitch__Wire__ConfigPush push = WIRE(CONFIG_PUSH__INIT);
     Chestnuthitch__Wire__Frame frame = WIRE(FRAME__INIT);
     push.revision = 5;
@@ -160,7 +160,7 @@
 static void
 node_clear(struct ch_node *node)
 {
-    ch_config_keeper_free(node->config);
+    ch_config_manager_free(node->config);
     g_byte_array_free(environment.packed, TRUE);
 }
 
@@ -202,9 +202,11 @@
         node_init(&node, &client, &settings);
         environment.is_local = pull_cases[i].is_local;
         environment.entry_node = pull_cases[i].entry_node ? "n1" : "other";
-        ch_config_keeper_learn(node.config, pull_cases[i].revision, "n2");
+        ch_config_manager_note_revision(node.config, pull_cases[i].revision,
+                                        "n2");
         environment.now += (int64_t)pull_cases[i].waited_ms * US_PER_MS;
-        ch_config_keeper_learn(node.config, pull_cases[i].revision, "n3");
+        ch_config_manager_note_revision(node.config, pull_cases[i].revision,
+                                        "n3");
         g_assert_cmpuint(environment.requests, ==, pull_cases[i].pulls);
         for (unsigned j = 0; j < environment.requests; j++) {
             environment.done(environment.data, CH_PEER_TIMEOUT, NULL);
@@ -223,7 +225,7 @@
     struct ch_client client;
     struct ch_settings settings;
     node_init(&node, &client, &settings);
-    struct ch_config *first = ch_config_keeper_current(node.config);
+    struct ch_config *first = ch_config_manager_get_current(node.config);
     Chestnuthitch__Wire__ConfigPull pull = WIRE(CONFIG_PULL__INIT);
     Chestnuthitch__Wire__ConfigPush push = WIRE(CONFIG_PUSH__INIT);
     Chestnuthitch__Wire__Frame frame = WIRE(FRAME__INIT);
@@ -231,16 +233,17 @@
     frame.config_pull = &pull;
     environment.pull(node.config, &frame);
     environment.is_local = true;
-    ch_config_keeper_learn(node.config, 6, "n2");
+    ch_config_manager_note_revision(node.config, 6, "n2");
     push.revision = 6;
     push.packed.data = environment.packed->data;
     push.packed.len = environment.packed->len;
     frame.body_case = WIRE(FRAME__BODY_CONFIG_PUSH);
     frame.config_push = &push;
     environment.done(environment.data, CH_OK, &frame);
-    struct ch_config *config = ch_config_keeper_current(node.config);
+    struct ch_config *config = ch_config_manager_get_current(node.config);
     g_assert_cmpuint(config->revision, ==, 6);
-    g_assert_cmpstr(config->declaration->text, ==, first->declaration->text);
+    g_assert_cmpstr(config->declaration->canonical_text, ==,
+                    first->declaration->canonical_text);
     ch_config_unref(first);
     ch_config_unref(config);
     node_clear(&node);
@@ -270,7 +273,7 @@
         frame.config_push = &push;
         environment.push(node.config, &frame);
         g_assert_cmpuint(environment.lines, ==, push_cases[i].lines);
-        struct ch_config *config = ch_config_keeper_current(node.config);
+        struct ch_config *config = ch_config_manager_get_current(node.config);
         g_assert_cmpuint(config->revision, ==, 5);
         ch_config_unref(config);
         node_clear(&node);
@@ -308,13 +311,13 @@
 /* Replies with revision 6 to the first watch only. */
 static void
 reply_once(struct ch_kv *kv, const char *key, uint64_t revision, int64_t wait,
-           void (*done)(void *data, const struct ch_kv_answer *answer),
+           void (*done)(void *data, const struct ch_kv_result *answer),
            void *data)
 {
     (void)kv, (void)key, (void)revision, (void)wait;
-    struct ch_kv_answer answer = {.code = CH_KV_MISSING};
+    struct ch_kv_result answer = {.code = CH_KV_MISSING};
     if (parallel.watches++ == 0) {
-        answer = (struct ch_kv_answer){
+        answer = (struct ch_kv_result){
             .code = CH_OK, .value = "v", .length = 1, .revision = 6};
     }
     done(data, &answer);
@@ -323,11 +326,11 @@
 /* Replies to scheduled reads that there is no value. */
 static void
 reply_missing(struct ch_kv *kv, const char *key,
-              void (*done)(void *data, const struct ch_kv_answer *answer),
+              void (*done)(void *data, const struct ch_kv_result *answer),
               void *data)
 {
     (void)kv, (void)key;
-    const struct ch_kv_answer answer = {.code = CH_KV_MISSING};
+    const struct ch_kv_result answer = {.code = CH_KV_MISSING};
     done(data, &answer);
 }
 
@@ -338,8 +341,8 @@
     (void)value, (void)length;
     Chestnuthitch__Wire__ConfigPush push = WIRE(CONFIG_PUSH__INIT);
     Chestnuthitch__Wire__Frame frame = WIRE(FRAME__INIT);
-    ch_config_keeper_learn(parallel.node->config,
-                           parallel_cases[parallel.row].offered, "n2");
+    ch_config_manager_note_revision(
+        parallel.node->config, parallel_cases[parallel.row].offered, "n2");
     parallel.pulls = environment.requests;
     environment.lines = 0;
     push.revision = parallel_cases[parallel.row].offered;
@@ -371,7 +374,7 @@
 {
     static const struct ch_kv_ops ops = {.get = reply_missing,
                                          .watch = reply_once};
-    static const struct ch_dialect dialect = {.config_text =
+    static const struct ch_dialect dialect = {.extract_config =
                                                   offer_while_parsing};
     struct ch_kv kv = {.ops = &ops};
     struct ch_node node;
@@ -387,7 +390,7 @@
     memset(&parallel, 0, sizeof(parallel));
     parallel.node = &node;
     parallel.row = row;
-    ch_config_keeper_start(node.config);
+    ch_config_manager_start(node.config);
     for (int i = 0; i < 3000 && !g_atomic_int_get(&parallel.offered); i++) {
         g_usleep(US_PER_MS);
     }
@@ -397,8 +400,8 @@
     while (!g_atomic_int_get(&done_flag)) {
         g_usleep(US_PER_MS);
     }
-    ch_config_keeper_learn(node.config, 6, "n3");
-    ch_config_keeper_stop(node.config);
+    ch_config_manager_note_revision(node.config, 6, "n3");
+    ch_config_manager_stop(node.config);
     ch_timers_stop(node.timers);
     ch_pool_free(node.pool);
     ch_timers_free(node.timers);
@@ -409,7 +412,7 @@
     for (unsigned i = 0; i < environment.requests; i++) {
         environment.done(environment.data, CH_PEER_TIMEOUT, NULL);
     }
-    struct ch_config *config = ch_config_keeper_current(node.config);
+    struct ch_config *config = ch_config_manager_get_current(node.config);
     g_assert_cmpuint(config->revision, ==, parallel_cases[row].in_force);
     ch_config_unref(config);
     node_clear(&node);
@@ -432,21 +435,21 @@
 {
     struct ch_error error = {0};
     char *large = g_strnfill((gsize)2 * MAX_BYTES, 'x');
-    GBytes *packed = ch_pack(large, strlen(large));
+    GBytes *packed = ch_compress(large, strlen(large));
     gsize length = 0;
     const void *bytes = g_bytes_get_data(packed, &length);
     g_assert_cmpuint(length, <, MAX_BYTES / 100);
-    g_assert_null(ch_unpack(bytes, length, MAX_BYTES, NULL, &error));
+    g_assert_null(ch_decompress(bytes, length, MAX_BYTES, NULL, &error));
     g_assert_cmpint(error.code, ==, CH_FRAME_TOO_LARGE);
     error = (struct ch_error){0};
     g_assert_null(
-        ch_unpack(bytes, length / 2, (size_t)4 * MAX_BYTES, NULL, &error));
+        ch_decompress(bytes, length / 2, (size_t)4 * MAX_BYTES, NULL, &error));
     g_assert_cmpint(error.code, ==, CH_FRAME_DAMAGED);
     error = (struct ch_error){0};
-    g_assert_null(ch_unpack("text", 4, MAX_BYTES, NULL, &error));
+    g_assert_null(ch_decompress("text", 4, MAX_BYTES, NULL, &error));
     g_assert_cmpint(error.code, ==, CH_FRAME_DAMAGED);
     char *decompressed =
-        ch_unpack(bytes, length, (size_t)2 * MAX_BYTES, NULL, &error);
+        ch_decompress(bytes, length, (size_t)2 * MAX_BYTES, NULL, &error);
     g_assert_cmpstr(decompressed, ==, large);
     g_free(decompressed);
     g_free(large);
--- a/tests/unit/test_sse.c
+++ b/tests/unit/test_sse.c
@@ -44,7 +44,7 @@
     const struct split_case *row = data;
     size_t length = strlen(row->bytes);
     for (size_t split_at = 0; split_at <= length + 1; split_at++) {
-        struct ch_sse sse;
+        struct ch_sse_parser sse;
         GString *joined = g_string_new(NULL);
         ch_sse_init(&sse);
         if (split_at <= length) {
@@ -71,11 +71,11 @@
 {
     static const char *const lines[] = {"data: xxxxxxxxxxxxxx", "data: x\n"};
     for (size_t i = 0; i < G_N_ELEMENTS(lines); i++) {
-        struct ch_sse sse;
+        struct ch_sse_parser sse;
         GString *joined = g_string_new(NULL);
         bool ok = true;
         ch_sse_init(&sse);
-        for (size_t fed_bytes = 0; fed_bytes <= CH_SSE_MOST_BYTES + 32;
+        for (size_t fed_bytes = 0; fed_bytes <= CH_SSE_MAX_EVENT_BYTES + 32;
              fed_bytes += strlen(lines[i])) {
             ok = ch_sse_feed(&sse, lines[i], strlen(lines[i]), join, joined);
         }
@@ -83,7 +83,7 @@
         g_assert_false(ch_sse_feed(&sse, "\n\n", 2, join, joined));
         g_assert_cmpuint(joined->len, ==, 0);
         g_assert_cmpuint(sse.event->len + sse.line->len, <=,
-                         CH_SSE_MOST_BYTES + 1);
+                         CH_SSE_MAX_EVENT_BYTES + 1);
         ch_sse_clear(&sse);
         g_string_free(joined, TRUE);
     }
--- a/tests/unit/test_table.c
+++ b/tests/unit/test_table.c
@@ -34,7 +34,7 @@
         g_assert_null(ch_table_get(table, handles[i]));
         g_assert_null(ch_table_remove(table, handles[i]));
     }
-    g_assert_cmpuint(ch_table_count(table), ==, 0);
+    g_assert_cmpuint(ch_table_get_count(table), ==, 0);
     ch_table_free(table);
 }
 
@@ -74,9 +74,9 @@
         live_count--;
     }
     size_t visited = 0;
-    ch_table_each(table, count_item, &visited);
+    ch_table_foreach(table, count_item, &visited);
     g_assert_cmpuint(visited, ==, live_count);
-    g_assert_cmpuint(ch_table_count(table), ==, live_count);
+    g_assert_cmpuint(ch_table_get_count(table), ==, live_count);
     ch_table_free(table);
     g_rand_free(rand);
 }
--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -110,7 +110,7 @@
     Chestnuthitch__Wire__ConfigPush push = WIRE(CONFIG_PUSH__INIT);
     struct ch_error error = {0};
     GByteArray *out = g_byte_array_new();
-    char *text = g_strnfill(CH_WIRE_MOST_BYTES, 'x');
+    char *text = g_strnfill(CH_WIRE_MAX_FRAME_BYTES, 'x');
     frame.from = (char *)"e01";
     frame.body_case = WIRE(FRAME__BODY_CONFIG_PUSH);
     frame.config_push = &push;
