--- a/cli/node.c
+++ b/cli/node.c
@@ -2,7 +2,7 @@
 
 #include "cli.h"
 
-#include "fleet.h"
+#include "platform_dialect.h"
 
 #include <signal.h>
 #include <stdio.h>
--- a/libchestnuthitch/node/admin.c
+++ b/libchestnuthitch/node/admin.c
@@ -1,7 +1,7 @@
 /* The operators' HTTP listener: health, metrics, status and the configuration.
  */
 
-#include "node/crash_keeper.h"
+#include "node/crash_guard.h"
 #include "base/json.h"
 #include "base/ini.h"
 
--- a/libchestnuthitch/node/balancer.c
+++ b/libchestnuthitch/node/balancer.c
@@ -10,7 +10,7 @@
 #include "decide/balance.h"
 #include "decide/late.h"
 #include "node/controller.h"
-#include "node/crash_keeper.h"
+#include "node/crash_guard.h"
 #include "node/dialect.h"
 #include "node/roster.h"
 
--- a/libchestnuthitch/node/pack.c
+++ b/libchestnuthitch/node/compress.c
@@ -5,7 +5,7 @@
  * copies fill that link for seconds, and requests that cross it are delayed.
  */
 
-#include "node/pack.h"
+#include "node/compress.h"
 
 #include <gio/gio.h>
 
@@ -15,7 +15,7 @@
     READ_CHUNK_BYTES = 64 * 1024,
 };
 
-/* See pack.h. */
+/* See compress.h. */
 GBytes *
 ch_compress(const void *bytes, size_t length)
 {
@@ -65,7 +65,7 @@
     return true;
 }
 
-/* See pack.h. */
+/* See compress.h. */
 char *
 ch_decompress(const void *bytes, size_t length, size_t max_bytes,
               size_t *text_length, struct ch_error *error)
--- a/libchestnuthitch/node/config_keeper.c
+++ b/libchestnuthitch/node/config_manager.c
@@ -10,7 +10,7 @@
  * those.
  */
 
-#include "node/pack.h"
+#include "node/compress.h"
 #include "node/dialect.h"
 #include "node/kv_call.h"
 
--- a/libchestnuthitch/node/controller_internal.h
+++ b/libchestnuthitch/node/controller_internal.h
@@ -13,7 +13,7 @@
 #include "decide/placement.h"
 #include "decide/order.h"
 #include "decide/window.h"
-#include "node/claim.h"
+#include "node/lease.h"
 #include "node/controller.h"
 #include "node/dialect.h"
 
--- a/libchestnuthitch/node/crash_keeper.c
+++ b/libchestnuthitch/node/crash_guard.c
@@ -249,7 +249,7 @@
                                  GUINT_TO_POINTER(upstream));
 }
 
-/* See crash_keeper.h. */
+/* See crash_guard.h. */
 void
 ch_crash_guard_record_interrupted(struct ch_crash_guard *guard,
                                   const struct ch_request *request,
@@ -291,7 +291,7 @@
     }
 }
 
-/* See crash_keeper.h. */
+/* See crash_guard.h. */
 void
 ch_crash_guard_record_refused(struct ch_crash_guard *guard, GQuark upstream)
 {
@@ -308,7 +308,7 @@
     pthread_mutex_unlock(&guard->lock);
 }
 
-/* See crash_keeper.h. */
+/* See crash_guard.h. */
 void
 ch_crash_guard_record_response(struct ch_crash_guard *guard, GQuark upstream,
                                int64_t sent_at)
@@ -337,7 +337,7 @@
     return is_known;
 }
 
-/* See crash_keeper.h. */
+/* See crash_guard.h. */
 void
 ch_crash_guard_record_complete(struct ch_crash_guard *guard,
                                const struct ch_request *request)
@@ -359,7 +359,7 @@
     }
 }
 
-/* See crash_keeper.h. */
+/* See crash_guard.h. */
 bool
 ch_crash_guard_is_barred(struct ch_crash_guard *guard,
                          const struct ch_request *request)
@@ -376,7 +376,7 @@
     return assessment.state == CH_CRASH_BARRED;
 }
 
-/* See crash_keeper.h. */
+/* See crash_guard.h. */
 void
 ch_crash_guard_update_upstreams(
     struct ch_crash_guard *guard,
@@ -404,7 +404,7 @@
     pthread_mutex_unlock(&guard->lock);
 }
 
-/* See crash_keeper.h. */
+/* See crash_guard.h. */
 bool
 ch_crash_guard_is_ready(struct ch_crash_guard *guard)
 {
@@ -422,7 +422,7 @@
 
 /* ---- operators ---- */
 
-/* See crash_keeper.h. */
+/* See crash_guard.h. */
 bool
 ch_crash_guard_release(struct ch_crash_guard *guard,
                        const struct ch_digest *digest)
@@ -482,7 +482,7 @@
     json_builder_end_object(builder);
 }
 
-/* See crash_keeper.h. */
+/* See crash_guard.h. */
 void
 ch_crash_guard_write_status(struct ch_crash_guard *guard, JsonBuilder *builder)
 {
--- a/libchestnuthitch/node/crash_internal.h
+++ b/libchestnuthitch/node/crash_internal.h
@@ -5,7 +5,7 @@
    dispatch), crash_publish.c (messages between nodes) and crash_record.c
    (records in the key-value store). One lock protects all of it. */
 
-#include "node/crash_keeper.h"
+#include "node/crash_guard.h"
 
 #include <pthread.h>
 
--- a/libchestnuthitch/node/hangup.c
+++ b/libchestnuthitch/node/disconnect.c
@@ -1,6 +1,6 @@
 /* One thread with an epoll set of the sockets of waiting callers. */
 
-#include "node/hangup.h"
+#include "node/disconnect.h"
 
 #include <errno.h>
 #include <pthread.h>
--- a/libchestnuthitch/node/exchange.c
+++ b/libchestnuthitch/node/exchange.c
@@ -2,7 +2,7 @@
 
 #include "node/exchange.h"
 
-#include "node/crash_keeper.h"
+#include "node/crash_guard.h"
 
 enum {
     /* A request that crashed upstreams is likely to crash others if it is
--- a/libchestnuthitch/node/exchange.h
+++ b/libchestnuthitch/node/exchange.h
@@ -12,7 +12,7 @@
  * deadline timer hold one each.
  */
 
-#include "node/front.h"
+#include "node/frontend.h"
 
 enum {
     /* Limit of a plain response, which is one that is not a stream. It is
--- a/libchestnuthitch/node/exchange_call.c
+++ b/libchestnuthitch/node/exchange_call.c
@@ -3,7 +3,7 @@
 
 #include "node/exchange.h"
 
-#include "node/crash_keeper.h"
+#include "node/crash_guard.h"
 
 #include <string.h>
 
--- a/libchestnuthitch/node/front.c
+++ b/libchestnuthitch/node/frontend.c
@@ -5,10 +5,10 @@
  */
 
 #include "base/annotate.h"
-#include "node/crash_keeper.h"
+#include "node/crash_guard.h"
 #include "node/exchange.h"
-#include "node/hangup.h"
-#include "node/intake.h"
+#include "node/disconnect.h"
+#include "node/incoming_request.h"
 #include "node/listener.h"
 #include "node/local.h"
 #include "node/refusal.h"
--- a/libchestnuthitch/node/front.h
+++ b/libchestnuthitch/node/frontend.h
@@ -6,7 +6,7 @@
 
 #include "node/dialect.h"
 #include "node/node.h"
-#include "node/reply.h"
+#include "node/response.h"
 #include "node/request.h"
 
 #include <pthread.h>
--- a/libchestnuthitch/node/intake.c
+++ b/libchestnuthitch/node/incoming_request.c
@@ -1,6 +1,6 @@
 /* Receives a request's head and body within size limits. */
 
-#include "node/intake.h"
+#include "node/incoming_request.h"
 
 #include <string.h>
 #include <strings.h>
--- a/libchestnuthitch/node/intake.h
+++ b/libchestnuthitch/node/incoming_request.h
@@ -3,7 +3,7 @@
 
 /* A request while it is being received. */
 
-#include "node/front.h"
+#include "node/frontend.h"
 
 enum {
     /* Connection memory beyond the request's head: libmicrohttpd's buffers,
--- a/libchestnuthitch/node/claim.c
+++ b/libchestnuthitch/node/lease.c
@@ -1,6 +1,6 @@
 /* Leases, each stored as a key under a lease of the key-value store. */
 
-#include "node/claim.h"
+#include "node/lease.h"
 
 #include "node/kv_call.h"
 
@@ -68,7 +68,7 @@
     g_free(lease);
 }
 
-/* See claim.h. */
+/* See lease.h. */
 struct ch_lease *
 ch_lease_new(struct ch_node *node, const char *key, int64_t handover_pause)
 {
@@ -90,7 +90,7 @@
     }
 }
 
-/* See claim.h. */
+/* See lease.h. */
 bool
 ch_lease_is_held(struct ch_lease *lease, uint64_t *fencing_token)
 {
@@ -267,7 +267,7 @@
     lease_unref(lease);
 }
 
-/* See claim.h. */
+/* See lease.h. */
 void
 ch_lease_update(struct ch_lease *lease, bool wanted)
 {
@@ -324,7 +324,7 @@
     g_free(release);
 }
 
-/* See claim.h. */
+/* See lease.h. */
 int64_t
 ch_lease_get_renewal_age(struct ch_lease *lease)
 {
@@ -334,7 +334,7 @@
     return age;
 }
 
-/* See claim.h. */
+/* See lease.h. */
 void
 ch_lease_release(struct ch_lease *lease, int64_t delay)
 {
--- a/libchestnuthitch/node/claim.h
+++ b/libchestnuthitch/node/lease.h
@@ -1,5 +1,5 @@
-#ifndef CH_NODE_CLAIM_H
-#define CH_NODE_CLAIM_H
+#ifndef CH_NODE_LEASE_H
+#define CH_NODE_LEASE_H
 
 /*
  * A lease that one node at a time holds to do something, stored as a key under
--- a/libchestnuthitch/node/ledger_internal.h
+++ b/libchestnuthitch/node/ledger_internal.h
@@ -7,7 +7,7 @@
  * to the engine) share.
  */
 
-#include "node/ledger_holding.h"
+#include "node/upstream_ledger.h"
 
 #include <pthread.h>
 
--- a/libchestnuthitch/node/ledger_keeper.c
+++ b/libchestnuthitch/node/ledger_manager.c
@@ -1,6 +1,6 @@
 /* The ledgers of the upstreams whose home is this node. */
 
-#include "node/ledger_holding.h"
+#include "node/upstream_ledger.h"
 
 #include <pthread.h>
 
--- a/libchestnuthitch/node/local.h
+++ b/libchestnuthitch/node/local.h
@@ -3,7 +3,7 @@
 
 /* Requests that this node answers without an upstream. */
 
-#include "node/intake.h"
+#include "node/incoming_request.h"
 
 /* True when the path is one of the node's own, which is then answered. */
 bool ch_local_serve(struct ch_frontend *frontend,
--- a/libchestnuthitch/node/node.c
+++ b/libchestnuthitch/node/node.c
@@ -2,7 +2,7 @@
 
 #include "node/dialect.h"
 #include "node/balancer.h"
-#include "node/crash_keeper.h"
+#include "node/crash_guard.h"
 #include "node/homes_internal.h"
 
 #include <ck_pr.h>
--- a/libchestnuthitch/node/reply.c
+++ b/libchestnuthitch/node/response.c
@@ -5,7 +5,7 @@
  * held only the HTTP library's locks are taken.
  */
 
-#include "node/reply.h"
+#include "node/response.h"
 
 #include <pthread.h>
 #include <stdio.h>
--- a/libchestnuthitch/node/roster_tell.c
+++ b/libchestnuthitch/node/roster_publish.c
@@ -1,6 +1,6 @@
 /* Messages between nodes: watchers publish changes of the roster. */
 
-#include "node/pack.h"
+#include "node/compress.h"
 #include "node/roster_internal.h"
 #include "wire/wire.h"
 
--- a/libchestnuthitch/upstream/ask.c
+++ b/libchestnuthitch/upstream/control.c
@@ -1,6 +1,6 @@
 /* Sends orders to upstreams and fetches their reports, over HTTP. */
 
-#include "upstream/ask.h"
+#include "upstream/control.h"
 
 enum {
     /* A report has some hundred items and orders of a hundred bytes each. */
--- a/libchestnuthitch/upstream/ask.h
+++ b/libchestnuthitch/upstream/control.h
@@ -1,5 +1,5 @@
-#ifndef CH_UPSTREAM_ASK_H
-#define CH_UPSTREAM_ASK_H
+#ifndef CH_UPSTREAM_CONTROL_H
+#define CH_UPSTREAM_CONTROL_H
 
 /*
  * Sends orders and fetches reports over HTTP; shared by the clients of
--- a/libchestnuthitch/upstream/engine.c
+++ b/libchestnuthitch/upstream/engine.c
@@ -1,6 +1,6 @@
 /* Client of a model engine: calls, orders and reports over HTTP. */
 
-#include "upstream/ask.h"
+#include "upstream/control.h"
 #include "base/json.h"
 #include "upstream/call.h"
 #include "upstream/report.h"
--- a/tests/bench/bench_config.c
+++ b/tests/bench/bench_config.c
@@ -6,7 +6,7 @@
 
 #include "base/json.h"
 #include "json.h"
-#include "node/pack.h"
+#include "node/compress.h"
 
 #include <fcntl.h>
 #include <malloc.h>
--- a/tests/threaded/fake_crashes.h
+++ b/tests/threaded/fake_crashes.h
@@ -4,7 +4,7 @@
 /* A crash guard for tests of a single node. It bars requests from a given
  * check on, and counts what it is told. */
 
-#include "node/crash_keeper.h"
+#include "node/crash_guard.h"
 
 struct ch_crash_guard {
     int allowed_checks; /* checks that find a request not barred; atomic */
--- a/tests/threaded/test_crashes.c
+++ b/tests/threaded/test_crashes.c
@@ -1,6 +1,6 @@
 /* Nodes that exchange crash observations over real connections on loopback. */
 
-#include "node/crash_keeper.h"
+#include "node/crash_guard.h"
 
 #include <string.h>
 
--- a/tests/threaded/test_exchange.c
+++ b/tests/threaded/test_exchange.c
@@ -6,7 +6,7 @@
 
 #include "node/exchange.h"
 #include "node/dialect.h"
-#include "node/front.h"
+#include "node/frontend.h"
 #include "node/listener.h"
 #include "threaded/fake_crashes.h"
 
--- a/tests/threaded/test_front.c
+++ b/tests/threaded/test_front.c
@@ -4,7 +4,7 @@
  * refuses every request and counts them.
  */
 
-#include "node/front.h"
+#include "node/frontend.h"
 #include "node/listener.h"
 #include "threaded/fake_crashes.h"
 
--- a/tests/threaded/test_roster.c
+++ b/tests/threaded/test_roster.c
@@ -5,7 +5,7 @@
 
 #include "decide/revision.h"
 #include "node/dialect.h"
-#include "node/pack.h"
+#include "node/compress.h"
 #include "node/roster.h"
 
 #include <pthread.h>
--- a/tests/threaded/test_store.c
+++ b/tests/threaded/test_store.c
@@ -1,7 +1,7 @@
 /* Tests the clients of the platform's store and workers against a server that
  * sends scripted responses. */
 
-#include "fleet.h"
+#include "platform_dialect.h"
 
 #include <arpa/inet.h>
 #include <pthread.h>
--- a/tests/unit/test_platform.c
+++ b/tests/unit/test_platform.c
@@ -1,7 +1,7 @@
 /* Tests the conversion of the platform's configuration, host entries and
  * request headers. */
 
-#include "fleet.h"
+#include "platform_dialect.h"
 
 #include "config.h"
 
--- a/tests/unit/test_spread.c
+++ b/tests/unit/test_spread.c
@@ -4,7 +4,7 @@
  * the cases set.
  */
 
-#include "node/pack.h"
+#include "node/compress.h"
 #include "node/dialect.h"
 #include "node/node.h"
 
