--- a/libchestnuthitch/node/config_manager.c
+++ b/libchestnuthitch/node/config_manager.c
@@ -108,58 +108,59 @@
 
 /* Adds a reference, for a call or timer in progress. */
 static struct ch_config_manager *
-keeper_add_reference(struct ch_config_manager *keeper)
+manager_add_reference(struct ch_config_manager *manager)
 {
-    g_atomic_int_inc(&keeper->references);
-    return keeper;
+    g_atomic_int_inc(&manager->references);
+    return manager;
 }
 
-/* Drops a reference; frees the keeper with the last one. */
+/* Drops a reference; frees the manager with the last one. */
 static void
-keeper_drop_reference(struct ch_config_manager *keeper)
+manager_drop_reference(struct ch_config_manager *manager)
 {
-    if (!g_atomic_int_dec_and_test(&keeper->references)) {
+    if (!g_atomic_int_dec_and_test(&manager->references)) {
         return;
     }
-    if (keeper->current != NULL) {
-        ch_config_unref(keeper->current);
+    if (manager->current != NULL) {
+        ch_config_unref(manager->current);
     }
-    g_bytes_unref(keeper->compressed);
-    pthread_mutex_destroy(&keeper->lock);
-    g_free(keeper);
+    g_bytes_unref(manager->compressed);
+    pthread_mutex_destroy(&manager->lock);
+    g_free(manager);
 }
 
 /* ---- applying a revision ---- */
 
 /* See node.h. */
 struct ch_config *
-ch_config_manager_get_current(struct ch_config_manager *keeper)
+ch_config_manager_get_current(struct ch_config_manager *manager)
 {
-    pthread_mutex_lock(&keeper->lock);
+    pthread_mutex_lock(&manager->lock);
     struct ch_config *config =
-        keeper->current == NULL ? NULL : ch_config_ref(keeper->current);
-    pthread_mutex_unlock(&keeper->lock);
+        manager->current == NULL ? NULL : ch_config_ref(manager->current);
+    pthread_mutex_unlock(&manager->lock);
     return config;
 }
 
 /* The revision in force; 0: none. */
 static uint64_t
-current_revision(struct ch_config_manager *keeper)
+current_revision(struct ch_config_manager *manager)
 {
-    pthread_mutex_lock(&keeper->lock);
+    pthread_mutex_lock(&manager->lock);
     uint64_t revision =
-        keeper->current == NULL ? 0 : keeper->current->revision;
-    pthread_mutex_unlock(&keeper->lock);
+        manager->current == NULL ? 0 : manager->current->revision;
+    pthread_mutex_unlock(&manager->lock);
     return revision;
 }
 
 /* The revision in force, or a higher one that is being parsed. Lock held. */
 static uint64_t
-known_revision(const struct ch_config_manager *keeper)
+known_revision(const struct ch_config_manager *manager)
 {
-    uint64_t current = keeper->current == NULL ? 0 : keeper->current->revision;
-    return ch_revision_is_newer(current, keeper->parsing_revision)
-               ? keeper->parsing_revision
+    uint64_t current =
+        manager->current == NULL ? 0 : manager->current->revision;
+    return ch_revision_is_newer(current, manager->parsing_revision)
+               ? manager->parsing_revision
                : current;
 }
 
@@ -174,35 +175,35 @@
  * brings it again.
  */
 static bool
-begin_applying(struct ch_config_manager *keeper, uint64_t revision)
+begin_applying(struct ch_config_manager *manager, uint64_t revision)
 {
-    pthread_mutex_lock(&keeper->lock);
-    bool begin = ch_revision_is_newer(known_revision(keeper), revision);
+    pthread_mutex_lock(&manager->lock);
+    bool begin = ch_revision_is_newer(known_revision(manager), revision);
     if (begin) {
-        keeper->parsing_revision = revision;
+        manager->parsing_revision = revision;
     }
-    pthread_mutex_unlock(&keeper->lock);
+    pthread_mutex_unlock(&manager->lock);
     return begin;
 }
 
 /* Ends what begin_applying registered; the parsing of a higher revision may
  * have begun meanwhile. */
 static void
-end_applying(struct ch_config_manager *keeper, uint64_t revision)
+end_applying(struct ch_config_manager *manager, uint64_t revision)
 {
-    pthread_mutex_lock(&keeper->lock);
-    if (keeper->parsing_revision == revision) {
-        keeper->parsing_revision = 0;
+    pthread_mutex_lock(&manager->lock);
+    if (manager->parsing_revision == revision) {
+        manager->parsing_revision = 0;
     }
-    pthread_mutex_unlock(&keeper->lock);
+    pthread_mutex_unlock(&manager->lock);
 }
 
 /* Notifies a few nodes of the new revision, which all messages of this node
  * carry now; nodes that are behind then pull it. */
 static void
-notify_others(struct ch_config_manager *keeper)
+notify_others(struct ch_config_manager *manager)
 {
-    struct ch_node *node = keeper->node;
+    struct ch_node *node = manager->node;
     g_auto(GStrv) live = ch_peers_list_live(node->peers);
     guint count = g_strv_length(live);
     for (guint i = 0; i < NOTIFIED_NODES && count > 0; i++) {
@@ -213,7 +214,7 @@
         Chestnuthitch__Wire__ConfigPull pull =
             CHESTNUTHITCH__WIRE__CONFIG_PULL__INIT;
         Chestnuthitch__Wire__Frame frame = CHESTNUTHITCH__WIRE__FRAME__INIT;
-        pull.above = current_revision(keeper);
+        pull.above = current_revision(manager);
         frame.body_case = CHESTNUTHITCH__WIRE__FRAME__BODY_CONFIG_PULL;
         frame.config_pull = &pull;
         ch_peers_send(node->peers, name, &frame);
@@ -222,20 +223,20 @@
 
 /* Puts the config (owned) into force if its revision is higher. */
 static void
-apply_config(struct ch_config_manager *keeper, struct ch_config *config)
+apply_config(struct ch_config_manager *manager, struct ch_config *config)
 {
-    struct ch_node *node = keeper->node;
+    struct ch_node *node = manager->node;
     struct ch_config *old = config;
-    pthread_mutex_lock(&keeper->lock);
-    uint64_t known = keeper->current == NULL ? 0 : keeper->current->revision;
+    pthread_mutex_lock(&manager->lock);
+    uint64_t known = manager->current == NULL ? 0 : manager->current->revision;
     bool newer = ch_revision_is_newer(known, config->revision);
     if (newer) {
-        old = keeper->current;
-        keeper->current = config;
-        g_bytes_unref(keeper->compressed);
-        keeper->compressed = NULL;
+        old = manager->current;
+        manager->current = config;
+        g_bytes_unref(manager->compressed);
+        manager->compressed = NULL;
     }
-    pthread_mutex_unlock(&keeper->lock);
+    pthread_mutex_unlock(&manager->lock);
     if (newer) {
         if (node->client->metrics != NULL) {
             ch_metrics_add_count(node->client->metrics,
@@ -244,7 +245,7 @@
         ch_log(node->client, CH_LOG_NOTICE, "config-in-force",
                CH_F_INT("revision", config->revision),
                CH_F_STR("author", config->author), CH_F_END);
-        notify_others(keeper);
+        notify_others(manager);
     }
     if (old != NULL) {
         ch_config_unref(old);
@@ -254,31 +255,31 @@
 /* Puts a revision into force from its parts. A text that this node can't parse
  * leaves the configuration in force as it is. */
 static void
-apply_parts(struct ch_config_manager *keeper, uint64_t revision,
+apply_parts(struct ch_config_manager *manager, uint64_t revision,
             const char *token, const char *author, const char *text)
 {
     struct ch_error error = {0};
-    if (!ch_revision_is_newer(current_revision(keeper), revision)) {
+    if (!ch_revision_is_newer(current_revision(manager), revision)) {
         return;
     }
     struct ch_declaration *declaration =
         ch_declaration_parse(text, CONFIG_KEY, &error);
     if (declaration == NULL) {
-        ch_log(keeper->node->client, CH_LOG_ERR, "config-unreadable",
+        ch_log(manager->node->client, CH_LOG_ERR, "config-unreadable",
                CH_F_INT("revision", revision),
                CH_F_STR("message", error.message), CH_F_END);
         return;
     }
-    apply_config(keeper, ch_config_new(revision, token, author, declaration));
+    apply_config(manager, ch_config_new(revision, token, author, declaration));
 }
 
 /* The record in a value of the key-value store, or a record made of the
  * platform's own format there; NULL with an error. */
 static struct ch_revision_record *
-parse_record(const struct ch_config_manager *keeper,
+parse_record(const struct ch_config_manager *manager,
              const struct ch_kv_result *answer, struct ch_error *error)
 {
-    const struct ch_dialect *dialect = keeper->node->dialect;
+    const struct ch_dialect *dialect = manager->node->dialect;
     if (dialect == NULL || dialect->extract_config == NULL) {
         return ch_revision_record_parse(answer->value, answer->length, error);
     }
@@ -298,55 +299,55 @@
  * which its streams pause; so the revision is compared first.
  */
 static bool
-apply_value(struct ch_config_manager *keeper,
+apply_value(struct ch_config_manager *manager,
             const struct ch_kv_result *answer)
 {
     struct ch_error error = {0};
-    if (!begin_applying(keeper, answer->revision)) {
+    if (!begin_applying(manager, answer->revision)) {
         return true;
     }
-    struct ch_revision_record *record = parse_record(keeper, answer, &error);
+    struct ch_revision_record *record = parse_record(manager, answer, &error);
     if (record == NULL) {
-        ch_log(keeper->node->client, CH_LOG_ERR, "config-unreadable",
+        ch_log(manager->node->client, CH_LOG_ERR, "config-unreadable",
                CH_F_INT("revision", answer->revision),
                CH_F_STR("message", error.message), CH_F_END);
     }
     else {
-        apply_parts(keeper, answer->revision, record->write_id, record->author,
-                    record->text);
+        apply_parts(manager, answer->revision, record->write_id,
+                    record->author, record->text);
     }
-    end_applying(keeper, answer->revision);
+    end_applying(manager, answer->revision);
     ch_revision_record_free(record);
     return record != NULL;
 }
 
 /* ---- from the key-value store: watch and read ---- */
 
-static void begin_watch(struct ch_config_manager *keeper);
+static void begin_watch(struct ch_config_manager *manager);
 
 /* Ends a watch. After a failure the next watch waits for a backoff, so that
  * the key-value store can recover under the calls of all nodes; likewise while
  * there is no configuration to read. */
 static void
-end_watch(struct ch_config_manager *keeper, enum ch_code code)
+end_watch(struct ch_config_manager *manager, enum ch_code code)
 {
-    pthread_mutex_lock(&keeper->lock);
-    bool no_change = code == CH_KV_MISSING && keeper->current != NULL;
-    keeper->watch_in_progress = false;
+    pthread_mutex_lock(&manager->lock);
+    bool no_change = code == CH_KV_MISSING && manager->current != NULL;
+    manager->watch_in_progress = false;
     if (code == CH_OK || no_change) {
-        keeper->backoff = 0;
+        manager->backoff = 0;
     }
     else {
-        if (keeper->backoff == 0) {
-            ch_log(keeper->node->client, CH_LOG_WARNING, "config-unreachable",
+        if (manager->backoff == 0) {
+            ch_log(manager->node->client, CH_LOG_WARNING, "config-unreachable",
                    CH_F_INT("code", code), CH_F_END);
         }
-        keeper->backoff =
-            CLAMP(keeper->backoff * 2, MIN_BACKOFF_US, MAX_BACKOFF_US);
-        keeper->next_watch_at =
-            ch_client_get_time(keeper->node->client) + keeper->backoff;
+        manager->backoff =
+            CLAMP(manager->backoff * 2, MIN_BACKOFF_US, MAX_BACKOFF_US);
+        manager->next_watch_at =
+            ch_client_get_time(manager->node->client) + manager->backoff;
     }
-    pthread_mutex_unlock(&keeper->lock);
+    pthread_mutex_unlock(&manager->lock);
 }
 
 /* Handles the reply to a watch. After a value, the next watch follows at
@@ -354,17 +355,17 @@
 static void
 handle_watch(void *data, const struct ch_kv_result *answer)
 {
-    struct ch_config_manager *keeper = data;
+    struct ch_config_manager *manager = data;
     enum ch_code code = answer->code;
-    if (code == CH_OK && !apply_value(keeper, answer)) {
+    if (code == CH_OK && !apply_value(manager, answer)) {
         code =
             CH_KV_UNREACHABLE; /* the next watch waits, as after a failure */
     }
-    end_watch(keeper, code);
+    end_watch(manager, code);
     if (code == CH_OK) {
-        begin_watch(keeper);
+        begin_watch(manager);
     }
-    keeper_drop_reference(keeper);
+    manager_drop_reference(manager);
 }
 
 /*
@@ -373,11 +374,11 @@
  * node yet, watches the key-value store, which counts every call.
  */
 static bool
-is_role_known(const struct ch_config_manager *keeper)
+is_role_known(const struct ch_config_manager *manager)
 {
-    const struct ch_node *node = keeper->node;
+    const struct ch_node *node = manager->node;
     return ch_peers_has_list(node->peers) ||
-           ch_client_get_time(node->client) - keeper->started_at >=
+           ch_client_get_time(node->client) - manager->started_at >=
                HOST_LIST_TIMEOUT_US;
 }
 
@@ -385,27 +386,28 @@
  * parsed or the backoff has not passed. The other nodes learn of a revision
  * from the watchers, and from scheduled reads. */
 static void
-begin_watch(struct ch_config_manager *keeper)
+begin_watch(struct ch_config_manager *manager)
 {
-    struct ch_node *node = keeper->node;
+    struct ch_node *node = manager->node;
     bool is_watcher =
-        is_role_known(keeper) &&
+        is_role_known(manager) &&
         ch_peers_has_role(node->peers, "config-watch", WATCHER_COUNT, NULL);
-    pthread_mutex_lock(&keeper->lock);
+    pthread_mutex_lock(&manager->lock);
     uint64_t revision =
-        keeper->current == NULL ? 0 : keeper->current->revision;
-    bool begin = is_watcher && !keeper->stopped &&
-                 !keeper->watch_in_progress && keeper->parsing_revision == 0 &&
-                 ch_client_get_time(node->client) >= keeper->next_watch_at;
+        manager->current == NULL ? 0 : manager->current->revision;
+    bool begin = is_watcher && !manager->stopped &&
+                 !manager->watch_in_progress &&
+                 manager->parsing_revision == 0 &&
+                 ch_client_get_time(node->client) >= manager->next_watch_at;
     if (begin) {
-        keeper->watch_in_progress = true;
-        keeper_add_reference(keeper);
+        manager->watch_in_progress = true;
+        manager_add_reference(manager);
     }
-    pthread_mutex_unlock(&keeper->lock);
+    pthread_mutex_unlock(&manager->lock);
     if (begin) {
         ch_kv_call_watch(node, CONFIG_KEY, revision,
                          g_random_int_range(MIN_WATCH_US, MAX_WATCH_US),
-                         handle_watch, keeper);
+                         handle_watch, manager);
     }
 }
 
@@ -414,14 +416,14 @@
 static void
 handle_read(void *data, const struct ch_kv_result *answer)
 {
-    struct ch_config_manager *keeper = data;
+    struct ch_config_manager *manager = data;
     if (answer->code == CH_OK) {
-        (void)apply_value(keeper, answer);
+        (void)apply_value(manager, answer);
     }
-    pthread_mutex_lock(&keeper->lock);
-    keeper->read_in_progress = false;
-    pthread_mutex_unlock(&keeper->lock);
-    keeper_drop_reference(keeper);
+    pthread_mutex_lock(&manager->lock);
+    manager->read_in_progress = false;
+    pthread_mutex_unlock(&manager->lock);
+    manager_drop_reference(manager);
 }
 
 /*
@@ -432,37 +434,37 @@
  * asked by then. Lock held.
  */
 static bool
-should_read_on_return(struct ch_config_manager *keeper, int64_t now)
+should_read_on_return(struct ch_config_manager *manager, int64_t now)
 {
     bool should_read =
-        g_atomic_int_get(&keeper->node->predecessor_listed) != 0 &&
-        keeper->current == NULL && !keeper->return_read_done &&
-        now - keeper->started_at >= RETURN_READ_DELAY_US;
-    keeper->return_read_done = keeper->return_read_done || should_read;
+        g_atomic_int_get(&manager->node->predecessor_listed) != 0 &&
+        manager->current == NULL && !manager->return_read_done &&
+        now - manager->started_at >= RETURN_READ_DELAY_US;
+    manager->return_read_done = manager->return_read_done || should_read;
     return should_read;
 }
 
 /* Reads the configuration if this node's read is due; see READ_PERIOD_US. */
 static void
-read_if_due(struct ch_config_manager *keeper)
+read_if_due(struct ch_config_manager *manager)
 {
-    struct ch_node *node = keeper->node;
+    struct ch_node *node = manager->node;
     g_auto(GStrv) live = ch_peers_list_live(node->peers);
     int64_t now = ch_client_get_time(node->client);
     int64_t period = (int64_t)READ_PERIOD_US * MAX(g_strv_length(live), 1U);
-    pthread_mutex_lock(&keeper->lock);
-    bool begin = !keeper->stopped && !keeper->read_in_progress &&
-                 keeper->parsing_revision == 0 && is_role_known(keeper) &&
-                 (should_read_on_return(keeper, now) ||
-                  ch_poll_schedule_is_due(&keeper->turn, period,
+    pthread_mutex_lock(&manager->lock);
+    bool begin = !manager->stopped && !manager->read_in_progress &&
+                 manager->parsing_revision == 0 && is_role_known(manager) &&
+                 (should_read_on_return(manager, now) ||
+                  ch_poll_schedule_is_due(&manager->turn, period,
                                           g_random_double(), now));
     if (begin) {
-        keeper->read_in_progress = true;
-        keeper_add_reference(keeper);
+        manager->read_in_progress = true;
+        manager_add_reference(manager);
     }
-    pthread_mutex_unlock(&keeper->lock);
+    pthread_mutex_unlock(&manager->lock);
     if (begin) {
-        ch_kv_call_get(node, CONFIG_KEY, handle_read, keeper);
+        ch_kv_call_get(node, CONFIG_KEY, handle_read, manager);
     }
 }
 
@@ -470,11 +472,11 @@
 
 /* Puts the configuration of a ConfigPush into force. */
 static void
-apply_push(struct ch_config_manager *keeper,
+apply_push(struct ch_config_manager *manager,
            const Chestnuthitch__Wire__ConfigPush *push)
 {
     if (push->packed.len == 0) {
-        apply_parts(keeper, push->revision, push->token, push->author,
+        apply_parts(manager, push->revision, push->token, push->author,
                     push->text);
         return;
     }
@@ -482,27 +484,27 @@
     char *text = ch_decompress(push->packed.data, push->packed.len,
                                MAX_TEXT_BYTES, NULL, &error);
     if (text == NULL) {
-        ch_log(keeper->node->client, CH_LOG_ERR, "config-unreadable",
+        ch_log(manager->node->client, CH_LOG_ERR, "config-unreadable",
                CH_F_INT("revision", push->revision),
                CH_F_STR("message", error.message), CH_F_END);
         return;
     }
-    apply_parts(keeper, push->revision, push->token, push->author, text);
+    apply_parts(manager, push->revision, push->token, push->author, text);
     g_free(text);
 }
 
 /* Puts the ConfigPush of a message into force, unless it is not needed. */
 static void
-receive_push(struct ch_config_manager *keeper,
+receive_push(struct ch_config_manager *manager,
              const Chestnuthitch__Wire__Frame *frame)
 {
     if (frame->body_case != CHESTNUTHITCH__WIRE__FRAME__BODY_CONFIG_PUSH) {
         return;
     }
     uint64_t revision = frame->config_push->revision;
-    if (begin_applying(keeper, revision)) {
-        apply_push(keeper, frame->config_push);
-        end_applying(keeper, revision);
+    if (begin_applying(manager, revision)) {
+        apply_push(manager, frame->config_push);
+        end_applying(manager, revision);
     }
 }
 
@@ -511,42 +513,42 @@
 handle_pull_reply(void *data, enum ch_code code,
                   const Chestnuthitch__Wire__Frame *reply)
 {
-    struct ch_config_manager *keeper = data;
+    struct ch_config_manager *manager = data;
     if (code == CH_OK && reply != NULL) {
-        receive_push(keeper, reply);
+        receive_push(manager, reply);
     }
-    pthread_mutex_lock(&keeper->lock);
-    keeper->pulls--;
-    pthread_mutex_unlock(&keeper->lock);
-    keeper_drop_reference(keeper);
+    pthread_mutex_lock(&manager->lock);
+    manager->pulls--;
+    pthread_mutex_unlock(&manager->lock);
+    manager_drop_reference(manager);
 }
 
 /* Pulls from a node, unless another node was asked just now. A node that is
  * disconnected or paused thus delays the newest revision by
  * PULL_RETRY_DELAY_US at most. */
 static void
-begin_pull(struct ch_config_manager *keeper, const char *from)
+begin_pull(struct ch_config_manager *manager, const char *from)
 {
     Chestnuthitch__Wire__ConfigPull pull =
         CHESTNUTHITCH__WIRE__CONFIG_PULL__INIT;
     Chestnuthitch__Wire__Frame frame = CHESTNUTHITCH__WIRE__FRAME__INIT;
-    pthread_mutex_lock(&keeper->lock);
-    int64_t now = ch_client_get_time(keeper->node->client);
-    bool begin = !keeper->stopped && keeper->pulls < MAX_PULLS &&
-                 (keeper->pulls == 0 ||
-                  now >= keeper->last_pull_at + PULL_RETRY_DELAY_US);
+    pthread_mutex_lock(&manager->lock);
+    int64_t now = ch_client_get_time(manager->node->client);
+    bool begin = !manager->stopped && manager->pulls < MAX_PULLS &&
+                 (manager->pulls == 0 ||
+                  now >= manager->last_pull_at + PULL_RETRY_DELAY_US);
     if (begin) {
-        keeper->pulls++;
-        keeper->last_pull_at = now;
-        keeper_add_reference(keeper);
-        pull.above = keeper->current == NULL ? 0 : keeper->current->revision;
+        manager->pulls++;
+        manager->last_pull_at = now;
+        manager_add_reference(manager);
+        pull.above = manager->current == NULL ? 0 : manager->current->revision;
     }
-    pthread_mutex_unlock(&keeper->lock);
+    pthread_mutex_unlock(&manager->lock);
     if (begin) {
         frame.body_case = CHESTNUTHITCH__WIRE__FRAME__BODY_CONFIG_PULL;
         frame.config_pull = &pull;
-        ch_peers_request(keeper->node->peers, from, &frame, PULL_TIMEOUT_US,
-                         handle_pull_reply, keeper);
+        ch_peers_request(manager->node->peers, from, &frame, PULL_TIMEOUT_US,
+                         handle_pull_reply, manager);
     }
 }
 
@@ -559,10 +561,10 @@
  * of their region had the revision within LOCAL_COPY_TIMEOUT_US.
  */
 static bool
-may_pull_from(struct ch_config_manager *keeper, uint64_t revision,
+may_pull_from(struct ch_config_manager *manager, uint64_t revision,
               const char *from)
 {
-    const struct ch_node *node = keeper->node;
+    const struct ch_node *node = manager->node;
     const struct ch_settings *own = node->settings;
     if (ch_peers_is_same_region(node->peers, from) ||
         ch_peers_has_role(node->peers, "config-entry", ENTRY_NODES,
@@ -570,52 +572,52 @@
         return true;
     }
     int64_t now = ch_client_get_time(node->client);
-    pthread_mutex_lock(&keeper->lock);
-    if (ch_revision_is_newer(keeper->remote_revision, revision)) {
-        keeper->remote_revision = revision;
-        keeper->remote_since = now;
+    pthread_mutex_lock(&manager->lock);
+    if (ch_revision_is_newer(manager->remote_revision, revision)) {
+        manager->remote_revision = revision;
+        manager->remote_since = now;
     }
-    bool has_waited = now >= keeper->remote_since + LOCAL_COPY_TIMEOUT_US;
-    pthread_mutex_unlock(&keeper->lock);
+    bool has_waited = now >= manager->remote_since + LOCAL_COPY_TIMEOUT_US;
+    pthread_mutex_unlock(&manager->lock);
     return has_waited;
 }
 
 /* A message carried a revision: pulls it if it is higher. */
 void
-ch_config_manager_note_revision(struct ch_config_manager *keeper,
+ch_config_manager_note_revision(struct ch_config_manager *manager,
                                 uint64_t revision, const char *from)
 {
-    pthread_mutex_lock(&keeper->lock);
-    uint64_t known = known_revision(keeper);
-    pthread_mutex_unlock(&keeper->lock);
+    pthread_mutex_lock(&manager->lock);
+    uint64_t known = known_revision(manager);
+    pthread_mutex_unlock(&manager->lock);
     if (ch_revision_is_newer(known, revision) &&
-        may_pull_from(keeper, revision, from)) {
-        begin_pull(keeper, from);
+        may_pull_from(manager, revision, from)) {
+        begin_pull(manager, from);
     }
 }
 
 /* The compressed text of the config, compressed once for all nodes that ask; a
  * new reference. */
 static GBytes *
-compress_config(struct ch_config_manager *keeper,
+compress_config(struct ch_config_manager *manager,
                 const struct ch_config *config)
 {
-    pthread_mutex_lock(&keeper->lock);
+    pthread_mutex_lock(&manager->lock);
     GBytes *compressed =
-        keeper->current == config && keeper->compressed != NULL
-            ? g_bytes_ref(keeper->compressed)
+        manager->current == config && manager->compressed != NULL
+            ? g_bytes_ref(manager->compressed)
             : NULL;
-    pthread_mutex_unlock(&keeper->lock);
+    pthread_mutex_unlock(&manager->lock);
     if (compressed != NULL) {
         return compressed;
     }
     compressed = ch_compress(config->declaration->canonical_text,
                              strlen(config->declaration->canonical_text));
-    pthread_mutex_lock(&keeper->lock);
-    if (keeper->current == config && keeper->compressed == NULL) {
-        keeper->compressed = g_bytes_ref(compressed);
+    pthread_mutex_lock(&manager->lock);
+    if (manager->current == config && manager->compressed == NULL) {
+        manager->compressed = g_bytes_ref(compressed);
     }
-    pthread_mutex_unlock(&keeper->lock);
+    pthread_mutex_unlock(&manager->lock);
     return compressed;
 }
 
@@ -623,19 +625,19 @@
 static void
 handle_pull(void *data, const Chestnuthitch__Wire__Frame *frame)
 {
-    struct ch_config_manager *keeper = data;
+    struct ch_config_manager *manager = data;
     Chestnuthitch__Wire__Frame reply = CHESTNUTHITCH__WIRE__FRAME__INIT;
     Chestnuthitch__Wire__ConfigPush push =
         CHESTNUTHITCH__WIRE__CONFIG_PUSH__INIT;
     Chestnuthitch__Wire__Done done = CHESTNUTHITCH__WIRE__DONE__INIT;
-    struct ch_config *config = ch_config_manager_get_current(keeper);
+    struct ch_config *config = ch_config_manager_get_current(manager);
     GBytes *compressed = NULL;
     if (config != NULL &&
         ch_revision_is_newer(frame->config_pull->above, config->revision)) {
         push.revision = config->revision;
         push.token = config->write_id;
         push.author = config->author;
-        compressed = compress_config(keeper, config);
+        compressed = compress_config(manager, config);
         push.packed.data = (uint8_t *)(uintptr_t)g_bytes_get_data(
             compressed, &push.packed.len);
         reply.body_case = CHESTNUTHITCH__WIRE__FRAME__BODY_CONFIG_PUSH;
@@ -645,7 +647,7 @@
         reply.body_case = CHESTNUTHITCH__WIRE__FRAME__BODY_DONE;
         reply.done = &done;
     }
-    ch_peers_reply(keeper->node->peers, frame->from, frame->id, &reply);
+    ch_peers_reply(manager->node->peers, frame->from, frame->id, &reply);
     g_bytes_unref(compressed);
     if (config != NULL) {
         ch_config_unref(config);
@@ -662,12 +664,12 @@
 /* While no configuration is known, asks one node after another: a new node may
  * start while the key-value store is unavailable. */
 static void
-ask_others(struct ch_config_manager *keeper)
+ask_others(struct ch_config_manager *manager)
 {
-    const struct ch_node *node = keeper->node;
-    pthread_mutex_lock(&keeper->lock);
-    bool known = known_revision(keeper) != 0;
-    pthread_mutex_unlock(&keeper->lock);
+    const struct ch_node *node = manager->node;
+    pthread_mutex_lock(&manager->lock);
+    bool known = known_revision(manager) != 0;
+    pthread_mutex_unlock(&manager->lock);
     if (known) {
         return;
     }
@@ -677,7 +679,7 @@
     for (guint i = 0; i < count; i++) {
         const char *name = live[(first + i) % count];
         if (strcmp(name, node->settings->name) != 0) {
-            begin_pull(keeper, name);
+            begin_pull(manager, name);
             return;
         }
     }
@@ -690,26 +692,26 @@
 static void
 tick(void *data)
 {
-    struct ch_config_manager *keeper = data;
-    begin_watch(keeper);
-    read_if_due(keeper);
-    ask_others(keeper);
-    pthread_mutex_lock(&keeper->lock);
-    bool is_rescheduled = !keeper->stopped;
+    struct ch_config_manager *manager = data;
+    begin_watch(manager);
+    read_if_due(manager);
+    ask_others(manager);
+    pthread_mutex_lock(&manager->lock);
+    bool is_rescheduled = !manager->stopped;
     if (is_rescheduled) {
-        keeper->timer =
-            ch_timers_add(keeper->node->timers, TICK_US, tick, keeper);
+        manager->timer =
+            ch_timers_add(manager->node->timers, TICK_US, tick, manager);
     }
-    pthread_mutex_unlock(&keeper->lock);
+    pthread_mutex_unlock(&manager->lock);
     if (!is_rescheduled) {
-        keeper_drop_reference(keeper);
+        manager_drop_reference(manager);
     }
 }
 
 /* ---- an operator's write ---- */
 
 struct apply {
-    struct ch_config_manager *keeper;
+    struct ch_config_manager *manager;
     struct ch_revision_write write;
     char *author;
     char *text;
@@ -726,7 +728,7 @@
 {
     ch_revision_write_clear(&apply->write);
     ch_revision_record_free(apply->read);
-    keeper_drop_reference(apply->keeper);
+    manager_drop_reference(apply->manager);
     g_free(apply->author);
     g_free(apply->text);
     g_free(apply->bytes);
@@ -758,14 +760,15 @@
         }
     }
     if (step == CH_REVISION_ACCEPTED) {
-        apply_parts(apply->keeper, apply->write.revision,
+        apply_parts(apply->manager, apply->write.revision,
                     apply->write.write_id, apply->author, apply->text);
     }
     if (apply->read != NULL) {
-        apply_parts(apply->keeper, apply->read_revision, apply->read->write_id,
-                    apply->read->author, apply->read->text);
+        apply_parts(apply->manager, apply->read_revision,
+                    apply->read->write_id, apply->read->author,
+                    apply->read->text);
     }
-    struct ch_config *config = ch_config_manager_get_current(apply->keeper);
+    struct ch_config *config = ch_config_manager_get_current(apply->manager);
     apply->done(apply->data, &error, config);
     if (config != NULL) {
         ch_config_unref(config);
@@ -792,7 +795,7 @@
     enum ch_code code = answer->code;
     if (code == CH_OK) {
         struct ch_revision_record *record =
-            parse_record(apply->keeper, answer, NULL);
+            parse_record(apply->manager, answer, NULL);
         ch_revision_record_free(apply->read);
         apply->read = record;
         apply->read_revision = answer->revision;
@@ -823,10 +826,10 @@
 static void
 apply_run_step(struct apply *apply, enum ch_revision_step step)
 {
-    struct ch_node *node = apply->keeper->node;
-    pthread_mutex_lock(&apply->keeper->lock);
-    bool stopped = apply->keeper->stopped;
-    pthread_mutex_unlock(&apply->keeper->lock);
+    struct ch_node *node = apply->manager->node;
+    pthread_mutex_lock(&apply->manager->lock);
+    bool stopped = apply->manager->stopped;
+    pthread_mutex_unlock(&apply->manager->lock);
     if (stopped && (step == CH_REVISION_READ || step == CH_REVISION_WRITE)) {
         apply_finish(apply, apply->write.writes_sent > 0
                                 ? CH_REVISION_OUTCOME_UNKNOWN
@@ -849,14 +852,14 @@
 
 /* A write ID that no other write of any process has. */
 static char *
-new_write_id(struct ch_config_manager *keeper)
+new_write_id(struct ch_config_manager *manager)
 {
-    pthread_mutex_lock(&keeper->lock);
-    uint64_t number = ++keeper->write_count;
-    pthread_mutex_unlock(&keeper->lock);
+    pthread_mutex_lock(&manager->lock);
+    uint64_t number = ++manager->write_count;
+    pthread_mutex_unlock(&manager->lock);
     return g_strdup_printf(
         "%s-%" G_GINT64_MODIFIER "x-%" G_GINT64_MODIFIER "x",
-        keeper->node->settings->name, keeper->node->incarnation, number);
+        manager->node->settings->name, manager->node->incarnation, number);
 }
 
 /*
@@ -866,7 +869,7 @@
  * invalid.
  */
 void
-ch_config_manager_apply(struct ch_config_manager *keeper, const char *text,
+ch_config_manager_apply(struct ch_config_manager *manager, const char *text,
                         const char *author, uint64_t base,
                         void (*done)(void *data, const struct ch_error *error,
                                      struct ch_config *config),
@@ -879,9 +882,9 @@
         done(data, &error, NULL);
         return;
     }
-    g_autofree char *token = new_write_id(keeper);
+    g_autofree char *token = new_write_id(manager);
     struct apply *apply = g_new0(struct apply, 1);
-    apply->keeper = keeper_add_reference(keeper);
+    apply->manager = manager_add_reference(manager);
     apply->author = g_strdup(author);
     apply->text = g_strdup(declaration->canonical_text);
     apply->done = done;
@@ -893,50 +896,50 @@
 
 /* ---- lifetime ---- */
 
-/* Creates a keeper without a configuration and registers its message handlers
- * with the node's peers; node outlives the keeper. */
+/* Creates a manager without a configuration and registers its message handlers
+ * with the node's peers; node outlives the manager. */
 struct ch_config_manager *
 ch_config_manager_new(struct ch_node *node)
 {
-    struct ch_config_manager *keeper = g_new0(struct ch_config_manager, 1);
-    keeper->node = node;
-    keeper->references = 1;
-    pthread_mutex_init(&keeper->lock, NULL);
+    struct ch_config_manager *manager = g_new0(struct ch_config_manager, 1);
+    manager->node = node;
+    manager->references = 1;
+    pthread_mutex_init(&manager->lock, NULL);
     ch_peers_set_handler(node->peers,
                          CHESTNUTHITCH__WIRE__FRAME__BODY_CONFIG_PULL,
-                         handle_pull, keeper);
+                         handle_pull, manager);
     ch_peers_set_handler(node->peers,
                          CHESTNUTHITCH__WIRE__FRAME__BODY_CONFIG_PUSH,
-                         handle_push, keeper);
-    return keeper;
+                         handle_push, manager);
+    return manager;
 }
 
 /* Starts the periodic work. */
 void
-ch_config_manager_start(struct ch_config_manager *keeper)
+ch_config_manager_start(struct ch_config_manager *manager)
 {
-    keeper->started_at = ch_client_get_time(keeper->node->client);
-    ch_pool_submit(keeper->node->pool, tick, keeper_add_reference(keeper));
+    manager->started_at = ch_client_get_time(manager->node->client);
+    ch_pool_submit(manager->node->pool, tick, manager_add_reference(manager));
 }
 
 /* Stops the periodic work; calls in progress run to their end. */
 void
-ch_config_manager_stop(struct ch_config_manager *keeper)
+ch_config_manager_stop(struct ch_config_manager *manager)
 {
-    pthread_mutex_lock(&keeper->lock);
-    keeper->stopped = true;
-    uint64_t timer = keeper->timer;
-    pthread_mutex_unlock(&keeper->lock);
-    if (timer != 0 && ch_timers_cancel(keeper->node->timers, timer)) {
-        keeper_drop_reference(keeper);
+    pthread_mutex_lock(&manager->lock);
+    manager->stopped = true;
+    uint64_t timer = manager->timer;
+    pthread_mutex_unlock(&manager->lock);
+    if (timer != 0 && ch_timers_cancel(manager->node->timers, timer)) {
+        manager_drop_reference(manager);
     }
 }
 
-/* Drops the node's reference; keeper may be NULL. */
+/* Drops the node's reference; manager may be NULL. */
 void
-ch_config_manager_free(struct ch_config_manager *keeper)
+ch_config_manager_free(struct ch_config_manager *manager)
 {
-    if (keeper != NULL) {
-        keeper_drop_reference(keeper);
+    if (manager != NULL) {
+        manager_drop_reference(manager);
     }
 }
--- a/libchestnuthitch/node/exchange.h
+++ b/libchestnuthitch/node/exchange.h
@@ -94,13 +94,14 @@
 };
 
 /* Takes ownership of request; takes a reference to response. */
-void ch_exchange_start(struct ch_frontend *front, struct ch_request *request,
+void ch_exchange_start(struct ch_frontend *frontend,
+                       struct ch_request *request,
                        struct ch_response *response);
 
 /* ---- exchange_lifetime.c ---- */
 
 /* Returns a new exchange with the reference that it holds while it runs. */
-struct ch_exchange *ch_exchange_new(struct ch_frontend *front,
+struct ch_exchange *ch_exchange_new(struct ch_frontend *frontend,
                                     struct ch_request *request,
                                     struct ch_response *response);
 struct ch_exchange *ch_exchange_ref(struct ch_exchange *exchange);
--- a/libchestnuthitch/node/home_ledger.c
+++ b/libchestnuthitch/node/home_ledger.c
@@ -170,7 +170,7 @@
     effects_run(homes, &effects);
 }
 
-/* Handlers for the ledger keeper, to be called with the homes as data. */
+/* Handlers for the ledger manager, to be called with the homes as data. */
 const struct ch_ledger_handlers *
 home_ledger_handlers(void)
 {
--- a/libchestnuthitch/node/kv_call.c
+++ b/libchestnuthitch/node/kv_call.c
@@ -1,5 +1,5 @@
 /* Calls to the key-value store. Their replies arrive on the HTTP loop's
- * thread, which must not wait for a keeper's lock; so they are copied and
+ * thread, which must not wait for a manager's lock; so they are copied and
  * handled on a worker of the node's pool. */
 
 #include "node/kv_call.h"
--- a/libchestnuthitch/node/once_manager.c
+++ b/libchestnuthitch/node/once_manager.c
@@ -55,7 +55,7 @@
 };
 
 struct begin {
-    struct ch_once_manager *keeper;
+    struct ch_once_manager *manager;
     int references;
     char *caller;
     char *key;
@@ -72,7 +72,7 @@
 };
 
 struct finish {
-    struct ch_once_manager *keeper;
+    struct ch_once_manager *manager;
     uint32_t slot;
     char *caller;
     char *key;
@@ -93,22 +93,22 @@
 
 /* Adds a reference, for a call or timer in progress. */
 static struct ch_once_manager *
-keeper_add_reference(struct ch_once_manager *keeper)
+manager_add_reference(struct ch_once_manager *manager)
 {
-    g_atomic_int_inc(&keeper->references);
-    return keeper;
+    g_atomic_int_inc(&manager->references);
+    return manager;
 }
 
-/* Drops a reference; frees the keeper with the last one. */
+/* Drops a reference; frees the manager with the last one. */
 static void
-keeper_drop_reference(struct ch_once_manager *keeper)
+manager_drop_reference(struct ch_once_manager *manager)
 {
-    if (!g_atomic_int_dec_and_test(&keeper->references)) {
+    if (!g_atomic_int_dec_and_test(&manager->references)) {
         return;
     }
-    g_hash_table_destroy(keeper->waiting_finishes);
-    pthread_mutex_destroy(&keeper->lock);
-    g_free(keeper);
+    g_hash_table_destroy(manager->waiting_finishes);
+    pthread_mutex_destroy(&manager->lock);
+    g_free(manager);
 }
 
 /* Adds a reference, for a call or the timer. */
@@ -126,38 +126,38 @@
     if (!g_atomic_int_dec_and_test(&begin->references)) {
         return;
     }
-    keeper_drop_reference(begin->keeper);
+    manager_drop_reference(begin->manager);
     g_free(begin->caller);
     g_free(begin->key);
     g_free(begin);
 }
 
-/* Whether the begin has ended or the keeper was stopped. */
+/* Whether the begin has ended or the manager was stopped. */
 static bool
 is_ended(const struct begin *begin)
 {
-    pthread_mutex_lock(&begin->keeper->lock);
-    bool ended = begin->finished || begin->keeper->stopped;
-    pthread_mutex_unlock(&begin->keeper->lock);
+    pthread_mutex_lock(&begin->manager->lock);
+    bool ended = begin->finished || begin->manager->stopped;
+    pthread_mutex_unlock(&begin->manager->lock);
     return ended;
 }
 
 /* Increments a counter, if the client has metrics. */
 static void
-count_event(struct ch_once_manager *keeper, enum ch_counter counter)
+count_event(struct ch_once_manager *manager, enum ch_counter counter)
 {
-    if (keeper->node->client->metrics != NULL) {
-        ch_metrics_add_count(keeper->node->client->metrics, counter, 1);
+    if (manager->node->client->metrics != NULL) {
+        ch_metrics_add_count(manager->node->client->metrics, counter, 1);
     }
 }
 
 /* ---- the end of an attempt ---- */
 
-/* Frees a finish and drops its reference to the keeper. */
+/* Frees a finish and drops its reference to the manager. */
 static void
 finish_free(struct finish *finish)
 {
-    keeper_drop_reference(finish->keeper);
+    manager_drop_reference(finish->manager);
     g_free(finish->caller);
     g_free(finish->key);
     g_free(finish->content_type);
@@ -182,17 +182,17 @@
 static bool
 finish_retry_later(struct finish *finish)
 {
-    struct ch_once_manager *keeper = finish->keeper;
+    struct ch_once_manager *manager = finish->manager;
     int64_t delay = (int64_t)G_USEC_PER_SEC << finish->attempts_made;
-    pthread_mutex_lock(&keeper->lock);
+    pthread_mutex_lock(&manager->lock);
     bool again =
-        ++finish->attempts_made < FINISH_MAX_ATTEMPTS && !keeper->stopped;
+        ++finish->attempts_made < FINISH_MAX_ATTEMPTS && !manager->stopped;
     if (again) {
-        g_hash_table_add(keeper->waiting_finishes, finish);
+        g_hash_table_add(manager->waiting_finishes, finish);
         finish->timer =
-            ch_timers_add(keeper->node->timers, delay, finish_send, finish);
+            ch_timers_add(manager->node->timers, delay, finish_send, finish);
     }
-    pthread_mutex_unlock(&keeper->lock);
+    pthread_mutex_unlock(&manager->lock);
     return again;
 }
 
@@ -220,13 +220,13 @@
 finish_send(void *data)
 {
     struct finish *finish = data;
-    struct ch_node *node = finish->keeper->node;
+    struct ch_node *node = finish->manager->node;
     Chestnuthitch__Wire__OnceFinish body =
         CHESTNUTHITCH__WIRE__ONCE_FINISH__INIT;
     Chestnuthitch__Wire__Frame frame = CHESTNUTHITCH__WIRE__FRAME__INIT;
-    pthread_mutex_lock(&finish->keeper->lock);
-    g_hash_table_remove(finish->keeper->waiting_finishes, finish);
-    pthread_mutex_unlock(&finish->keeper->lock);
+    pthread_mutex_lock(&finish->manager->lock);
+    g_hash_table_remove(finish->manager->waiting_finishes, finish);
+    pthread_mutex_unlock(&finish->manager->lock);
     body.slot = finish->slot;
     body.caller = finish->caller;
     body.key = finish->key;
@@ -246,11 +246,11 @@
 
 /* Creates a finish without a stored response. */
 static struct finish *
-finish_new(struct ch_once_manager *keeper, const char *caller, const char *key,
-           uint64_t attempt, uint32_t slot)
+finish_new(struct ch_once_manager *manager, const char *caller,
+           const char *key, uint64_t attempt, uint32_t slot)
 {
     struct finish *finish = g_new0(struct finish, 1);
-    finish->keeper = keeper_add_reference(keeper);
+    finish->manager = manager_add_reference(manager);
     finish->slot = slot;
     finish->caller = g_strdup(caller);
     finish->key = g_strdup(key);
@@ -261,17 +261,17 @@
 
 /* See node.h. */
 void
-ch_once_manager_finish(struct ch_once_manager *keeper, const char *caller,
+ch_once_manager_finish(struct ch_once_manager *manager, const char *caller,
                        const char *key, uint64_t attempt, bool not_run,
                        int status, const char *content_type, const void *body,
                        size_t length, void (*done)(void *data, bool kept),
                        void *data)
 {
-    pthread_mutex_lock(&keeper->lock);
-    uint32_t slot_count = keeper->slot_count;
-    pthread_mutex_unlock(&keeper->lock);
+    pthread_mutex_lock(&manager->lock);
+    uint32_t slot_count = manager->slot_count;
+    pthread_mutex_unlock(&manager->lock);
     struct finish *finish =
-        finish_new(keeper, caller, key, attempt,
+        finish_new(manager, caller, key, attempt,
                    ch_once_slot_for_key(caller, key, slot_count));
     finish->not_run = not_run;
     finish->kept = !not_run && length <= CH_ONCE_MAX_BODY_BYTES;
@@ -295,8 +295,9 @@
 static void
 release_key(struct begin *begin)
 {
-    struct finish *finish = finish_new(
-        begin->keeper, begin->caller, begin->key, begin->attempt, begin->slot);
+    struct finish *finish =
+        finish_new(begin->manager, begin->caller, begin->key, begin->attempt,
+                   begin->slot);
     finish->not_run = true;
     finish_send(finish);
 }
@@ -309,7 +310,7 @@
 static void
 begin_end(struct begin *begin, struct ch_once_result *answer)
 {
-    struct ch_once_manager *keeper = begin->keeper;
+    struct ch_once_manager *manager = begin->manager;
     static const enum ch_counter counters[] = {
         [CH_ONCE_CREATED] = CH_COUNT_ONCE_CREATED,
         [CH_ONCE_DONE] = CH_COUNT_ONCE_REPEATED,
@@ -317,21 +318,21 @@
         [CH_ONCE_MISMATCH] = CH_COUNT_ONCE_REPEATED,
         [CH_ONCE_REFUSED] = CH_COUNT_ONCE_REFUSED,
     };
-    pthread_mutex_lock(&keeper->lock);
+    pthread_mutex_lock(&manager->lock);
     bool is_first = !begin->finished;
     begin->finished = true;
     uint64_t timer = begin->timer;
     bool may_be_written = begin->may_be_written;
-    pthread_mutex_unlock(&keeper->lock);
+    pthread_mutex_unlock(&manager->lock);
     if (!is_first) {
         return;
     }
-    if (timer != 0 && ch_timers_cancel(keeper->node->timers, timer)) {
+    if (timer != 0 && ch_timers_cancel(manager->node->timers, timer)) {
         /* The timer's reference; it is not the last one, as the function's
          * caller has one. */
         (void)g_atomic_int_add(&begin->references, -1);
     }
-    count_event(keeper, counters[answer->state]);
+    count_event(manager, counters[answer->state]);
     answer->attempt = begin->attempt;
     begin->done(begin->data, answer);
     if (answer->state == CH_ONCE_REFUSED && may_be_written) {
@@ -432,7 +433,7 @@
 read_log(struct begin *begin)
 {
     g_autofree char *prefix = ch_once_slot_format_prefix(begin->slot);
-    ch_kv_call_list(begin->keeper->node, prefix, handle_log,
+    ch_kv_call_list(begin->manager->node, prefix, handle_log,
                     begin_add_reference(begin));
 }
 
@@ -455,11 +456,11 @@
     if (reply->state <= CH_ONCE_REFUSED) {
         answer.state = (enum ch_once_state)reply->state;
     }
-    pthread_mutex_lock(&begin->keeper->lock);
+    pthread_mutex_lock(&begin->manager->lock);
     if (begin->attempts_made == 1 && reply->code == CH_KV_UNREACHABLE) {
         begin->may_be_written = false;
     }
-    pthread_mutex_unlock(&begin->keeper->lock);
+    pthread_mutex_unlock(&begin->manager->lock);
     begin_end(begin, &answer);
 }
 
@@ -482,11 +483,11 @@
 static int64_t
 compute_delay(struct begin *begin)
 {
-    struct ch_once_manager *keeper = begin->keeper;
-    int64_t now = ch_client_get_time(keeper->node->client);
-    pthread_mutex_lock(&keeper->lock);
+    struct ch_once_manager *manager = begin->manager;
+    int64_t now = ch_client_get_time(manager->node->client);
+    pthread_mutex_lock(&manager->lock);
     int64_t delay = begin->last_asked_at + LOST_HOME_DELAY_US - now;
-    pthread_mutex_unlock(&keeper->lock);
+    pthread_mutex_unlock(&manager->lock);
     return MAX(delay, 0);
 }
 
@@ -504,7 +505,7 @@
         begin_end_state(begin, CH_ONCE_REFUSED);
     }
     else {
-        ch_timers_add(begin->keeper->node->timers, compute_delay(begin),
+        ch_timers_add(begin->manager->node->timers, compute_delay(begin),
                       handle_delay_end, begin_add_reference(begin));
     }
     begin_drop_reference(begin);
@@ -515,18 +516,18 @@
 static void
 ask_home(struct begin *begin)
 {
-    struct ch_node *node = begin->keeper->node;
+    struct ch_node *node = begin->manager->node;
     Chestnuthitch__Wire__OnceBegin body =
         CHESTNUTHITCH__WIRE__ONCE_BEGIN__INIT;
     Chestnuthitch__Wire__Frame frame = CHESTNUTHITCH__WIRE__FRAME__INIT;
     uint64_t fingerprint = GUINT64_TO_BE(begin->fingerprint);
-    pthread_mutex_lock(&begin->keeper->lock);
+    pthread_mutex_lock(&begin->manager->lock);
     bool allowed =
         !begin->finished && begin->attempts_made < BEGIN_MAX_ATTEMPTS;
     begin->attempts_made += allowed;
     begin->last_asked_at = ch_client_get_time(node->client);
     begin->may_be_written |= allowed;
-    pthread_mutex_unlock(&begin->keeper->lock);
+    pthread_mutex_unlock(&begin->manager->lock);
     if (!allowed) {
         begin_end_state(begin, CH_ONCE_REFUSED);
         return;
@@ -552,14 +553,14 @@
 static void
 set_slot_count(struct begin *begin, uint32_t slot_count)
 {
-    struct ch_once_manager *keeper = begin->keeper;
-    pthread_mutex_lock(&keeper->lock);
-    keeper->slot_count = slot_count;
-    pthread_mutex_unlock(&keeper->lock);
-    if (slot_count != keeper->node->settings->once_slots) {
-        ch_log(keeper->node->client, CH_LOG_WARNING, "once-slots-differ",
+    struct ch_once_manager *manager = begin->manager;
+    pthread_mutex_lock(&manager->lock);
+    manager->slot_count = slot_count;
+    pthread_mutex_unlock(&manager->lock);
+    if (slot_count != manager->node->settings->once_slots) {
+        ch_log(manager->node->client, CH_LOG_WARNING, "once-slots-differ",
                CH_F_INT("in_use", slot_count),
-               CH_F_INT("set", keeper->node->settings->once_slots), CH_F_END);
+               CH_F_INT("set", manager->node->settings->once_slots), CH_F_END);
     }
     begin->slot = ch_once_slot_for_key(begin->caller, begin->key, slot_count);
     ask_home(begin);
@@ -572,7 +573,7 @@
 {
     struct begin *begin = data;
     if (answer->code == CH_OK) {
-        set_slot_count(begin, begin->keeper->node->settings->once_slots);
+        set_slot_count(begin, begin->manager->node->settings->once_slots);
     }
     else if (answer->code == CH_KV_CONFLICT && !is_ended(begin)) {
         read_slot_count(begin);
@@ -589,7 +590,7 @@
 handle_slot_count(void *data, const struct ch_kv_result *answer)
 {
     struct begin *begin = data;
-    struct ch_node *node = begin->keeper->node;
+    struct ch_node *node = begin->manager->node;
     guint64 slot_count = 0;
     if (answer->code == CH_KV_MISSING && !is_ended(begin)) {
         char text[16];
@@ -620,7 +621,7 @@
 static void
 read_slot_count(struct begin *begin)
 {
-    ch_kv_call_get(begin->keeper->node, SLOTS_KEY, handle_slot_count,
+    ch_kv_call_get(begin->manager->node, SLOTS_KEY, handle_slot_count,
                    begin_add_reference(begin));
 }
 
@@ -629,27 +630,27 @@
 /* Begins an attempt for a caller's key; see node.h. The result comes within
  * BEGIN_TIMEOUT_US. */
 void
-ch_once_manager_begin(struct ch_once_manager *keeper, const char *caller,
+ch_once_manager_begin(struct ch_once_manager *manager, const char *caller,
                       const char *key, uint64_t fingerprint,
                       void (*done)(void *data,
                                    const struct ch_once_result *answer),
                       void *data)
 {
     struct begin *begin = g_new0(struct begin, 1);
-    begin->keeper = keeper_add_reference(keeper);
+    begin->manager = manager_add_reference(manager);
     begin->references = 2; /* of this function and of the timer */
     begin->caller = g_strdup(caller);
     begin->key = g_strdup(key);
     begin->fingerprint = fingerprint;
     begin->done = done;
     begin->data = data;
-    pthread_mutex_lock(&keeper->lock);
-    uint32_t slot_count = keeper->slot_count;
+    pthread_mutex_lock(&manager->lock);
+    uint32_t slot_count = manager->slot_count;
     begin->attempt =
-        ch_hash_pair(keeper->incarnation_id, ++keeper->attempt_count);
-    begin->timer = ch_timers_add(keeper->node->timers, BEGIN_TIMEOUT_US,
+        ch_hash_pair(manager->incarnation_id, ++manager->attempt_count);
+    begin->timer = ch_timers_add(manager->node->timers, BEGIN_TIMEOUT_US,
                                  begin_handle_timeout, begin);
-    pthread_mutex_unlock(&keeper->lock);
+    pthread_mutex_unlock(&manager->lock);
     if (slot_count == 0) {
         read_slot_count(begin);
     }
@@ -660,53 +661,54 @@
     begin_drop_reference(begin);
 }
 
-/* Creates a keeper and registers its message handlers with the node's peers;
- * node outlives the keeper. */
+/* Creates a manager and registers its message handlers with the node's peers;
+ * node outlives the manager. */
 struct ch_once_manager *
 ch_once_manager_new(struct ch_node *node)
 {
-    struct ch_once_manager *keeper = g_new0(struct ch_once_manager, 1);
-    keeper->node = node;
-    keeper->references = 1;
-    keeper->incarnation_id =
+    struct ch_once_manager *manager = g_new0(struct ch_once_manager, 1);
+    manager->node = node;
+    manager->references = 1;
+    manager->incarnation_id =
         ch_hash_pair(ch_hash_string(node->settings->name), node->incarnation);
-    keeper->waiting_finishes = g_hash_table_new(g_direct_hash, g_direct_equal);
-    pthread_mutex_init(&keeper->lock, NULL);
-    keeper->home = ch_once_home_new(node);
-    return keeper;
+    manager->waiting_finishes =
+        g_hash_table_new(g_direct_hash, g_direct_equal);
+    pthread_mutex_init(&manager->lock, NULL);
+    manager->home = ch_once_home_new(node);
+    return manager;
 }
 
 /* Drops finishes that wait for another attempt; calls in progress run to their
  * end. */
 void
-ch_once_manager_stop(struct ch_once_manager *keeper)
+ch_once_manager_stop(struct ch_once_manager *manager)
 {
-    pthread_mutex_lock(&keeper->lock);
-    keeper->stopped = true;
-    GList *waiting_finishes = g_hash_table_get_keys(keeper->waiting_finishes);
+    pthread_mutex_lock(&manager->lock);
+    manager->stopped = true;
+    GList *waiting_finishes = g_hash_table_get_keys(manager->waiting_finishes);
     for (GList *at = waiting_finishes; at != NULL;) {
         GList *next = at->next;
         struct finish *finish = at->data;
-        if (!ch_timers_cancel(keeper->node->timers, finish->timer)) {
+        if (!ch_timers_cancel(manager->node->timers, finish->timer)) {
             waiting_finishes = g_list_delete_link(waiting_finishes, at);
         }
         at = next;
     }
-    pthread_mutex_unlock(&keeper->lock);
+    pthread_mutex_unlock(&manager->lock);
     for (GList *at = waiting_finishes; at != NULL; at = at->next) {
         finish_free(at->data);
     }
     g_list_free(waiting_finishes);
-    ch_once_home_stop(keeper->home);
+    ch_once_home_stop(manager->home);
 }
 
 /* Drops the node's reference; the peers deliver no messages any more by
  * then. */
 void
-ch_once_manager_free(struct ch_once_manager *keeper)
+ch_once_manager_free(struct ch_once_manager *manager)
 {
-    if (keeper != NULL) {
-        ch_once_home_unref(keeper->home);
-        keeper_drop_reference(keeper);
+    if (manager != NULL) {
+        ch_once_home_unref(manager->home);
+        manager_drop_reference(manager);
     }
 }
--- a/libchestnuthitch/node/peers_job.c
+++ b/libchestnuthitch/node/peers_job.c
@@ -11,7 +11,7 @@
     enum ch_code code;
 };
 
-/* Reports the revision in a frame to the configuration keeper. */
+/* Reports the revision in a frame to the configuration manager. */
 static void
 report_revision(const struct ch_peers *peers,
                 const Chestnuthitch__Wire__Frame *frame)
--- a/libchestnuthitch/node/upstream_ledger.c
+++ b/libchestnuthitch/node/upstream_ledger.c
@@ -379,7 +379,7 @@
     ch_upstream_ledger_unref(ledger);
 }
 
-/* ---- functions for the ledger keeper ---- */
+/* ---- functions for the ledger manager ---- */
 
 /* Called when this node became home: the ledger is read before anything
  * else. */
--- a/tests/threaded/test_controller.c
+++ b/tests/threaded/test_controller.c
@@ -18,17 +18,17 @@
 /* ---- fakes of the rest of the node ---- */
 
 struct ch_config *
-ch_config_manager_get_current(struct ch_config_manager *keeper)
+ch_config_manager_get_current(struct ch_config_manager *manager)
 {
-    (void)keeper;
+    (void)manager;
     return NULL;
 }
 
 void
-ch_config_manager_note_revision(struct ch_config_manager *keeper,
+ch_config_manager_note_revision(struct ch_config_manager *manager,
                                 uint64_t revision, const char *from)
 {
-    (void)keeper, (void)revision, (void)from;
+    (void)manager, (void)revision, (void)from;
 }
 
 void
--- a/tests/threaded/test_exchange.c
+++ b/tests/threaded/test_exchange.c
@@ -78,7 +78,7 @@
     struct ch_node node;
     struct ch_homes fake_router;
     struct ch_once_manager once;
-    struct ch_config_manager config_keeper;
+    struct ch_config_manager config_manager;
     struct ch_config *config;
     pthread_mutex_t lock;
     pthread_cond_t changed;
@@ -257,13 +257,13 @@
 }
 
 void
-ch_once_manager_begin(struct ch_once_manager *keeper, const char *caller,
+ch_once_manager_begin(struct ch_once_manager *manager, const char *caller,
                       const char *key, uint64_t fingerprint,
                       void (*done)(void *data,
                                    const struct ch_once_result *result),
                       void *data)
 {
-    struct fixture *fixture = keeper->fixture;
+    struct fixture *fixture = manager->fixture;
     g_assert_cmpstr(caller, ==, "llanelli");
     g_assert_cmpstr(key, ==, "k1");
     g_assert_cmpuint(fingerprint, !=, 0);
@@ -281,13 +281,13 @@
 }
 
 void
-ch_once_manager_finish(struct ch_once_manager *keeper, const char *caller,
+ch_once_manager_finish(struct ch_once_manager *manager, const char *caller,
                        const char *key, uint64_t attempt, bool not_run,
                        int status, const char *content_type, const void *body,
                        size_t length, void (*done)(void *data, bool stored),
                        void *data)
 {
-    struct fixture *fixture = keeper->fixture;
+    struct fixture *fixture = manager->fixture;
     (void)caller;
     (void)key;
     (void)content_type;
@@ -307,9 +307,9 @@
 }
 
 struct ch_config *
-ch_config_manager_get_current(struct ch_config_manager *keeper)
+ch_config_manager_get_current(struct ch_config_manager *manager)
 {
-    struct ch_config *config = keeper->fixture->config;
+    struct ch_config *config = manager->fixture->config;
     return config == NULL ? NULL : ch_config_ref(config);
 }
 
@@ -529,7 +529,7 @@
     };
     fixture->fake_router.fixture = fixture;
     fixture->once.fixture = fixture;
-    fixture->config_keeper.fixture = fixture;
+    fixture->config_manager.fixture = fixture;
     pthread_mutex_init(&fixture->lock, NULL);
     pthread_cond_init(&fixture->changed, NULL);
     struct ch_declaration *declaration =
@@ -557,7 +557,7 @@
     fixture->fake_router.router.ops = &router_ops;
     node->router = &fixture->fake_router.router;
     node->once = &fixture->once;
-    node->config = &fixture->config_keeper;
+    node->config = &fixture->config_manager;
     node->frontend = ch_frontend_new(node, &error);
     g_assert_cmpstr(error.message, ==, "");
     fixture->port = ch_listener_get_port(node->frontend->listener);
@@ -879,12 +879,12 @@
 static double
 retries_left(struct fixture *fixture)
 {
-    struct ch_frontend *front = fixture->node.frontend;
-    pthread_mutex_lock(&front->lock);
+    struct ch_frontend *frontend = fixture->node.frontend;
+    pthread_mutex_lock(&frontend->lock);
     double left =
-        ch_frontend_get_retry_budget(front, g_quark_from_string("models"))
+        ch_frontend_get_retry_budget(frontend, g_quark_from_string("models"))
             ->level;
-    pthread_mutex_unlock(&front->lock);
+    pthread_mutex_unlock(&frontend->lock);
     return left;
 }
 
@@ -1098,9 +1098,9 @@
 {
     for (size_t i = 0; i < G_N_ELEMENTS(barred_cases); i++) {
         struct fixture *fixture = routed_fixture();
-        struct ch_crash_guard keeper = {.allowed_checks =
-                                            barred_cases[i].allowed};
-        fixture->node.crash_guard = &keeper;
+        struct ch_crash_guard guard = {.allowed_checks =
+                                           barred_cases[i].allowed};
+        fixture->node.crash_guard = &guard;
         g_test_message("%s", barred_cases[i].name);
         memcpy(fixture->upstream_actions, barred_cases[i].upstream,
                sizeof(fixture->upstream_actions));
@@ -1141,9 +1141,9 @@
 {
     for (size_t i = 0; i < G_N_ELEMENTS(barred_later_cases); i++) {
         struct fixture *fixture = routed_fixture();
-        struct ch_crash_guard keeper = {.allowed_checks =
-                                            barred_later_cases[i].allowed};
-        fixture->node.crash_guard = &keeper;
+        struct ch_crash_guard guard = {.allowed_checks =
+                                           barred_later_cases[i].allowed};
+        fixture->node.crash_guard = &guard;
         fixture->router_actions[0] = barred_later_cases[i].router;
         fixture->upstream_actions[0] = SILENT;
         g_test_message("%s", barred_later_cases[i].name);
@@ -1184,25 +1184,25 @@
 };
 
 /* Guards against crashes, and against complete responses, that the crash
- * guard is not told of. */
+ * guard is not notified of. */
 static void
 test_crash_evidence(void)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(evidence_cases); i++) {
         struct fixture *fixture = routed_fixture();
-        struct ch_crash_guard keeper = {.allowed_checks = NEVER_BARRED};
-        fixture->node.crash_guard = &keeper;
+        struct ch_crash_guard guard = {.allowed_checks = NEVER_BARRED};
+        fixture->node.crash_guard = &guard;
         g_test_message("%s", evidence_cases[i].name);
         memcpy(fixture->upstream_actions, evidence_cases[i].upstream,
                sizeof(fixture->upstream_actions));
         fixture_start(fixture);
         g_free(read_response(send_request(fixture, "POST /r/1", "", "")));
         fixture_stop(fixture);
-        g_assert_cmpint(keeper.interrupted_calls, ==,
+        g_assert_cmpint(guard.interrupted_calls, ==,
                         evidence_cases[i].interruptions);
-        g_assert_cmpint(keeper.interrupted_before_response, ==,
+        g_assert_cmpint(guard.interrupted_before_response, ==,
                         evidence_cases[i].early_interruptions);
-        g_assert_cmpint(keeper.complete_count, ==, evidence_cases[i].complete);
+        g_assert_cmpint(guard.complete_count, ==, evidence_cases[i].complete);
         fixture_free(fixture);
     }
 }
--- a/tests/threaded/test_keepers.c
+++ b/tests/threaded/test_keepers.c
@@ -168,7 +168,7 @@
     pthread_mutex_destroy(&fake->lock);
 }
 
-/* ---- a node with only what the keepers need ---- */
+/* ---- a node with only what the managers need ---- */
 
 struct test_node {
     struct ch_client client;
@@ -379,7 +379,7 @@
     done(data, is_lost ? CH_UPSTREAM_STALLED : CH_OK);
 }
 
-/* Passes the engine's report to a node's ledger keeper. */
+/* Passes the engine's report to a node's ledger manager. */
 static void
 report_to(struct ch_ledger_manager *ledger, struct fake_engine *engine)
 {
--- a/tests/threaded/test_roster.c
+++ b/tests/threaded/test_roster.c
@@ -563,23 +563,23 @@
         .watch = watch_configuration,
     };
     struct fixture *fixture = fixture_new(&ops, 2);
-    struct ch_config_manager *keeper = ch_config_manager_new(&fixture->node);
-    fixture->node.config = keeper;
-    ch_config_manager_start(keeper);
+    struct ch_config_manager *manager = ch_config_manager_new(&fixture->node);
+    fixture->node.config = manager;
+    ch_config_manager_start(manager);
     uint64_t revision = 0;
     for (int64_t until = g_get_monotonic_time() + 3000000L;
          revision < 2 && g_get_monotonic_time() < until;) {
         g_usleep(10000);
-        struct ch_config *config = ch_config_manager_get_current(keeper);
+        struct ch_config *config = ch_config_manager_get_current(manager);
         revision = config == NULL ? 0 : config->revision;
         if (config != NULL) {
             ch_config_unref(config);
         }
     }
     g_assert_cmpuint(revision, >=, 2);
-    ch_config_manager_stop(keeper);
+    ch_config_manager_stop(manager);
     fixture_stop(fixture);
-    ch_config_manager_free(keeper);
+    ch_config_manager_free(manager);
     fixture_free(fixture);
 }
 
@@ -678,18 +678,18 @@
     g_atomic_int_set(&copy_run.translations, 0);
     struct fixture *fixture = fixture_new(&ops, 1);
     fixture->node.dialect = &dialect;
-    struct ch_config_manager *keeper = ch_config_manager_new(&fixture->node);
-    fixture->node.config = keeper;
+    struct ch_config_manager *manager = ch_config_manager_new(&fixture->node);
+    fixture->node.config = manager;
     int64_t started_at = g_get_monotonic_time();
-    ch_config_manager_start(keeper);
+    ch_config_manager_start(manager);
     while (g_atomic_int_get(&copy_run.served) < COPIES &&
            g_get_monotonic_time() < started_at + 10000000L) {
         g_usleep(1000);
     }
     int64_t duration = g_get_monotonic_time() - started_at;
-    ch_config_manager_stop(keeper);
+    ch_config_manager_stop(manager);
     fixture_stop(fixture);
-    struct ch_config *config = ch_config_manager_get_current(keeper);
+    struct ch_config *config = ch_config_manager_get_current(manager);
     g_test_message("%s: %d of %d translated in %" G_GINT64_FORMAT " ms",
                    copies[row].what, copy_run.translations, copy_run.served,
                    duration / 1000);
@@ -701,7 +701,7 @@
                                                   : copies[row].translations);
     g_assert_cmpint(duration, >=, copies[row].min_us);
     ch_config_unref(config);
-    ch_config_manager_free(keeper);
+    ch_config_manager_free(manager);
     fixture_free(fixture);
 }
 
--- a/tests/threaded/test_switches.c
+++ b/tests/threaded/test_switches.c
@@ -37,12 +37,12 @@
 
 /* Fake: one model with adapters, one service. */
 struct ch_config *
-ch_config_manager_get_current(struct ch_config_manager *keeper)
+ch_config_manager_get_current(struct ch_config_manager *manager)
 {
     struct ch_error error = {0};
     struct ch_declaration *declaration =
         ch_declaration_parse(TEXT, "f.ini", &error);
-    (void)keeper;
+    (void)manager;
     g_assert_cmpstr(error.message, ==, "");
     return ch_config_new(7, "token-7", "ann", declaration);
 }
@@ -208,16 +208,16 @@
 
 /* Fake: the lease is not held, so no order is sent. */
 bool
-ch_lease_is_held(struct ch_lease *claim, uint64_t *fence)
+ch_lease_is_held(struct ch_lease *lease, uint64_t *fence)
 {
-    (void)claim, (void)fence;
+    (void)lease, (void)fence;
     return false;
 }
 
 void
-ch_lease_release(struct ch_lease *claim, int64_t pause)
+ch_lease_release(struct ch_lease *lease, int64_t pause)
 {
-    (void)claim, (void)pause;
+    (void)lease, (void)pause;
 }
 
 static void
