--- a/Makefile
+++ b/Makefile
@@ -1,9 +1,9 @@
 # make            build/chestnuthitch
-# make run        the whole path on this machine, shown
-# make check      every test and check
+# make run        a demonstration of the whole system on this machine
+# make check      all tests and checks
 #
-# A test is one file: tests/unit/test_X.c, or tests/threaded/test_X.c for what
-# is run under ThreadSanitizer as well.
+# Each test is one file: tests/unit/test_X.c, or tests/threaded/test_X.c for
+# tests that also run under ThreadSanitizer.
 
 PACKAGES = glib-2.0 json-glib-1.0 libmicrohttpd libcurl libprotobuf-c ck
 CC = gcc
@@ -39,9 +39,9 @@
 
 all: $(BUILD)/chestnuthitch
 
-# ---- building, plain and with sanitizers: one rule set a kind ----
+# ---- building: one set of rules for each kind (plain, or with sanitizers) ----
 
-# $(1): kind, $(2): compiler, $(3): extra flags
+# $(1): kind, $(2): compiler, $(3): additional flags
 define build_kind
 $(BUILD)/$(1)/%.o: %.c
 	@mkdir -p $$(dir $$@)
@@ -85,8 +85,8 @@
 	@echo "  LD      $@"
 	@$(CLANG) $(CFLAGS) -fsanitize=fuzzer,address,undefined -o $@ $^ $(LDLIBS)
 
-# `make BUILD=target target/chestnuthitch` builds what the platform runs, all of
-# it under target/.
+# `make BUILD=target target/chestnuthitch` builds the binary that the platform
+# runs, with all build output under target/.
 $(BUILD)/chestnuthitch: $(BUILD)/plain/chestnuthitch
 	@cp -f $< $@
 
@@ -103,7 +103,7 @@
 	    $(BUILD)/plain/tests/demo/demo
 	$(BUILD)/plain/tests/demo/demo $(BUILD)/plain
 
-# ---- checks: `make check` builds side by side, then runs one after another
+# ---- checks: `make check` builds in parallel, then runs the tests in sequence
 
 UNIT = $(UNIT_SOURCES:%.c=$(BUILD)/address/%) \
     $(THREADED_SOURCES:%.c=$(BUILD)/address/%)
--- a/tests/check.sh
+++ b/tests/check.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Runs the checks named (all without a name) and ends with one line of counts.
-# A test listed in KNOWN-RED.txt may fail; it is printed, and not counted as
-# failed.  A check that has nothing to run fails.
+# Runs the named checks, or all checks when none is named, and ends with one
+# line of counts.  A test listed in KNOWN-RED.txt may fail: its entry is printed
+# and it is not counted as failed.  A run in which no test passed fails.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 build=${BUILD:-build}
@@ -16,7 +16,7 @@
 export ASAN_OPTIONS="detect_leaks=1"
 export LSAN_OPTIONS="suppressions=$PWD/tests/lsan.supp print_suppressions=0"
 
-# step NAME COMMAND...: one check; its output is shown when it fails.
+# step NAME COMMAND...: runs one test; shows the end of its output if it fails.
 step() {
     local name=$1 log
     shift
@@ -73,7 +73,8 @@
     done
 }
 
-# A copy of the corpus, so that a run leaves the committed one as it was.
+# Copies the corpus of a fuzz target, so that a run does not change the
+# committed corpus, and prints the path of the copy.
 scratch_corpus() {
     rm -rf "$build/corpus/$1"
     mkdir -p "$build/corpus"
--- a/tests/spec/ledger.pml
+++ b/tests/spec/ledger.pml
@@ -1,31 +1,33 @@
 /*
  * The reservation ledger of one upstream (libchestnuthitch/decide/ledger.c,
- * node/ledger_holding.c).
+ * node/upstream_ledger.c).
  *
- * Two holders believe that they are home.  Each may be paused between any two
- * of its steps for as long as it likes, or die and start anew under its name.
- * Answers of key-value writes are lost; orders are lost, late, sent again; the
- * engine starts anew, and forgets what it carried out and which fencing
- * numbers it saw.  Every item takes one unit of memory.
+ * Two nodes ("holders") both act as the upstream's home node.  Each may be
+ * paused between any two of its steps for any time, or die and restart under
+ * the same name.  Results of key-value writes are lost.  Orders are lost,
+ * delayed or sent again.  The engine restarts, and then forgets which orders it
+ * executed and which fencing tokens it saw.  Every item takes one unit of
+ * memory.
  *
- * Property: what is resident never passes CAPACITY.  With RECOVER also: when
- * the failures end, any item that is wanted becomes resident.
+ * Property: the memory of resident items never exceeds CAPACITY.  With RECOVER
+ * also: when the failures end, any wanted item becomes resident.
  *
- * FENCING: the engine refuses an order whose number is below one seen before.
- * Each MUTATION_... takes one safeguard out, and must be found wrong.
+ * FENCING: the engine refuses an order whose fencing token is lower than one
+ * that it saw before.  Each MUTATION_... removes one safeguard; spin must find
+ * a violation then.
  */
 
 #ifndef CAPACITY
 #define CAPACITY 1
 #endif
 #ifndef LOADS
-#define LOADS 2 /* orders to load that the holders give, in all */
+#define LOADS 2 /* load orders recorded in total */
 #endif
 #ifndef UNLOADS
 #define UNLOADS 1
 #endif
 #ifndef RESENDS
-#define RESENDS 1 /* copies sent again, in all */
+#define RESENDS 1 /* orders sent again in total */
 #endif
 #ifndef BOOTS
 #define BOOTS 2
@@ -33,17 +35,19 @@
 #define ITEMS 2
 #define HOLDERS 2
 #ifdef RECOVER
-/* Orders for the recovery to give. */
+/* Two more orders of each kind for the recovery. */
 #define ALL_LOADS (LOADS + 2)
 #define ALL_UNLOADS (UNLOADS + 2)
 #else
 #define ALL_LOADS LOADS
 #define ALL_UNLOADS UNLOADS
 #endif
+/* A send: all copies of one load order that one holder has sent or may send. */
 #define SENDS (ALL_LOADS * HOLDERS)
 #define SEND(order, holder) ((order) * HOLDERS + (holder))
 
-/* States of an entry; deliveries of a send. */
+/* States of an entry (enum ch_ledger_state; ABSENT: no entry), and delivery of
+ * a send (enum ch_ledger_delivery; NONE: no such send in the ledger). */
 #define ABSENT 0
 #define RESERVED 1
 #define RESIDENT 2
@@ -53,35 +57,40 @@
 #define ENDED 2
 #define SETTLED 3
 
-/* How a copy ended, as its sender sees it. */
+/* How a copy ended for its sender: ENDED, or REFUSED when the copy certainly
+ * did not reach the engine or was rejected by it. */
 #define REFUSED 4
 
 typedef Ledger {
-    byte fence; /* grows with each order given, as the version does */
-    byte boot;
+    byte fence; /* fencing token; incremented with each recorded order, like
+                 * the ledger's version */
+    byte boot;  /* boot ID of the engine process that the entries describe */
     byte state[ITEMS];
-    byte order[ITEMS]; /* of the unload, while UNLOADING */
+    byte order[ITEMS]; /* the unload order, while UNLOADING */
     byte delivery[SENDS];
     byte copies[SENDS];
-    bit done[ALL_LOADS];
+    bit done[ALL_LOADS]; /* executed by the current boot */
 };
 
 typedef Report {
-    bit here;
+    bit here; /* the holder has a report */
     byte boot;
     bit resident[ITEMS];
     bit loads_done[ALL_LOADS];
     bit unloads_done[ALL_UNLOADS];
-    bit ripe[SENDS]; /* the sender knew of the copy's end before */
+    bit ripe[SENDS]; /* the report was requested after the holder knew that its
+                      * copy had ended */
 };
 
 typedef Copy {
-    bit on_way;       /* the sender's connection is open */
-    byte with_boot;   /* 0: none; else 1 + the boot that holds it unread */
-    byte fence;
-    byte held_fence;
-    byte end;         /* 0, ENDED or REFUSED: not yet in the ledger */
-    bit sent;         /* the sender follows it up */
+    bit on_way;       /* in flight: the sender's connection is open */
+    byte with_boot;   /* 1 + the boot that received the copy but has not read it
+                       * yet; 0: none */
+    byte fence;       /* fencing token of the copy in flight */
+    byte held_fence;  /* fencing token of the copy at with_boot */
+    byte end;         /* ENDED or REFUSED, not yet in the ledger; 0: no end */
+    bit sent;         /* the sender still waits for the copy's end, or has to
+                       * record that end */
 };
 
 typedef Order {
@@ -90,37 +99,38 @@
     byte fence;
 };
 
-/* The key-value service. */
+/* The ledger in the key-value store. */
 Ledger kv;
 
-/* The engine. */
+/* The engine.  What it executed and saw is lost at a restart. */
 byte boot;
 bit resident[ITEMS];
 bit loads_done[ALL_LOADS];
 bit unloads_done[ALL_UNLOADS];
 byte highest_fence;
 
-/* The network.  An unload may arrive any number of times once it was sent. */
+/* The network.  An unload order may arrive at any time after it was sent, also
+ * again after a restart of the engine. */
 Copy copy[SENDS];
 bit unload_sent[ALL_UNLOADS];
 
 /* The holders. */
 Ledger known[HOLDERS];
 bit knows[HOLDERS];
-bit current[HOLDERS]; /* known is what the service holds: same revision */
+bit current[HOLDERS]; /* known has the revision in the key-value store */
 Report report[HOLDERS];
 Order to_send[HOLDERS];
 
-/* What orders are about, and how many were given. */
+/* The item of each order, and how many orders have been recorded. */
 byte load_item[ALL_LOADS];
 byte unload_item[ALL_UNLOADS];
 byte loads_given;
 byte unloads_given;
 byte resends_given;
 
-bit calm; /* no more failures: the recovery runs */
+bit calm; /* no further failures: the recovery runs */
 
-/* Scratch, only used within one step. */
+/* Temporary variables, used only within one step. */
 hidden Ledger next;
 hidden byte i, j, k, sum, sole;
 hidden byte changed, allowed;
@@ -168,7 +178,7 @@
     next.copies[s] = 0;
 }
 
-/* sum: items in the ledger. */
+/* Sets sum to the committed memory: the number of items in the ledger. */
 inline committed()
 {
     sum = 0;
@@ -180,7 +190,8 @@
     }
 }
 
-/* allowed: a copy for item fits beside all that could reach a new boot. */
+/* Sets allowed when a copy for item fits into memory beside all copies that a
+ * new boot of the engine could still execute. */
 inline may_send(item)
 {
     sum = 1;
@@ -203,7 +214,8 @@
 #endif
 }
 
-/* k: an order for item that the boot has not carried out; ALL_LOADS: none. */
+/* Sets k to an order for item that the current boot has not executed;
+ * ALL_LOADS: none. */
 inline unclosed(item)
 {
     k = ALL_LOADS;
@@ -227,7 +239,7 @@
 
 /* ---- evidence ---- */
 
-/* The sender's copy has ended. */
+/* Records that the sender's copy has ended. */
 inline end_send(s, was_refused)
 {
     if
@@ -263,8 +275,9 @@
     fi
 }
 
-/* After a read: what is noted as sent by this holder and is not followed up
- * was lost sight of, or was an earlier process's. */
+/* After the ledger was read: a send of this holder that is open in the ledger,
+ * but that the holder does not wait for, was forgotten or belongs to an earlier
+ * process of the holder, so it has ended. */
 inline adopt(holder)
 {
     for (k : 0 .. ALL_LOADS - 1) {
@@ -280,8 +293,8 @@
     }
 }
 
-/* Ends that the holder knows: refusals at once, others once a report that was
- * asked for later is here. */
+/* Records the ends that the holder knows of: refusals at once, other ends when
+ * the holder has a report that was requested after the end. */
 inline note_ends(holder)
 {
     for (k : 0 .. ALL_LOADS - 1) {
@@ -383,7 +396,7 @@
         fi
     }
     for (j : 0 .. ALL_LOADS - 1) {
-        /* done is noted in sends: without one there is none */
+        /* The ledger keeps done in its sends: it goes with the last send. */
         sole = 0;
         for (k : 0 .. HOLDERS - 1) {
             if
@@ -420,7 +433,7 @@
         for (i : 0 .. ITEMS - 1) {
             sum = sum + resident[i];
         }
-        assert(sum <= CAPACITY); /* memory is never overcommitted */
+        assert(sum <= CAPACITY); /* no overcommitted memory */
         sum = 0; i = 0
     fi
 }
@@ -442,16 +455,16 @@
     i = 0
 }
 
-/* What may become of the copies of one send. */
+/* What may happen to a copy of one send. */
 #define TRAVEL(s)                                                             \
-    :: d_step { /* arrives; the answer may be lost, which is also an end */   \
+    :: d_step { /* arrives and ends; a lost response is also an end */        \
         !calm && copy[s].on_way ->                                            \
         carry_out(s / HOLDERS, copy[s].fence, no);                            \
         copy[s].on_way = 0;                                                   \
         copy[s].end = (no -> REFUSED : ENDED);                                \
         no = 0                                                                \
        }                                                                      \
-    :: d_step { /* refused for want of memory */                              \
+    :: d_step { /* refused: the engine has not enough memory */               \
         !calm && copy[s].on_way ->                                            \
         printf("refused: copy %d\n", s);                                      \
         copy[s].on_way = 0;                                                   \
@@ -463,7 +476,7 @@
         copy[s].on_way = 0;                                                   \
         copy[s].end = ENDED                                                   \
        }                                                                      \
-    :: d_step { /* the sender gives up; the boot of now holds it unread */    \
+    :: d_step { /* the sender gives up; the current boot has it unread */     \
         !calm && copy[s].on_way && copy[s].with_boot == 0 ->                  \
         printf("given up: copy %d\n", s);                                     \
         copy[s].on_way = 0;                                                   \
@@ -471,7 +484,7 @@
         copy[s].with_boot = 1 + boot;                                         \
         copy[s].held_fence = copy[s].fence                                    \
        }                                                                      \
-    :: d_step { /* read at last */                                            \
+    :: d_step { /* the same boot reads and executes it later */               \
         !calm && copy[s].with_boot == 1 + boot ->                             \
         carry_out(s / HOLDERS, copy[s].held_fence, no);                       \
         copy[s].with_boot = 0; copy[s].held_fence = 0; no = 0                 \
@@ -485,7 +498,7 @@
         resident[unload_item[u]] = 0                                          \
        }
 
-/* The engine and the network: what arrives, what is lost. */
+/* The engine, which may restart, and the network, which may lose orders. */
 active proctype world()
 {
     bit no;
@@ -509,7 +522,10 @@
 
 /* ---- a holder ---- */
 
-/* The change that this step makes, in next; 0: none. */
+/* Makes the change of this step in next, a copy of the known ledger, and sets
+ * changed if there is any.  what: 0 records ends and the report only, 1 also
+ * reserves memory to load item, 2 unloads item, 3 sends the open order for item
+ * again, 4 frees the reservation after a timeout (mutation only). */
 inline change(h, what, item)
 {
     assign(next, known[h]);
@@ -599,8 +615,9 @@
     i = 0
 }
 
-/* Writes next by compare-and-swap; how: 0 answered, 1 done and the answer
- * lost.  (Not done and without an answer is as if it had not been tried.) */
+/* Writes next by compare-and-swap.  how: 0 the result arrives, 1 the write
+ * takes effect and the result is lost.  (A write that takes no effect and whose
+ * result is lost is the same as no attempt to write.) */
 inline write(h, how)
 {
     if
@@ -693,7 +710,8 @@
     to_send[h].kind = 0; to_send[h].id = 0; to_send[h].fence = 0
 }
 
-/* The process dies.  What it had on its way is lost or with the boot. */
+/* The process dies.  Its copies in flight are lost or, with kept, were received
+ * by the current boot, which has not read them yet. */
 inline die(h, kept)
 {
     printf("%d dies\n", h);
@@ -718,15 +736,15 @@
     j = 0
 }
 
-/* Whether the holder has news to write without wanting anything. */
+/* Whether the holder has a report or the end of a copy to record. */
 #define NEWS(h) (report[h].here || adopting(h) || refusal(h))
 #define adopting(h)                                                           \
     ((known[h].delivery[SEND(0, h)] == OPEN && !copy[SEND(0, h)].sent) ||     \
      (known[h].delivery[SEND(1, h)] == OPEN && !copy[SEND(1, h)].sent))
 #define refusal(h)                                                            \
     (copy[SEND(0, h)].end == REFUSED || copy[SEND(1, h)].end == REFUSED)
-/* Nothing is told apart by the names of the items: the first order is for the
- * first. */
+/* The items are interchangeable, so the first order is always for the first
+ * item, which saves states. */
 #define FIRST(item) (loads_given > 0 || item == 0)
 #define FREE(h) (!calm && knows[h] && to_send[h].kind == 0)
 
@@ -736,7 +754,7 @@
 #define OLD_REPORT_STAYS(h) drop_report(h);
 #endif
 
-/* One step: a change, its write, and how the write ends. */
+/* One step: a change and its write, which ends as how says. */
 #define STEP(h, guard, what, item, how)                                       \
     :: d_step {                                                               \
         FREE(h) && (guard) ->                                                 \
@@ -789,7 +807,7 @@
 #ifdef RECOVER
 /* ---- when the failures end ---- */
 
-/* One holder's copies have ended, and it has said so. */
+/* All copies of one holder have ended, and the ledger records that. */
 inline settle_holder(h)
 {
     for (j : 0 .. ALL_LOADS - 1) {
@@ -803,7 +821,7 @@
     }
 }
 
-/* Sends an order to load that arrives. */
+/* Sends a load order, which arrives. */
 inline recover_load(id)
 {
     copy[SEND(id, 0)].sent = 0;
@@ -813,8 +831,8 @@
     next.delivery[SEND(id, 0)] = ENDED
 }
 
-/* One round of the one holder that is left: a report, and what brings the
- * wanted item nearer. */
+/* One round of the only remaining holder (0): takes a report, then does the
+ * next step that helps to make the wanted item resident. */
 inline recover_round(want)
 {
     assign(next, kv);
@@ -880,7 +898,8 @@
     allowed = 0; changed = 0
 }
 
-/* At any moment the failures may end, with any item wanted. */
+/* The failures may end at any moment, with any item wanted.  The recovery then
+ * takes at most 14 rounds. */
 active proctype recovery()
 {
     byte want, other, id, round, s;
@@ -905,7 +924,7 @@
                 recover_round(want)
             }
         }
-        /* every wanted item can become resident again */
+        /* Every wanted item can become resident again. */
         assert(resident[want] && kv.state[want] == RESIDENT)
     }
 }
--- a/tests/spec/once.pml
+++ b/tests/spec/once.pml
@@ -1,19 +1,23 @@
 /*
  * The at-most-once record of one key (libchestnuthitch/decide/once_slot.c,
- * once_log.c, node/once_keeper.c).
+ * once_log.c, node/once_manager.c).
  *
- * A slot is a log of batches, each created if absent.  Two homes write it; each
- * may be paused between any two steps or die.  Two attempts, at two entry
- * nodes, want the key; a home that is lost or slow makes an attempt read the
- * log itself, ask the other home, or give up.  Answers of writes are lost, and
- * a write may take effect long after its sender gave up on it.  Batches expire
- * in order, all but the last.  Batches of kind OTHER are of other keys.
+ * A slot is a log of batches; a batch is created only if its sequence is
+ * absent.  Two nodes act as the slot's owner ("home") and write the log; each
+ * may be paused between any two steps or die.  Two attempts (three with THIRD),
+ * at entry nodes of their own, claim the key.  When a home is lost or slow, an
+ * attempt reads the log itself, asks the other home, or gives up.  Results of
+ * writes are lost, and a write may take effect long after its sender gave up
+ * on it.  Batches expire in order, all but the last.  Batches of kind OTHER
+ * belong to other keys.
  *
- * Assumed: a batch expires after the attempts in it are over, that is, no
- * entry node is paused for as long as keys are kept.  A home may be.
+ * Assumption: a batch expires only after the attempts in it are over, that is,
+ * no entry node is paused for the whole retention time of keys.  A home may be
+ * paused that long.
  *
- * Properties: of the attempts that the log has not let go of, one at most is
- * dispatched; an attempt that was told to be not run is not dispatched.
+ * Properties: of the attempts whose creation has not expired from the log, at
+ * most one is dispatched; an attempt that was reported as not run is never
+ * dispatched.
  */
 
 #define HOMES 2
@@ -24,20 +28,22 @@
 #endif
 #define SEQUENCES 3
 #ifndef WRITES
-#define WRITES 4 /* batches that are created, in all */
+#define WRITES 4 /* batches created in total */
 #endif
 
+/* Kinds of a batch. */
 #define NOTHING 0
 #define CREATE 1
 #define RELEASE 2
 #define OTHER 3
 
+/* Phases of a home's write. */
 #define IDLE 0
 #define WRITING 1
 #define RESOLVING 2
 #define CHECKING 3
 
-/* Answers to an attempt. */
+/* A home's reply to an attempt; WAITS: none yet. */
 #define WAITS 0
 #define CREATED 1
 #define TAKEN 2
@@ -48,28 +54,28 @@
     byte attempt;
     byte writer;
     byte revision;
-    byte previous;
+    byte previous; /* link: revision of the batch before; 0: none */
 };
 
-Batch log[SEQUENCES + 1]; /* from 1 */
+Batch log[SEQUENCES + 1]; /* sequences start at 1 */
 byte last_revision;
 
 typedef Home {
-    bit knows;
-    byte last;
+    bit knows; /* has listed the log */
+    byte last; /* sequence and revision of the last batch it knows */
     byte last_revision;
     byte owner; /* 1 + the attempt that has the key; 0: none */
-    byte phase;
+    byte phase; /* of the batch that it is writing, described below */
     byte kind;
     byte attempt;
     byte revision;
 };
 
 Home home[HOMES];
-Batch late[HOMES]; /* a write under way without its sender: its sequence is */
-byte late_at[HOMES];
+Batch late[HOMES]; /* a write in flight that its sender has given up on */
+byte late_at[HOMES]; /* the sequence of that write; 0: none */
 
-bit asked[ATTEMPTS * HOMES];
+bit asked[ATTEMPTS * HOMES]; /* the attempt waits for the home's reply */
 byte answer[ATTEMPTS];
 bit over[ATTEMPTS];
 bit told_not_run[ATTEMPTS];
@@ -81,7 +87,9 @@
 
 /* ---- the log ---- */
 
-/* owner: 1 + the attempt that has the key by the batches that are linked. */
+/* Sets top to the last sequence, first to the first one that links reach from
+ * the last, and owner to 1 + the attempt that has the key by the batches from
+ * first on (0: none). */
 inline read_log()
 {
     top = 0;
@@ -124,7 +132,7 @@
     i = 0; first = 0; top = 0; owner = 0; took = 0
 }
 
-/* Creates the sequence, if absent; took: it did. */
+/* Creates the batch if its sequence is absent, and then sets took. */
 inline create(at, what, who, by, link)
 {
     if
@@ -169,7 +177,7 @@
     asked[(who) * HOMES + (at)] = 0
 }
 
-/* The batch is in the log for certain. */
+/* The batch is certainly in the log: updates the home's copy and replies. */
 inline written(h)
 {
     home[h].last++;
@@ -238,7 +246,7 @@
 {
 end:
     do
-    :: d_step { /* list */
+    :: d_step { /* lists the log */
         !home[h].knows ->
         read_log();
         home[h].knows = 1;
@@ -253,7 +261,7 @@
     SERVE(h, 2)
 #endif
     :: d_step { RESTS(h) && home[h].last == 0 -> start_write(h, OTHER, 0) }
-    :: d_step { /* put, and an answer */
+    :: d_step { /* put; the result arrives */
         home[h].phase == WRITING ->
         create(home[h].last + 1, home[h].kind, home[h].attempt, h,
                home[h].last_revision);
@@ -261,14 +269,14 @@
         home[h].revision = (took -> last_revision : 0);
         clear_scratch()
        }
-    :: d_step { /* put, done, no answer */
+    :: d_step { /* put takes effect; the result is lost */
         home[h].phase == WRITING ->
         create(home[h].last + 1, home[h].kind, home[h].attempt, h,
                home[h].last_revision);
         home[h].phase = RESOLVING;
         clear_scratch()
        }
-    :: d_step { /* put, to arrive late or never */
+    :: d_step { /* put that takes effect late or never */
         home[h].phase == WRITING && h == 0 && late_at[h] == 0 ->
         late_at[h] = home[h].last + 1;
         late[h].kind = home[h].kind;
@@ -276,7 +284,7 @@
         late[h].previous = home[h].last_revision;
         home[h].phase = RESOLVING
        }
-    :: d_step { /* read it back */
+    :: d_step { /* reads the sequence to learn whether its put took effect */
         home[h].phase == RESOLVING ->
         i = home[h].last + 1;
         if
@@ -293,7 +301,7 @@
         fi;
         i = 0
        }
-    :: d_step { /* is the batch before it still there? */
+    :: d_step { /* checks that the batch before is still in the log */
         home[h].phase == CHECKING ->
         if
 #ifdef MUTATION_NO_CHECK
@@ -315,7 +323,7 @@
         fi;
         clear_scratch()
        }
-    :: d_step { /* the service is away: refuse, forget */
+    :: d_step { /* key-value store unavailable: refuses, forgets the log */
         home[h].phase != IDLE ->
         if
         :: home[h].kind == CREATE -> say(home[h].attempt, h, REFUSED)
@@ -326,7 +334,7 @@
     od
 }
 
-/* Late writes, and expiry. */
+/* Late writes take effect, and batches expire. */
 active proctype world()
 {
 end:
@@ -339,7 +347,7 @@
         late[0].previous = 0; clear_scratch()
        }
 #ifndef NO_EXPIRY
-    :: d_step { /* the first batch expires */
+    :: d_step { /* sequence 1 expires */
         (log[1].kind != NOTHING &&
          (log[2].kind != NOTHING || log[3].kind != NOTHING) &&
          (log[1].kind != CREATE || over[log[1].attempt])) ->
@@ -414,10 +422,10 @@
        }
     :: d_step { !over[a] && answer[a] == TAKEN -> over[a] = 1 }
     :: d_step { !over[a] && answer[a] == REFUSED -> end_not_run(a) }
-    :: d_step { /* the limit has passed */
+    :: d_step { /* the attempt's timeout has expired */
         !over[a] && homes_asked > 0 -> end_not_run(a)
        }
-    :: d_step { /* the home was lost: read the log, else ask the other */
+    :: d_step { /* the home is lost: reads the log, else asks the other */
         !over[a] && homes_asked == 1 && answer[a] == WAITS ->
         read_log();
         if
--- a/tests/spec/revision.pml
+++ b/tests/spec/revision.pml
@@ -1,43 +1,48 @@
 /*
  * The configuration's revision (libchestnuthitch/decide/revision.c,
- * node/config_keeper.c).
+ * node/config_manager.c).
  *
- * Operators write by compare-and-swap; answers are lost, and a write may take
- * effect long after its sender gave up on it.  Nodes take revisions that come
- * late, twice and out of order, from the service or from each other, and join
- * at any time.
+ * Operators write by compare-and-swap.  Results of writes are lost, and a write
+ * may take effect long after its sender gave up on it.  Nodes receive revisions
+ * late, twice and out of order, from the key-value store or from each other,
+ * and join at any time.
  *
- * Properties: a node never goes back; a write that was told to be accepted is
- * in the line of what is in force, one told to be a conflict or a failure never
- * gets there; once messages flow, every node has the highest revision.
+ * Properties: a node never goes back to a lower revision.  A write that was
+ * reported as accepted is in the history of the revision in force or is that
+ * revision; a write that was reported as a conflict or as failed never gets
+ * there.  Once messages are delivered, every node has the highest revision.
  */
 
 #define OPERATORS 3
 #define NODES 2
 #define NOBODY 255
 
-#define SILENT 0
+/* Outcome of a write, as reported to its operator (told). */
+#define SILENT 0 /* not reported yet */
 #define ACCEPTED 1
 #define CONFLICT 2
 #define FAILED 3
-#define UNSURE 4
+#define UNSURE 4 /* CH_REVISION_OUTCOME_UNKNOWN */
 
-/* config/current: revisions are 1, 2, ...; token and past of each. */
+/* config/current: the revision in force (1, 2, ...; 0: none) and, for each
+ * revision, its write ID and history.  A write ID is the number of the operator
+ * who wrote it, since each operator makes one write. */
 byte revision;
-byte token[OPERATORS + 1];
-byte past[OPERATORS + 1]; /* bits of the tokens before it */
+byte token[OPERATORS + 1]; /* write ID */
+byte past[OPERATORS + 1];  /* history: bit set of the earlier write IDs */
 
 byte told[OPERATORS];
-bit late[OPERATORS]; /* a write is under way without its sender */
-byte base[OPERATORS];
-byte node_has[NODES];
+bit late[OPERATORS]; /* a write in flight that its sender has given up on */
+byte base[OPERATORS]; /* revision that the write replaces; 0: none */
+byte node_has[NODES]; /* revision that the node applies */
 byte highest_seen[NODES];
-bit calm;
+bit calm; /* messages are delivered from now on: see flow */
 
+/* LINE: bit set of the write IDs in force, now and earlier. */
 #define BIT(o) (1 << (o))
 #define LINE (revision == 0 -> 0 : (past[revision] | BIT(token[revision])))
 
-/* What was told holds, whatever happens later. */
+/* Each reported outcome stays true, whatever happens later. */
 inline check_told()
 {
     d_step {
@@ -50,7 +55,7 @@
     }
 }
 
-/* The compare-and-swap itself; done: it took effect. */
+/* The compare-and-swap.  Sets done when the write took effect. */
 inline swap(o, done)
 {
 #ifdef MUTATION_BLIND_WRITE
@@ -80,7 +85,7 @@
     atomic {
         if
         :: base[o] = revision
-        :: told[o] = FAILED; goto over /* the service is away */
+        :: told[o] = FAILED; goto over /* the key-value store is unavailable */
         fi
     }
 write:
@@ -100,9 +105,9 @@
               fi
 #endif
            fi
-        :: true -> swap(o, done); check_told(); goto doubt /* the answer is lost */
-        :: late[o] = 1; goto doubt  /* it may arrive yet, or never */
-        :: writes--; goto doubt     /* surely not sent */
+        :: true -> swap(o, done); check_told(); goto doubt /* result lost */
+        :: late[o] = 1; goto doubt  /* may take effect later, or never */
+        :: writes--; goto doubt     /* certainly not sent */
         fi
     }
 doubt:
@@ -121,7 +126,7 @@
 resolve:
     atomic {
         if
-        :: goto doubt /* the service is away */
+        :: goto doubt /* the key-value store is unavailable */
         :: writes == 0 && revision == base[o] -> goto write
         :: writes == 0 && revision != base[o] ->
            told[o] = CONFLICT; check_told(); goto over
@@ -146,7 +151,7 @@
     skip
 }
 
-/* Writes that arrive without their sender. */
+/* Writes that take effect, or are lost, after their sender gave up on them. */
 active proctype world()
 {
     byte o;
@@ -172,11 +177,12 @@
     :: else
     fi;
 #endif
-    assert(node_has[n] >= highest_seen[n]); /* never goes back */
+    assert(node_has[n] >= highest_seen[n]); /* never a lower revision */
     highest_seen[n] = node_has[n]
 }
 
-/* Any revision that was ever in force may come, again and late. */
+/* A node may receive any revision that was ever in force, repeatedly and
+ * late. */
 proctype node(byte n)
 {
 end:
@@ -188,8 +194,9 @@
     od
 }
 
-/* From some moment on messages flow: a watcher hears of the service's value,
- * the other sees the revision in its frames and pulls. */
+/* From some moment on messages are delivered: a watcher learns the value in the
+ * key-value store, and the other node sees the revision in the watcher's frames
+ * and pulls the configuration. */
 active proctype flow()
 {
     atomic {
--- a/tests/spec/right.pml
+++ b/tests/spec/right.pml
@@ -1,51 +1,59 @@
 /*
- * The right to order the engines of a data centre (libchestnuthitch/node/claim.c).
+ * The lease to send orders to the engines of a data centre
+ * (libchestnuthitch/node/lease.c).
  *
- * Nodes create one key under a lease, and renew that.  Calls and answers take
- * any time or are lost; a node may stand still at any point, since nothing
- * makes it act before time goes on; a process may be killed and start again
- * under the same name.
+ * Nodes create one key under a lease of the key-value store and renew that
+ * key-value lease.  Calls and their results take any time or are lost.  A node
+ * may be paused at any point: time can advance before the node takes its next
+ * step.  A process may be killed and restarted under the same name.
  *
- * Properties: two nodes never order within the pause that engines are owed
- * between two holders, and whoever orders later has no lower fencing number.
+ * Properties: the last order of one lease holder and the first order of the
+ * next are at least the handover pause (PAUSE) apart, and the fencing token of
+ * a later order is never lower than that of an earlier order.
  */
 
 #define NODES 2
 #define NOBODY 255
-#define END 5 /* of time: a lease, and the next one */
+#define END 5 /* last value of now: enough for one lease and the next */
 
-#define MOST 3 /* times that the key is created */
+#define MOST 3 /* maximum number of times that the key is created */
 
-#define USE 1   /* after the sending of the last renewal that was answered */
-#define PAUSE 2 /* between the orders of two nodes */
+/* Time for which the lease may be used, from the sending of the last successful
+ * create or renew call. */
+#define USE 1
+/* Handover pause: minimum time between the orders of two lease holders. */
+#define PAUSE 2
 #ifdef MUTATION_SHORT_LEASE
 #define TTL USE
 #else
 #define TTL (USE + PAUSE)
 #endif
 
-/* A node's call to the service. */
+/* States of a node's call to the key-value store (phase). */
 #define IDLE 0
 #define SENT 1
 #define DONE 2
 
 byte now;
 
-/* The service: the key's owner, its lease's end and its number. */
+/* The key-value store: the node that owns the key, the expiry time of its
+ * key-value lease, and how often the key has been created (the revision, which
+ * is the fencing token). */
 byte owner = NOBODY;
 byte ends;
 byte number;
 
 byte phase[NODES];
-bit creates[NODES]; /* the call under way: creates the key, else renews it */
-byte sent[NODES];
-bit held[NODES];
-byte asked[NODES]; /* when the last good call was sent */
-byte fence[NODES];
-bit leaving[NODES]; /* gave the right up; the key goes after the pause */
-byte left_at[NODES];
+bit creates[NODES]; /* the call in progress creates the key, else renews it */
+byte sent[NODES];   /* when the call in progress was sent */
+bit held[NODES];    /* the node takes itself for the lease holder */
+byte asked[NODES];  /* when the last successful call was sent */
+byte fence[NODES];  /* fencing token */
+bit leaving[NODES]; /* released the lease; deletes the key after PAUSE */
+byte left_at[NODES]; /* when the node released the lease */
 
-/* The last order that any engine of the data centre was sent. */
+/* The latest order sent to any engine of the data centre: sender, time and
+ * fencing token. */
 byte last_by = NOBODY;
 byte last_at;
 byte last_fence;
@@ -56,7 +64,7 @@
 #define MAY_ORDER(n) (held[n] && now - asked[n] < USE)
 #endif
 
-/* A call reaches the service, at any time after it was sent. */
+/* The call reaches the key-value store, at any time after it was sent. */
 inline reach(n)
 {
     if
@@ -79,7 +87,7 @@
     fi
 }
 
-/* The answer comes, at any time after that. */
+/* The result reaches the node, at any time after the call was carried out. */
 inline answer(n)
 {
     held[n] = 1;
@@ -109,11 +117,11 @@
     :: atomic { now < END && phase[n] == IDLE && !leaving[n] && held[n] ->
            creates[n] = 0; sent[n] = now; phase[n] = SENT }
     :: d_step { phase[n] == SENT -> reach(n) }
-    :: d_step { phase[n] == SENT -> phase[n] = IDLE } /* lost on the way */
+    :: d_step { phase[n] == SENT -> phase[n] = IDLE } /* call lost */
     :: d_step { phase[n] == DONE && !leaving[n] -> answer(n) }
-    :: d_step { phase[n] == DONE -> phase[n] = IDLE } /* lost on the way back */
+    :: d_step { phase[n] == DONE -> phase[n] = IDLE } /* result lost */
     :: d_step { MAY_ORDER(n) && !leaving[n] -> order(n) }
-    /* A planned stop. */
+    /* Planned stop of the node. */
     :: d_step { held[n] && phase[n] == IDLE && !leaving[n] ->
            held[n] = 0; leaving[n] = 1; left_at[n] = now }
 #ifdef MUTATION_LEAVES_AT_ONCE
@@ -122,7 +130,7 @@
     :: d_step { leaving[n] && owner == n && now - left_at[n] >= PAUSE ->
            owner = NOBODY }
 #endif
-    /* Killed, and started again under its name. */
+    /* The process is killed and restarted under the same name. */
     :: d_step { held[n] && !leaving[n] && number < MOST ->
            held[n] = 0; phase[n] = IDLE }
     :: atomic { now == END -> break }
--- a/tests/spec/run.sh
+++ b/tests/spec/run.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Checks the specifications exhaustively with spin: run.sh BUILD_DIR.
-# A line with "holds" must have no violation and must have been searched to the
-# end; a line with "fails" takes a safeguard out and must have a violation.
+# A case with "holds" must have no violation, and spin must have searched all
+# its states; a case with "fails" removes a safeguard and must have a violation.
 set -uo pipefail
 here=$(cd "$(dirname "$0")" && pwd)
 build=${1:?run.sh BUILD_DIR}
@@ -11,7 +11,7 @@
 mkdir -p "$build"
 build=$(cd "$build" && pwd)
 
-# name verdict depth flags
+# One case a line: name, expected verdict, maximum search depth, flags.
 cases() {
     cat <<'CASES'
 once holds 10000 -DWRITES=3
@@ -57,7 +57,8 @@
 CASES
 }
 
-# check NUMBER NAME VERDICT DEPTH FLAG...: one run; its verdict into a file.
+# check NUMBER NAME VERDICT DEPTH FLAG...: runs one case and writes its verdict
+# to $build/NUMBER/verdict.
 check() {
     local number=$1 name=$2 wanted=$3 depth=$4
     shift 4
@@ -92,7 +93,7 @@
     while [ "$(jobs -rp | wc -l)" -ge "$at_once" ]; do
         wait -n
     done
-    # The words of a line are the arguments.
+    # Unquoted, because each word of a line is one argument.
     # shellcheck disable=SC2086
     check "$number" $line &
 done < <(cases)
--- a/tests/traces/generate.awk
+++ b/tests/traces/generate.awk
@@ -1,8 +1,9 @@
-# Writes one of the traces by name: awk -v trace=NAME -f generate.awk
+# Writes the trace called NAME: awk -v trace=NAME -f generate.awk
 #
-# Numbers are drawn by the minimal standard generator (Park and Miller, 1988)
-# from a seed that depends on the trace's name alone, so that a trace is the
-# same at every run.  Order of lines does not matter: replay sorts by time.
+# Random numbers come from the minimal standard generator (Park and Miller,
+# 1988) with a seed that depends only on the trace's name, so that a trace is
+# the same at every run.  The order of lines does not matter: replay sorts by
+# time.
 
 function draw() {
     state = (16807 * state) % 2147483647
@@ -13,7 +14,7 @@
     return low + int(draw() * (high - low + 1))
 }
 
-# An event that is not a request.
+# Writes an event other than a request.
 function event(at_s, name, target, value) {
     printf "%.3f,%s,%s,%s,,,,,,,,\n", at_s * 1000, name, target, value
 }
@@ -29,7 +30,7 @@
         class, model, adapter, prefix, prompt, output, key
 }
 
-# One of the words of a list, the first ones more often when skew is above 0:
+# Draws a word of a list, the first words more often when skew is above 0: with
 # weights 1, 1/2^skew, 1/3^skew and so on.
 function pick(list, skew,    words, count, sum, i, at) {
     count = split(list, words, " ")
@@ -45,8 +46,8 @@
     return words[count]
 }
 
-# Requests of a class from one second to another at a rate that moves evenly
-# from first to last a second.
+# Writes requests of a class from one second to another, at a rate that changes
+# linearly from first to last requests a second.
 function stream(from, to, first, last, class, models, skew,    at, rate, most, caller) {
     most = first > last ? first : last
     at = from
@@ -61,7 +62,7 @@
     }
 }
 
-# A request with the sizes of its class.
+# Writes a request with prompt and output sizes drawn for its class.
 function one(at, class, model, caller) {
     keys++
     if (class == "advice" || class == "report")
@@ -75,8 +76,8 @@
             "k" keys)
 }
 
-# The same request sent again with the same key, as a caller does that saw no
-# answer.
+# Writes a request and its repeat with the same key, as a caller sends it that
+# received no response to the first.
 function repeated(at, after, class, model, caller, key) {
     request(at, caller, class, model, 0, 1, key)
     request(at + after, caller, class, model, 0, 1, key)
@@ -105,14 +106,14 @@
     small = names(15, 21, 1)
 }
 
-# An ordinary evening at Gwisg.
+# A normal evening at Gwisg.
 function evening(seconds, advice, lookup) {
     stream(0, seconds, advice, advice, "advice", every, 0.8)
     stream(0, seconds, lookup, lookup, "lookup", small, 0.5)
     stream(0, seconds, 0.5, 0.5, "order", "orders", 0)
 }
 
-# An ordinary day in the bays.
+# A normal day in the bays.
 function bays(seconds, report, recommendation) {
     stream(0, seconds, report, report, "report", every, 0.8)
     stream(0, seconds, recommendation, recommendation, "recommendation", \
@@ -121,7 +122,7 @@
     stream(0, seconds, 0.5, 0.5, "deposit", "desk", 0)
 }
 
-# Advice came late to Cardiff's session.
+# Advice arrives late at Cardiff's session.
 function monday(    i, at) {
     gwisg()
     evening(600, 5, 5)
@@ -131,9 +132,9 @@
     }
 }
 
-# A hem order went through twice: callers repeat what they saw no answer to,
-# while an entry host and an order worker die and the key-value service is
-# away for a while.
+# A hem order is executed twice: callers repeat requests that got no response,
+# while an entry host and an order worker crash and the key-value store is
+# unavailable for some time.
 function thursday(    i) {
     gwisg()
     evening(300, 4, 5)
@@ -148,7 +149,7 @@
     event(200, "kv-up", "", "")
 }
 
-# Lookups vanished mid-rehearsal: a worker and an entry host die.
+# Lookups are lost during a rehearsal: a worker and an entry host crash.
 function saturday() {
     gwisg()
     evening(400, 4, 12)
@@ -158,7 +159,7 @@
     event(240, "up", "w11", "")
 }
 
-# Reports of every model while workers are slow to get going.
+# Reports of every model while workers are slow to start.
 function late_report() {
     steppe()
     bays(600, 8, 4)
@@ -166,7 +167,7 @@
     event(300, "slow", "w03", 1)
 }
 
-# Bookings while a desk worker and an entry host die.
+# Bookings while a desk worker and an entry host crash.
 function lost_booking() {
     steppe()
     bays(300, 4, 4)
@@ -177,7 +178,7 @@
     event(200, "up", "d01", "")
 }
 
-# Deposits repeated by their tablets, across a worker's death.
+# Deposits repeated by the tablets that sent them, while a worker crashes.
 function doubled_deposit(    i) {
     steppe()
     bays(300, 4, 4)
@@ -192,7 +193,7 @@
     event(170, "up", "d02", "")
 }
 
-# Demand moves tenfold from the odd models to the even within an hour.
+# Demand shifts tenfold from the odd models to the even ones within an hour.
 function shift_hour(    i) {
     gwisg()
     stream(0, 3600, 8, 0.8, "advice", names(1, 15, 2), 0)
@@ -200,7 +201,7 @@
     stream(0, 3600, 3, 3, "lookup", small, 0.5)
 }
 
-# The same within two minutes.
+# Demand shifts in the same way within two minutes.
 function shift_two_minutes() {
     gwisg()
     stream(0, 300, 8, 8, "advice", names(1, 15, 2), 0)
@@ -212,14 +213,14 @@
     stream(0, 900, 3, 3, "lookup", small, 0.5)
 }
 
-# One model takes 60 in 100.
+# One model gets 60 % of the requests.
 function skew() {
     gwisg()
     stream(0, 600, 7.2, 7.2, "advice", "m07", 0)
     stream(0, 600, 4.8, 4.8, "advice", every, 0)
 }
 
-# Rehearsals begin: a minute and a half of four times the usual, thrice.
+# Rehearsals begin: three bursts of 90 s with four times the normal load.
 function bursts(    i) {
     steppe()
     bays(900, 3, 4)
@@ -236,7 +237,7 @@
     event(450, "slow", "w06", 1)
 }
 
-# One worker comes and goes.
+# One worker stops and restarts repeatedly.
 function flapping(    i) {
     steppe()
     bays(600, 6, 5)
@@ -246,7 +247,7 @@
     }
 }
 
-# Answers of a thousand tokens beside lookups of ten.
+# Responses of 1,000 tokens together with lookups of 10.
 function mixed(    at) {
     gwisg()
     evening(600, 2, 12)
@@ -256,19 +257,21 @@
             between(1000, 3000), between(500, 1000), "")
 }
 
-# Twice what can be served, for ten minutes, between stretches that can.
+# Twice the load that can be served for ten minutes, with a load that can be
+# served before and after.
 function saturation() {
     gwisg()
     stream(0, 600, 18, 18, "advice", every, 0.5)
     stream(600, 1200, 44, 44, "advice", every, 0.5)
     stream(1200, 1500, 10, 10, "advice", every, 0.5)
     stream(0, 1500, 2, 2, "lookup", small, 0.5)
-    # One caller asks far more than its share in the middle.
+    # In the middle, one caller sends far more than its share of the requests.
     for (at = 600; at < 1200; at += 0.2)
         one(at, "advice", pick(every, 0.5), "bangor")
 }
 
-# Twelve workers come back empty at once, and every model is wanted.
+# Twelve workers restart at the same time without models, and requests ask for
+# every model.
 function store_contended(    i) {
     steppe()
     bays(500, 6, 4)
@@ -278,7 +281,7 @@
     }
 }
 
-# The regions lose each other for three minutes.
+# The regions are disconnected from each other for three minutes.
 function link_cut() {
     gwisg()
     evening(600, 7, 6)
@@ -286,7 +289,7 @@
     event(330, "link-up", "", "")
 }
 
-# Three models are hot; every other is asked for once an hour.
+# Three models get most requests; every other model gets one in 45 minutes.
 function rare(    i, hour) {
     steppe()
     stream(0, 5400, 1.2, 1.2, "report", "m01 m08 m15", 0)
@@ -298,7 +301,7 @@
                     sprintf("m%02d", i), pick(callers["report"], 0))
 }
 
-# A data centre is lost: three workers, an order worker and two entry hosts.
+# A data centre fails: three workers, an order worker and two entry hosts.
 function centre_lost(    i) {
     gwisg()
     evening(600, 5, 6)
--- a/tests/traces/run.sh
+++ b/tests/traces/run.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Runs every trace: BINARY.  The default policy is held against the trace's
-# stated outcome and run twice, to the same bytes; the two baselines are run
-# beside it.  One line of figures for each trace.
+# Replays every trace: run.sh [BINARY].  The default policy runs twice: the
+# first run must meet the outcome that the trace's .ini file expects, and both
+# runs must have the same output, byte for byte.  The two baseline policies run
+# for comparison.  Prints one line of figures for each trace.
 set -uo pipefail
 cd "$(dirname "$0")" || exit 1
 binary=$(cd ../.. && realpath "${1:-build/plain/chestnuthitch}")
@@ -9,7 +10,7 @@
 trap 'rm -rf "$scratch"' EXIT
 failed=0
 
-# site TRACE: the settings that a trace is of.
+# site TRACE: prints the path of the settings that a trace is replayed with.
 site() {
     case $1 in
     recorded) echo recorded.site ;;
@@ -19,7 +20,7 @@
     esac
 }
 
-# replay TRACE POLICY OUTPUT [OPTION...]
+# replay TRACE POLICY OUTPUT [OPTION...]: writes the report to TRACE.OUTPUT.
 replay() {
     local trace=$1 policy=$2 output=$3
     shift 3
@@ -28,12 +29,13 @@
         >"$scratch/$trace.$output"
 }
 
-# field FILE NAME: a figure out of the JSON object.
+# field FILE NAME: prints the first number called NAME in a JSON report.
 field() {
     sed -n "s/.*\"$2\": \([0-9.]*\).*/\1/p" "$1" | head -n 1
 }
 
-# whole TRACE: all runs of one trace; fails with the first that does.
+# whole TRACE: all runs of one trace; fails if any run fails or if the two runs
+# of the default policy differ.
 whole() {
     local trace=$1 status=0
     if [ -f "$trace.jsonl" ]; then
@@ -52,7 +54,9 @@
     return $status
 }
 
-# figures TRACE: attainment per accelerator and moves of the three policies.
+# figures TRACE: prints attainment per accelerator, model loads and requests
+# that met their targets for the three policies; overcommitted memory is a
+# failure.
 figures() {
     local trace=$1 name file line="figure: $1"
     for name in default:first static:static least-loaded:least; do
