--- a/tests/bench/bench_config.c
+++ b/tests/bench/bench_config.c
@@ -1,6 +1,6 @@
-/* What a copy of the configuration costs a node, step by step, from the
- * store's answer to what is in force: processor time, and the memory in use
- * at the step's peak beyond what was in use before it. */
+/* Measures what a node spends on a new configuration, for each step from the
+ * response of the key-value store to the configuration in force: processor
+ * time, and peak memory in use beyond that before the step. */
 
 #include "config.h"
 
@@ -17,38 +17,40 @@
 #include <unistd.h>
 
 enum {
-    /* The least of several is what the work takes; a mean tells of the
-     * machine as well. */
+    /* The minimum over the rounds is reported: a mean would include
+     * disturbance by other processes of the machine. */
     ROUNDS = 9,
     MODELS = 84,
     ADAPTERS = 60,
-    MOST_TEXT = 8 * 1024 * 1024,
+    MAX_TEXT_BYTES = 8 * 1024 * 1024,
 };
 
-static const unsigned sizes[] = {1400, 4200, 10000};
+static const unsigned path_counts[] = {1400, 4200, 10000};
 
-/* A configuration on its way into force; what no step made yet is NULL. */
+/* A configuration being processed; results of steps that have not run are
+ * NULL. */
 struct copy {
-    char *body; /* the store's answer */
+    char *body; /* of the key-value store's response */
     char *json;
     size_t json_length;
     char *text;
     struct ch_declaration *declaration;
-    GBytes *packed;
+    GBytes *compressed;
 };
 
-/* Processor time in microseconds. */
+/* Returns the processor time of this process in microseconds. */
 static double
-cpu_us(void)
+read_cpu_us(void)
 {
     struct timespec now;
     clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &now);
     return (double)now.tv_sec * 1e6 + (double)now.tv_nsec / 1e3;
 }
 
-/* A line of the process's own figures, in kB; "VmRSS:", "VmHWM:". */
+/* Returns a value of /proc/self/status in kB, such as that of "VmRSS:" or
+ * "VmHWM:"; 0 if it cannot be read. */
 static double
-status_kb(const char *name)
+read_status_kb(const char *name)
 {
     g_autofree char *text = NULL;
     g_file_get_contents("/proc/self/status", &text, NULL, NULL);
@@ -56,9 +58,9 @@
     return line == NULL ? 0 : g_ascii_strtod(line + strlen(name), NULL);
 }
 
-/* Appends one service with its models. */
+/* Appends one service of engines with its models. */
 static void
-put_engine(GString *out)
+append_engine_service(GString *out)
 {
     g_string_append(out, "{\"name\":\"huvo11a\",\"health_path\":\"/healthz\","
                          "\"max_connections\":510,\"protocol\":\"h1\","
@@ -75,7 +77,8 @@
                          "\"loads_per_s\":1.4}}");
 }
 
-/* The operators' JSON with so many paths; g_free. */
+/* Returns the operators' JSON with this number of paths; free it with
+ * g_free. */
 static char *
 make_json(unsigned paths)
 {
@@ -91,7 +94,7 @@
             i == 0 ? "" : ",", i, i, i % 3 == 0 ? "wuno96b" : "huvo11a");
     }
     g_string_append(out, "],\"services\":[");
-    put_engine(out);
+    append_engine_service(out);
     g_string_append(out, ",{\"name\":\"wuno96b\",\"max_connections\":360}],"
                          "\"limits\":{\"max_header_bytes\":16384}}");
     return g_string_free(out, FALSE);
@@ -99,9 +102,9 @@
 
 /* ---- the steps ---- */
 
-/* The outer JSON and its base64. */
+/* Parses the outer JSON and decodes its base64 value. */
 static bool
-unwrap(struct copy *copy)
+decode_response(struct copy *copy)
 {
     JsonParser *parser = NULL;
     gsize length = 0;
@@ -118,7 +121,7 @@
 }
 
 static bool
-translate(struct copy *copy)
+translate_to_ini(struct copy *copy)
 {
     struct ch_error error = {0};
     copy->text = platform_config_to_ini(copy->json, copy->json_length, &error);
@@ -138,20 +141,20 @@
 }
 
 static bool
-pack(struct copy *copy)
+compress_text(struct copy *copy)
 {
-    copy->packed = ch_compress(copy->declaration->canonical_text,
-                               strlen(copy->declaration->canonical_text));
+    copy->compressed = ch_compress(copy->declaration->canonical_text,
+                                   strlen(copy->declaration->canonical_text));
     return true;
 }
 
 static bool
-unpack(struct copy *copy)
+decompress_text(struct copy *copy)
 {
     struct ch_error error = {0};
     gsize length = 0;
-    const void *bytes = g_bytes_get_data(copy->packed, &length);
-    char *text = ch_decompress(bytes, length, MOST_TEXT, NULL, &error);
+    const void *bytes = g_bytes_get_data(copy->compressed, &length);
+    char *text = ch_decompress(bytes, length, MAX_TEXT_BYTES, NULL, &error);
     g_free(text);
     return text != NULL;
 }
@@ -160,16 +163,16 @@
     const char *name;
     bool (*run)(struct copy *copy);
 } steps[] = {
-    {"outer JSON and base64", unwrap},
-    {"translation", translate},
+    {"outer JSON and base64", decode_response},
+    {"translation", translate_to_ini},
     {"declaration parse", parse_declaration},
-    {"packing", pack},
-    {"unpacking", unpack},
+    {"packing", compress_text},
+    {"unpacking", decompress_text},
 };
 
 /* ---- measuring ---- */
 
-/* The store's answer. */
+/* Returns a copy with the response body of the key-value store. */
 static struct copy
 make_copy(unsigned paths)
 {
@@ -184,7 +187,6 @@
     };
 }
 
-/* Frees what the steps made. */
 static void
 clear_copy(struct copy *copy)
 {
@@ -192,12 +194,13 @@
     g_free(copy->json);
     g_free(copy->text);
     ch_declaration_free(copy->declaration);
-    g_bytes_unref(copy->packed);
+    g_bytes_unref(copy->compressed);
 }
 
-/* Forgets the highest memory so far; 5 stands for that (proc(5)). */
+/* Resets the peak memory (VmHWM) of this process; writing 5 to clear_refs does
+ * this, see proc(5). */
 static void
-forget_peak(void)
+reset_peak_memory(void)
 {
     int file = open("/proc/self/clear_refs", O_WRONLY | O_CLOEXEC);
     if (file >= 0) {
@@ -207,33 +210,35 @@
     }
 }
 
-/* One walk through the steps, as far as they get; the least time of each and
- * its highest peak are kept.  How many were done. */
+/* Runs the steps until one fails and updates the minimum time and the highest
+ * peak memory of each.  Returns the number of steps that succeeded. */
 static size_t
-walk(unsigned paths, double *us, double *peak_kb)
+run_steps(unsigned paths, double *us, double *peak_kb)
 {
     struct copy copy = make_copy(paths);
-    size_t done = 0;
-    for (; done < G_N_ELEMENTS(steps); done++) {
+    size_t step_count = 0;
+    for (; step_count < G_N_ELEMENTS(steps); step_count++) {
         malloc_trim(0);
-        forget_peak();
-        double held = status_kb("VmRSS:");
-        double begun = cpu_us();
-        if (!steps[done].run(&copy)) {
+        reset_peak_memory();
+        double rss_before_kb = read_status_kb("VmRSS:");
+        double start_us = read_cpu_us();
+        if (!steps[step_count].run(&copy)) {
             break;
         }
-        double us_taken = cpu_us() - begun;
-        us[done] = us[done] == 0 ? us_taken : MIN(us[done], us_taken);
-        peak_kb[done] = MAX(peak_kb[done], status_kb("VmHWM:") - held);
+        double elapsed_us = read_cpu_us() - start_us;
+        us[step_count] =
+            us[step_count] == 0 ? elapsed_us : MIN(us[step_count], elapsed_us);
+        peak_kb[step_count] =
+            MAX(peak_kb[step_count], read_status_kb("VmHWM:") - rss_before_kb);
     }
     clear_copy(&copy);
-    return done;
+    return step_count;
 }
 
-/* All rounds of one size, in a process of its own: what one size leaves to
- * the heap would hide the peaks of the next. */
+/* Runs all rounds of one size.  Each size needs a process of its own: heap
+ * memory left by one size would hide the peaks of the next. */
 static void
-measure(unsigned paths)
+measure_size(unsigned paths)
 {
     double us[G_N_ELEMENTS(steps)] = {0};
     double peak_kb[G_N_ELEMENTS(steps)] = {0};
@@ -241,29 +246,30 @@
     (void)printf("figure: config %u paths: %zu bytes of answer\n", paths,
                  strlen(copy.body));
     clear_copy(&copy);
-    size_t done = 0;
+    size_t step_count = 0;
     for (unsigned round = 0; round < ROUNDS; round++) {
-        done = walk(paths, us, peak_kb);
+        step_count = run_steps(paths, us, peak_kb);
     }
     double sum = 0;
-    for (size_t i = 0; i < done; i++) {
+    for (size_t i = 0; i < step_count; i++) {
         (void)printf("figure: config %u paths: %s %.1f ms, peak %.0f kB\n",
                      paths, steps[i].name, us[i] / 1000, peak_kb[i]);
         sum += us[i] / 1000;
     }
     (void)printf("figure: config %u paths: all %.1f ms%s%s\n", paths, sum,
-                 done < G_N_ELEMENTS(steps) ? ", not done: " : "",
-                 done < G_N_ELEMENTS(steps) ? steps[done].name : "");
+                 step_count < G_N_ELEMENTS(steps) ? ", not done: " : "",
+                 step_count < G_N_ELEMENTS(steps) ? steps[step_count].name
+                                                  : "");
 }
 
 int
 main(void)
 {
-    for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
+    for (size_t i = 0; i < G_N_ELEMENTS(path_counts); i++) {
         (void)fflush(stdout);
         pid_t child = fork();
         if (child == 0) {
-            measure(sizes[i]);
+            measure_size(path_counts[i]);
             return 0;
         }
         int status = 0;
--- a/tests/bench/bench_fleet.c
+++ b/tests/bench/bench_fleet.c
@@ -1,9 +1,9 @@
 /*
- * What a node spends on control as the fleet grows: processor time, memory,
- * bytes between nodes and calls to the platform, of an idle fleet, a
- * configuration change, a third of the nodes falling silent at once and all
- * being replaced at once, at several sizes.  The slopes go into
- * docs/CAPACITY.md.
+ * Measures how the control overhead of a node grows with the size of the
+ * fleet: processor time, memory, bytes between nodes and calls to the
+ * platform.  The cases are an idle fleet, a configuration change, a third of
+ * the nodes becoming silent at once, and all nodes being restarted at once.
+ * docs/CAPACITY.md has the resulting growth rates.
  */
 
 #include "harness/harness.h"
@@ -15,17 +15,17 @@
 enum {
     SETTLE_MS = 6000,
     MEASURE_MS = 10000,
-    SPREAD_LIMIT_MS = 20000,
-    LOSS_LIMIT_MS = 20000,
-    USUAL_ENGINES = 6,
+    CHANGE_TIMEOUT_MS = 20000,
+    LOSS_TIMEOUT_MS = 20000,
+    DEFAULT_ENGINES = 6,
 };
 
 enum {
-    KV_KINDS = 3,
+    KV_CALL_KINDS = 3,
 };
 
-/* Counts of the key-value stand-in: reads, writes, watches. */
-static const char *const kv_kinds[KV_KINDS][3] = {
+/* Counters of the key-value stand-in for reads, writes and watches. */
+static const char *const kv_call_kinds[KV_CALL_KINDS][3] = {
     {"gets", "lists", NULL}, {"puts", "deletes", NULL}, {"watches", NULL}};
 
 struct reading {
@@ -36,18 +36,18 @@
     double frames;
 };
 
-/* Calls of one kind that the key-value stand-in has counted. */
+/* Returns the number of calls of one kind that the key-value stand-in has
+ * counted; the list of its counters ends with NULL. */
 static double
-kv_calls(const struct harness_fleet *fleet, const char *const *kinds)
+count_kv_calls(const struct harness_fleet *fleet, const char *const *counters)
 {
     int64_t sum = 0;
-    for (size_t i = 0; kinds[i] != NULL; i++) {
-        sum += harness_get_record_number(&fleet->kv, kinds[i]);
+    for (size_t i = 0; counters[i] != NULL; i++) {
+        sum += harness_get_record_number(&fleet->kv, counters[i]);
     }
     return (double)sum;
 }
 
-/* Reads one node. */
 static struct reading
 read_node(const struct harness_node *node)
 {
@@ -61,7 +61,8 @@
     return reading;
 }
 
-/* Applies a declaration that differs and waits until all have it. */
+/* Applies a changed declaration and waits until all nodes have it.  Returns
+ * the elapsed milliseconds. */
 static int64_t
 measure_change(struct harness_fleet *fleet, unsigned serial)
 {
@@ -76,26 +77,26 @@
     (void)g_file_set_contents(path, changed, -1, NULL);
     uint64_t before = harness_get_revision(&fleet->nodes[0]);
     char *output = NULL;
-    int64_t begun = harness_now_ms();
+    int64_t start_ms = harness_now_ms();
     if (harness_apply_config(fleet, &fleet->nodes[0], path, &output) != 0) {
         g_error("bench: apply: %s", output);
     }
     for (unsigned i = 0; i < fleet->node_count; i++) {
         while (harness_get_revision(&fleet->nodes[i]) <= before &&
-               harness_now_ms() - begun < SPREAD_LIMIT_MS) {
+               harness_now_ms() - start_ms < CHANGE_TIMEOUT_MS) {
             harness_sleep_ms(5);
         }
     }
-    int64_t took = harness_now_ms() - begun;
+    int64_t elapsed_ms = harness_now_ms() - start_ms;
     (void)remove(path);
     g_free(output);
     g_free(changed);
     g_free(text);
     g_free(path);
-    return took;
+    return elapsed_ms;
 }
 
-/* Frames that the nodes from the first one on have sent. */
+/* Returns the number of frames sent by the nodes from index first on. */
 static double
 sum_frames(const struct harness_fleet *fleet, unsigned first)
 {
@@ -106,121 +107,122 @@
     return sum;
 }
 
-/* Whether a node knows a home for every upstream beyond the first nodes. */
+/* Whether a node reports, for every upstream, a home node that is not among
+ * the nodes below index first. */
 static bool
-homes_beyond(const struct harness_fleet *fleet,
-             const struct harness_node *node, unsigned first)
+has_all_homes_from(const struct harness_fleet *fleet,
+                   const struct harness_node *node, unsigned first)
 {
     JsonNode *status = harness_get_status(node);
     JsonArray *list = status == NULL
                           ? NULL
                           : json_object_get_array_member(
                                 json_node_get_object(status), "upstreams");
-    bool beyond = list != NULL;
-    for (guint i = 0; beyond && i < json_array_get_length(list); i++) {
+    bool outside = list != NULL;
+    for (guint i = 0; outside && i < json_array_get_length(list); i++) {
         const char *home = json_object_get_string_member(
             json_array_get_object_element(list, i), "home");
         for (unsigned k = 0; k < first; k++) {
-            beyond = beyond && strcmp(home, fleet->nodes[k].name) != 0;
+            outside = outside && strcmp(home, fleet->nodes[k].name) != 0;
         }
     }
     if (status != NULL) {
         json_node_unref(status);
     }
-    return beyond;
+    return outside;
 }
 
-/* A third of the nodes falls silent at once, as a lost data centre does:
- * connections to them are neither refused nor answered. */
+/* Suspends a third of the nodes at once, which looks like the loss of a data
+ * centre: connections to them are neither refused nor answered. */
 static void
 measure_loss(const struct harness_fleet *fleet)
 {
-    unsigned lost = fleet->node_count / 3;
-    double frames = sum_frames(fleet, lost);
-    for (unsigned i = 0; i < lost; i++) {
+    unsigned silent_count = fleet->node_count / 3;
+    double frames = sum_frames(fleet, silent_count);
+    for (unsigned i = 0; i < silent_count; i++) {
         (void)kill(fleet->nodes[i].pid, SIGSTOP);
     }
-    int64_t begun = harness_now_ms();
-    for (unsigned i = lost; i < fleet->node_count; i++) {
-        while (!homes_beyond(fleet, &fleet->nodes[i], lost)) {
-            if (harness_now_ms() - begun > LOSS_LIMIT_MS) {
+    int64_t start_ms = harness_now_ms();
+    for (unsigned i = silent_count; i < fleet->node_count; i++) {
+        while (!has_all_homes_from(fleet, &fleet->nodes[i], silent_count)) {
+            if (harness_now_ms() - start_ms > LOSS_TIMEOUT_MS) {
                 g_print("figure: fleet nodes=%u: %s still has homes among the "
                         "lost after %d ms\n",
                         fleet->node_count, fleet->nodes[i].name,
-                        LOSS_LIMIT_MS);
+                        LOSS_TIMEOUT_MS);
                 break;
             }
             harness_sleep_ms(20);
         }
     }
-    int64_t took = harness_now_ms() - begun;
-    frames = sum_frames(fleet, lost) - frames;
-    for (unsigned i = 0; i < lost; i++) {
+    int64_t elapsed_ms = harness_now_ms() - start_ms;
+    frames = sum_frames(fleet, silent_count) - frames;
+    for (unsigned i = 0; i < silent_count; i++) {
         (void)kill(fleet->nodes[i].pid, SIGCONT);
     }
-    unsigned left = fleet->node_count - lost;
+    unsigned remaining = fleet->node_count - silent_count;
     g_print("figure: fleet nodes=%u: %u silent at once, all homes elsewhere "
             "after %" G_GINT64_FORMAT " ms, %.1f frames/s of a node\n",
-            fleet->node_count, lost, took,
-            frames * 1000 / (double)took / left);
+            fleet->node_count, silent_count, elapsed_ms,
+            frames * 1000 / (double)elapsed_ms / remaining);
 }
 
-/* Every node is killed and started anew at once. */
+/* Kills and restarts all nodes at once. */
 static void
 measure_restart(struct harness_fleet *fleet)
 {
-    double before[KV_KINDS];
-    for (size_t i = 0; i < KV_KINDS; i++) {
-        before[i] = kv_calls(fleet, kv_kinds[i]);
+    double before[KV_CALL_KINDS];
+    for (size_t i = 0; i < KV_CALL_KINDS; i++) {
+        before[i] = count_kv_calls(fleet, kv_call_kinds[i]);
     }
     for (unsigned i = 0; i < fleet->node_count; i++) {
         harness_node_signal(&fleet->nodes[i], SIGKILL);
     }
-    int64_t begun = harness_now_ms();
+    int64_t start_ms = harness_now_ms();
     for (unsigned i = 0; i < fleet->node_count; i++) {
         harness_node_start(fleet, &fleet->nodes[i]);
     }
-    int64_t started = harness_now_ms() - begun;
+    int64_t started_ms = harness_now_ms() - start_ms;
     for (unsigned i = 0; i < fleet->node_count; i++) {
         if (!harness_node_wait_ready(&fleet->nodes[i], true,
                                      HARNESS_READY_TIMEOUT_MS)) {
             g_error("bench: %s is not ready", fleet->nodes[i].name);
         }
     }
-    int64_t took = harness_now_ms() - begun;
+    int64_t elapsed_ms = harness_now_ms() - start_ms;
     g_print("figure: fleet nodes=%u upstreams=%u: all replaced at once, begun "
             "within %" G_GINT64_FORMAT " ms, ready after %" G_GINT64_FORMAT
             " ms, kv-reads=%.0f kv-writes=%.0f kv-watches=%.0f\n",
-            fleet->node_count, fleet->upstream_count, started, took,
-            kv_calls(fleet, kv_kinds[0]) - before[0],
-            kv_calls(fleet, kv_kinds[1]) - before[1],
-            kv_calls(fleet, kv_kinds[2]) - before[2]);
+            fleet->node_count, fleet->upstream_count, started_ms, elapsed_ms,
+            count_kv_calls(fleet, kv_call_kinds[0]) - before[0],
+            count_kv_calls(fleet, kv_call_kinds[1]) - before[1],
+            count_kv_calls(fleet, kv_call_kinds[2]) - before[2]);
 }
 
-/* One size of fleet. */
+/* Runs all cases on a fleet of one size. */
 static void
 measure_size(const char *build, unsigned nodes, unsigned engines)
 {
-    struct harness_fleet_config shape = {
+    struct harness_fleet_config config = {
         .node_count = nodes,
         .engine_count = engines,
         .service_count = 1,
         .settings = {"platform.list-ms=1000", "upstreams.report-ms=500",
                      "node.workers=2"},
     };
-    struct harness_fleet *fleet = harness_fleet_start(build, &shape);
+    struct harness_fleet *fleet = harness_fleet_start(build, &config);
     harness_sleep_ms(SETTLE_MS);
     struct reading *before = g_new0(struct reading, nodes);
     for (unsigned i = 0; i < nodes; i++) {
         before[i] = read_node(&fleet->nodes[i]);
     }
-    double kv_before[KV_KINDS];
-    for (size_t i = 0; i < KV_KINDS; i++) {
-        kv_before[i] = kv_calls(fleet, kv_kinds[i]);
+    double kv_before[KV_CALL_KINDS];
+    for (size_t i = 0; i < KV_CALL_KINDS; i++) {
+        kv_before[i] = count_kv_calls(fleet, kv_call_kinds[i]);
     }
-    int64_t begun = harness_now_ms();
+    int64_t start_ms = harness_now_ms();
     harness_sleep_ms(MEASURE_MS);
-    double seconds = (double)(harness_now_ms() - begun) / 1000.0;
+    double seconds = (double)(harness_now_ms() - start_ms) / 1000.0;
     struct reading sum = {0};
     for (unsigned i = 0; i < nodes; i++) {
         struct reading now = read_node(&fleet->nodes[i]);
@@ -230,27 +232,29 @@
         sum.received += now.received - before[i].received;
         sum.frames += now.frames - before[i].frames;
     }
-    double each = nodes * seconds;
-    double calls[KV_KINDS];
-    for (size_t i = 0; i < KV_KINDS; i++) {
-        calls[i] = (kv_calls(fleet, kv_kinds[i]) - kv_before[i]) / seconds;
+    double node_seconds = nodes * seconds;
+    double kv_calls_per_s[KV_CALL_KINDS];
+    for (size_t i = 0; i < KV_CALL_KINDS; i++) {
+        kv_calls_per_s[i] =
+            (count_kv_calls(fleet, kv_call_kinds[i]) - kv_before[i]) / seconds;
     }
     g_print("figure: fleet nodes=%u upstreams=%u core=%.2f%% rss=%.1fMB "
             "sent=%.0fB/s "
             "received=%.0fB/s frames=%.1f/s kv-reads=%.2f/s "
             "kv-writes=%.2f/s kv-watches=%.2f/s\n",
-            nodes, fleet->upstream_count, sum.cpu_ms / 10.0 / each,
-            sum.rss_kb / 1024.0 / nodes, sum.sent / each, sum.received / each,
-            sum.frames / each, calls[0], calls[1], calls[2]);
-    int64_t took = measure_change(fleet, nodes);
+            nodes, fleet->upstream_count, sum.cpu_ms / 10.0 / node_seconds,
+            sum.rss_kb / 1024.0 / nodes, sum.sent / node_seconds,
+            sum.received / node_seconds, sum.frames / node_seconds,
+            kv_calls_per_s[0], kv_calls_per_s[1], kv_calls_per_s[2]);
+    int64_t elapsed_ms = measure_change(fleet, nodes);
     g_print("figure: fleet nodes=%u change in force everywhere after "
             "%" G_GINT64_FORMAT " ms\n",
-            nodes, took);
+            nodes, elapsed_ms);
     g_free(before);
     measure_loss(fleet);
     measure_restart(fleet);
     if (harness_fleet_stop(fleet) != 0) {
-        g_error("bench: a node did not stop well");
+        g_error("bench: a node did not stop cleanly");
     }
 }
 
@@ -261,21 +265,21 @@
         (void)fprintf(stderr, "usage: bench_fleet BUILD [NODES...]\n");
         return 2;
     }
-    static const unsigned usual[][2] = {{3, USUAL_ENGINES},
-                                        {7, USUAL_ENGINES},
-                                        {40, USUAL_ENGINES},
-                                        {40, 5 * USUAL_ENGINES},
-                                        {120, USUAL_ENGINES}};
+    static const unsigned default_sizes[][2] = {{3, DEFAULT_ENGINES},
+                                                {7, DEFAULT_ENGINES},
+                                                {40, DEFAULT_ENGINES},
+                                                {40, 5 * DEFAULT_ENGINES},
+                                                {120, DEFAULT_ENGINES}};
     if (argc > 2) {
         for (int i = 2; i < argc; i++) {
             measure_size(argv[1],
                          (unsigned)g_ascii_strtoull(argv[i], NULL, 10),
-                         USUAL_ENGINES);
+                         DEFAULT_ENGINES);
         }
         return 0;
     }
-    for (size_t i = 0; i < G_N_ELEMENTS(usual); i++) {
-        measure_size(argv[1], usual[i][0], usual[i][1]);
+    for (size_t i = 0; i < G_N_ELEMENTS(default_sizes); i++) {
+        measure_size(argv[1], default_sizes[i][0], default_sizes[i][1]);
     }
     return 0;
 }
--- a/tests/bench/bench_records.c
+++ b/tests/bench/bench_records.c
@@ -1,8 +1,9 @@
 /*
- * What requests and promises cost: frames between nodes for each request, and
- * calls to the key-value service for each model or adapter that is loaded (the
- * ledger) and for each keyed request as their rate, the slots and the time of
- * gathering change (at-most-once records).
+ * Measures what requests and the guarantees for them cost: frames between
+ * nodes for each request, and calls to the key-value store.  The latter are
+ * counted for each model or adapter that is loaded (the ledger), and for each
+ * request with a key (at-most-once records) at several request rates, numbers
+ * of slots and batch delays.
  */
 
 #include "harness/harness.h"
@@ -14,19 +15,19 @@
     SETTLE_MS = 1500,
     LOAD_MS = 4000,
     CALLERS = 24,
-    PATIENCE_MS = 10000,
+    CALL_TIMEOUT_MS = 10000,
 };
 
 struct reading {
-    double reads; /* of the key-value service */
+    double reads; /* of the key-value store */
     double writes;
     double frames; /* sent by all nodes */
     double bytes;
-    double forwarded; /* requests whose home is another node */
-    double memory;    /* bytes of all nodes */
+    double forwarded;    /* requests whose home node is another node */
+    double memory_bytes; /* of all nodes */
 };
 
-/* What the key-value stand-in and the nodes have counted. */
+/* Reads the counters of the key-value stand-in and of all nodes. */
 static struct reading
 read_all(const struct harness_fleet *fleet)
 {
@@ -41,28 +42,28 @@
         reading.frames += harness_get_counter(node, "frames_sent");
         reading.bytes += harness_get_counter(node, "frame_bytes_sent");
         reading.forwarded += harness_get_counter(node, "forwarded");
-        reading.memory += harness_get_memory_kb(node->pid) * 1024;
+        reading.memory_bytes += harness_get_memory_kb(node->pid) * 1024;
     }
     return reading;
 }
 
-/* Ends a fleet whose nodes must all have lived through the load. */
+/* Stops a fleet; a node that crashed under the load is an error. */
 static void
 stop_fleet(struct harness_fleet *fleet)
 {
     if (harness_fleet_stop(fleet) != 0) {
-        g_error("bench: a node did not stop well");
+        g_error("bench: a node did not stop cleanly");
     }
 }
 
-/* Calls for one item after another, each of which has to be loaded first. */
+/* Requests a series of items, each of which has to be loaded first. */
 static void
 measure_ledger(const char *build)
 {
     static const char *const items[] = {"m01", "m01-a1", "m01-a2", "m02",
                                         "m02-a1"};
-    struct harness_fleet_config shape = {.node_count = 1, .engine_count = 1};
-    struct harness_fleet *fleet = harness_fleet_start(build, &shape);
+    struct harness_fleet_config config = {.node_count = 1, .engine_count = 1};
+    struct harness_fleet *fleet = harness_fleet_start(build, &config);
     harness_sleep_ms(SETTLE_MS);
     struct reading before = read_all(fleet);
     for (unsigned i = 0; i < G_N_ELEMENTS(items); i++) {
@@ -72,14 +73,14 @@
             .path = "/v1/completions",
             .class_name = "advice",
             .body = harness_model_body(items[i], 4, false, i),
-            .timeout_ms = PATIENCE_MS,
+            .timeout_ms = CALL_TIMEOUT_MS,
         };
-        struct harness_response *answer = harness_call(&call);
-        if (!harness_response_is_correct(answer)) {
-            g_error("bench: %s was answered with %d", items[i],
-                    answer->status);
+        struct harness_response *response = harness_call(&call);
+        if (!harness_response_is_correct(response)) {
+            g_error("bench: the response to %s had status %d", items[i],
+                    response->status);
         }
-        harness_response_free(answer);
+        harness_response_free(response);
         g_free((char *)call.body);
         harness_sleep_ms(SETTLE_MS);
     }
@@ -91,9 +92,10 @@
     stop_fleet(fleet);
 }
 
-/* Calls of one kind by so many callers; how many were answered. */
+/* Runs calls of one kind by this number of callers.  Returns the number of
+ * responses, at least 1. */
 static unsigned
-measure_load(struct harness_fleet *fleet, const char *what,
+measure_load(struct harness_fleet *fleet, const char *title,
              const struct harness_call_kind *kind, unsigned callers)
 {
     static unsigned serial = 1;
@@ -102,76 +104,79 @@
         .kinds = kind,
         .kind_count = 1,
         .caller_count = callers,
-        .call_timeout_ms = PATIENCE_MS,
+        .call_timeout_ms = CALL_TIMEOUT_MS,
         .first_serial = serial,
     };
     struct reading before = read_all(fleet);
-    int64_t begun = harness_now_ms();
-    struct harness_load_run *running = harness_load_start(&load);
+    int64_t start_ms = harness_now_ms();
+    struct harness_load_run *load_run = harness_load_start(&load);
     harness_sleep_ms(LOAD_MS);
-    GPtrArray *answers = harness_load_stop(running);
-    double seconds = (double)(harness_now_ms() - begun) / 1000.0;
+    GPtrArray *responses = harness_load_stop(load_run);
+    double seconds = (double)(harness_now_ms() - start_ms) / 1000.0;
     struct reading after = read_all(fleet);
-    unsigned good = 0;
-    double waited = 0;
-    for (guint i = 0; i < answers->len; i++) {
-        const struct harness_response *answer = g_ptr_array_index(answers, i);
-        good += answer->status == 200;
-        waited += (double)(answer->ended_at_ms - answer->sent_at_ms);
+    unsigned correct = 0;
+    double latency_sum_ms = 0;
+    for (guint i = 0; i < responses->len; i++) {
+        const struct harness_response *response =
+            g_ptr_array_index(responses, i);
+        correct += response->status == 200;
+        latency_sum_ms +=
+            (double)(response->ended_at_ms - response->sent_at_ms);
     }
-    double count = MAX(answers->len, 1U);
+    double count = MAX(responses->len, 1U);
     g_print("figure: %s: callers=%u answers=%.0f/s good=%u of %u mean=%.0fms "
             "kv-writes=%.0f/s kv-reads=%.0f/s, of a request: frames=%.2f "
             "bytes=%.0f forwarded=%.2f memory=%.0f\n",
-            what, callers, answers->len / seconds, good, answers->len,
-            waited / count, (after.writes - before.writes) / seconds,
+            title, callers, responses->len / seconds, correct, responses->len,
+            latency_sum_ms / count, (after.writes - before.writes) / seconds,
             (after.reads - before.reads) / seconds,
             (after.frames - before.frames) / count,
             (after.bytes - before.bytes) / count,
             (after.forwarded - before.forwarded) / count,
-            (after.memory - before.memory) / count);
-    serial += answers->len + callers;
-    g_ptr_array_unref(answers);
+            (after.memory_bytes - before.memory_bytes) / count);
+    serial += responses->len + callers;
+    g_ptr_array_unref(responses);
     return (unsigned)count;
 }
 
-/* Requests that need leave of a home on another node, or here. */
+/* Measures requests whose grant comes from the entry node itself or from
+ * another home node. */
 static void
 measure_requests(const char *build)
 {
     static const struct harness_call_kind kind = {"lookup", "m01", NULL, 1,
                                                   false,    false, 3000};
-    struct harness_fleet_config shape = {.node_count = 24, .engine_count = 6};
-    struct harness_fleet *fleet = harness_fleet_start(build, &shape);
+    struct harness_fleet_config config = {.node_count = 24, .engine_count = 6};
+    struct harness_fleet *fleet = harness_fleet_start(build, &config);
     harness_warm_up(fleet, &kind, 1);
     (void)measure_load(fleet, "requests", &kind, CALLERS);
     stop_fleet(fleet);
 }
 
-/* One setting of slots and gathering, at several rates. */
+/* Measures one setting of slots and batch delay at several request rates. */
 static void
-measure_once(const char *build, const char *slots, const char *gather)
+measure_once(const char *build, const char *slots, const char *batch_delay)
 {
     static const unsigned callers[] = {4, 16, 64};
     static const struct harness_call_kind kind = {
         "order", NULL, "/services/orders/jackets", 0, false, true, 3000};
-    struct harness_fleet_config shape = {
+    struct harness_fleet_config config = {
         .node_count = 3,
         .engine_count = 1,
         .service_count = 3,
-        .settings = {slots, gather},
+        .settings = {slots, batch_delay},
     };
-    char *settings = g_strdup_printf("once %s %s", slots, gather);
-    struct harness_fleet *fleet = harness_fleet_start(build, &shape);
+    char *settings = g_strdup_printf("once %s %s", slots, batch_delay);
+    struct harness_fleet *fleet = harness_fleet_start(build, &config);
     harness_sleep_ms(SETTLE_MS);
-    unsigned total = 0;
+    unsigned request_count = 0;
     for (size_t i = 0; i < G_N_ELEMENTS(callers); i++) {
-        total += measure_load(fleet, settings, &kind, callers[i]);
+        request_count += measure_load(fleet, settings, &kind, callers[i]);
     }
     char *list = NULL;
     (void)harness_get(fleet->kv.address, "/v1/list?prefix=once/", &list);
     g_print("figure: %s: a list of the records is %.0f bytes a request\n",
-            settings, list == NULL ? 0 : (double)strlen(list) / total);
+            settings, list == NULL ? 0 : (double)strlen(list) / request_count);
     g_free(list);
     stop_fleet(fleet);
     g_free(settings);
