--- a/tests/standin/answer.h
+++ b/tests/standin/answer.h
@@ -2,22 +2,24 @@
 #define STANDIN_ANSWER_H
 
 /*
- * The stand-ins' answers: a function of the request's body alone, but for the
- * request id in it, so that a checker can make the whole answer for itself.
+ * The responses of the simulated upstreams.  A model's response depends on the
+ * request's body and id alone, a plain service's on method, path and body, so
+ * that a test can compute the expected response itself.
  */
 
 #include "base/base.h"
 
 #include <stdio.h>
 
-/* Appends token i of the answer to a body of that hash: a hash word. */
+/* Appends token i, a hash as text, of the response to a body with this
+   hash. */
 static inline void
 answer_token(GString *out, uint64_t hash, unsigned i)
 {
     g_string_append_printf(out, "%08x ", (unsigned)ch_hash_pair(hash, i));
 }
 
-/* Appends event i of a streamed answer. */
+/* Appends event i of a streamed response. */
 static inline void
 answer_event(GString *out, const char *id, bool chat, uint64_t hash,
              unsigned i)
@@ -29,7 +31,7 @@
     g_string_append(out, chat ? "\"}}]}\n\n" : "\"}]}\n\n");
 }
 
-/* Appends the whole answer to a model call that is no stream. */
+/* Appends the response to a model request without streaming. */
 static inline void
 answer_whole(GString *out, const char *id, bool chat, uint64_t hash,
              unsigned tokens)
@@ -47,7 +49,7 @@
                            chat ? "}" : "", tokens);
 }
 
-/* Appends the answer of a plain service. */
+/* Appends the response of a plain service. */
 static inline void
 answer_service(GString *out, const char *method, const char *path,
                uint64_t hash)
--- a/tests/standin/engine.c
+++ b/tests/standin/engine.c
@@ -1,4 +1,4 @@
-/* The engine's memory: orders, loads and the report. */
+/* The simulated engine's memory: orders, loads and the load report. */
 
 #include "engine.h"
 
@@ -7,10 +7,10 @@
 
 enum {
     ADAPTER_LOAD_US = 10 * 1000,
-    DONE_KEPT = 256,
+    MAX_REPORTED_ORDERS = 256, /* executed orders in the load report */
 };
 
-/* An order as it came; owned by what is done with it. */
+/* A received order; freed by the function that completes it. */
 struct order {
     struct engine *engine;
     unsigned boot;
@@ -20,7 +20,7 @@
     char *item;
 };
 
-struct order_note {
+struct order_log_entry {
     char *id;
     char *item;
     bool load;
@@ -30,7 +30,6 @@
     int64_t at;
 };
 
-/* Frees an order. */
 static void
 order_free(struct order *order)
 {
@@ -39,7 +38,6 @@
     g_free(order);
 }
 
-/* Frees an item. */
 static void
 item_free(gpointer data)
 {
@@ -49,7 +47,8 @@
     g_free(item);
 }
 
-/* Begins with empty memory, and a new boot each time it is started. */
+/* Starts with empty memory.  The reported boot id differs by port and by the
+ * number of simulated restarts. */
 static void
 engine_start(struct standin *standin)
 {
@@ -74,7 +73,7 @@
     standin->state = engine;
 }
 
-/* Memory that is resident or being loaded. */
+/* Returns the memory in MB of items that are resident or loading. */
 static int64_t
 memory_used(const struct engine *engine)
 {
@@ -86,21 +85,22 @@
     return used;
 }
 
-/* What an item takes, by the file of models; 0: there is no such model. */
+/* Returns the memory in MB that an item needs according to the model file;
+ * 0: unknown model. */
 static int64_t
-memory_wanted(const struct engine *engine, const char *name)
+memory_needed(const struct engine *engine, const char *name)
 {
     char **parts = g_strsplit(name, "/", 2);
     char *group = g_strconcat("model ", parts[0], NULL);
-    int64_t wanted = g_key_file_get_int64(
+    int64_t needed_mb = g_key_file_get_int64(
         engine->models, group,
         parts[1] == NULL ? "memory-mb" : "adapter-memory-mb", NULL);
     g_free(group);
     g_strfreev(parts);
-    return wanted;
+    return needed_mb;
 }
 
-/* An item by its name, or by an adapter's own name. */
+/* Finds an item by its full name or by an adapter's own name. */
 struct item *
 engine_find(struct engine *engine, const char *name)
 {
@@ -115,38 +115,38 @@
     return NULL;
 }
 
-/* Notes that an order was carried out. */
+/* Adds an order to the executed orders. */
 static void
-order_done(struct engine *engine, const char *id)
+add_done_order(struct engine *engine, const char *id)
 {
     g_ptr_array_add(engine->done, g_strdup(id));
-    if (engine->done->len > DONE_KEPT) {
+    if (engine->done->len > MAX_REPORTED_ORDERS) {
         g_ptr_array_remove_index(engine->done, 0);
     }
 }
 
-/* Removes an item, and of a model its adapters. */
+/* Removes an item, for a model also its adapters. */
 static void
-item_remove(struct engine *engine, struct item *gone)
+remove_item(struct engine *engine, struct item *gone)
 {
-    char *below = g_strconcat(gone->name, "/", NULL);
+    char *adapter_prefix = g_strconcat(gone->name, "/", NULL);
     if (gone->unload != NULL) {
-        order_done(engine, gone->unload);
+        add_done_order(engine, gone->unload);
     }
     (void)g_ptr_array_remove(engine->items, gone);
     for (guint i = engine->items->len; i > 0; i--) {
         struct item *item = g_ptr_array_index(engine->items, i - 1);
-        if (g_str_has_prefix(item->name, below)) {
+        if (g_str_has_prefix(item->name, adapter_prefix)) {
             if (item->unload != NULL) {
-                order_done(engine, item->unload);
+                add_done_order(engine, item->unload);
             }
             g_ptr_array_remove_index(engine->items, i - 1);
         }
     }
-    g_free(below);
+    g_free(adapter_prefix);
 }
 
-/* Counts a request on an item in or out. */
+/* Counts the start or end of a request on an item. */
 void
 engine_use(struct engine *engine, const char *name, int change)
 {
@@ -156,38 +156,38 @@
     }
     item->running += (unsigned)change;
     if (item->leaving && item->resident && item->running == 0) {
-        item_remove(engine, item);
+        remove_item(engine, item);
     }
 }
 
-/* The weights are in memory. */
+/* Completes a load, unless the engine restarted meanwhile. */
 static void
-load_done(void *data)
+finish_load(void *data)
 {
     struct order *order = data;
     struct engine *engine = order->engine;
     struct item *item = engine_find(engine, order->item);
     if (item != NULL && engine->boot == order->boot) {
         item->resident = true;
-        order_done(engine, order->id);
+        add_done_order(engine, order->id);
         if (item->leaving) {
-            item_remove(engine, item);
+            remove_item(engine, item);
         }
     }
     order_free(order);
 }
 
-/* The weight store's transfer is over: the rest of the load's time. */
+/* Waits for the rest of the load time after the weight store's transfer. */
 static void
-transfer_done(struct standin *standin, void *data)
+finish_transfer(struct standin *standin, void *data)
 {
     int64_t load = standin->faults[FAULT_load_ms] * 1000;
-    (void)timer_add(standin, load, load_done, data);
+    (void)timer_add(standin, load, finish_load, data);
 }
 
-/* A thread: fetches the weights, however long that takes. */
+/* Fetches the weights in a thread of its own, without a timeout. */
 static gpointer
-transfer(gpointer data)
+fetch_weights(gpointer data)
 {
     struct order *order = data;
     struct standin *standin = order->engine->standin;
@@ -200,47 +200,48 @@
     (void)curl_easy_perform(curl);
     curl_easy_cleanup(curl);
     g_free(url);
-    standin_wake(standin, transfer_done, order);
+    standin_wake(standin, finish_transfer, order);
     return NULL;
 }
 
-/* Begins a load, room for which has been found; takes over the order. */
+/* Starts a load for which memory is free; takes ownership of the order. */
 static void
-load_begin(struct engine *engine, struct order *order, int64_t memory_mb)
+start_load(struct engine *engine, struct order *order, int64_t memory_mb)
 {
     struct item *item = g_new0(struct item, 1);
     item->name = g_strdup(order->item);
     item->memory_mb = memory_mb;
     g_ptr_array_add(engine->items, item);
     if (strchr(order->item, '/') != NULL) {
-        (void)timer_add(engine->standin, ADAPTER_LOAD_US, load_done, order);
+        (void)timer_add(engine->standin, ADAPTER_LOAD_US, finish_load, order);
     }
     else if (g_hash_table_contains(engine->standin->options, "weights")) {
-        g_thread_unref(g_thread_new("transfer", transfer, order));
+        g_thread_unref(g_thread_new("transfer", fetch_weights, order));
     }
     else {
-        transfer_done(engine->standin, order);
+        finish_transfer(engine->standin, order);
     }
 }
 
-/* Loads; returns the order's status, and takes the order when it is 202. */
+/* Executes a load order; returns its HTTP status, and takes ownership of the
+ * order if that is 202. */
 static int
-order_load(struct engine *engine, struct order *order)
+execute_load(struct engine *engine, struct order *order)
 {
     struct item *item = engine_find(engine, order->item);
-    int64_t wanted = memory_wanted(engine, order->item);
+    int64_t needed_mb = memory_needed(engine, order->item);
     if (item != NULL) {
         if (item->unload != NULL) {
-            order_done(engine, item->unload);
+            add_done_order(engine, item->unload);
             g_clear_pointer(&item->unload, g_free);
         }
         item->leaving = false;
-        order_done(engine, order->id);
+        add_done_order(engine, order->id);
         order_free(order);
         return 202;
     }
-    int64_t used = memory_used(engine) + wanted;
-    if (wanted == 0) {
+    int64_t used = memory_used(engine) + needed_mb;
+    if (needed_mb == 0) {
         return 404;
     }
     engine->most_mb = MAX(engine->most_mb, used);
@@ -248,17 +249,18 @@
         engine->overcommits++;
         return 507;
     }
-    load_begin(engine, order, wanted);
+    start_load(engine, order, needed_mb);
     return 202;
 }
 
-/* Unloads, once nothing runs on the item. */
+/* Executes an unload order when no request runs on the item any more; takes
+ * ownership of the order and returns 202. */
 static int
-order_unload(struct engine *engine, struct order *order)
+execute_unload(struct engine *engine, struct order *order)
 {
     struct item *item = engine_find(engine, order->item);
     if (item == NULL) {
-        order_done(engine, order->id);
+        add_done_order(engine, order->id);
     }
     else {
         g_free(item->unload);
@@ -270,16 +272,16 @@
     return 202;
 }
 
-/* Carries out an order that has arrived; takes it over. */
+/* Executes an order; takes ownership of it and returns the HTTP status. */
 static int
-order_run(struct engine *engine, struct order *order)
+execute_order(struct engine *engine, struct order *order)
 {
-    struct order_note *note = g_new0(struct order_note, 1);
-    note->id = g_strdup(order->id);
-    note->item = g_strdup(order->item);
-    note->load = order->load;
-    note->fence = order->fence;
-    note->at = now_us();
+    struct order_log_entry *entry = g_new0(struct order_log_entry, 1);
+    entry->id = g_strdup(order->id);
+    entry->item = g_strdup(order->item);
+    entry->load = order->load;
+    entry->fence = order->fence;
+    entry->at = now_us();
     int status = 202;
     if (engine->standin->faults[FAULT_fencing] != 0 &&
         order->fence < engine->fence) {
@@ -290,8 +292,8 @@
     }
     else {
         engine->fence = MAX(engine->fence, order->fence);
-        status = order->load ? order_load(engine, order)
-                             : order_unload(engine, order);
+        status = order->load ? execute_load(engine, order)
+                             : execute_unload(engine, order);
     }
     if (status == 404 || status == 507) {
         (void)g_hash_table_remove(engine->accepted, order->id);
@@ -299,29 +301,29 @@
     if (status != 202) {
         order_free(order);
     }
-    note->status = status;
-    note->memory_mb = memory_used(engine);
-    g_ptr_array_add(engine->orders, note);
+    entry->status = status;
+    entry->memory_mb = memory_used(engine);
+    g_ptr_array_add(engine->orders, entry);
     return status == 208 ? 202 : status;
 }
 
-/* A delayed or repeated order arrives; one for an earlier boot does not, as
- * its connection ended with that. */
+/* Executes a delayed or repeated order.  An order sent before a restart is
+ * dropped, as the restart closed its connection. */
 static void
-order_arrives(void *data)
+execute_late_order(void *data)
 {
     struct order *order = data;
     if (order->boot == order->engine->boot) {
-        (void)order_run(order->engine, order);
+        (void)execute_order(order->engine, order);
     }
     else {
         order_free(order);
     }
 }
 
-/* Reads an order, or returns NULL. */
+/* Parses the body as an order; NULL if it is not JSON. */
 static struct order *
-order_parse(struct engine *engine, const struct exchange *exchange)
+parse_order(struct engine *engine, const struct exchange *exchange)
 {
     JsonParser *parser = json_parser_new();
     struct order *order = NULL;
@@ -346,16 +348,16 @@
     return order;
 }
 
-/* POST /v1/orders, with what may happen to an order on its way. */
+/* Handles POST /v1/orders, with the faults of orders. */
 static void
-orders_handle(struct exchange *exchange)
+handle_order(struct exchange *exchange)
 {
     struct standin *standin = exchange->standin;
     struct engine *engine = standin->state;
     int64_t delay = standin->faults[FAULT_delay_ms] * 1000;
-    struct order *order = order_parse(engine, exchange);
+    struct order *order = parse_order(engine, exchange);
     if (order == NULL) {
-        exchange_reply_text(exchange, 400, "not an order\n");
+        exchange_reply_text(exchange, 400, "body is not a JSON order\n");
         return;
     }
     if (fault_take(standin, FAULT_drop_orders)) {
@@ -364,25 +366,25 @@
         return;
     }
     if (fault_take(standin, FAULT_delay_orders)) {
-        (void)timer_add(standin, delay, order_arrives, order);
+        (void)timer_add(standin, delay, execute_late_order, order);
         exchange->closing = true;
         return;
     }
     if (fault_take(standin, FAULT_repeat_orders)) {
-        (void)timer_add(standin, delay, order_arrives,
-                        order_parse(engine, exchange));
+        (void)timer_add(standin, delay, execute_late_order,
+                        parse_order(engine, exchange));
     }
     if (fault_take(standin, FAULT_lose_orders)) {
         order_free(order);
         exchange_reply_text(exchange, 202, "");
         return;
     }
-    exchange_reply_text(exchange, order_run(engine, order), "");
+    exchange_reply_text(exchange, execute_order(engine, order), "");
 }
 
-/* GET /v1/load: the report, true unless it is to lie. */
+/* Handles GET /v1/load: the load report, wrong if the fault "lie" is set. */
 static void
-load_handle(struct exchange *exchange)
+handle_load_report(struct exchange *exchange)
 {
     struct engine *engine = exchange->standin->state;
     int64_t lie = exchange->standin->faults[FAULT_lie];
@@ -421,22 +423,23 @@
     exchange_reply_json(exchange, 200, out);
 }
 
-/* Sorts a call by its path. */
+/* Dispatches a request by its path. */
 static void
 engine_handle(struct exchange *exchange)
 {
     if (strcmp(exchange->path, "/v1/load") == 0) {
-        load_handle(exchange);
+        handle_load_report(exchange);
     }
     else if (strcmp(exchange->path, "/v1/orders") == 0) {
-        orders_handle(exchange);
+        handle_order(exchange);
     }
     else {
         generate_handle(exchange);
     }
 }
 
-/* POST /control/boot: memory, orders and connections are gone. */
+/* Handles POST /control/boot, a simulated restart: memory, orders and
+ * connections are lost. */
 static bool
 engine_control(struct exchange *exchange)
 {
@@ -455,7 +458,7 @@
     return true;
 }
 
-/* Every order and every run, and the most memory ever asked for. */
+/* Writes all orders and runs, and the most memory ever requested. */
 static void
 engine_record(struct standin *standin, JsonBuilder *out)
 {
@@ -470,15 +473,16 @@
     json_builder_set_member_name(out, "orders");
     json_builder_begin_array(out);
     for (guint i = 0; i < engine->orders->len; i++) {
-        const struct order_note *note = g_ptr_array_index(engine->orders, i);
+        const struct order_log_entry *entry =
+            g_ptr_array_index(engine->orders, i);
         json_builder_begin_object(out);
-        json_text(out, "id", note->id);
-        json_text(out, "item", note->item);
-        json_text(out, "action", note->load ? "load" : "unload");
-        json_number(out, "fence", note->fence);
-        json_number(out, "status", note->status);
-        json_number(out, "memory_mb", note->memory_mb);
-        json_number(out, "at_ms", note->at / 1000);
+        json_text(out, "id", entry->id);
+        json_text(out, "item", entry->item);
+        json_text(out, "action", entry->load ? "load" : "unload");
+        json_number(out, "fence", entry->fence);
+        json_number(out, "status", entry->status);
+        json_number(out, "memory_mb", entry->memory_mb);
+        json_number(out, "at_ms", entry->at / 1000);
         json_builder_end_object(out);
     }
     json_builder_end_array(out);
--- a/tests/standin/exchange.c
+++ b/tests/standin/exchange.c
@@ -1,4 +1,4 @@
-/* One HTTP request at a stand-in, with the faults that all modes share. */
+/* HTTP requests, with the faults that all modes share. */
 
 #include "standin.h"
 
@@ -8,7 +8,7 @@
 static const char *const fault_names[] = {FAULTS(FAULT)};
 #undef FAULT
 
-/* True when a fault that is counted is on; takes one from its count. */
+/* True when a counted fault is set; decreases its count. */
 bool
 fault_take(struct standin *standin, enum fault fault)
 {
@@ -22,7 +22,6 @@
     return true;
 }
 
-/* A request header, or NULL. */
 const char *
 exchange_header(const struct exchange *exchange, const char *name)
 {
@@ -30,7 +29,6 @@
                                        name);
 }
 
-/* A query argument, or NULL. */
 const char *
 exchange_query(const struct exchange *exchange, const char *name)
 {
@@ -38,7 +36,7 @@
                                        MHD_GET_ARGUMENT_KIND, name);
 }
 
-/* Sets the answer; text is freed with it. */
+/* Sets the response, which owns the text. */
 void
 exchange_reply(struct exchange *exchange, int status, char *text,
                size_t length)
@@ -48,7 +46,7 @@
         MHD_create_response_from_buffer(length, text, MHD_RESPMEM_MUST_FREE);
 }
 
-/* Sets a JSON answer and frees the builder. */
+/* Sets a JSON response and frees the builder. */
 void
 exchange_reply_json(struct exchange *exchange, int status,
                     JsonBuilder *builder)
@@ -61,7 +59,7 @@
     g_object_unref(builder);
 }
 
-/* Sets an answer of fixed text; an error bears the request's id as well. */
+/* Sets a response of plain text, with the request's id if it has one. */
 void
 exchange_reply_text(struct exchange *exchange, int status, const char *text)
 {
@@ -72,7 +70,7 @@
     }
 }
 
-/* Adds a header to the answer that is set. */
+/* Adds a header to the response that was set. */
 void
 exchange_add_header(struct exchange *exchange, const char *name,
                     const char *value)
@@ -80,7 +78,7 @@
     (void)MHD_add_response_header(exchange->response, name, value);
 }
 
-/* Stops the connection until exchange_resume. */
+/* Suspends the connection until exchange_resume. */
 void
 exchange_suspend(struct exchange *exchange)
 {
@@ -90,33 +88,33 @@
     }
 }
 
-/* The time for which an answer is held back is over. */
+/* Ends the delay of a response. */
 static void
-end_hold(void *data)
+end_delay(void *data)
 {
     struct exchange *exchange = data;
     exchange->hold = NULL;
     exchange_resume(exchange);
 }
 
-/* Holds an answer back for the time that is set. */
+/* Delays a response by the time of the fault slow_ms. */
 static void
-begin_hold(struct exchange *exchange)
+begin_delay(struct exchange *exchange)
 {
     exchange->slow = false;
     exchange->hold = timer_add(exchange->standin, exchange->standin->slow_us,
-                               end_hold, exchange);
+                               end_delay, exchange);
 }
 
-/* Goes on with an exchange, unless its answer is held back or its connection
- * is silent for good. */
+/* Continues an exchange, unless its response is delayed or its connection is
+ * silent. */
 void
 exchange_resume(void *data)
 {
     struct exchange *exchange = data;
     exchange->timer = NULL;
     if (exchange->slow) {
-        begin_hold(exchange);
+        begin_delay(exchange);
     }
     if (exchange->hold == NULL && exchange->suspended &&
         !exchange->link->silent) {
@@ -126,7 +124,7 @@
     }
 }
 
-/* Closes the connection without an answer, now or when it is resumed. */
+/* Closes the connection without a response, now or at its next resume. */
 void
 exchange_close(struct exchange *exchange)
 {
@@ -134,7 +132,6 @@
     exchange_resume(exchange);
 }
 
-/* Writes a member of text. */
 void
 json_text(JsonBuilder *out, const char *name, const char *value)
 {
@@ -142,7 +139,6 @@
     json_builder_add_string_value(out, value);
 }
 
-/* Writes a member that is a number. */
 void
 json_number(JsonBuilder *out, const char *name, int64_t value)
 {
@@ -150,7 +146,7 @@
     json_builder_add_int_value(out, value);
 }
 
-/* Sets the faults that the query names. */
+/* Sets the fault that a query argument names; ignores unknown names. */
 static enum MHD_Result
 set_fault(void *data, enum MHD_ValueKind kind, const char *name,
           const char *value)
@@ -165,7 +161,8 @@
     return MHD_YES;
 }
 
-/* Calls under /control/: faults, the record, and the mode's own. */
+/* Handles requests under /control/: faults, the record, and the mode's own
+ * paths. */
 static void
 handle_control(struct exchange *exchange)
 {
@@ -191,7 +188,7 @@
     }
     else if (standin->mode->control == NULL ||
              !standin->mode->control(exchange)) {
-        exchange_reply_text(exchange, 404, "no such control\n");
+        exchange_reply_text(exchange, 404, "unknown control path\n");
         return;
     }
     if (exchange->response == NULL) {
@@ -199,9 +196,9 @@
     }
 }
 
-/* Runs the mode's handler among the faults that all modes share. */
+/* Runs the mode's handler, with the faults that all modes share. */
 static void
-handle_call(struct exchange *exchange)
+handle_request(struct exchange *exchange)
 {
     struct standin *standin = exchange->standin;
     bool reused = exchange->link->requests > 1;
@@ -220,22 +217,22 @@
         return;
     }
     standin->mode->handle(exchange);
-    bool counts = standin->mode != &mode_kv ||
-                  strcmp(exchange->method, "PUT") == 0 ||
-                  strcmp(exchange->method, "DELETE") == 0;
-    if (counts && fault_take(standin, FAULT_silent_after)) {
+    bool has_effect = standin->mode != &mode_kv ||
+                      strcmp(exchange->method, "PUT") == 0 ||
+                      strcmp(exchange->method, "DELETE") == 0;
+    if (has_effect && fault_take(standin, FAULT_silent_after)) {
         exchange->link->silent = true;
     }
-    if ((counts && fault_take(standin, FAULT_drop_after)) ||
+    if ((has_effect && fault_take(standin, FAULT_drop_after)) ||
         (post && reused && fault_take(standin, FAULT_close_reused))) {
         exchange->closing = true;
     }
 }
 
-/* Holds an answer back while the stand-in is slow: one that is there at once,
- * or one whose work is still under way, when that is done. */
+/* Delays a response while the fault slow_ms is set: at once if the response is
+ * ready, else when it becomes ready. */
 static void
-delay_answer(struct exchange *exchange)
+delay_response(struct exchange *exchange)
 {
     struct standin *standin = exchange->standin;
     int64_t delay = standin->faults[FAULT_slow_ms];
@@ -252,12 +249,12 @@
         return;
     }
     exchange_suspend(exchange);
-    begin_hold(exchange);
+    begin_delay(exchange);
 }
 
-/* Gives libmicrohttpd what has been decided for the exchange. */
+/* Tells libmicrohttpd how the exchange goes on: suspend, close or respond. */
 static enum MHD_Result
-settle(struct exchange *exchange)
+continue_exchange(struct exchange *exchange)
 {
     if (exchange->link->silent) {
         exchange_suspend(exchange);
@@ -277,7 +274,8 @@
                               exchange->response);
 }
 
-/* libmicrohttpd's handler: gathers the body, then handles the call once. */
+/* Callback of libmicrohttpd: collects the body, then handles the request
+ * once. */
 static enum MHD_Result
 access_handler(void *data, struct MHD_Connection *connection, const char *url,
                const char *method, const char *version, const char *upload,
@@ -317,17 +315,18 @@
             handle_control(exchange);
         }
         else {
-            handle_call(exchange);
-            delay_answer(exchange);
+            handle_request(exchange);
+            delay_response(exchange);
         }
     }
-    return settle(exchange);
+    return continue_exchange(exchange);
 }
 
-/* The exchange is over: answered, cut by the caller, or closed. */
+/* Callback of libmicrohttpd: frees an exchange that was answered, or whose
+ * connection was closed by either side. */
 static void
-completed(void *data, struct MHD_Connection *connection, void **memory,
-          enum MHD_RequestTerminationCode code)
+free_exchange(void *data, struct MHD_Connection *connection, void **memory,
+              enum MHD_RequestTerminationCode code)
 {
     struct exchange *exchange = *memory;
     (void)data;
@@ -348,10 +347,10 @@
     *memory = NULL;
 }
 
-/* Keeps the table of open connections. */
+/* Callback of libmicrohttpd: maintains the table of open connections. */
 static void
-connection_changed(void *data, struct MHD_Connection *connection,
-                   void **memory, enum MHD_ConnectionNotificationCode code)
+track_connection(void *data, struct MHD_Connection *connection, void **memory,
+                 enum MHD_ConnectionNotificationCode code)
 {
     struct standin *standin = data;
     if (code == MHD_CONNECTION_NOTIFY_STARTED) {
@@ -363,7 +362,7 @@
     g_free(*memory);
 }
 
-/* A daemon on a listening socket, run by the stand-in's loop. */
+/* Starts a daemon on a listening socket, for use in an external event loop. */
 struct MHD_Daemon *
 exchange_daemon(struct standin *standin, int socket)
 {
@@ -371,6 +370,6 @@
         MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL,
         access_handler, standin, MHD_OPTION_LISTEN_SOCKET, socket,
         MHD_OPTION_CONNECTION_LIMIT, 18000U, MHD_OPTION_NOTIFY_COMPLETED,
-        completed, NULL, MHD_OPTION_NOTIFY_CONNECTION, connection_changed,
+        free_exchange, NULL, MHD_OPTION_NOTIFY_CONNECTION, track_connection,
         standin, MHD_OPTION_END);
 }
--- a/tests/standin/judge.c
+++ b/tests/standin/judge.c
@@ -1,10 +1,10 @@
-/* The record of what an upstream ran. */
+/* The record of the requests that an upstream executed. */
 
 #include "judge.h"
 
 #include <inttypes.h>
 
-/* A copy of a header, "" without one. */
+/* Copies a request header; "" if missing. */
 static char *
 copy_header(const struct exchange *exchange, const char *name)
 {
@@ -12,7 +12,7 @@
     return g_strdup(value == NULL ? "" : value);
 }
 
-/* Notes that a call begins to run now; the run belongs to the list. */
+/* Adds a run that starts now; the array owns it. */
 struct run *
 judge_begin(GPtrArray *runs, const struct exchange *exchange, const char *item)
 {
@@ -31,7 +31,7 @@
     return run;
 }
 
-/* Writes "runs": times are milliseconds of CLOCK_MONOTONIC. */
+/* Writes the member "runs"; times are in milliseconds of CLOCK_MONOTONIC. */
 void
 judge_record(const GPtrArray *runs, JsonBuilder *out)
 {
--- a/tests/standin/kv.c
+++ b/tests/standin/kv.c
@@ -1,4 +1,4 @@
-/* Stand-in for the key-value service: compare-and-swap, watches, lists. */
+/* Simulates the key-value service: compare-and-swap, watches, lists. */
 
 #include "standin.h"
 
@@ -6,7 +6,7 @@
 #include <string.h>
 
 enum {
-    MOST_VALUE = 1024 * 1024,
+    MAX_VALUE_BYTES = 1024 * 1024,
 };
 
 enum call_kind {
@@ -32,7 +32,7 @@
     uint64_t revision;
     int64_t calls[CALL_KINDS];
     int64_t largest;
-    GPtrArray *watching; /* struct exchange with a struct watch as work */
+    GPtrArray *watching; /* struct exchange, whose data is a struct watch */
 };
 
 struct watch {
@@ -40,7 +40,6 @@
     uint64_t after;
 };
 
-/* Frees a value. */
 static void
 value_free(gpointer data)
 {
@@ -49,7 +48,7 @@
     g_free(value);
 }
 
-/* Orders keys by bytes. */
+/* Orders keys bytewise. */
 static gint
 key_compare(gconstpointer a, gconstpointer b, gpointer data)
 {
@@ -57,7 +56,6 @@
     return strcmp(a, b);
 }
 
-/* Begins with no values. */
 static void
 kv_start(struct standin *standin)
 {
@@ -67,7 +65,7 @@
     standin->state = kv;
 }
 
-/* Adds the ETag of a revision to the answer. */
+/* Adds the ETag of a revision to the response. */
 static void
 add_etag(struct exchange *exchange, uint64_t revision)
 {
@@ -76,9 +74,9 @@
     exchange_add_header(exchange, "ETag", text);
 }
 
-/* Answers with a value, or 404 without one. */
+/* Responds with a value, or with 404 if value is NULL. */
 static void
-answer_value(struct exchange *exchange, const struct value *value)
+respond_with_value(struct exchange *exchange, const struct value *value)
 {
     if (value == NULL) {
         exchange_reply_text(exchange, 404, "");
@@ -90,7 +88,7 @@
     add_etag(exchange, value->revision);
 }
 
-/* Answers the watches of a key that was written. */
+/* Answers the watches of a key that was just written. */
 static void
 wake_watches(struct kv *kv, const char *key)
 {
@@ -103,20 +101,22 @@
         }
         g_ptr_array_remove_index_fast(kv->watching, i - 1);
         timer_stop(exchange->standin, exchange->timer);
-        answer_value(exchange, value);
+        respond_with_value(exchange, value);
         exchange_resume(exchange);
     }
 }
 
-/* True when the request's condition holds; else it is answered. */
+/* Checks If-Match or If-None-Match; when the check fails, sets the response
+ * and returns false. */
 static bool
-condition_holds(struct exchange *exchange, const struct value *value)
+check_condition(struct exchange *exchange, const struct value *value)
 {
     struct kv *kv = exchange->standin->state;
     const char *match = exchange_header(exchange, "If-Match");
     bool none = exchange_header(exchange, "If-None-Match") != NULL;
     if (match == NULL && !none) {
-        exchange_reply_text(exchange, 400, "no condition\n");
+        exchange_reply_text(exchange, 400,
+                            "If-Match or If-None-Match is missing\n");
         return false;
     }
     uint64_t wanted =
@@ -132,16 +132,16 @@
     return false;
 }
 
-/* PUT. */
+/* Handles PUT /v1/kv/KEY. */
 static void
-put(struct exchange *exchange, const char *key)
+handle_put(struct exchange *exchange, const char *key)
 {
     struct kv *kv = exchange->standin->state;
-    if (exchange->body->len > MOST_VALUE) {
+    if (exchange->body->len > MAX_VALUE_BYTES) {
         exchange_reply_text(exchange, 413, "");
         return;
     }
-    if (!condition_holds(exchange, g_tree_lookup(kv->values, key))) {
+    if (!check_condition(exchange, g_tree_lookup(kv->values, key))) {
         return;
     }
     struct value *value = g_new(struct value, 1);
@@ -154,8 +154,9 @@
     wake_watches(kv, key);
 }
 
-/* DELETE. */
-static void delete (struct exchange *exchange, const char *key)
+/* Handles DELETE /v1/kv/KEY. */
+static void
+handle_delete(struct exchange *exchange, const char *key)
 {
     struct kv *kv = exchange->standin->state;
     const struct value *value = g_tree_lookup(kv->values, key);
@@ -163,16 +164,16 @@
         exchange_reply_text(exchange, 404, "");
         return;
     }
-    if (condition_holds(exchange, value)) {
+    if (check_condition(exchange, value)) {
         kv->revision++;
         g_tree_remove(kv->values, key);
         exchange_reply_text(exchange, 204, "");
     }
 }
 
-/* A watch's time is over. */
+/* Answers a watch after its timeout. */
 static void
-watch_over(void *data)
+expire_watch(void *data)
 {
     struct exchange *exchange = data;
     struct kv *kv = exchange->standin->state;
@@ -182,9 +183,9 @@
     exchange_resume(exchange);
 }
 
-/* The watch's connection is gone. */
+/* Frees a watch at the end of its exchange. */
 static void
-watch_gone(struct exchange *exchange, bool whole)
+free_watch(struct exchange *exchange, bool whole)
 {
     struct kv *kv = exchange->standin->state;
     struct watch *watch = exchange->work;
@@ -194,7 +195,7 @@
     g_free(watch);
 }
 
-/* GET /v1/watch/KEY. */
+/* Handles GET /v1/watch/KEY. */
 static void
 begin_watch(struct exchange *exchange, const char *key)
 {
@@ -202,19 +203,20 @@
     const char *after = exchange_query(exchange, "after");
     const char *wait = exchange_query(exchange, "wait_ms");
     const struct value *value = g_tree_lookup(kv->values, key);
-    uint64_t seen = after == NULL ? 0 : g_ascii_strtoull(after, NULL, 10);
-    if (value != NULL && value->revision > seen) {
-        answer_value(exchange, value);
+    uint64_t seen_revision =
+        after == NULL ? 0 : g_ascii_strtoull(after, NULL, 10);
+    if (value != NULL && value->revision > seen_revision) {
+        respond_with_value(exchange, value);
         return;
     }
     struct watch *watch = g_new(struct watch, 1);
     watch->key = g_strdup(key);
-    watch->after = seen;
+    watch->after = seen_revision;
     exchange->work = watch;
-    exchange->gone = watch_gone;
-    int64_t limit = wait == NULL ? 0 : g_ascii_strtoll(wait, NULL, 10);
-    exchange->timer =
-        timer_add(exchange->standin, limit * 1000, watch_over, exchange);
+    exchange->gone = free_watch;
+    int64_t timeout_ms = wait == NULL ? 0 : g_ascii_strtoll(wait, NULL, 10);
+    exchange->timer = timer_add(exchange->standin, timeout_ms * 1000,
+                                expire_watch, exchange);
     g_ptr_array_add(kv->watching, exchange);
 }
 
@@ -223,7 +225,7 @@
     const char *prefix;
 };
 
-/* Puts one value into a listing. */
+/* Adds a value to the listing if its key has the prefix. */
 static gboolean
 list_value(gpointer key, gpointer data, gpointer user)
 {
@@ -244,9 +246,9 @@
     return FALSE;
 }
 
-/* GET /v1/list. */
+/* Handles GET /v1/list. */
 static void
-list(struct exchange *exchange)
+handle_list(struct exchange *exchange)
 {
     struct kv *kv = exchange->standin->state;
     const char *prefix = exchange_query(exchange, "prefix");
@@ -260,7 +262,7 @@
     exchange_reply_json(exchange, 200, listing.out);
 }
 
-/* Sorts a call by method and path. */
+/* Dispatches a request by method and path. */
 static void
 kv_handle(struct exchange *exchange)
 {
@@ -270,7 +272,7 @@
     const char *key = exchange->path + strlen(kv_path);
     if (strcmp(exchange->path, "/v1/list") == 0) {
         kv->calls[CALL_LIST]++;
-        list(exchange);
+        handle_list(exchange);
     }
     else if (g_str_has_prefix(exchange->path, watch_path)) {
         kv->calls[CALL_WATCH]++;
@@ -281,19 +283,20 @@
     }
     else if (strcmp(exchange->method, "PUT") == 0) {
         kv->calls[CALL_PUT]++;
-        put(exchange, key);
+        handle_put(exchange, key);
     }
     else if (strcmp(exchange->method, "DELETE") == 0) {
         kv->calls[CALL_DELETE]++;
-        delete (exchange, key);
+        handle_delete(exchange, key);
     }
     else {
         kv->calls[CALL_GET]++;
-        answer_value(exchange, g_tree_lookup(kv->values, key));
+        respond_with_value(exchange, g_tree_lookup(kv->values, key));
     }
 }
 
-/* Counts of calls, and the sizes that the service holds. */
+/* Writes the counts of requests, keys and watches, and the largest value in
+ * bytes. */
 static void
 kv_record(struct standin *standin, JsonBuilder *out)
 {
--- a/tests/standin/loop.c
+++ b/tests/standin/loop.c
@@ -1,4 +1,4 @@
-/* The stand-in's one thread: timers, sockets and signals. */
+/* The event loop: timers, sockets and signals in one thread. */
 
 #include "standin.h"
 
@@ -21,7 +21,8 @@
     GSequenceIter *place;
 };
 
-/* CLOCK_MONOTONIC in microseconds: the same for all processes here. */
+/* CLOCK_MONOTONIC in microseconds, the same for all processes of the
+   machine. */
 int64_t
 now_us(void)
 {
@@ -30,7 +31,7 @@
     return (int64_t)now.tv_sec * 1000000 + now.tv_nsec / 1000;
 }
 
-/* Orders timers by time. */
+/* Orders timers by expiry time. */
 static gint
 timer_compare(gconstpointer a, gconstpointer b, gpointer data)
 {
@@ -40,13 +41,13 @@
     return (one->at > two->at) - (one->at < two->at);
 }
 
-/* Runs run(data) after delay microseconds, unless it is stopped. */
+/* Runs run(data) after delay_us, unless the timer is cancelled before. */
 struct timer *
-timer_add(struct standin *standin, int64_t delay, void (*run)(void *data),
+timer_add(struct standin *standin, int64_t delay_us, void (*run)(void *data),
           void *data)
 {
     struct timer *timer = g_new0(struct timer, 1);
-    timer->at = now_us() + delay;
+    timer->at = now_us() + delay_us;
     timer->run = run;
     timer->data = data;
     timer->place =
@@ -65,9 +66,10 @@
     }
 }
 
-/* Runs what is due; returns milliseconds until the next, -1 for none. */
+/* Runs expired timers; returns the milliseconds until the next timer expires,
+ * -1 without timers. */
 static int
-timers_run(struct standin *standin)
+run_expired_timers(struct standin *standin)
 {
     for (;;) {
         GSequenceIter *first = g_sequence_get_begin_iter(standin->timers);
@@ -85,7 +87,7 @@
     }
 }
 
-/* From any thread: run(standin, data) on the loop. */
+/* From any thread: runs run(standin, data) in the event loop. */
 void
 standin_wake(struct standin *standin, void (*run)(struct standin *, void *),
              void *data)
@@ -96,7 +98,7 @@
     }
 }
 
-/* Adds a descriptor to the loop. */
+/* Adds a file descriptor to the event loop. */
 static void
 watch_fd(struct standin *standin, int fd)
 {
@@ -106,7 +108,8 @@
     }
 }
 
-/* A listening socket on loopback; port 0 is chosen by the kernel. */
+/* Opens a listening socket on the loopback address; for port 0 the kernel
+ * chooses a port. */
 int
 standin_socket(uint16_t *port, bool nonblocking)
 {
@@ -129,14 +132,14 @@
     return fd;
 }
 
-/* Starts a daemon on a port and has the loop run it. */
+/* Starts a daemon on a port and adds it to the event loop. */
 static struct MHD_Daemon *
 open_daemon(struct standin *standin, uint16_t *port)
 {
     struct MHD_Daemon *daemon =
         exchange_daemon(standin, standin_socket(port, true));
     if (daemon == NULL) {
-        (void)fprintf(stderr, "standin: no daemon\n");
+        (void)fprintf(stderr, "standin: cannot start the HTTP daemon\n");
         exit(1);
     }
     g_ptr_array_add(standin->daemons, daemon);
@@ -146,8 +149,9 @@
 }
 
 /*
- * Open connections: silent ones stay open and are never read or written
- * again; the others are closed.
+ * Closes all open connections or, if silent, leaves them open without ever
+ * reading or writing them again.  Control connections and those that are
+ * silent already stay as they are.
  */
 void
 standin_close_links(struct standin *standin, bool silent)
@@ -171,7 +175,7 @@
     }
 }
 
-/* Begins or stops listening on the stand-in's own port. */
+/* Starts or stops listening on the simulated service's port. */
 void
 standin_listen(struct standin *standin, bool on)
 {
@@ -187,7 +191,7 @@
     standin_close_links(standin, false);
 }
 
-/* Takes what other threads have handed over. */
+/* Runs the jobs passed by other threads. */
 static void
 run_jobs(struct standin *standin)
 {
@@ -197,10 +201,11 @@
     }
 }
 
-/* Milliseconds that the loop may sleep: none when a timer has just resumed a
- * connection, which MHD_get_timeout does not count in an outside loop. */
+/* Returns the milliseconds that the loop may sleep: 0 when a timer has just
+ * resumed a connection, which MHD_get_timeout does not consider with an
+ * external event loop. */
 static int
-sleep_limit(struct standin *standin, int until_timer)
+sleep_time_ms(struct standin *standin, int until_timer)
 {
     MHD_UNSIGNED_LONG_LONG most;
     if (standin->resumed) {
@@ -216,7 +221,7 @@
     return until_timer;
 }
 
-/* Puts the numbers given on the command line into the faults. */
+/* Sets the faults given on the command line; returns the port, 0 for any. */
 static uint16_t
 read_options(struct standin *standin)
 {
@@ -234,9 +239,10 @@
     return port == NULL ? 0 : (uint16_t)g_ascii_strtoull(port, NULL, 10);
 }
 
-/* Opens what the loop needs: signals, the pipe, both ports. */
+/* Sets up signals, the job pipe, the service's port and the control port, and
+ * prints both ports. */
 static void
-open_loop(struct standin *standin)
+set_up_loop(struct standin *standin)
 {
     uint16_t control = 0;
     sigset_t signals;
@@ -261,7 +267,7 @@
     (void)fflush(stdout);
 }
 
-/* Runs the mode until SIGTERM; returns the exit status. */
+/* Runs the mode until SIGTERM or SIGINT; returns the exit status. */
 int
 standin_run(struct standin *standin)
 {
@@ -271,9 +277,9 @@
     standin->daemons = g_ptr_array_new();
     standin->port = read_options(standin);
     standin->mode->start(standin);
-    open_loop(standin);
+    set_up_loop(standin);
     for (;;) {
-        int limit = sleep_limit(standin, timers_run(standin));
+        int limit = sleep_time_ms(standin, run_expired_timers(standin));
         int count = epoll_wait(standin->epoll, events, 8, limit);
         for (int i = 0; i < count; i++) {
             if (events[i].data.fd == standin->signals) {
@@ -281,7 +287,7 @@
             }
         }
         run_jobs(standin);
-        (void)timers_run(standin);
+        (void)run_expired_timers(standin);
         standin->resumed = false;
         for (guint i = 0; i < standin->daemons->len; i++) {
             (void)MHD_run(g_ptr_array_index(standin->daemons, i));
--- a/tests/standin/main.c
+++ b/tests/standin/main.c
@@ -1,11 +1,11 @@
-/* standin MODE [NAME=VALUE...]: one stand-in, until SIGTERM. */
+/* standin MODE [NAME=VALUE...]: simulates one service until SIGTERM. */
 
 #include "standin.h"
 
 #include <stdio.h>
 #include <string.h>
 
-static const struct mode *const modes[] = {
+static const struct mode *const known_modes[] = {
     &mode_kv,     &mode_hosts,   &mode_weights,
     &mode_engine, &mode_service, &mode_relay,
 };
@@ -14,9 +14,9 @@
 main(int argc, char **argv)
 {
     struct standin standin = {0};
-    for (size_t i = 0; i < G_N_ELEMENTS(modes) && argc > 1; i++) {
-        if (strcmp(modes[i]->name, argv[1]) == 0) {
-            standin.mode = modes[i];
+    for (size_t i = 0; i < G_N_ELEMENTS(known_modes) && argc > 1; i++) {
+        if (strcmp(known_modes[i]->name, argv[1]) == 0) {
+            standin.mode = known_modes[i];
         }
     }
     if (standin.mode == NULL) {
--- a/tests/standin/platform.c
+++ b/tests/standin/platform.c
@@ -1,20 +1,20 @@
-/* Stand-ins for the host list and the rate-limited weight store. */
+/* Simulates the host list and the rate-limited weight store. */
 
 #include "standin.h"
 
 #include <string.h>
 
-/* ---- host list: what was last posted to /control/hosts, with a lag ---- */
+/* ---- host list ---- */
 
+/* Serves the last list posted to /control/hosts, after a delay of lag_ms. */
 struct hosts {
     char *list;
-    char *next; /* given out after lag_ms */
+    char *next; /* served after lag_ms; NULL: none */
     int64_t version;
     int64_t calls;
-    int64_t unchanged; /* of them, answered with 304 */
+    int64_t unchanged; /* calls answered with 304 */
 };
 
-/* Begins with an empty list. */
 static void
 hosts_start(struct standin *standin)
 {
@@ -23,7 +23,7 @@
     standin->state = hosts;
 }
 
-/* GET /v1/hosts. */
+/* Handles GET /v1/hosts. */
 static void
 hosts_handle(struct exchange *exchange)
 {
@@ -44,9 +44,9 @@
     exchange_add_header(exchange, "ETag", etag);
 }
 
-/* The lag is over. */
+/* Serves the posted list from now on. */
 static void
-hosts_change(void *data)
+hosts_apply(void *data)
 {
     struct hosts *hosts = data;
     if (hosts->next != NULL) {
@@ -56,7 +56,7 @@
     }
 }
 
-/* POST /control/hosts with a list. */
+/* Handles POST /control/hosts with a list. */
 static bool
 hosts_control(struct exchange *exchange)
 {
@@ -69,15 +69,14 @@
     hosts->next = g_strdup(exchange->body->str);
     int64_t lag = standin->faults[FAULT_lag_ms];
     if (lag == 0) {
-        hosts_change(hosts);
+        hosts_apply(hosts);
     }
     else {
-        (void)timer_add(standin, lag * 1000, hosts_change, hosts);
+        (void)timer_add(standin, lag * 1000, hosts_apply, hosts);
     }
     return true;
 }
 
-/* The counts of calls. */
 static void
 hosts_record(struct standin *standin, JsonBuilder *out)
 {
@@ -89,32 +88,32 @@
 const struct mode mode_hosts = {"hosts", hosts_start, hosts_handle,
                                 hosts_record, hosts_control};
 
-/* ---- weight store: a transfer takes longer when many run at once ---- */
+/* ---- weight store ---- */
 
+/* More concurrent transfers than the fault "parallel" slow each other down. */
 struct weights {
     int64_t transfers;
     int64_t running;
     int64_t most;
 };
 
-/* Begins with no transfers. */
 static void
 weights_start(struct standin *standin)
 {
     standin->state = g_new0(struct weights, 1);
 }
 
-/* The transfer ended, whole or not. */
+/* Counts a transfer out, complete or not. */
 static void
-weights_gone(struct exchange *exchange, bool whole)
+weights_ended(struct exchange *exchange, bool whole)
 {
     (void)whole;
     ((struct weights *)exchange->standin->state)->running--;
 }
 
-/* The transfer is through. */
+/* Answers a transfer after its time. */
 static void
-weights_done(void *data)
+weights_respond(void *data)
 {
     struct exchange *exchange = data;
     exchange->timer = NULL;
@@ -122,7 +121,7 @@
     exchange_resume(exchange);
 }
 
-/* GET /v1/weights/NAME. */
+/* Handles GET /v1/weights/NAME. */
 static void
 weights_handle(struct exchange *exchange)
 {
@@ -132,14 +131,14 @@
     weights->transfers++;
     weights->running++;
     weights->most = MAX(weights->most, weights->running);
-    exchange->gone = weights_gone;
-    int64_t share = MAX(weights->running, parallel);
-    exchange->timer = timer_add(
-        standin, standin->faults[FAULT_transfer_ms] * 1000 * share / parallel,
-        weights_done, exchange);
+    exchange->gone = weights_ended;
+    int64_t concurrent = MAX(weights->running, parallel);
+    exchange->timer = timer_add(standin,
+                                standin->faults[FAULT_transfer_ms] * 1000 *
+                                    concurrent / parallel,
+                                weights_respond, exchange);
 }
 
-/* How many transfers there were, and how many at once. */
 static void
 weights_record(struct standin *standin, JsonBuilder *out)
 {
--- a/tests/standin/relay.c
+++ b/tests/standin/relay.c
@@ -1,7 +1,7 @@
 /*
- * Something between two ends: passes TCP on to target=IP:PORT, until it loses
- * track of its open connections (/control/silence): these stay open, and are
- * never read or written again, while new ones work.
+ * Simulates a middlebox that forwards TCP to target=IP:PORT and can lose its
+ * connection table (/control/silence): open connections then stay open, but
+ * are never read or written again, while new connections work.
  */
 
 #include "standin.h"
@@ -18,19 +18,19 @@
     int socket;
     struct sockaddr_in target;
     pthread_mutex_t lock;
-    unsigned silences; /* so many times track was lost */
+    unsigned silences; /* number of times the connection table was lost */
     int64_t connections;
 };
 
 struct pair {
     struct relay *relay;
     int ends[2];
-    unsigned silences; /* when it was opened */
+    unsigned silences; /* the relay's number when the pair was opened */
 };
 
-/* Writes all of some bytes; false when the other end is gone. */
+/* Sends all bytes; false when the other end has closed. */
 static bool
-pass_on(int fd, const char *bytes, ssize_t length)
+send_all(int fd, const char *bytes, ssize_t length)
 {
     while (length > 0) {
         ssize_t sent = send(fd, bytes, (size_t)length, MSG_NOSIGNAL);
@@ -43,7 +43,7 @@
     return true;
 }
 
-/* True when track of the connection was lost since it was opened. */
+/* True when the connection table was lost since the pair was opened. */
 static bool
 is_silent(struct pair *pair)
 {
@@ -53,9 +53,9 @@
     return silent;
 }
 
-/* A connection's thread. */
+/* The thread of one pair of connections. */
 static gpointer
-run_pair(gpointer data)
+forward_pair(gpointer data)
 {
     struct pair *pair = data;
     char bytes[16384];
@@ -72,7 +72,7 @@
                 continue;
             }
             ssize_t length = recv(polls[i].fd, bytes, sizeof bytes, 0);
-            open = length > 0 && pass_on(polls[1 - i].fd, bytes, length);
+            open = length > 0 && send_all(polls[1 - i].fd, bytes, length);
         }
     }
     (void)close(pair->ends[0]);
@@ -81,35 +81,36 @@
     return NULL;
 }
 
-/* The thread that takes connections. */
+/* The thread that accepts connections. */
 static gpointer
-run_relay(gpointer data)
+accept_connections(gpointer data)
 {
     struct relay *relay = data;
     for (;;) {
-        int near = accept(relay->socket, NULL, NULL);
-        int far = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-        if (near < 0 || connect(far, (struct sockaddr *)&relay->target,
-                                sizeof relay->target) != 0) {
-            (void)close(near);
-            (void)close(far);
+        int client_fd = accept(relay->socket, NULL, NULL);
+        int target_fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+        if (client_fd < 0 ||
+            connect(target_fd, (struct sockaddr *)&relay->target,
+                    sizeof relay->target) != 0) {
+            (void)close(client_fd);
+            (void)close(target_fd);
             g_usleep(1000);
             continue;
         }
         struct pair *pair = g_new(struct pair, 1);
         pair->relay = relay;
-        pair->ends[0] = near;
-        pair->ends[1] = far;
+        pair->ends[0] = client_fd;
+        pair->ends[1] = target_fd;
         pthread_mutex_lock(&relay->lock);
         pair->silences = relay->silences;
         relay->connections++;
         pthread_mutex_unlock(&relay->lock);
-        g_thread_unref(g_thread_new("pair", run_pair, pair));
+        g_thread_unref(g_thread_new("pair", forward_pair, pair));
     }
     return NULL;
 }
 
-/* Listens on its own, and starts the thread. */
+/* Opens its own listening socket and starts the accepting thread. */
 static void
 relay_start(struct standin *standin)
 {
@@ -120,16 +121,16 @@
     relay->target.sin_port =
         htons((uint16_t)g_ascii_strtoull(parts[1], NULL, 10));
     if (inet_pton(AF_INET, parts[0], &relay->target.sin_addr) != 1) {
-        g_error("relay: target=IP:PORT is needed");
+        g_error("relay: missing or invalid target=IP:PORT");
     }
     g_strfreev(parts);
     relay->socket = standin_socket(&standin->port, false);
     pthread_mutex_init(&relay->lock, NULL);
     standin->state = relay;
-    g_thread_unref(g_thread_new("relay", run_relay, relay));
+    g_thread_unref(g_thread_new("relay", accept_connections, relay));
 }
 
-/* POST /control/silence. */
+/* Handles POST /control/silence. */
 static bool
 relay_control(struct exchange *exchange)
 {
@@ -143,7 +144,6 @@
     return true;
 }
 
-/* How many connections there were. */
 static void
 relay_record(struct standin *standin, JsonBuilder *out)
 {
--- a/tests/standin/service.c
+++ b/tests/standin/service.c
@@ -1,4 +1,5 @@
-/* Stand-in for a plain service: runs a call once for each time it comes. */
+/* Simulates a plain service, which executes each request that it receives,
+   repeated ones too. */
 
 #include "answer.h"
 #include "judge.h"
@@ -6,27 +7,26 @@
 #include <string.h>
 
 enum {
-    /* From the beginning of a marked call to the end of the process. */
+    /* From the start of a request with CRASH_MARK to the simulated crash. */
     CRASH_AFTER_US = 20 * 1000,
 };
 
-/* Begins with nothing run. */
 static void
 service_start(struct standin *standin)
 {
     standin->state = g_ptr_array_new();
 }
 
-/* The answer is out, or its connection went before. */
+/* Notes whether the response was sent before the connection ended. */
 static void
-service_gone(struct exchange *exchange, bool whole)
+service_ended(struct exchange *exchange, bool whole)
 {
     ((struct run *)exchange->work)->whole = whole;
 }
 
-/* The work is done. */
+/* Sets the response after the service time. */
 static void
-service_done(void *data)
+service_respond(void *data)
 {
     struct exchange *exchange = data;
     const struct run *run = exchange->work;
@@ -40,30 +40,29 @@
     exchange_resume(exchange);
 }
 
-/* The process is back. */
+/* Simulates the restart of the process. */
 static void
-service_back(void *data)
+service_restart(void *data)
 {
     standin_listen(data, true);
 }
 
-/* The process ends, with all that it runs. */
+/* Simulates a crash: stops listening and closes all connections. */
 static void
 service_crash(void *data)
 {
     struct standin *standin = data;
     standin_listen(standin, false);
     (void)timer_add(standin, standin->faults[FAULT_crash_ms] * 1000,
-                    service_back, standin);
+                    service_restart, standin);
 }
 
-/* Any call. */
 static void
 service_handle(struct exchange *exchange)
 {
     struct standin *standin = exchange->standin;
     exchange->work = judge_begin(standin->state, exchange, "");
-    exchange->gone = service_gone;
+    exchange->gone = service_ended;
     if (standin->faults[FAULT_crash_ms] > 0 &&
         strstr(exchange->body->str, CRASH_MARK) != NULL) {
         (void)timer_add(standin, CRASH_AFTER_US, service_crash, standin);
@@ -71,13 +70,13 @@
     }
     int64_t time = standin->faults[FAULT_answer_ms];
     if (time == 0) {
-        service_done(exchange);
+        service_respond(exchange);
         return;
     }
-    exchange->timer = timer_add(standin, time * 1000, service_done, exchange);
+    exchange->timer =
+        timer_add(standin, time * 1000, service_respond, exchange);
 }
 
-/* Every run. */
 static void
 service_record(struct standin *standin, JsonBuilder *out)
 {
--- a/tests/standin/standin.h
+++ b/tests/standin/standin.h
@@ -2,9 +2,10 @@
 #define STANDIN_H
 
 /*
- * Stand-ins for what stands around the system: one binary, a mode each, one
- * thread.  Faults are numbers that /control/set?NAME=VALUE changes; counts of
- * "the next N" go down by one at each use, and a count of ALWAYS does not.
+ * Test doubles for the services around the system.  One binary has a mode for
+ * each service and handles all requests in one thread.  Faults are numbers
+ * that /control/set?NAME=VALUE changes.  A fault for "the next N" requests is
+ * a count that decreases by one at each use, unless it is FAULT_ALWAYS.
  */
 
 #include "base/base.h"
@@ -14,44 +15,44 @@
 
 #define FAULTS(FAULT)                                                         \
     /* all modes */                                                           \
-    FAULT(down)         /* 1: nobody listens, open connections are closed */  \
-    FAULT(slow_ms)      /* added before each answer */                        \
-    FAULT(slow_next)    /* how many answers slow_ms is for; 0: all */         \
-    FAULT(drop_before)  /* next N calls: closed without effect */             \
-    FAULT(drop_after)   /* next N calls: closed after the effect; of the KV:  \
-                           next N writes */                                   \
-    FAULT(silent_next)  /* next N calls: connection goes silent before any    \
+    FAULT(down)         /* 1: not listening, open connections closed */       \
+    FAULT(slow_ms)      /* delay before each response */                      \
+    FAULT(slow_next)    /* number of responses with slow_ms; 0: all */        \
+    FAULT(drop_before)  /* next N requests: closed without effect */          \
+    FAULT(drop_after)   /* next N requests (key-value service: writes):       \
+                           closed after the effect */                         \
+    FAULT(silent_next)  /* next N requests: connection stalls before any      \
                            effect */                                          \
-    FAULT(silent_after) /* next N calls: silent after the effect */           \
-    FAULT(close_reused) /* next N POSTs on a kept-alive connection: closed    \
+    FAULT(silent_after) /* next N requests: stall after the effect */         \
+    FAULT(close_reused) /* next N POSTs on a reused connection: closed        \
                            after they ran */                                  \
-    FAULT(refuse)       /* next N calls: 503 and X-Not-Run */                 \
+    FAULT(refuse)       /* next N requests: 503 and X-Not-Run */              \
     /* engine, service */                                                     \
-    FAULT(answer_ms)    /* service: time for an answer */                     \
-    FAULT(leaving)      /* 1: says so; 2: only the judge is told */           \
-    FAULT(token_us)     /* engine: time for a token */                        \
-    FAULT(slow_percent) /* engine: factor on token_us, 100 is none */         \
-    FAULT(load_ms)      /* engine: time for a load, besides the store's */    \
-    FAULT(fencing)      /* engine: 1: refuses old fencing numbers */          \
+    FAULT(answer_ms)    /* service: time to a response */                     \
+    FAULT(leaving)      /* 1: reported as draining; 2: not in the report */   \
+    FAULT(token_us)     /* engine: time per token */                          \
+    FAULT(slow_percent) /* engine: percentage of token_us, 100 is normal */   \
+    FAULT(load_ms)      /* engine: load time after the store's transfer */    \
+    FAULT(fencing)      /* engine: 1: rejects old fencing numbers */          \
     FAULT(memory_mb)                                                          \
-    FAULT(crossed)       /* next N answers: another request's */              \
-    FAULT(cut)           /* next N answers: cut half-way */                   \
-    FAULT(ended)         /* next N answers: end half-way as if whole */       \
-    FAULT(doubled)       /* next N answers: come twice */                     \
-    FAULT(silent_stream) /* next N streams: silent half-way */                \
+    FAULT(crossed)       /* next N responses: as for another request */       \
+    FAULT(cut)           /* next N responses: connection closed half-way */   \
+    FAULT(ended)         /* next N responses: end half-way as if complete */  \
+    FAULT(doubled)       /* next N responses: sent twice */                   \
+    FAULT(silent_stream) /* next N streams: stall half-way */                 \
     FAULT(drop_orders)   /* next N orders: lost before the engine */          \
-    FAULT(lose_orders)   /* next N orders: accepted and never done */         \
-    FAULT(delay_orders)  /* next N orders: closed at once, done after         \
+    FAULT(lose_orders)   /* next N orders: accepted, never executed */        \
+    FAULT(delay_orders)  /* next N orders: closed at once, executed after     \
                             delay_ms */                                       \
-    FAULT(repeat_orders) /* next N orders: come again after delay_ms */       \
+    FAULT(repeat_orders) /* next N orders: arrive again after delay_ms */     \
     FAULT(delay_ms)                                                           \
-    FAULT(lie)      /* report: 1: idle, always; 2: absurdly busy */           \
-    FAULT(crash_ms) /* service: a call whose body holds CRASH_MARK ends it,   \
-                       for so long; 0: it does not */                         \
+    FAULT(lie)      /* report: 1: always idle; 2: implausibly busy */         \
+    FAULT(crash_ms) /* service: downtime after a request with CRASH_MARK in   \
+                       its body; 0: such a request does no harm */            \
     /* host list */                                                           \
-    FAULT(lag_ms) /* until a new list is given out */                         \
+    FAULT(lag_ms) /* until a new list is served */                            \
     /* weight store */                                                        \
-    FAULT(parallel) /* transfers at once at full speed */                     \
+    FAULT(parallel) /* concurrent transfers at full speed */                  \
     FAULT(transfer_ms)
 
 enum fault {
@@ -68,16 +69,15 @@
     STANDIN_MOST_BODY = 4 * 1024 * 1024,
 };
 
-/* One TCP connection. */
 struct link {
-    bool silent;
-    bool control; /* not hit by faults */
+    bool silent;  /* stays open, but is not read or written any more */
+    bool control; /* a control connection: faults don't apply */
     unsigned requests;
 };
 
 struct standin;
 
-/* One request and its answer. */
+/* One HTTP request and its response. */
 struct exchange {
     struct standin *standin;
     struct MHD_Connection *connection;
@@ -87,46 +87,49 @@
     GString *body;
     bool dispatched;
     bool suspended;
-    bool closing; /* to be closed without an answer */
+    bool closing; /* to be closed without a response */
     struct MHD_Response *response;
     int status;
     struct timer *timer;
-    struct timer *hold; /* the answer is held back until then; NULL: not */
-    bool slow;          /* to be held back when its work is done */
-    void *work;         /* of the mode; freed by the mode's gone */
+    struct timer *hold; /* delays the response; NULL: no delay */
+    bool slow;          /* the response is to be delayed when it is ready */
+    void *work;         /* the mode's data; freed by the mode in on_end */
+    /* At the end of the exchange; whole: the response was sent. */
     void (*gone)(struct exchange *exchange, bool whole);
 };
 
 struct mode {
     const char *name;
     void (*start)(struct standin *standin);
-    /* Answers now by exchange_reply, or later with exchange_resume.  NULL:
-       the mode listens by itself. */
+    /* Sets a response with exchange_reply, now or later; a later response
+       needs exchange_resume.  NULL: the mode accepts connections itself. */
     void (*handle)(struct exchange *exchange);
-    /* Members of the record, into an open object. */
+    /* Writes the members of the record into an open JSON object. */
     void (*record)(struct standin *standin, JsonBuilder *out);
-    /* A control call of the mode's own; false: no such call. */
+    /* Handles a control request of this mode; false: unknown path. */
     bool (*control)(struct exchange *exchange);
 };
 
 struct standin {
     const struct mode *mode;
-    GHashTable *options; /* texts given as NAME=VALUE that are no fault */
+    GHashTable *options; /* the arguments NAME=VALUE, as text */
     int64_t faults[FAULT_COUNT];
     GSequence *timers;
-    GHashTable *links; /* open connections */
+    GHashTable *links; /* open connections: struct client_connection to the
+                          MHD_Connection */
     GPtrArray *daemons;
-    int64_t slow_us; /* of the latest answer that is held back */
-    bool resumed;    /* a connection, since MHD_run, which does not say so */
-    struct MHD_Daemon *listening; /* NULL: down */
+    int64_t slow_us; /* delay of the latest delayed response */
+    bool resumed;    /* a connection was resumed since the last MHD_run;
+                        MHD_get_timeout does not report that */
+    struct MHD_Daemon *listening; /* NULL: not listening */
     uint16_t port;
-    int wake[2]; /* a pipe of struct wake_job */
+    int wake[2]; /* a pipe of struct loop_job */
     int signals;
     int epoll;
-    void *state; /* of the mode */
+    void *state; /* the mode's data */
 };
 
-/* Work handed back to the loop by another thread. */
+/* Work that another thread passes to the event loop. */
 struct wake_job {
     void (*run)(struct standin *standin, void *data);
     void *data;
@@ -137,40 +140,59 @@
 
 /* ---- loop.c ---- */
 
+/* CLOCK_MONOTONIC, the same for all processes of the machine. */
 int64_t now_us(void);
-struct timer *timer_add(struct standin *standin, int64_t delay,
+/* Runs run(data) after a delay in microseconds.  The timer is freed after it
+   ran, or by timer_cancel. */
+struct timer *timer_add(struct standin *standin, int64_t delay_us,
                         void (*run)(void *data), void *data);
+/* Removes and frees a timer that has not run; NULL is allowed. */
 void timer_stop(struct standin *standin, struct timer *timer);
+/* From any thread: runs run(standin, data) in the event loop. */
 void standin_wake(struct standin *standin,
                   void (*run)(struct standin *, void *), void *data);
-/* A listening socket on loopback; port 0 is chosen by the kernel. */
+/* Opens a listening socket on the loopback address.  For port 0 the kernel
+   chooses a port, which is stored there; exits the process on failure. */
 int standin_socket(uint16_t *port, bool nonblocking);
+/* Runs the event loop until SIGTERM or SIGINT; returns the exit status. */
 int standin_run(struct standin *standin);
+/* Starts or stops listening; stopping closes the open connections. */
 void standin_listen(struct standin *standin, bool on);
+/* Closes the open connections, or lets them stall for good, but for control
+   connections. */
 void standin_close_links(struct standin *standin, bool silent);
 
 /* ---- exchange.c ---- */
 
+/* True when a counted fault is set; decreases its count. */
 bool fault_take(struct standin *standin, enum fault fault);
+/* A request header or query argument; NULL if missing. */
 const char *exchange_header(const struct exchange *exchange, const char *name);
 const char *exchange_query(const struct exchange *exchange, const char *name);
-/* Takes over text. */
+/* Sets the response; takes ownership of text. */
 void exchange_reply(struct exchange *exchange, int status, char *text,
                     size_t length);
+/* Sets a JSON response; frees the builder. */
 void exchange_reply_json(struct exchange *exchange, int status,
                          JsonBuilder *builder);
+/* Sets a response of plain text, with the request's id. */
 void exchange_reply_text(struct exchange *exchange, int status,
                          const char *text);
+/* Adds a header to the response that was set. */
 void exchange_add_header(struct exchange *exchange, const char *name,
                          const char *value);
-/* After an answer was set later than in handle. */
+/* Continues a suspended exchange after its response was set; takes a struct
+   exchange. */
 void exchange_resume(void *exchange);
+/* Suspends the connection until exchange_resume. */
 void exchange_suspend(struct exchange *exchange);
-/* Closes the connection without an answer. */
+/* Closes the connection without a response. */
 void exchange_close(struct exchange *exchange);
+/* Starts a daemon on a listening socket; the caller runs it in its loop.
+   NULL on failure. */
 struct MHD_Daemon *exchange_daemon(struct standin *standin, int socket);
 
-/* JSON members. */
+/* Write one JSON member. */
 void json_text(JsonBuilder *out, const char *name, const char *value);
 void json_number(JsonBuilder *out, const char *name, int64_t value);
 
