--- a/libchestnuthitch/node/crash_guard.c
+++ b/libchestnuthitch/node/crash_guard.c
@@ -79,9 +79,9 @@
 abandon_barred(void *data)
 {
     struct ch_crash_guard *guard = data;
-    struct ch_frontend *front = ck_pr_load_ptr(&guard->node->frontend);
-    if (front != NULL) {
-        ch_frontend_abandon_barred(front);
+    struct ch_frontend *frontend = ck_pr_load_ptr(&guard->node->frontend);
+    if (frontend != NULL) {
+        ch_frontend_abandon_barred(frontend);
     }
     pthread_mutex_lock(&guard->lock);
     guard->pending_jobs--;
--- a/libchestnuthitch/node/exchange.c
+++ b/libchestnuthitch/node/exchange.c
@@ -17,7 +17,7 @@
 void
 ch_exchange_finish(struct ch_exchange *exchange)
 {
-    struct ch_frontend *front = exchange->front;
+    struct ch_frontend *front = exchange->frontend;
     if (exchange->timer != 0 &&
         ch_timers_cancel(front->node->timers, exchange->timer)) {
         ch_exchange_unref(exchange);
@@ -66,7 +66,7 @@
     const struct ch_request *request = exchange->request;
     bool whole = exchange->response_complete;
     ch_once_manager_finish(
-        exchange->front->node->once, request->caller, request->key,
+        exchange->frontend->node->once, request->caller, request->key,
         exchange->once_attempt, !whole, whole ? exchange->status : 0,
         whole ? exchange->content_type : NULL,
         whole ? exchange->body->data : NULL, whole ? exchange->body->len : 0,
@@ -78,7 +78,8 @@
 store_response(struct ch_exchange *exchange)
 {
     exchange->step = CH_EXCHANGE_STEP_STORE;
-    ch_pool_submit(exchange->front->node->pool, finish_once_record, exchange);
+    ch_pool_submit(exchange->frontend->node->pool, finish_once_record,
+                   exchange);
 }
 
 /* Ends an exchange without a response; the caller has been told before. The
@@ -117,7 +118,7 @@
 static bool
 refuse_if_barred(struct ch_exchange *exchange, bool *over)
 {
-    struct ch_node *node = exchange->front->node;
+    struct ch_node *node = exchange->frontend->node;
     if (!ch_crash_guard_is_barred(node->crash_guard, exchange->request)) {
         return false;
     }
@@ -133,7 +134,7 @@
 release_unused_grant(struct ch_exchange *exchange)
 {
     const struct ch_timing_sample sample = {.code = CH_CANCELLED};
-    struct ch_router *router = exchange->front->node->router;
+    struct ch_router *router = exchange->frontend->node->router;
     router->ops->release(router, exchange->grant.handle, &sample);
 }
 
@@ -143,7 +144,7 @@
 handle_grant(void *data, const struct ch_grant *grant)
 {
     struct ch_exchange *exchange = data;
-    struct ch_frontend *front = exchange->front;
+    struct ch_frontend *front = exchange->frontend;
     bool over = false;
     pthread_mutex_lock(&exchange->lock);
     exchange->router_replied = true;
@@ -192,7 +193,7 @@
 static bool
 take_retry(struct ch_exchange *exchange)
 {
-    struct ch_frontend *front = exchange->front;
+    struct ch_frontend *front = exchange->frontend;
     pthread_mutex_lock(&front->lock);
     bool taken =
         ch_retry_take(ch_frontend_get_retry_budget(
@@ -230,7 +231,7 @@
     exchange->router_handle = 0;
     exchange->router_replied = true;
     g_array_set_size(exchange->excluded, 0);
-    ch_timers_add(exchange->front->node->timers, CH_RETRY_DELAY_US,
+    ch_timers_add(exchange->frontend->node->timers, CH_RETRY_DELAY_US,
                   request_grant_again, exchange);
 }
 
@@ -261,7 +262,8 @@
     pthread_mutex_lock(&exchange->lock);
     exchange->router_replied = true;
     if (drop_exclusions(exchange, code)) {
-        ch_pool_submit(exchange->front->node->pool, request_grant, exchange);
+        ch_pool_submit(exchange->frontend->node->pool, request_grant,
+                       exchange);
     }
     else if (should_wait_for_upstream(exchange, code, false)) {
         request_grant_later(exchange);
@@ -285,7 +287,7 @@
         return false;
     }
     exchange->router_replied = true;
-    struct ch_router *router = exchange->front->node->router;
+    struct ch_router *router = exchange->frontend->node->router;
     if (!router->ops->withdraw(router, exchange->router_handle)) {
         return false;
     }
@@ -322,7 +324,7 @@
         .refused = handle_refusal,
     };
     struct ch_exchange *exchange = data;
-    struct ch_router *router = exchange->front->node->router;
+    struct ch_router *router = exchange->frontend->node->router;
     bool over = false;
     pthread_mutex_lock(&exchange->lock);
     bool should_stop = exchange->abandoned;
@@ -376,7 +378,7 @@
 static enum ch_retry
 decide_retry(struct ch_exchange *exchange, const struct ch_call_result *end)
 {
-    struct ch_frontend *front = exchange->front;
+    struct ch_frontend *front = exchange->frontend;
     const struct ch_request_info *info = &exchange->request->info;
     bool repeatable = info->idempotent || exchange->once_record_created ||
                       (info->max_attempts > 0 && !exchange->may_have_run);
@@ -403,7 +405,7 @@
 retry_elsewhere(struct ch_exchange *exchange, enum ch_retry retry,
                 const struct ch_call_result *end)
 {
-    struct ch_metrics *metrics = exchange->front->node->client->metrics;
+    struct ch_metrics *metrics = exchange->frontend->node->client->metrics;
     ch_metrics_add_count(metrics, CH_COUNT_RETRIES, 1);
     if (retry == CH_RETRY_RESUME) {
         ch_metrics_add_count(metrics, CH_COUNT_RESUMED, 1);
@@ -423,7 +425,7 @@
     exchange->step = CH_EXCHANGE_STEP_ROUTE;
     exchange->router_handle = 0;
     exchange->router_replied = false;
-    ch_pool_submit(exchange->front->node->pool, request_grant, exchange);
+    ch_pool_submit(exchange->frontend->node->pool, request_grant, exchange);
 }
 
 /* Handles a complete response. Lock held; returns true when the exchange can
@@ -433,7 +435,7 @@
 {
     exchange->response_complete = true;
     if (exchange->responded) {
-        ch_metrics_add_count(exchange->front->node->client->metrics,
+        ch_metrics_add_count(exchange->frontend->node->client->metrics,
                              CH_COUNT_LATE_ANSWERS, 1);
     }
     if (exchange->once_record_created) {
@@ -462,7 +464,7 @@
 report_crash_evidence(struct ch_exchange *exchange,
                       const struct ch_call_result *end)
 {
-    struct ch_crash_guard *crashes = exchange->front->node->crash_guard;
+    struct ch_crash_guard *crashes = exchange->frontend->node->crash_guard;
     const struct ch_grant *grant = &exchange->grant;
     if (end->code == CH_OK) {
         ch_crash_guard_record_complete(crashes, exchange->request);
@@ -483,7 +485,7 @@
 ch_exchange_handle_call_end(struct ch_exchange *exchange,
                             const struct ch_call_result *end)
 {
-    struct ch_node *node = exchange->front->node;
+    struct ch_node *node = exchange->frontend->node;
     exchange->may_have_run =
         exchange->may_have_run_before || end->may_have_run;
     exchange->was_connected = end->code != CH_UPSTREAM_CONNECT;
@@ -607,7 +609,7 @@
 void
 ch_exchange_abandon_barred(struct ch_exchange *exchange)
 {
-    struct ch_crash_guard *crashes = exchange->front->node->crash_guard;
+    struct ch_crash_guard *crashes = exchange->frontend->node->crash_guard;
     bool over = false;
     pthread_mutex_lock(&exchange->lock);
     if (ch_crash_guard_is_barred(crashes, exchange->request)) {
@@ -694,7 +696,8 @@
         exchange->once_record_created = true;
         exchange->once_attempt = result->attempt;
         exchange->step = CH_EXCHANGE_STEP_ROUTE;
-        ch_pool_submit(exchange->front->node->pool, request_grant, exchange);
+        ch_pool_submit(exchange->frontend->node->pool, request_grant,
+                       exchange);
     }
     else {
         send_once_state(exchange, result);
@@ -715,7 +718,7 @@
     struct ch_exchange *exchange = data;
     const struct ch_request *request = exchange->request;
     if (!request->info.idempotent && request->key != NULL) {
-        ch_once_manager_begin(exchange->front->node->once, request->caller,
+        ch_once_manager_begin(exchange->frontend->node->once, request->caller,
                               request->key, request->fingerprint,
                               handle_once_begun, exchange);
         return;
@@ -732,7 +735,7 @@
         return;
     }
     ch_exchange_ref(exchange);
-    exchange->timer = ch_timers_add(exchange->front->node->timers,
+    exchange->timer = ch_timers_add(exchange->frontend->node->timers,
                                     deadline - exchange->arrived_at,
                                     handle_deadline, exchange);
 }
--- a/libchestnuthitch/node/exchange.h
+++ b/libchestnuthitch/node/exchange.h
@@ -34,7 +34,7 @@
 struct ch_exchange {
     int references;
     enum ch_exchange_step step;
-    struct ch_frontend *front;
+    struct ch_frontend *frontend;
     struct ch_request *request;
     struct ch_response *response; /* NULL once the exchange is finished */
     pthread_mutex_t lock;
--- a/libchestnuthitch/node/exchange_call.c
+++ b/libchestnuthitch/node/exchange_call.c
@@ -64,11 +64,11 @@
 static void
 record_data_time(struct ch_exchange *exchange)
 {
-    int64_t now = ch_client_get_time(exchange->front->node->client);
+    int64_t now = ch_client_get_time(exchange->frontend->node->client);
     if (exchange->call_first_data_at == 0) {
-        struct ch_router *router = exchange->front->node->router;
+        struct ch_router *router = exchange->frontend->node->router;
         exchange->call_first_data_at = now;
-        ch_crash_guard_record_response(exchange->front->node->crash_guard,
+        ch_crash_guard_record_response(exchange->frontend->node->crash_guard,
                                        exchange->grant.upstream,
                                        exchange->dispatched_at);
         if (router->ops->record_first_byte != NULL) {
@@ -190,7 +190,7 @@
 handle_data(void *data, const char *bytes, size_t length)
 {
     struct ch_exchange *exchange = data;
-    struct ch_metrics *metrics = exchange->front->node->client->metrics;
+    struct ch_metrics *metrics = exchange->frontend->node->client->metrics;
     pthread_mutex_lock(&exchange->lock);
     record_data_time(exchange);
     if (exchange->grant.other_region) {
@@ -220,7 +220,7 @@
 handle_silence(void *data)
 {
     struct ch_exchange *exchange = data;
-    struct ch_frontend *front = exchange->front;
+    struct ch_frontend *front = exchange->frontend;
     const struct ch_request_info *info = &exchange->request->info;
     if (!exchange->request->routed) {
         return false;
@@ -306,7 +306,7 @@
 {
     const struct ch_request *request = exchange->request;
     int64_t limit =
-        (int64_t)exchange->front->node->settings->first_byte_ms * 1000;
+        (int64_t)exchange->frontend->node->settings->first_byte_ms * 1000;
     if (request->first_byte_limit > 0) {
         return MAX(request->first_byte_limit,
                    EXPECTED_LATENCY_FACTOR * exchange->grant.expected_latency +
@@ -334,7 +334,7 @@
     exchange->may_have_run_before = exchange->may_have_run;
     exchange->may_have_run = true;
     exchange->dispatched_at =
-        ch_client_get_time(exchange->front->node->client);
+        ch_client_get_time(exchange->frontend->node->client);
     exchange->call_first_data_at = 0;
     exchange->call_last_data_at = 0;
     exchange->call_event_count = 0;
@@ -380,7 +380,7 @@
         .on_end = handle_call_end,
     };
     const struct ch_request *request = exchange->request;
-    const struct ch_settings *settings = exchange->front->node->settings;
+    const struct ch_settings *settings = exchange->frontend->node->settings;
     reset_call(exchange);
     struct ch_call call = {
         .request_id = ch_exchange_get_request_id(exchange),
--- a/libchestnuthitch/node/exchange_lifetime.c
+++ b/libchestnuthitch/node/exchange_lifetime.c
@@ -18,7 +18,7 @@
 {
     struct ch_exchange *exchange = g_new0(struct ch_exchange, 1);
     exchange->references = 1;
-    exchange->front = front;
+    exchange->frontend = front;
     exchange->request = request;
     exchange->response = ch_response_ref(response);
     exchange->excluded = g_array_new(FALSE, FALSE, sizeof(GQuark));
--- a/libchestnuthitch/node/exchange_respond.c
+++ b/libchestnuthitch/node/exchange_respond.c
@@ -16,7 +16,8 @@
     exchange->responded = true;
     exchange->code = code;
     exchange->outcome = outcome;
-    exchange->responded_at = ch_client_get_time(exchange->front->node->client);
+    exchange->responded_at =
+        ch_client_get_time(exchange->frontend->node->client);
 }
 
 /* Ends a stream that the caller has begun to receive: the error is its last
@@ -189,7 +190,7 @@
 static void
 update_metrics(const struct ch_exchange *exchange)
 {
-    struct ch_metrics *metrics = exchange->front->node->client->metrics;
+    struct ch_metrics *metrics = exchange->frontend->node->client->metrics;
     const char *class_name = exchange->request->class_name;
     const char *tenant = exchange->request->tenant;
     enum ch_counter counter = CH_COUNT_FAILED;
@@ -235,7 +236,7 @@
                    request->info.prefix_hash);
     }
     update_metrics(exchange);
-    ch_log(exchange->front->node->client, CH_LOG_INFO, "request",
+    ch_log(exchange->frontend->node->client, CH_LOG_INFO, "request",
            CH_F_STR("request_id", ch_exchange_get_request_id(exchange)),
            CH_F_STR("caller", request->caller),
            CH_F_STR("class", request->class_name),
--- a/tests/harness/call.c
+++ b/tests/harness/call.c
@@ -169,11 +169,11 @@
     bool chat = strstr(answer->path, "chat") != NULL;
     unsigned tokens = (unsigned)json_object_get_int_member(call, "max_tokens");
     if (!json_object_get_boolean_member(call, "stream")) {
-        answer_whole(out, answer->request_id, chat, hash, tokens);
+        append_response_whole(out, answer->request_id, chat, hash, tokens);
     }
     else {
         for (unsigned i = 0; i < tokens; i++) {
-            answer_event(out, answer->request_id, chat, hash, i);
+            append_response_event(out, answer->request_id, chat, hash, i);
         }
         g_string_append(out, "data: [DONE]\n\n");
     }
@@ -193,10 +193,10 @@
         }
         else {
             const char *subpath = strchr(service + strlen("/services/"), '/');
-            answer_service(expected, answer->method, subpath ? subpath : "/",
-                           ch_hash_string(answer->request_body
-                                              ? answer->request_body
-                                              : ""));
+            append_response_service(
+                expected, answer->method, subpath ? subpath : "/",
+                ch_hash_string(answer->request_body ? answer->request_body
+                                                    : ""));
         }
         good = g_string_equal(expected, answer->response_body);
     }
--- a/tests/standin/engine.c
+++ b/tests/standin/engine.c
@@ -70,7 +70,7 @@
         standin->faults[FAULT_slow_percent] = 100;
     }
     (void)curl_global_init(CURL_GLOBAL_DEFAULT);
-    standin->state = engine;
+    standin->mode_data = engine;
 }
 
 /* Returns the memory in MB of items that are resident or loading. */
@@ -148,7 +148,7 @@
 
 /* Counts the start or end of a request on an item. */
 void
-engine_use(struct engine *engine, const char *name, int change)
+engine_count_request(struct engine *engine, const char *name, int change)
 {
     struct item *item = engine_find(engine, name);
     if (item == NULL || (change < 0 && item->running == 0)) {
@@ -200,7 +200,7 @@
     (void)curl_easy_perform(curl);
     curl_easy_cleanup(curl);
     g_free(url);
-    standin_wake(standin, finish_transfer, order);
+    standin_post_job(standin, finish_transfer, order);
     return NULL;
 }
 
@@ -266,7 +266,7 @@
         g_free(item->unload);
         item->unload = g_strdup(order->id);
         item->leaving = true;
-        engine_use(engine, item->name, 0);
+        engine_count_request(engine, item->name, 0);
     }
     order_free(order);
     return 202;
@@ -281,7 +281,7 @@
     entry->item = g_strdup(order->item);
     entry->load = order->load;
     entry->fence = order->fence;
-    entry->at = now_us();
+    entry->at = monotonic_now_us();
     int status = 202;
     if (engine->standin->faults[FAULT_fencing] != 0 &&
         order->fence < engine->fence) {
@@ -353,28 +353,28 @@
 handle_order(struct exchange *exchange)
 {
     struct standin *standin = exchange->standin;
-    struct engine *engine = standin->state;
+    struct engine *engine = standin->mode_data;
     int64_t delay = standin->faults[FAULT_delay_ms] * 1000;
     struct order *order = parse_order(engine, exchange);
     if (order == NULL) {
         exchange_reply_text(exchange, 400, "body is not a JSON order\n");
         return;
     }
-    if (fault_take(standin, FAULT_drop_orders)) {
+    if (fault_consume(standin, FAULT_drop_orders)) {
         order_free(order);
         exchange->closing = true;
         return;
     }
-    if (fault_take(standin, FAULT_delay_orders)) {
+    if (fault_consume(standin, FAULT_delay_orders)) {
         (void)timer_add(standin, delay, execute_late_order, order);
         exchange->closing = true;
         return;
     }
-    if (fault_take(standin, FAULT_repeat_orders)) {
+    if (fault_consume(standin, FAULT_repeat_orders)) {
         (void)timer_add(standin, delay, execute_late_order,
                         parse_order(engine, exchange));
     }
-    if (fault_take(standin, FAULT_lose_orders)) {
+    if (fault_consume(standin, FAULT_lose_orders)) {
         order_free(order);
         exchange_reply_text(exchange, 202, "");
         return;
@@ -386,7 +386,7 @@
 static void
 handle_load_report(struct exchange *exchange)
 {
-    struct engine *engine = exchange->standin->state;
+    struct engine *engine = exchange->standin->mode_data;
     int64_t lie = exchange->standin->faults[FAULT_lie];
     JsonBuilder *out = json_builder_new();
     char boot[32];
@@ -434,7 +434,7 @@
         handle_order(exchange);
     }
     else {
-        generate_handle(exchange);
+        handle_completion(exchange);
     }
 }
 
@@ -443,7 +443,7 @@
 static bool
 engine_control(struct exchange *exchange)
 {
-    struct engine *engine = exchange->standin->state;
+    struct engine *engine = exchange->standin->mode_data;
     if (strcmp(exchange->path, "/control/boot") != 0) {
         return false;
     }
@@ -462,7 +462,7 @@
 static void
 engine_record(struct standin *standin, JsonBuilder *out)
 {
-    const struct engine *engine = standin->state;
+    const struct engine *engine = standin->mode_data;
     json_number(out, "memory_mb", memory_used(engine));
     json_number(out, "capacity_mb", standin->faults[FAULT_memory_mb]);
     json_number(out, "most_mb", engine->most_mb);
@@ -486,7 +486,7 @@
         json_builder_end_object(out);
     }
     json_builder_end_array(out);
-    judge_record(engine->runs, out);
+    run_log_write(engine->runs, out);
 }
 
 const struct mode mode_engine = {"engine", engine_start, engine_handle,
--- a/tests/standin/engine.h
+++ b/tests/standin/engine.h
@@ -4,7 +4,7 @@
 /* The simulated model engine: memory and orders (engine.c), responses
    (generate.c). */
 
-#include "judge.h"
+#include "run_log.h"
 
 struct item {
     char *name; /* "model" or "model/adapter" */
@@ -35,8 +35,8 @@
 struct item *engine_find(struct engine *engine, const char *name);
 /* Adds change to the item's running requests; removes a draining item when
    none is left. */
-void engine_use(struct engine *engine, const char *name, int change);
+void engine_count_request(struct engine *engine, const char *name, int change);
 /* Handles a completion request. */
-void generate_handle(struct exchange *exchange);
+void handle_completion(struct exchange *exchange);
 
 #endif
--- a/tests/standin/exchange.c
+++ b/tests/standin/exchange.c
@@ -10,13 +10,13 @@
 
 /* True when a counted fault is set; decreases its count. */
 bool
-fault_take(struct standin *standin, enum fault fault)
+fault_consume(struct standin *standin, enum fault fault)
 {
     int64_t *left = &standin->faults[fault];
     if (*left <= 0) {
         return false;
     }
-    if (*left < ALWAYS) {
+    if (*left < FAULT_ALWAYS) {
         (*left)--;
     }
     return true;
@@ -93,7 +93,7 @@
 end_delay(void *data)
 {
     struct exchange *exchange = data;
-    exchange->hold = NULL;
+    exchange->delay_timer = NULL;
     exchange_resume(exchange);
 }
 
@@ -101,9 +101,10 @@
 static void
 begin_delay(struct exchange *exchange)
 {
-    exchange->slow = false;
-    exchange->hold = timer_add(exchange->standin, exchange->standin->slow_us,
-                               end_delay, exchange);
+    exchange->delay_pending = false;
+    exchange->delay_timer =
+        timer_add(exchange->standin, exchange->standin->response_delay_us,
+                  end_delay, exchange);
 }
 
 /* Continues an exchange, unless its response is delayed or its connection is
@@ -113,13 +114,13 @@
 {
     struct exchange *exchange = data;
     exchange->timer = NULL;
-    if (exchange->slow) {
+    if (exchange->delay_pending) {
         begin_delay(exchange);
     }
-    if (exchange->hold == NULL && exchange->suspended &&
-        !exchange->link->silent) {
+    if (exchange->delay_timer == NULL && exchange->suspended &&
+        !exchange->client->silent) {
         exchange->suspended = false;
-        exchange->standin->resumed = true;
+        exchange->standin->connection_resumed = true;
         MHD_resume_connection(exchange->connection);
     }
 }
@@ -176,7 +177,7 @@
         }
     }
     else if (strcmp(name, "silent") == 0) {
-        standin_close_links(standin, true);
+        standin_close_connections(standin, true);
     }
     else if (strcmp(name, "record") == 0) {
         JsonBuilder *out = json_builder_new();
@@ -201,17 +202,17 @@
 handle_request(struct exchange *exchange)
 {
     struct standin *standin = exchange->standin;
-    bool reused = exchange->link->requests > 1;
+    bool reused = exchange->client->request_count > 1;
     bool post = strcmp(exchange->method, "POST") == 0;
-    if (fault_take(standin, FAULT_silent_next)) {
-        exchange->link->silent = true;
+    if (fault_consume(standin, FAULT_silent_next)) {
+        exchange->client->silent = true;
         return;
     }
-    if (fault_take(standin, FAULT_drop_before)) {
+    if (fault_consume(standin, FAULT_drop_before)) {
         exchange->closing = true;
         return;
     }
-    if (fault_take(standin, FAULT_refuse)) {
+    if (fault_consume(standin, FAULT_refuse)) {
         exchange_reply_text(exchange, 503, "refused\n");
         exchange_add_header(exchange, "X-Not-Run", "1");
         return;
@@ -220,11 +221,11 @@
     bool has_effect = standin->mode != &mode_kv ||
                       strcmp(exchange->method, "PUT") == 0 ||
                       strcmp(exchange->method, "DELETE") == 0;
-    if (has_effect && fault_take(standin, FAULT_silent_after)) {
-        exchange->link->silent = true;
+    if (has_effect && fault_consume(standin, FAULT_silent_after)) {
+        exchange->client->silent = true;
     }
-    if ((has_effect && fault_take(standin, FAULT_drop_after)) ||
-        (post && reused && fault_take(standin, FAULT_close_reused))) {
+    if ((has_effect && fault_consume(standin, FAULT_drop_after)) ||
+        (post && reused && fault_consume(standin, FAULT_close_reused))) {
         exchange->closing = true;
     }
 }
@@ -239,13 +240,13 @@
     if (delay == 0) {
         return;
     }
-    standin->slow_us = delay * 1000;
+    standin->response_delay_us = delay * 1000;
     if (standin->faults[FAULT_slow_next] > 0 &&
         --standin->faults[FAULT_slow_next] == 0) {
         standin->faults[FAULT_slow_ms] = 0;
     }
     if (exchange->response == NULL) {
-        exchange->slow = true;
+        exchange->delay_pending = true;
         return;
     }
     exchange_suspend(exchange);
@@ -256,7 +257,7 @@
 static enum MHD_Result
 continue_exchange(struct exchange *exchange)
 {
-    if (exchange->link->silent) {
+    if (exchange->client->silent) {
         exchange_suspend(exchange);
         return MHD_YES;
     }
@@ -290,19 +291,19 @@
         exchange->method = method;
         exchange->path = url;
         exchange->body = g_string_new(NULL);
-        exchange->link = MHD_get_connection_info(
-                             connection, MHD_CONNECTION_INFO_SOCKET_CONTEXT)
-                             ->socket_context;
-        exchange->link->requests++;
-        exchange->link->control = g_str_has_prefix(url, "/control/");
+        exchange->client = MHD_get_connection_info(
+                               connection, MHD_CONNECTION_INFO_SOCKET_CONTEXT)
+                               ->socket_context;
+        exchange->client->request_count++;
+        exchange->client->control = g_str_has_prefix(url, "/control/");
         *memory = exchange;
-        if (exchange->link->silent) {
+        if (exchange->client->silent) {
             exchange_suspend(exchange);
         }
         return MHD_YES;
     }
     if (*upload_size > 0) {
-        if (exchange->body->len + *upload_size > STANDIN_MOST_BODY) {
+        if (exchange->body->len + *upload_size > STANDIN_MAX_BODY_BYTES) {
             return MHD_NO;
         }
         g_string_append_len(exchange->body, upload, (gssize)*upload_size);
@@ -311,7 +312,7 @@
     }
     if (!exchange->dispatched) {
         exchange->dispatched = true;
-        if (exchange->link->control) {
+        if (exchange->client->control) {
             handle_control(exchange);
         }
         else {
@@ -334,10 +335,11 @@
     if (exchange == NULL) {
         return;
     }
-    timer_stop(exchange->standin, exchange->timer);
-    timer_stop(exchange->standin, exchange->hold);
-    if (exchange->gone != NULL) {
-        exchange->gone(exchange, code == MHD_REQUEST_TERMINATED_COMPLETED_OK);
+    timer_cancel(exchange->standin, exchange->timer);
+    timer_cancel(exchange->standin, exchange->delay_timer);
+    if (exchange->on_end != NULL) {
+        exchange->on_end(exchange,
+                         code == MHD_REQUEST_TERMINATED_COMPLETED_OK);
     }
     if (exchange->response != NULL) {
         MHD_destroy_response(exchange->response);
@@ -354,11 +356,11 @@
 {
     struct standin *standin = data;
     if (code == MHD_CONNECTION_NOTIFY_STARTED) {
-        *memory = g_new0(struct link, 1);
-        g_hash_table_insert(standin->links, *memory, connection);
+        *memory = g_new0(struct client_connection, 1);
+        g_hash_table_insert(standin->connections, *memory, connection);
         return;
     }
-    g_hash_table_remove(standin->links, *memory);
+    g_hash_table_remove(standin->connections, *memory);
     g_free(*memory);
 }
 
--- a/tests/standin/generate.c
+++ b/tests/standin/generate.c
@@ -55,7 +55,7 @@
     }
     generation->released = true;
     engine->running--;
-    engine_use(engine, generation->model, -1);
+    engine_count_request(engine, generation->model, -1);
 }
 
 /* Releases the engine for a response on a silent connection, as all tokens are
@@ -65,15 +65,15 @@
 {
     struct exchange *exchange = data;
     exchange->timer = NULL;
-    release_engine(exchange->work);
+    release_engine(exchange->mode_data);
 }
 
 /* Ends a generation after the response was sent or the connection closed. */
 static void
 end_generation(struct exchange *exchange, bool whole)
 {
-    struct generation *generation = exchange->work;
-    generation->run->whole = whole && generation->finished;
+    struct generation *generation = exchange->mode_data;
+    generation->run->complete = whole && generation->finished;
     release_engine(generation);
     if (!generation->stream && generation->doubled) {
         const union MHD_ConnectionInfo *info = MHD_get_connection_info(
@@ -92,8 +92,9 @@
 next_event(struct generation *generation)
 {
     if (generation->next < generation->total) {
-        answer_event(generation->ready, generation->id, generation->chat,
-                     generation->hash, generation->next++);
+        append_response_event(generation->ready, generation->id,
+                              generation->chat, generation->hash,
+                              generation->next++);
         generation->due += token_time_us(generation);
         return;
     }
@@ -112,9 +113,9 @@
 continue_stream(void *data)
 {
     struct exchange *exchange = data;
-    const struct generation *generation = exchange->work;
+    const struct generation *generation = exchange->mode_data;
     exchange->timer = NULL;
-    if (!exchange->link->silent) {
+    if (!exchange->client->silent) {
         exchange_resume(exchange);
         return;
     }
@@ -139,10 +140,10 @@
             return MHD_CONTENT_READER_END_WITH_ERROR;
         }
         if (generation->next == generation->silent_at) {
-            exchange->link->silent = true;
+            exchange->client->silent = true;
         }
-        int64_t left = generation->due - now_us();
-        if (exchange->link->silent || left > 0) {
+        int64_t left = generation->due - monotonic_now_us();
+        if (exchange->client->silent || left > 0) {
             exchange_suspend(exchange);
             exchange->timer = timer_add(exchange->standin, MAX(left, 0),
                                         continue_stream, exchange);
@@ -176,15 +177,15 @@
 finish_whole_response(void *data)
 {
     struct exchange *exchange = data;
-    struct generation *generation = exchange->work;
+    struct generation *generation = exchange->mode_data;
     exchange->timer = NULL;
-    if (exchange->link->silent) {
+    if (exchange->client->silent) {
         release_engine(generation);
         return;
     }
     GString *text = g_string_new(NULL);
-    answer_whole(text, generation->id, generation->chat, generation->hash,
-                 generation->total);
+    append_response_whole(text, generation->id, generation->chat,
+                          generation->hash, generation->total);
     if (generation->cut_at < generation->total) {
         g_string_append(generation->ready, text->str);
         exchange->status = 200;
@@ -225,15 +226,16 @@
 {
     unsigned half = generation->total / 2;
     unsigned never = generation->total + 1;
-    bool ended = fault_take(standin, FAULT_ended);
-    bool cut = fault_take(standin, FAULT_cut);
-    generation->doubled = fault_take(standin, FAULT_doubled);
+    bool ended = fault_consume(standin, FAULT_ended);
+    bool cut = fault_consume(standin, FAULT_cut);
+    generation->doubled = fault_consume(standin, FAULT_doubled);
     generation->cut_at = cut || (ended && !generation->stream) ? half : never;
     generation->end_at = ended ? half : never;
     generation->silent_at =
-        generation->stream && fault_take(standin, FAULT_silent_stream) ? half
-                                                                       : never;
-    if (fault_take(standin, FAULT_crossed)) {
+        generation->stream && fault_consume(standin, FAULT_silent_stream)
+            ? half
+            : never;
+    if (fault_consume(standin, FAULT_crossed)) {
         char *other = g_strconcat("crossed-", generation->id, NULL);
         g_free(generation->id);
         generation->id = other;
@@ -246,13 +248,13 @@
 begin_generation(struct exchange *exchange, JsonObject *call, const char *name)
 {
     struct standin *standin = exchange->standin;
-    struct engine *engine = standin->state;
+    struct engine *engine = standin->mode_data;
     struct generation *generation = g_new0(struct generation, 1);
     int64_t tokens = json_object_get_int_member_with_default(
         call, "max_tokens", DEFAULT_TOKENS);
     generation->exchange = exchange;
     generation->engine = engine;
-    generation->run = judge_begin(engine->runs, exchange, name);
+    generation->run = run_log_begin(engine->runs, exchange, name);
     generation->model = g_strdup(name);
     generation->id = g_strdup(generation->run->request_id);
     generation->chat = strcmp(exchange->path, "/v1/chat/completions") == 0;
@@ -262,12 +264,12 @@
     generation->boot = engine->boot;
     generation->total = (unsigned)CLAMP(tokens, 1, MAX_TOKENS);
     generation->ready = g_string_new(NULL);
-    generation->due = now_us() + token_time_us(generation);
-    exchange->work = generation;
-    exchange->gone = end_generation;
+    generation->due = monotonic_now_us() + token_time_us(generation);
+    exchange->mode_data = generation;
+    exchange->on_end = end_generation;
     engine->running++;
     engine->most_running = MAX(engine->most_running, engine->running);
-    engine_use(engine, name, 1);
+    engine_count_request(engine, name, 1);
     choose_faults(standin, generation);
     if (generation->stream) {
         begin_stream(exchange, generation);
@@ -284,9 +286,9 @@
 
 /* Handles POST /v1/completions and /v1/chat/completions. */
 void
-generate_handle(struct exchange *exchange)
+handle_completion(struct exchange *exchange)
 {
-    struct engine *engine = exchange->standin->state;
+    struct engine *engine = exchange->standin->mode_data;
     JsonParser *parser = json_parser_new();
     JsonObject *call = NULL;
     if (json_parser_load_from_data(parser, exchange->body->str,
--- a/tests/standin/kv.c
+++ b/tests/standin/kv.c
@@ -62,7 +62,7 @@
     struct kv *kv = g_new0(struct kv, 1);
     kv->values = g_tree_new_full(key_compare, NULL, g_free, value_free);
     kv->watching = g_ptr_array_new();
-    standin->state = kv;
+    standin->mode_data = kv;
 }
 
 /* Adds the ETag of a revision to the response. */
@@ -94,13 +94,13 @@
 {
     for (guint i = kv->watching->len; i > 0; i--) {
         struct exchange *exchange = g_ptr_array_index(kv->watching, i - 1);
-        struct watch *watch = exchange->work;
+        struct watch *watch = exchange->mode_data;
         const struct value *value = g_tree_lookup(kv->values, key);
         if (strcmp(watch->key, key) != 0 || value->revision <= watch->after) {
             continue;
         }
         g_ptr_array_remove_index_fast(kv->watching, i - 1);
-        timer_stop(exchange->standin, exchange->timer);
+        timer_cancel(exchange->standin, exchange->timer);
         respond_with_value(exchange, value);
         exchange_resume(exchange);
     }
@@ -111,7 +111,7 @@
 static bool
 check_condition(struct exchange *exchange, const struct value *value)
 {
-    struct kv *kv = exchange->standin->state;
+    struct kv *kv = exchange->standin->mode_data;
     const char *match = exchange_header(exchange, "If-Match");
     bool none = exchange_header(exchange, "If-None-Match") != NULL;
     if (match == NULL && !none) {
@@ -136,7 +136,7 @@
 static void
 handle_put(struct exchange *exchange, const char *key)
 {
-    struct kv *kv = exchange->standin->state;
+    struct kv *kv = exchange->standin->mode_data;
     if (exchange->body->len > MAX_VALUE_BYTES) {
         exchange_reply_text(exchange, 413, "");
         return;
@@ -158,7 +158,7 @@
 static void
 handle_delete(struct exchange *exchange, const char *key)
 {
-    struct kv *kv = exchange->standin->state;
+    struct kv *kv = exchange->standin->mode_data;
     const struct value *value = g_tree_lookup(kv->values, key);
     if (value == NULL) {
         exchange_reply_text(exchange, 404, "");
@@ -176,7 +176,7 @@
 expire_watch(void *data)
 {
     struct exchange *exchange = data;
-    struct kv *kv = exchange->standin->state;
+    struct kv *kv = exchange->standin->mode_data;
     g_ptr_array_remove_fast(kv->watching, exchange);
     exchange->timer = NULL;
     exchange_reply_text(exchange, 204, "");
@@ -187,8 +187,8 @@
 static void
 free_watch(struct exchange *exchange, bool whole)
 {
-    struct kv *kv = exchange->standin->state;
-    struct watch *watch = exchange->work;
+    struct kv *kv = exchange->standin->mode_data;
+    struct watch *watch = exchange->mode_data;
     (void)whole;
     g_ptr_array_remove_fast(kv->watching, exchange);
     g_free(watch->key);
@@ -199,7 +199,7 @@
 static void
 begin_watch(struct exchange *exchange, const char *key)
 {
-    struct kv *kv = exchange->standin->state;
+    struct kv *kv = exchange->standin->mode_data;
     const char *after = exchange_query(exchange, "after");
     const char *wait = exchange_query(exchange, "wait_ms");
     const struct value *value = g_tree_lookup(kv->values, key);
@@ -212,8 +212,8 @@
     struct watch *watch = g_new(struct watch, 1);
     watch->key = g_strdup(key);
     watch->after = seen_revision;
-    exchange->work = watch;
-    exchange->gone = free_watch;
+    exchange->mode_data = watch;
+    exchange->on_end = free_watch;
     int64_t timeout_ms = wait == NULL ? 0 : g_ascii_strtoll(wait, NULL, 10);
     exchange->timer = timer_add(exchange->standin, timeout_ms * 1000,
                                 expire_watch, exchange);
@@ -250,7 +250,7 @@
 static void
 handle_list(struct exchange *exchange)
 {
-    struct kv *kv = exchange->standin->state;
+    struct kv *kv = exchange->standin->mode_data;
     const char *prefix = exchange_query(exchange, "prefix");
     struct listing listing = {json_builder_new(), prefix ? prefix : ""};
     json_builder_begin_object(listing.out);
@@ -268,7 +268,7 @@
 {
     static const char kv_path[] = "/v1/kv/";
     static const char watch_path[] = "/v1/watch/";
-    struct kv *kv = exchange->standin->state;
+    struct kv *kv = exchange->standin->mode_data;
     const char *key = exchange->path + strlen(kv_path);
     if (strcmp(exchange->path, "/v1/list") == 0) {
         kv->calls[CALL_LIST]++;
@@ -300,7 +300,7 @@
 static void
 kv_record(struct standin *standin, JsonBuilder *out)
 {
-    struct kv *kv = standin->state;
+    struct kv *kv = standin->mode_data;
     for (size_t i = 0; i < CALL_KINDS; i++) {
         json_number(out, call_names[i], kv->calls[i]);
     }
--- a/tests/standin/loop.c
+++ b/tests/standin/loop.c
@@ -24,7 +24,7 @@
 /* CLOCK_MONOTONIC in microseconds, the same for all processes of the
    machine. */
 int64_t
-now_us(void)
+monotonic_now_us(void)
 {
     struct timespec now;
     clock_gettime(CLOCK_MONOTONIC, &now);
@@ -47,7 +47,7 @@
           void *data)
 {
     struct timer *timer = g_new0(struct timer, 1);
-    timer->at = now_us() + delay_us;
+    timer->at = monotonic_now_us() + delay_us;
     timer->run = run;
     timer->data = data;
     timer->place =
@@ -57,7 +57,7 @@
 
 /* Frees a timer that has not run; NULL is allowed. */
 void
-timer_stop(struct standin *standin, struct timer *timer)
+timer_cancel(struct standin *standin, struct timer *timer)
 {
     (void)standin;
     if (timer != NULL) {
@@ -77,7 +77,7 @@
             return -1;
         }
         struct timer *timer = g_sequence_get(first);
-        int64_t left = timer->at - now_us();
+        int64_t left = timer->at - monotonic_now_us();
         if (left > 0) {
             return (int)(left / 1000) + 1;
         }
@@ -89,11 +89,11 @@
 
 /* From any thread: runs run(standin, data) in the event loop. */
 void
-standin_wake(struct standin *standin, void (*run)(struct standin *, void *),
-             void *data)
+standin_post_job(struct standin *standin,
+                 void (*run)(struct standin *, void *), void *data)
 {
-    struct wake_job job = {run, data};
-    if (write(standin->wake[1], &job, sizeof job) != (ssize_t)sizeof job) {
+    struct loop_job job = {run, data};
+    if (write(standin->job_pipe[1], &job, sizeof job) != (ssize_t)sizeof job) {
         abort();
     }
 }
@@ -103,7 +103,7 @@
 watch_fd(struct standin *standin, int fd)
 {
     struct epoll_event event = {.events = EPOLLIN, .data.fd = fd};
-    if (epoll_ctl(standin->epoll, EPOLL_CTL_ADD, fd, &event) != 0) {
+    if (epoll_ctl(standin->epoll_fd, EPOLL_CTL_ADD, fd, &event) != 0) {
         abort();
     }
 }
@@ -154,14 +154,14 @@
  * silent already stay as they are.
  */
 void
-standin_close_links(struct standin *standin, bool silent)
+standin_close_connections(struct standin *standin, bool silent)
 {
     GHashTableIter iter;
     gpointer link;
     gpointer connection;
-    g_hash_table_iter_init(&iter, standin->links);
+    g_hash_table_iter_init(&iter, standin->connections);
     while (g_hash_table_iter_next(&iter, &link, &connection)) {
-        struct link *open = link;
+        struct client_connection *open = link;
         if (open->control || open->silent) {
             continue;
         }
@@ -179,24 +179,25 @@
 void
 standin_listen(struct standin *standin, bool on)
 {
-    if (on == (standin->listening != NULL)) {
+    if (on == (standin->listener != NULL)) {
         return;
     }
     if (on) {
-        standin->listening = open_daemon(standin, &standin->port);
+        standin->listener = open_daemon(standin, &standin->port);
         return;
     }
-    (void)close(MHD_quiesce_daemon(standin->listening));
-    standin->listening = NULL;
-    standin_close_links(standin, false);
+    (void)close(MHD_quiesce_daemon(standin->listener));
+    standin->listener = NULL;
+    standin_close_connections(standin, false);
 }
 
 /* Runs the jobs passed by other threads. */
 static void
 run_jobs(struct standin *standin)
 {
-    struct wake_job job;
-    while (read(standin->wake[0], &job, sizeof job) == (ssize_t)sizeof job) {
+    struct loop_job job;
+    while (read(standin->job_pipe[0], &job, sizeof job) ==
+           (ssize_t)sizeof job) {
         job.run(standin, job.data);
     }
 }
@@ -208,7 +209,7 @@
 sleep_time_ms(struct standin *standin, int until_timer)
 {
     MHD_UNSIGNED_LONG_LONG most;
-    if (standin->resumed) {
+    if (standin->connection_resumed) {
         return 0;
     }
     for (guint i = 0; i < standin->daemons->len; i++) {
@@ -251,16 +252,16 @@
     sigaddset(&signals, SIGINT);
     sigprocmask(SIG_BLOCK, &signals, NULL);
     (void)signal(SIGPIPE, SIG_IGN);
-    standin->signals = signalfd(-1, &signals, SFD_CLOEXEC);
-    standin->epoll = epoll_create1(EPOLL_CLOEXEC);
-    if (pipe2(standin->wake, O_CLOEXEC) != 0) {
+    standin->signal_fd = signalfd(-1, &signals, SFD_CLOEXEC);
+    standin->epoll_fd = epoll_create1(EPOLL_CLOEXEC);
+    if (pipe2(standin->job_pipe, O_CLOEXEC) != 0) {
         abort();
     }
-    (void)fcntl(standin->wake[0], F_SETFL, O_NONBLOCK);
-    watch_fd(standin, standin->signals);
-    watch_fd(standin, standin->wake[0]);
+    (void)fcntl(standin->job_pipe[0], F_SETFL, O_NONBLOCK);
+    watch_fd(standin, standin->signal_fd);
+    watch_fd(standin, standin->job_pipe[0]);
     if (standin->mode->handle != NULL) {
-        standin->listening = open_daemon(standin, &standin->port);
+        standin->listener = open_daemon(standin, &standin->port);
     }
     (void)open_daemon(standin, &control);
     (void)printf("listening %u\ncontrol %u\n", standin->port, control);
@@ -273,22 +274,22 @@
 {
     struct epoll_event events[8];
     standin->timers = g_sequence_new(NULL);
-    standin->links = g_hash_table_new(NULL, NULL);
+    standin->connections = g_hash_table_new(NULL, NULL);
     standin->daemons = g_ptr_array_new();
     standin->port = read_options(standin);
     standin->mode->start(standin);
     set_up_loop(standin);
     for (;;) {
         int limit = sleep_time_ms(standin, run_expired_timers(standin));
-        int count = epoll_wait(standin->epoll, events, 8, limit);
+        int count = epoll_wait(standin->epoll_fd, events, 8, limit);
         for (int i = 0; i < count; i++) {
-            if (events[i].data.fd == standin->signals) {
+            if (events[i].data.fd == standin->signal_fd) {
                 return 0;
             }
         }
         run_jobs(standin);
         (void)run_expired_timers(standin);
-        standin->resumed = false;
+        standin->connection_resumed = false;
         for (guint i = 0; i < standin->daemons->len; i++) {
             (void)MHD_run(g_ptr_array_index(standin->daemons, i));
         }
--- a/tests/standin/platform.c
+++ b/tests/standin/platform.c
@@ -20,14 +20,14 @@
 {
     struct hosts *hosts = g_new0(struct hosts, 1);
     hosts->list = g_strdup("{\"hosts\":[]}");
-    standin->state = hosts;
+    standin->mode_data = hosts;
 }
 
 /* Handles GET /v1/hosts. */
 static void
 hosts_handle(struct exchange *exchange)
 {
-    struct hosts *hosts = exchange->standin->state;
+    struct hosts *hosts = exchange->standin->mode_data;
     const char *known = exchange_header(exchange, "If-None-Match");
     char etag[32];
     (void)g_snprintf(etag, sizeof etag, "\"%" G_GINT64_FORMAT "\"",
@@ -61,7 +61,7 @@
 hosts_control(struct exchange *exchange)
 {
     struct standin *standin = exchange->standin;
-    struct hosts *hosts = standin->state;
+    struct hosts *hosts = standin->mode_data;
     if (strcmp(exchange->path, "/control/hosts") != 0) {
         return false;
     }
@@ -80,7 +80,7 @@
 static void
 hosts_record(struct standin *standin, JsonBuilder *out)
 {
-    const struct hosts *hosts = standin->state;
+    const struct hosts *hosts = standin->mode_data;
     json_number(out, "gets", hosts->calls);
     json_number(out, "unchanged", hosts->unchanged);
 }
@@ -100,7 +100,7 @@
 static void
 weights_start(struct standin *standin)
 {
-    standin->state = g_new0(struct weights, 1);
+    standin->mode_data = g_new0(struct weights, 1);
 }
 
 /* Counts a transfer out, complete or not. */
@@ -108,7 +108,7 @@
 weights_ended(struct exchange *exchange, bool whole)
 {
     (void)whole;
-    ((struct weights *)exchange->standin->state)->running--;
+    ((struct weights *)exchange->standin->mode_data)->running--;
 }
 
 /* Answers a transfer after its time. */
@@ -126,12 +126,12 @@
 weights_handle(struct exchange *exchange)
 {
     struct standin *standin = exchange->standin;
-    struct weights *weights = standin->state;
+    struct weights *weights = standin->mode_data;
     int64_t parallel = MAX(standin->faults[FAULT_parallel], 1);
     weights->transfers++;
     weights->running++;
     weights->most = MAX(weights->most, weights->running);
-    exchange->gone = weights_ended;
+    exchange->on_end = weights_ended;
     int64_t concurrent = MAX(weights->running, parallel);
     exchange->timer = timer_add(standin,
                                 standin->faults[FAULT_transfer_ms] * 1000 *
@@ -142,7 +142,7 @@
 static void
 weights_record(struct standin *standin, JsonBuilder *out)
 {
-    struct weights *weights = standin->state;
+    struct weights *weights = standin->mode_data;
     json_number(out, "transfers", weights->transfers);
     json_number(out, "running", weights->running);
     json_number(out, "most", weights->most);
--- a/tests/standin/relay.c
+++ b/tests/standin/relay.c
@@ -126,7 +126,7 @@
     g_strfreev(parts);
     relay->socket = standin_socket(&standin->port, false);
     pthread_mutex_init(&relay->lock, NULL);
-    standin->state = relay;
+    standin->mode_data = relay;
     g_thread_unref(g_thread_new("relay", accept_connections, relay));
 }
 
@@ -134,7 +134,7 @@
 static bool
 relay_control(struct exchange *exchange)
 {
-    struct relay *relay = exchange->standin->state;
+    struct relay *relay = exchange->standin->mode_data;
     if (strcmp(exchange->path, "/control/silence") != 0) {
         return false;
     }
@@ -147,7 +147,7 @@
 static void
 relay_record(struct standin *standin, JsonBuilder *out)
 {
-    struct relay *relay = standin->state;
+    struct relay *relay = standin->mode_data;
     pthread_mutex_lock(&relay->lock);
     json_number(out, "connections", relay->connections);
     pthread_mutex_unlock(&relay->lock);
--- a/tests/standin/judge.c
+++ b/tests/standin/run_log.c
@@ -1,6 +1,6 @@
 /* The record of the requests that an upstream executed. */
 
-#include "judge.h"
+#include "run_log.h"
 
 #include <inttypes.h>
 
@@ -14,7 +14,8 @@
 
 /* Adds a run that starts now; the array owns it. */
 struct run *
-judge_begin(GPtrArray *runs, const struct exchange *exchange, const char *item)
+run_log_begin(GPtrArray *runs, const struct exchange *exchange,
+              const char *item)
 {
     const char *from = exchange_header(exchange, "X-Resume-From");
     struct run *run = g_new0(struct run, 1);
@@ -26,14 +27,14 @@
     run->hash = ch_hash(exchange->body->str, exchange->body->len);
     run->resume_from =
         from == NULL ? 0 : (unsigned)g_ascii_strtoull(from, NULL, 10);
-    run->at = now_us();
+    run->started_at = monotonic_now_us();
     g_ptr_array_add(runs, run);
     return run;
 }
 
 /* Writes the member "runs"; times are in milliseconds of CLOCK_MONOTONIC. */
 void
-judge_record(const GPtrArray *runs, JsonBuilder *out)
+run_log_write(const GPtrArray *runs, JsonBuilder *out)
 {
     json_builder_set_member_name(out, "runs");
     json_builder_begin_array(out);
@@ -49,9 +50,9 @@
         json_text(out, "item", run->item);
         json_text(out, "body_hash", hash);
         json_number(out, "resume_from", run->resume_from);
-        json_number(out, "at_ms", run->at / 1000);
+        json_number(out, "at_ms", run->started_at / 1000);
         json_builder_set_member_name(out, "whole");
-        json_builder_add_boolean_value(out, run->whole);
+        json_builder_add_boolean_value(out, run->complete);
         json_builder_end_object(out);
     }
     json_builder_end_array(out);
--- a/tests/standin/service.c
+++ b/tests/standin/service.c
@@ -2,7 +2,7 @@
    repeated ones too. */
 
 #include "answer.h"
-#include "judge.h"
+#include "run_log.h"
 
 #include <string.h>
 
@@ -14,14 +14,14 @@
 static void
 service_start(struct standin *standin)
 {
-    standin->state = g_ptr_array_new();
+    standin->mode_data = g_ptr_array_new();
 }
 
 /* Notes whether the response was sent before the connection ended. */
 static void
 service_ended(struct exchange *exchange, bool whole)
 {
-    ((struct run *)exchange->work)->whole = whole;
+    ((struct run *)exchange->mode_data)->complete = whole;
 }
 
 /* Sets the response after the service time. */
@@ -29,10 +29,10 @@
 service_respond(void *data)
 {
     struct exchange *exchange = data;
-    const struct run *run = exchange->work;
+    const struct run *run = exchange->mode_data;
     GString *text = g_string_new(NULL);
     exchange->timer = NULL;
-    answer_service(text, run->method, run->path, run->hash);
+    append_response_service(text, run->method, run->path, run->hash);
     gsize length = text->len;
     exchange_reply(exchange, 200, g_string_free(text, FALSE), length);
     exchange_add_header(exchange, "Content-Type", "application/json");
@@ -61,8 +61,8 @@
 service_handle(struct exchange *exchange)
 {
     struct standin *standin = exchange->standin;
-    exchange->work = judge_begin(standin->state, exchange, "");
-    exchange->gone = service_ended;
+    exchange->mode_data = run_log_begin(standin->mode_data, exchange, "");
+    exchange->on_end = service_ended;
     if (standin->faults[FAULT_crash_ms] > 0 &&
         strstr(exchange->body->str, CRASH_MARK) != NULL) {
         (void)timer_add(standin, CRASH_AFTER_US, service_crash, standin);
@@ -80,7 +80,7 @@
 static void
 service_record(struct standin *standin, JsonBuilder *out)
 {
-    judge_record(standin->state, out);
+    run_log_write(standin->mode_data, out);
 }
 
 const struct mode mode_service = {"service", service_start, service_handle,
--- a/tests/standin/standin.h
+++ b/tests/standin/standin.h
@@ -65,14 +65,14 @@
 #define CRASH_MARK "crash-upstream"
 
 enum {
-    ALWAYS = 1000000,
-    STANDIN_MOST_BODY = 4 * 1024 * 1024,
+    FAULT_ALWAYS = 1000000,
+    STANDIN_MAX_BODY_BYTES = 4 * 1024 * 1024,
 };
 
-struct link {
+struct client_connection {
     bool silent;  /* stays open, but is not read or written any more */
     bool control; /* a control connection: faults don't apply */
-    unsigned requests;
+    unsigned request_count;
 };
 
 struct standin;
@@ -81,7 +81,7 @@
 struct exchange {
     struct standin *standin;
     struct MHD_Connection *connection;
-    struct link *link;
+    struct client_connection *client;
     const char *method;
     const char *path; /* without the query */
     GString *body;
@@ -91,11 +91,11 @@
     struct MHD_Response *response;
     int status;
     struct timer *timer;
-    struct timer *hold; /* delays the response; NULL: no delay */
-    bool slow;          /* the response is to be delayed when it is ready */
-    void *work;         /* the mode's data; freed by the mode in on_end */
+    struct timer *delay_timer; /* delays the response; NULL: no delay */
+    bool delay_pending; /* the response is to be delayed when it is ready */
+    void *mode_data;    /* the mode's data; freed by the mode in on_end */
     /* At the end of the exchange; whole: the response was sent. */
-    void (*gone)(struct exchange *exchange, bool whole);
+    void (*on_end)(struct exchange *exchange, bool whole);
 };
 
 struct mode {
@@ -115,22 +115,22 @@
     GHashTable *options; /* the arguments NAME=VALUE, as text */
     int64_t faults[FAULT_COUNT];
     GSequence *timers;
-    GHashTable *links; /* open connections: struct client_connection to the
-                          MHD_Connection */
+    GHashTable *connections; /* open connections: struct client_connection to
+                          the MHD_Connection */
     GPtrArray *daemons;
-    int64_t slow_us; /* delay of the latest delayed response */
-    bool resumed;    /* a connection was resumed since the last MHD_run;
-                        MHD_get_timeout does not report that */
-    struct MHD_Daemon *listening; /* NULL: not listening */
+    int64_t response_delay_us;   /* delay of the latest delayed response */
+    bool connection_resumed;     /* a connection was resumed since the last
+                         MHD_run;     MHD_get_timeout does not report that */
+    struct MHD_Daemon *listener; /* NULL: not listening */
     uint16_t port;
-    int wake[2]; /* a pipe of struct loop_job */
-    int signals;
-    int epoll;
-    void *state; /* the mode's data */
+    int job_pipe[2]; /* a pipe of struct loop_job */
+    int signal_fd;
+    int epoll_fd;
+    void *mode_data; /* the mode's data */
 };
 
 /* Work that another thread passes to the event loop. */
-struct wake_job {
+struct loop_job {
     void (*run)(struct standin *standin, void *data);
     void *data;
 };
@@ -141,16 +141,16 @@
 /* ---- loop.c ---- */
 
 /* CLOCK_MONOTONIC, the same for all processes of the machine. */
-int64_t now_us(void);
+int64_t monotonic_now_us(void);
 /* Runs run(data) after a delay in microseconds.  The timer is freed after it
    ran, or by timer_cancel. */
 struct timer *timer_add(struct standin *standin, int64_t delay_us,
                         void (*run)(void *data), void *data);
 /* Removes and frees a timer that has not run; NULL is allowed. */
-void timer_stop(struct standin *standin, struct timer *timer);
+void timer_cancel(struct standin *standin, struct timer *timer);
 /* From any thread: runs run(standin, data) in the event loop. */
-void standin_wake(struct standin *standin,
-                  void (*run)(struct standin *, void *), void *data);
+void standin_post_job(struct standin *standin,
+                      void (*run)(struct standin *, void *), void *data);
 /* Opens a listening socket on the loopback address.  For port 0 the kernel
    chooses a port, which is stored there; exits the process on failure. */
 int standin_socket(uint16_t *port, bool nonblocking);
@@ -160,12 +160,12 @@
 void standin_listen(struct standin *standin, bool on);
 /* Closes the open connections, or lets them stall for good, but for control
    connections. */
-void standin_close_links(struct standin *standin, bool silent);
+void standin_close_connections(struct standin *standin, bool silent);
 
 /* ---- exchange.c ---- */
 
 /* True when a counted fault is set; decreases its count. */
-bool fault_take(struct standin *standin, enum fault fault);
+bool fault_consume(struct standin *standin, enum fault fault);
 /* A request header or query argument; NULL if missing. */
 const char *exchange_header(const struct exchange *exchange, const char *name);
 const char *exchange_query(const struct exchange *exchange, const char *name);
